--- a/cmd/bellstream/errors_test.go
+++ b/cmd/bellstream/errors_test.go
@@ -34,7 +34,7 @@
 		&config.MalformedError{Err: errWhy}, &config.UnsupportedFormatError{Version: 4, Err: errWhy}},
 	"internal/cluster/lease": {&lease.InvalidSettingError{Key: "accord.period", Reason: "why"}, &lease.ExpiredError{}, &lease.ExpiredError{ExpiredSeconds: 3},
 		&lease.StaleProposalError{Base: 3, Newest: 4, Changes: []lease.Change{{Version: 4, Proposer: "n1", Keys: []string{"out"}}}}, &lease.ProposalInProgressError{Proposer: "n1"},
-		&lease.ClusterMismatchError{Local: "a", Remote: "b"}, &lease.StateLostError{}, &lease.NotLeaderError{}, &lease.NotReadyError{Reason: "nobody has proposed rules: have an operator's file with them read by SIGHUP"},
+		&lease.ClusterMismatchError{Local: "a", Remote: "b"}, &lease.StateLostError{}, &lease.NotLeaderError{}, &lease.NotReadyError{Reason: "no rules have been proposed: add them to an operator's file and send SIGHUP"},
 		&lease.TooManyHoldersError{}, &lease.StaleEntryError{Entry: "the lease"}, &lease.CorruptMessageError{Subject: "an entry", Reason: "why"}, &lease.UnsupportedFormatError{Subject: "an entry"},
 		&lease.DroppedGrantError{Reason: lease.NotOutstanding}, &lease.DroppedGrantError{Reason: lease.StaleRevision, Cause: &lease.StateLostError{}}},
 	"internal/cluster/lease/agent": {&agent.CorruptFileError{Path: "/x", Err: errWhy}, &agent.RejectedError{Reason: (&lease.NotLeaderError{}).Error()}},
--- a/internal/cluster/lease/bench_test.go
+++ b/internal/cluster/lease/bench_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// BenchmarkLeader answers one of 300 instances while a stage waits.
+// BenchmarkLeader measures the leader answering a request of one of 300 instances
+// while a version is being rolled out.
 func BenchmarkLeader(b *testing.B) {
 	s := newStateInForce(&testing.T{})
 	g := NewGrantor(DefaultSettings, s)
@@ -27,7 +28,7 @@
 	}
 }
 
-// BenchmarkHolder sends a request and applies its grant.
+// BenchmarkHolder measures a holder sending a request and applying its grant.
 func BenchmarkHolder(b *testing.B) {
 	s := newStateInForce(&testing.T{})
 	h := NewHolder("n1", 1, DefaultSettings)
@@ -36,7 +37,7 @@
 		now := float64(i)
 		q, _, _ := h.NextRequest(now)
 		if g.Nonce = q.Nonce; h.HandleGrant(now, g) != nil || !h.EffectiveConfig(now).Leased {
-			b.Fatal("no lease")
+			b.Fatal("the holder has no lease after applying a grant")
 		}
 	}
 }
--- a/internal/cluster/lease/codec.go
+++ b/internal/cluster/lease/codec.go
@@ -10,17 +10,18 @@
 
 //go:generate sh -c "cd pb && go run example.org/bellstream/internal/tools/protogen lease.proto"
 
-// Limits of encoded messages. All but grants are below 1 KiB on the wire.
+// Limits of encoded messages. MaxMessageBytes applies to requests, grants and
+// releases; requests and releases are below 1 KiB on the wire.
 const (
 	MaxEntryBytes    = MaxTableBytes + 16<<10
 	MaxMessageBytes  = 2*MaxTableBytes + 4<<10
 	MaxSnapshotBytes = 2*MaxTableBytes + 512<<10
 )
 
-// maxOmittedKeys keeps Change.OmittedKeys within an int of any platform.
+// maxOmittedKeys bounds Change.OmittedKeys so that it fits an int of 32 bits.
 const maxOmittedKeys = 1 << 30
 
-// Names of the messages in errors.
+// Names of the messages and reasons in errors.
 const (
 	subjectEntry    = "an entry"
 	subjectSnapshot = "a snapshot"
@@ -28,11 +29,11 @@
 	subjectGrant    = "a lease grant"
 	subjectRelease  = "a lease release"
 
-	reasonField = "a value or name is not valid"
+	reasonInvalidField = "invalid value or name"
 )
 
-// validSender checks the sender's fields of a message. An instance without an
-// identity sends no cluster.
+// validSender reports whether the fields that identify a message's sender are
+// valid. The cluster is empty if the instance does not know its cluster yet.
 func validSender(cluster, instance string, incarnation uint64) bool {
 	return validName(instance) && (cluster == "" || validName(cluster)) && incarnation != 0
 }
@@ -48,7 +49,7 @@
 	return len(keys) <= MaxChangeKeys && !slices.ContainsFunc(keys, invalid)
 }
 
-// truncateKey cuts a key to MaxKeyBytes and replaces what is not UTF-8.
+// truncateKey shortens a key to MaxKeyBytes and replaces bytes that are not valid UTF-8.
 func truncateKey(key string) string {
 	const ellipsis = "..."
 	key = strings.ToValidUTF8(key, "?")
@@ -63,13 +64,13 @@
 		return &CorruptMessageError{Subject: subject, Reason: "too large"}
 	}
 	if err := proto.Unmarshal(raw, message); err != nil {
-		return &CorruptMessageError{Subject: subject, Reason: "no such message"}
+		return &CorruptMessageError{Subject: subject, Reason: "invalid encoding"}
 	}
 	return nil
 }
 
-// marshal panics on an error, which only strings that are not UTF-8 could
-// cause: all are validated before.
+// marshal encodes a message. It panics on an error, which only strings that are
+// not valid UTF-8 can cause; callers have validated all strings.
 func marshal(message proto.Message) []byte {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/internal/cluster/lease/codec_messages.go
+++ b/internal/cluster/lease/codec_messages.go
@@ -24,7 +24,7 @@
 	}
 	applied, ok := revisionFromProto(message.AppliedRevision)
 	if !ok || !validSender(message.Cluster, message.Instance, message.Incarnation) {
-		return Request{}, &CorruptMessageError{Subject: subjectRequest, Reason: reasonField}
+		return Request{}, &CorruptMessageError{Subject: subjectRequest, Reason: reasonInvalidField}
 	}
 	return Request{
 		Cluster:         message.Cluster,
@@ -61,7 +61,7 @@
 	revision, ok := revisionFromProto(message.Revision)
 	validLease := message.LeaseSeconds > 0 && message.LeaseSeconds <= MaxLeaseSeconds
 	if !ok || !validName(message.Instance) || !validName(message.Cluster) || !validLease {
-		return Grant{}, &CorruptMessageError{Subject: subjectGrant, Reason: reasonField}
+		return Grant{}, &CorruptMessageError{Subject: subjectGrant, Reason: reasonInvalidField}
 	}
 	grant := Grant{
 		Cluster:      message.Cluster,
@@ -74,7 +74,7 @@
 	if message.View != nil {
 		view, ok := viewFromProto(message.View)
 		if !ok {
-			return Grant{}, &CorruptMessageError{Subject: subjectGrant, Reason: "its view is not valid"}
+			return Grant{}, &CorruptMessageError{Subject: subjectGrant, Reason: "invalid view"}
 		}
 		grant.View = view
 	}
@@ -97,7 +97,7 @@
 		return Release{}, err
 	}
 	if !validSender(message.Cluster, message.Instance, message.Incarnation) {
-		return Release{}, &CorruptMessageError{Subject: subjectRelease, Reason: reasonField}
+		return Release{}, &CorruptMessageError{Subject: subjectRelease, Reason: reasonInvalidField}
 	}
 	return Release{
 		Cluster:     message.Cluster,
--- a/internal/cluster/lease/codec_state.go
+++ b/internal/cluster/lease/codec_state.go
@@ -4,7 +4,8 @@
 	"example.org/bellstream/internal/cluster/lease/pb"
 )
 
-// Marshal encodes the entry. Its error is that of an invalid entry.
+// Marshal encodes the entry. For an invalid entry it returns a
+// *CorruptMessageError or an *UnsupportedFormatError.
 func (e Entry) Marshal() ([]byte, error) {
 	if err := e.validate(); err != nil {
 		return nil, err
@@ -27,7 +28,7 @@
 }
 
 // UnmarshalEntry decodes an entry. Its error is a *CorruptMessageError, or an
-// *UnsupportedFormatError if the entry is of a newer build.
+// *UnsupportedFormatError if the entry is from a newer build.
 func UnmarshalEntry(raw []byte) (Entry, error) {
 	var message pb.Entry
 	if err := unmarshal(subjectEntry, raw, MaxEntryBytes, &message); err != nil {
@@ -37,7 +38,7 @@
 		return Entry{}, &UnsupportedFormatError{Subject: subjectEntry}
 	}
 	if message.TargetStage > uint32(StageInForce) || message.OmittedKeys > maxOmittedKeys {
-		return Entry{}, &CorruptMessageError{Subject: subjectEntry, Reason: reasonField}
+		return Entry{}, &CorruptMessageError{Subject: subjectEntry, Reason: reasonInvalidField}
 	}
 	e := Entry{
 		Kind:         EntryKind(message.Kind),
@@ -69,8 +70,8 @@
 	return marshal(message)
 }
 
-// Restore replaces the state by that of a snapshot. On an error, a
-// *CorruptMessageError, the state is unchanged.
+// Restore replaces the state by the one that a snapshot contains. Its error is a
+// *CorruptMessageError, after which the state is unchanged.
 func (s *State) Restore(raw []byte) error {
 	var message pb.State
 	if err := unmarshal(subjectSnapshot, raw, MaxSnapshotBytes, &message); err != nil {
@@ -78,7 +79,7 @@
 	}
 	restored, ok := stateFromProto(&message)
 	if !ok {
-		return &CorruptMessageError{Subject: subjectSnapshot, Reason: reasonField}
+		return &CorruptMessageError{Subject: subjectSnapshot, Reason: reasonInvalidField}
 	}
 	*s = restored
 	return nil
@@ -105,7 +106,8 @@
 	}, true
 }
 
-// historyFromProto requires ascending versions, none newer than newest.
+// historyFromProto decodes a history. The versions have to ascend, and none may
+// be greater than newest.
 func historyFromProto(messages []*pb.Change, newest uint64) ([]Change, bool) {
 	if len(messages) > MaxHistoryLength {
 		return nil, false
@@ -159,7 +161,7 @@
 	return r, r.isValid()
 }
 
-// toProto returns nil for the zero version, so that no field is encoded for it.
+// toProto returns nil for the zero version, so that the field is omitted from the encoding.
 func (v Version) toProto() *pb.Version {
 	if v.Number == 0 {
 		return nil
@@ -188,7 +190,7 @@
 	}
 }
 
-// viewFromProto accepts only views that a state can have.
+// viewFromProto decodes a view. It rejects one whose revision contradicts its versions.
 func viewFromProto(message *pb.View) (*View, bool) {
 	revision, validRevision := revisionFromProto(message.GetRevision())
 	inForce, validInForce := versionFromProto(message.GetInForce())
@@ -205,7 +207,7 @@
 	return v, v.isConsistent()
 }
 
-// isConsistent reports whether the revision is one that the versions can have.
+// isConsistent reports whether the view's revision is possible with its versions.
 func (v *View) isConsistent() bool {
 	if v.Next.Number != 0 {
 		return v.Revision.Version == v.Next.Number && v.Revision.Stage < StageInForce &&
--- a/internal/cluster/lease/codec_test.go
+++ b/internal/cluster/lease/codec_test.go
@@ -16,19 +16,19 @@
 	f.Add(Grant{"c", "n1", 7, 1, 3, s.Revision(), s.View()}.Marshal())
 	f.Add(Release{"c", "n1", 7}.Marshal())
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		// What can be decoded is valid: it can be encoded, decoded again and applied.
+		// A message that can be decoded is valid: encoding, decoding and applying it succeeds.
 		if e, err := UnmarshalEntry(raw); err == nil {
 			again, err := e.Marshal()
 			if x, err2 := UnmarshalEntry(again); err != nil || err2 != nil || !reflect.DeepEqual(x, e) {
-				t.Errorf("%+v: %v %v", e, err, err2)
+				t.Errorf("entry %+v: encoding returned %v, decoding it again %v", e, err, err2)
 			}
 			newStateInForce(t).Apply(1, e)
 		}
 		var s State
 		if s.Restore(raw) == nil {
-			var back State
-			if err := back.Restore(s.Snapshot()); err != nil || !reflect.DeepEqual(s, back) {
-				t.Errorf("%v: %+v", err, s)
+			var restored State
+			if err := restored.Restore(s.Snapshot()); err != nil || !reflect.DeepEqual(s, restored) {
+				t.Errorf("restoring the snapshot of a state: error %v, or another state than %+v", err, s)
 			}
 		}
 		if q, err := UnmarshalRequest(raw); err == nil {
--- a/internal/cluster/lease/endpointlists/list_test.go
+++ b/internal/cluster/lease/endpointlists/list_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	many := Update{Seq: 1, Snapshot: true}
 	for i := range MaxEntries {
 		many.Entries = append(many.Entries, entry(fmt.Sprintf("w%05d", i)))
--- a/internal/cluster/lease/endpointlists/simulation_test.go
+++ b/internal/cluster/lease/endpointlists/simulation_test.go
@@ -72,11 +72,11 @@
 
 type peer struct {
 	*List
-	name        string
-	watch       uint64 // version that the own watch is at; 0 after it was reopened
-	silent      bool   // the own watch brings nothing
-	lastVersion Version
-	latest      map[string]string // the latest data seen of each ID
+	name         string
+	watchVersion uint64 // version that the own watch is at; 0 after it was reopened
+	watchStalled bool   // the own watch brings nothing
+	lastVersion  Version
+	latest       map[string]string // the latest data seen of each ID
 }
 
 // message has one of version, request and chunk.
@@ -112,10 +112,10 @@
 	s.discovery.start(1, ids)
 	for i := range peerCount {
 		p := &peer{
-			List:   New(transferTimeoutS),
-			name:   fmt.Sprint("n", i),
-			silent: i > 0,
-			latest: map[string]string{},
+			List:         New(transferTimeoutS),
+			name:         fmt.Sprint("n", i),
+			watchStalled: i > 0,
+			latest:       map[string]string{},
 		}
 		p.SetEpoch(1)
 		s.peers = append(s.peers, p)
@@ -124,7 +124,7 @@
 		s.now += stepSeconds
 		s.randomEvent()
 		if step == epochChangeStep {
-			s.startOver()
+			s.restartDiscovery()
 		}
 		if step > epochChangeStep && s.random.IntN(100) == 0 {
 			s.setEpoch(s.randomPeer())
@@ -145,9 +145,9 @@
 		s.runWatch(s.randomPeer())
 	case x == 4:
 		p := s.randomPeer()
-		p.silent = s.random.IntN(3) > 0
+		p.watchStalled = s.random.IntN(3) > 0
 		if s.random.IntN(2) == 0 {
-			p.watch = 0
+			p.watchVersion = 0
 		}
 	case x < 8:
 		s.sendVersions()
@@ -177,32 +177,32 @@
 	}
 }
 
-// startOver begins the second epoch, which no watch survives.
-func (s *simulation) startOver() {
+// restartDiscovery begins the second epoch, which no watch survives.
+func (s *simulation) restartDiscovery() {
 	s.discovery.start(2, s.ids)
 	for _, p := range s.peers {
-		p.watch = 0
+		p.watchVersion = 0
 	}
 }
 
 func (s *simulation) setEpoch(p *peer) {
 	if p.SetEpoch(2) {
-		p.watch = 0
+		p.watchVersion = 0
 	}
 }
 
 // runWatch delivers an event of a peer's own watch.
 func (s *simulation) runWatch(p *peer) {
 	// Until the configuration names the new epoch, a list of it is distinguished by its lower version alone.
-	if p.silent || p.epoch < s.discovery.epoch && s.discovery.seq >= p.version.Seq {
+	if p.watchStalled || p.epoch < s.discovery.epoch && s.discovery.seq >= p.version.Seq {
 		return
 	}
-	_, err := p.ApplyUpdate(s.discovery.update(p.watch))
-	p.watch = s.discovery.seq
+	_, err := p.ApplyUpdate(s.discovery.update(p.watchVersion))
+	p.watchVersion = s.discovery.seq
 	if _, invalid := errors.AsType[*InvalidUpdateError](err); invalid {
-		p.watch = 0
+		p.watchVersion = 0
 	}
-	s.check(p)
+	s.checkInvariants(p)
 }
 
 func (s *simulation) sendVersions() {
@@ -239,9 +239,9 @@
 		s.messages = append(s.messages, message{from: m.to, to: m.from, request: result.Next})
 	}
 	if to.version.Epoch != epoch {
-		to.watch = 0
+		to.watchVersion = 0
 	}
-	s.check(to)
+	s.checkInvariants(to)
 }
 
 // converge checks that all lists become the same within a number of rounds,
@@ -249,9 +249,9 @@
 func (s *simulation) converge() {
 	for i, p := range s.peers {
 		p.SetEpoch(2)
-		p.silent = i > 0
+		p.watchStalled = i > 0
 	}
-	s.peers[0].watch = 0
+	s.peers[0].watchVersion = 0
 	s.messages = nil
 	for range convergeRounds {
 		s.now += roundSeconds
@@ -267,12 +267,12 @@
 		if p.version != (Version{Epoch: 2, Seq: s.discovery.seq}) {
 			s.t.Fatalf("seed %d: %v, discovery is at %d", s.seed, p.version, s.discovery.seq)
 		}
-		s.expectSame(p)
+		s.expectMatchesDiscovery(p)
 	}
 }
 
-// check fails the test if a peer's list went back, or is not the one that discovery had at its version.
-func (s *simulation) check(p *peer) {
+// checkInvariants fails the test if a peer's list went back, or is not the one that discovery had at its version.
+func (s *simulation) checkInvariants(p *peer) {
 	s.t.Helper()
 	if p.version.Compare(p.lastVersion) < 0 {
 		s.t.Fatalf("seed %d: from %v back to %v", s.seed, p.lastVersion, p.version)
@@ -286,11 +286,11 @@
 		p.latest[e.ID] = data
 	}
 	if p.version.Epoch == s.discovery.epoch {
-		s.expectSame(p)
+		s.expectMatchesDiscovery(p)
 	}
 }
 
-func (s *simulation) expectSame(p *peer) {
+func (s *simulation) expectMatchesDiscovery(p *peer) {
 	s.t.Helper()
 	want := s.discovery.versions[p.version.Seq]
 	entries := p.Entries()
--- a/internal/cluster/lease/endpointlists/transfer.go
+++ b/internal/cluster/lease/endpointlists/transfer.go
@@ -64,7 +64,7 @@
 	size := 0
 	for _, id := range l.sortedIDs() {
 		e := l.entries[id]
-		if id <= r.After || !chunk.wants(e) {
+		if id <= r.After || !chunk.includes(e) {
 			continue
 		}
 		size += len(id) + len(e.Data) + entryOverheadBytes
@@ -77,8 +77,8 @@
 	return chunk
 }
 
-// wants reports whether an entry is one of the changes since the chunk's base.
-func (c *Chunk) wants(e Entry) bool {
+// includes reports whether an entry is one of the changes since the chunk's base.
+func (c *Chunk) includes(e Entry) bool {
 	return e.Seq > c.BaseSeq && (!e.Deleted || c.BaseSeq > 0)
 }
 
@@ -90,7 +90,7 @@
 func (c *Chunk) validate() error {
 	last := c.After
 	for _, e := range c.Entries {
-		if !e.isValid() || e.ID <= last || !c.wants(e) || e.Seq > c.Version.Seq {
+		if !e.isValid() || e.ID <= last || !c.includes(e) || e.Seq > c.Version.Seq {
 			return &InvalidUpdateError{
 				Reason: fmt.Sprintf("entry %.64q is too large, out of order, or of no version that it can be of", e.ID),
 			}
--- a/internal/cluster/lease/entry.go
+++ b/internal/cluster/lease/entry.go
@@ -6,12 +6,12 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// Limits of what is stored and decoded.
+// Limits of the fields of entries and of the state.
 const (
-	MaxNameBytes     = 128 // of an instance's or a cluster's name
+	MaxNameBytes     = 128 // of an instance or a cluster
 	MaxTableBytes    = config.MaxTableBytes
-	MaxHistoryLength = 64 // changes kept in the state
-	MaxChangeKeys    = 16 // keys kept of one change
+	MaxHistoryLength = 64 // number of changes kept in the state
+	MaxChangeKeys    = 16 // number of keys kept per change
 	MaxKeyBytes      = 256
 )
 
@@ -41,16 +41,17 @@
 	return "unknown entry"
 }
 
-// Entry is one transition of the state. View.Proposal creates those of EntryPropose.
+// Entry is one transition of the state, an entry of the replicated log.
+// View.Proposal creates entries of the kind EntryPropose.
 type Entry struct {
 	Kind EntryKind
 
-	// Of EntryIdentify.
+	// Cluster is set in EntryIdentify.
 	Cluster string
 
-	// Of EntryPropose. Exclusive, Withdraws and the keys are computed once, by
-	// the proposer. They depend only on replicated versions: this one, Base, and
-	// the one that is in force while Base is being rolled out.
+	// The fields of EntryPropose. The proposer computes Exclusive, Withdraws,
+	// Keys and OmittedKeys once. They depend only on replicated versions: the
+	// proposed one, Base, and the one in force while Base is being rolled out.
 	Base        uint64
 	Proposer    string
 	Table       []byte
@@ -59,12 +60,12 @@
 	Keys        []string
 	OmittedKeys int
 
-	// Of EntryAdvance.
+	// The fields of EntryAdvance.
 	Version     uint64
 	TargetStage Stage
 	Term        uint64 // of the leader that proposed the transition
 
-	// Of EntryExtendLease, clock drift included.
+	// LeaseSeconds is set in EntryExtendLease. It includes the clock drift.
 	LeaseSeconds float64
 }
 
@@ -72,9 +73,9 @@
 func (e Entry) String() string {
 	switch e.Kind {
 	case EntryPropose:
-		return fmt.Sprintf("the proposal of %s on version %d", e.Proposer, e.Base)
+		return fmt.Sprintf("the proposal by %s based on version %d", e.Proposer, e.Base)
 	case EntryAdvance:
-		return fmt.Sprintf("the step of version %d to %s, of term %d,", e.Version, e.TargetStage, e.Term)
+		return fmt.Sprintf("the advance of version %d to %s in term %d", e.Version, e.TargetStage, e.Term)
 	}
 	return "the " + e.Kind.String()
 }
@@ -94,25 +95,26 @@
 }
 
 // validate checks the fields of the entry's kind. Names and keys have to be
-// valid UTF-8, or they could not be encoded.
+// valid UTF-8, since others can't be encoded. Its error is a
+// *CorruptMessageError, or an *UnsupportedFormatError if the kind is unknown.
 func (e Entry) validate() error {
 	reason := ""
 	switch e.Kind {
 	case EntryIdentify:
 		if !validName(e.Cluster) {
-			reason = "its cluster is not valid"
+			reason = "invalid cluster name"
 		}
 	case EntryPropose:
 		if !e.validProposal() {
-			reason = "a size is not valid"
+			reason = "invalid proposer, table or keys"
 		}
 	case EntryAdvance:
 		if !e.validAdvance() {
-			reason = reasonField
+			reason = reasonInvalidField
 		}
 	case EntryExtendLease:
 		if !(e.LeaseSeconds > 0 && e.LeaseSeconds <= MaxLeaseSeconds*(1+MaxClockDrift)) {
-			reason = reasonField
+			reason = reasonInvalidField
 		}
 	default:
 		return &UnsupportedFormatError{Subject: subjectEntry}
--- a/internal/cluster/lease/errors.go
+++ b/internal/cluster/lease/errors.go
@@ -16,27 +16,27 @@
 
 func (e *InvalidSettingError) Error() string { return e.Key + ": " + e.Reason }
 
-// ExpiredError reports that an instance holds no lease, so that it may not act
-// on any version.
+// ExpiredError reports that an instance holds no lease, so it must not act on
+// any version.
 type ExpiredError struct {
-	KnownRevision  Revision // the highest one that the instance has received
-	ExpiredSeconds float64  // time since the lease expired; 0 if there has been none
+	KnownRevision  Revision // the highest revision that the instance has received
+	ExpiredSeconds float64  // time since the lease expired; 0 if there has been no lease
 }
 
 func (e *ExpiredError) Error() string {
-	what := "no lease of the rules yet"
+	state := "no lease has been granted yet"
 	if e.ExpiredSeconds > 0 {
-		what = fmt.Sprintf("the lease of %s ran out %.3g s ago", e.KnownRevision, e.ExpiredSeconds)
+		state = fmt.Sprintf("the lease of %s expired %.3g s ago", e.KnownRevision, e.ExpiredSeconds)
 	}
-	return what + ": look whether this instance reaches the voters of the accord block, " +
-		"and whether most of them run (" + docsPage + ")"
+	return state + ": check that this instance reaches the voters of the accord block, " +
+		"and that most of them run (" + docsPage + ")"
 }
 
 // StaleProposalError rejects a proposal whose base is not the newest version.
 type StaleProposalError struct {
 	Base    uint64
 	Newest  uint64
-	Changes []Change // after Base, oldest first, as far as the history reaches
+	Changes []Change // versions after Base, oldest first; those that the history no longer has are missing
 }
 
 func (e *StaleProposalError) Error() string {
@@ -44,8 +44,8 @@
 	for i, c := range e.Changes {
 		changes[i] = c.String()
 	}
-	return fmt.Sprintf("the proposal is based on version %d, and %d is the newest (%s): "+
-		"bring the file in line with it, then send SIGHUP again", e.Base, e.Newest, strings.Join(changes, "; "))
+	return fmt.Sprintf("the proposal is based on version %d, but %d is the newest (%s): "+
+		"update the file to match it, then send SIGHUP again", e.Base, e.Newest, strings.Join(changes, "; "))
 }
 
 // ProposalInProgressError rejects a proposal while another version is being rolled out.
@@ -55,8 +55,8 @@
 }
 
 func (e *ProposalInProgressError) Error() string {
-	return fmt.Sprintf("%s, by %s, is on its way: send SIGHUP again once it is in force, or, to call it off, "+
-		"with the rules that are in force (%s)", e.Revision, e.Proposer, docsPage)
+	return fmt.Sprintf("%s, proposed by %s, is being rolled out: send SIGHUP again once it is in force, or, "+
+		"to cancel it, with the rules that are in force now (%s)", e.Revision, e.Proposer, docsPage)
 }
 
 // ClusterMismatchError reports a message between two different clusters.
@@ -71,23 +71,24 @@
 		e.Local, e.Remote)
 }
 
-// StateLostError reports that the voters have a lower revision than one that they agreed on before.
+// StateLostError reports that the voters, or the state of this instance, have a lower revision than one that was
+// agreed on before.
 type StateLostError struct {
 	Known    Revision
 	Reported Revision
 }
 
 func (e *StateLostError) Error() string {
-	return fmt.Sprintf("this instance knows of %s, and the voters of %s alone: most of them have lost their files; "+
-		"it acts on no older rules, so propose newer ones on top (%s)", e.Known, e.Reported, docsPage)
+	return fmt.Sprintf("%s was agreed on before, but the voters now have %s: most of them have lost their files; "+
+		"instances act on no older rules, so propose newer ones (%s)", e.Known, e.Reported, docsPage)
 }
 
 // NotLeaderError reports that the instance does not lead the voters.
 type NotLeaderError struct{}
 
 func (e *NotLeaderError) Error() string {
-	return "this instance does not lead the voters: nothing is to be done, " +
-		"clients find the one that does (admin, /accord)"
+	return "this instance does not lead the voters: nothing to do, " +
+		"clients find the leader (admin, /accord)"
 }
 
 // NotReadyError reports that the leader can't grant leases yet.
@@ -99,16 +100,16 @@
 type TooManyHoldersError struct{}
 
 func (e *TooManyHoldersError) Error() string {
-	return fmt.Sprintf("%d instances hold leases, and no more may: stop some, "+
-		"or divide them into two by accord.cluster and accord.voters", MaxHolders)
+	return fmt.Sprintf("%d instances hold leases, which is the maximum: stop some, "+
+		"or divide them into two clusters by accord.cluster and accord.voters", MaxHolders)
 }
 
 // StaleEntryError reports that an entry changed nothing because it was proposed
-// in another term or for a stage that has passed.
+// in another term, or for another version or stage than the next one.
 type StaleEntryError struct{ Entry string }
 
 func (e *StaleEntryError) Error() string {
-	return e.Entry + " came too late and changed nothing: nothing is to be done, the present leader proposes it again"
+	return e.Entry + " was applied too late and had no effect: nothing to do, the current leader proposes it again"
 }
 
 // CorruptMessageError reports bytes that can't be decoded.
@@ -118,13 +119,13 @@
 }
 
 func (e *CorruptMessageError) Error() string {
-	return fmt.Sprintf("%s can't be read (%s): if it is from the disk, stop this instance, "+
+	return fmt.Sprintf("%s can't be decoded (%s): if it was read from disk, stop this instance, "+
 		"move accord.folder away and start it again", e.Subject, e.Reason)
 }
 
-// UnsupportedFormatError reports a message that only newer builds can decode.
+// UnsupportedFormatError reports an entry that only newer builds can decode.
 type UnsupportedFormatError struct{ Subject string }
 
 func (e *UnsupportedFormatError) Error() string {
-	return e.Subject + " is of a newer build: upgrade this instance (docs/operators/upgrade.md)"
+	return e.Subject + " is from a newer build: upgrade this instance (docs/operators/upgrade.md)"
 }
--- a/internal/cluster/lease/grantor.go
+++ b/internal/cluster/lease/grantor.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// MaxHolders bounds the leases that a leader keeps. Processes that ended
-// without a release count until their lease has expired.
+// MaxHolders is the maximum number of leases that a leader keeps. Processes that
+// ended without a release count until their lease has expired.
 const MaxHolders = 1024
 
 // ActiveLease is a lease that may be in use.
 type ActiveLease struct {
 	Instance        string   `json:"Instance"`
 	Incarnation     uint64   `json:"Incarnation"`
-	AppliedRevision Revision `json:"Acting"` // the holder acts on no lower one
-	ExpiresAt       float64  `json:"Until"`  // by the leader's clock, drift included
+	AppliedRevision Revision `json:"Acting"` // the holder acts on no lower revision
+	ExpiresAt       float64  `json:"Until"`  // seconds on the leader's clock, clock drift included
 }
 
 type holderKey struct {
@@ -27,27 +27,29 @@
 	expiresAt       float64
 }
 
-// Grantor is the leader's side of the leases. It reads the state, which has the
-// same owner.
+// Grantor is the leader's side of the leases: it grants them and decides when a
+// version may advance to its next stage. It reads the state, so both have to be
+// used by the same goroutine or under the same lock.
 type Grantor struct {
 	settings Settings
 	state    *State
 
-	term      uint64 // 0 while the instance does not lead
+	term      uint64 // 0 while the instance is not the leader
 	termStart float64
-	caughtUp  bool // the state has every entry committed before the term
+	caughtUp  bool // the state has every entry that was committed before the term
 	leases    map[holderKey]leaseRecord
-	lastEntry Entry // the latest one returned by NextEntry
-	repeatAt  float64
+	lastEntry Entry   // the latest one returned by NextEntry
+	repeatAt  float64 // when lastEntry may be returned again
 }
 
-// NewGrantor returns a grantor that does not lead.
+// NewGrantor returns the grantor of an instance that is not the leader.
 func NewGrantor(s Settings, state *State) *Grantor {
 	return &Grantor{settings: s, state: state}
 }
 
-// SetTerm begins a term as leader; 0 ends it. Leases of former leaders may be
-// in use until the longest lease has expired, and delay the first stage until then.
+// SetTerm begins a term as leader; 0 ends the term. Leases granted by former
+// leaders may be in use until the longest of them has expired, so no version
+// advances before that.
 func (g *Grantor) SetTerm(now float64, term uint64) {
 	*g = Grantor{
 		settings:  g.settings,
@@ -58,15 +60,16 @@
 	}
 }
 
-// inheritedExpiry is when the last lease of former leaders has expired. The
-// state may extend the longest lease while it catches up.
+// inheritedExpiry returns the time by which all leases granted by former leaders
+// have expired. It may grow while the state catches up, as entries may raise the
+// longest lease.
 func (g *Grantor) inheritedExpiry() float64 {
 	return g.termStart + max(g.state.longestLeaseSeconds, g.settings.grantorLeaseSeconds())
 }
 
-// ReceiveRequest checks a request and records the applied revision. If there is
-// no error, the caller has the voters confirm that this instance still leads in
-// the present term, then calls Grant. The error is a *NotLeaderError, a
+// ReceiveRequest checks a request and records its applied revision. If there is
+// no error, the caller has the voters confirm that this instance is still the
+// leader in the current term, then calls Grant. The error is a *NotLeaderError, a
 // *ClusterMismatchError, a *StateLostError, a *NotReadyError or a
 // *TooManyHoldersError.
 func (g *Grantor) ReceiveRequest(now float64, r Request) error {
@@ -88,17 +91,18 @@
 		return &StateLostError{Known: r.AppliedRevision, Reported: v.Revision}
 	case v.Revision == Revision{}:
 		return &NotReadyError{
-			Reason: "nobody has proposed rules: have an operator's file with them read by SIGHUP",
+			Reason: "no rules have been proposed: add them to an operator's file and send SIGHUP",
 		}
 	case g.state.longestLeaseSeconds < g.settings.grantorLeaseSeconds():
 		return &NotReadyError{
-			Reason: "the voters have not agreed on how long a lease may be yet: most of them have to run",
+			Reason: "the voters have not agreed on the longest lease yet: start most of them",
 		}
 	}
 	return g.checkCapacity(now, r)
 }
 
-// checkCapacity rejects a new holder if MaxHolders leases are active.
+// checkCapacity returns a *TooManyHoldersError for a new holder if MaxHolders
+// leases are active.
 func (g *Grantor) checkCapacity(now float64, r Request) error {
 	_, known := g.leases[r.holder()]
 	if known || len(g.leases) < MaxHolders {
@@ -115,8 +119,8 @@
 	return holderKey{instance: r.Instance, incarnation: r.Incarnation}
 }
 
-// recordApplied keeps the highest applied revision of a holder with a lease, as
-// requests may arrive out of order.
+// recordApplied records the applied revision of a holder that has a lease. It
+// keeps the highest one, as requests may arrive out of order.
 func (g *Grantor) recordApplied(r Request) {
 	record, ok := g.leases[r.holder()]
 	if ok && r.AppliedRevision.Compare(record.appliedRevision) > 0 {
@@ -125,10 +129,11 @@
 	}
 }
 
-// Grant answers a request after the voters have confirmed, later than the
-// request arrived, that this instance leads in the term, and the state has
-// every entry committed by then. The lease counts as active from here on, even
-// if the response is lost.
+// Grant returns the answer to a request. The caller has to ensure two things
+// first: after the request arrived, the voters have confirmed that this instance
+// is the leader in the term, and the state has every entry that was committed by
+// the time of the confirmation. The lease counts as active from now on, even if
+// the response is lost. The errors are those of ReceiveRequest.
 func (g *Grantor) Grant(now float64, term uint64, r Request) (Grant, error) {
 	if term != g.term {
 		return Grant{}, &NotLeaderError{}
@@ -163,7 +168,7 @@
 	g.leases[r.holder()] = record
 }
 
-// Release ends the lease of a holder that acts on no version any more.
+// Release ends the lease of a holder that no longer acts on any version.
 func (g *Grantor) Release(r Release) {
 	if r.Cluster == g.state.View().Cluster {
 		delete(g.leases, holderKey{instance: r.Instance, incarnation: r.Incarnation})
@@ -178,8 +183,9 @@
 	}
 }
 
-// ActiveLeases returns the leases that may be in use, by instance. A holder
-// whose applied revision is lower than the state's delays the next stage.
+// ActiveLeases returns the leases of this term that may be in use, ordered by
+// instance and incarnation. A holder whose applied revision is lower than the
+// state's delays the next stage.
 func (g *Grantor) ActiveLeases(now float64) []ActiveLease {
 	g.removeExpired(now)
 	var active []ActiveLease
@@ -198,8 +204,8 @@
 }
 
 // NextEntry returns the entry to propose now, if there is one. It has to be
-// called after each request and periodically. An entry that was lost is
-// returned again after the time of a response.
+// called after each request and periodically. An entry that has not been applied
+// within the response time is returned again, as it may have been lost.
 func (g *Grantor) NextEntry(now float64) (Entry, bool) {
 	e, ok := g.nextEntry(now)
 	if !ok || now < g.repeatAt && e.sameTransition(g.lastEntry) {
@@ -232,8 +238,8 @@
 	}, true
 }
 
-// mayAdvance reports whether every active lease, those of former leaders
-// included, is of a holder that acts on the revision.
+// mayAdvance reports whether all leases granted by former leaders have expired
+// and every holder of an active lease acts on revision r or a higher one.
 func (g *Grantor) mayAdvance(now float64, r Revision) bool {
 	if !g.caughtUp || now < g.inheritedExpiry() {
 		return false
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -9,24 +9,24 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// EffectiveConfig is what an instance may act on. It is valid until ExpiresAt
-// on the instance's monotonic clock. Callers that keep one must check the clock
-// before each use, as the process may have been suspended. A later lease does
-// not extend it, since it may be for another revision.
+// EffectiveConfig is the configuration that an instance may act on. It is valid
+// until ExpiresAt on the instance's monotonic clock. Callers that keep one must
+// check the clock before each use, as the process may have been suspended. A
+// later lease does not extend it, since that lease may be for another revision.
 type EffectiveConfig struct {
 	Revision     Revision
 	Leased       bool
 	ExpiresAt    float64
 	Intersection bool // Table is the intersection of two versions
-	// Table is the version's while the lease lasts, else the fallback of all
-	// known versions: see config.Fallback.
+	// Table is that of the revision while there is a lease, otherwise the
+	// fallback of the known versions: see config.Fallback.
 	Table *config.Table
 }
 
 // DropReason is the reason for dropping a grant.
 type DropReason string
 
-// The reasons. They are metric labels.
+// The reasons for dropping a grant. They are values of a metric label.
 const (
 	Unsolicited      DropReason = "not asked by this process"
 	NotOutstanding   DropReason = "of a question that is not out any more"
@@ -39,20 +39,21 @@
 // DroppedGrantError reports a grant that was dropped without effect.
 type DroppedGrantError struct {
 	Reason DropReason
-	Cause  error // nil if the reason is all that is known
+	Cause  error // nil if nothing but the reason is known
 }
 
 func (e *DroppedGrantError) Error() string {
 	if e.Cause != nil {
 		return e.Cause.Error()
 	}
-	return "a grant was dropped, " + string(e.Reason) + ": nothing is to be done unless leases expire as well"
+	return "a lease grant was dropped (" + string(e.Reason) + "): nothing to do unless leases expire as well"
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *DroppedGrantError) Unwrap() error { return e.Cause }
 
-// Holder is an instance's side of the leases. It persists nothing itself: see
+// Holder is an instance's side of its lease: it requests and renews the lease and
+// decides what the instance may act on. It persists nothing itself: see
 // DurableState.
 type Holder struct {
 	instance    string
@@ -70,7 +71,7 @@
 	dropCounts map[DropReason]uint64
 }
 
-// viewContent is a view with its decoded tables.
+// viewContent is a view with its decoded tables and those derived from them.
 type viewContent struct {
 	view          *View // nil before the first grant
 	digest        uint64
@@ -83,14 +84,15 @@
 // outstandingRequest is the state of the latest request and the schedule of the next one.
 type outstandingRequest struct {
 	nonce        uint64
-	pending      bool // there is no response yet
+	pending      bool // no response has arrived yet
 	sentAt       float64
-	retrySeconds float64 // before the next retry
+	retrySeconds float64 // time until the next retry, without jitter
 	nextAt       float64
 }
 
 // NewHolder returns the holder of a process. No two processes of an instance
-// may have the same incarnation; the start time with random bits will do.
+// may have the same incarnation; the start time combined with random bits is
+// sufficiently unique.
 func NewHolder(instance string, incarnation uint64, s Settings) *Holder {
 	return &Holder{
 		instance:    instance,
@@ -102,22 +104,22 @@
 	}
 }
 
-// Restore sets what an earlier process of the instance made durable. It has to
-// be called before the first request.
+// Restore sets the cluster and the known revision that an earlier process of the
+// instance persisted. It has to be called before the first request.
 func (h *Holder) Restore(cluster string, r Revision) {
 	h.cluster = cluster
 	h.knownRevision = r
 	h.appliedRevision = r
 }
 
-// DurableState returns what has to be on disk before Acknowledge is called: the
-// arguments of Restore in the next process.
+// DurableState returns the arguments for Restore in the next process. They have
+// to be on disk before Acknowledge is called.
 func (h *Holder) DurableState() (cluster string, r Revision) {
 	return h.cluster, h.knownRevision
 }
 
-// NextRequest returns the request to send now, if one is due, and the time at
-// which the next one is.
+// NextRequest returns the request to send now, if one is due, and the time in
+// seconds at which the next one is due.
 func (h *Holder) NextRequest(now float64) (request Request, due bool, nextAt float64) {
 	if h.released || now < h.request.nextAt {
 		return Request{}, false, h.request.nextAt
@@ -126,7 +128,8 @@
 	h.request.pending = true
 	h.request.sentAt = now
 	h.request.nextAt = now + h.request.retrySeconds*(1+h.jitter())
-	// The backoff admits responses that take longer than the settings assume.
+	// A retry invalidates the earlier request, so the interval grows to let responses arrive that take longer than
+	// the settings assume.
 	h.request.retrySeconds = min(2*h.request.retrySeconds, h.settings.LeaseSeconds/2)
 	return Request{
 		Cluster:         h.cluster,
@@ -138,8 +141,9 @@
 	}, true, h.request.nextAt
 }
 
-// jitter returns a number from 0 to RenewJitter. Without it, instances that
-// were partitioned together would send their requests together.
+// jitter returns a number from 0 to RenewJitter that depends on the instance and
+// the request. Without it, instances that were partitioned at the same time would
+// send their requests at the same time.
 func (h *Holder) jitter() float64 {
 	const mantissaBits = 53
 	seed := make([]byte, 0, 16+MaxNameBytes)
@@ -150,9 +154,10 @@
 }
 
 // HandleGrant applies a grant. A grant that is dropped is counted and reported
-// as a *DroppedGrantError, whose cause is a *StateLostError, a
+// as a *DroppedGrantError, whose cause is nil, a *StateLostError, a
 // *ClusterMismatchError, a *CorruptMessageError or an error of config.Decode.
-// The caller has to act on a new revision, then acknowledge it.
+// After a grant of a new revision the caller has to act on that revision, then
+// call Acknowledge.
 func (h *Holder) HandleGrant(now float64, g Grant) error {
 	expiresAt := h.request.sentAt + min(g.LeaseSeconds, h.settings.LeaseSeconds)
 	if err := h.checkGrant(now, g, expiresAt); err != nil {
@@ -171,8 +176,8 @@
 	return nil
 }
 
-// checkGrant drops a grant that does not answer the pending request or that
-// the holder may not act on.
+// checkGrant returns an error if a grant does not answer the pending request or
+// the holder must not act on it, and counts the grant as dropped.
 func (h *Holder) checkGrant(now float64, g Grant, expiresAt float64) error {
 	switch {
 	case g.Instance != h.instance || g.Incarnation != h.incarnation || h.released:
@@ -186,7 +191,7 @@
 	case g.Revision.Compare(h.knownRevision) < 0:
 		return h.drop(StaleRevision, &StateLostError{Known: h.knownRevision, Reported: g.Revision})
 	case g.View == nil && (h.content.view == nil || h.content.view.Revision != g.Revision):
-		return h.drop(Undecodable, &CorruptMessageError{Subject: subjectGrant, Reason: "it has no configuration"})
+		return h.drop(Undecodable, &CorruptMessageError{Subject: subjectGrant, Reason: "no view of its revision"})
 	}
 	return nil
 }
@@ -197,8 +202,9 @@
 	h.request.retrySeconds = h.settings.responseSeconds()
 	h.request.nextAt = h.request.sentAt + h.settings.RenewIntervalSeconds*(1-h.jitter())
 	if advanced {
-		// The next request acknowledges the revision, for which the next stage waits. Where responses take longer
-		// than the interval, a request sent before the event loop has run would delay that by another response.
+		// The next request acknowledges the revision, and the next stage waits for that. If responses take longer than
+		// the interval, the next request would be due now, before the event loop has acted on the revision, and the
+		// acknowledgement would have to wait for one more response.
 		delay := min(h.settings.PollIntervalSeconds, h.settings.RenewIntervalSeconds)
 		h.request.nextAt = max(h.request.nextAt, now+delay)
 	}
@@ -211,13 +217,13 @@
 		return nil
 	}
 	if h.content.view != nil && h.content.view.Revision == g.Revision {
-		// Voters that lost their files have counted up to the same version again.
+		// The voters lost their files and have since reached the same version number with another configuration.
 		return h.drop(StaleRevision, &StateLostError{Known: h.knownRevision, Reported: g.Revision})
 	}
 	if g.View.Revision != g.Revision || g.View.Cluster != g.Cluster {
 		return h.drop(Undecodable, &CorruptMessageError{
 			Subject: subjectGrant,
-			Reason:  "its view has another revision or cluster",
+			Reason:  "its view is of another revision or cluster",
 		})
 	}
 	content, err := h.content.decodeView(g.View, digest)
@@ -228,7 +234,7 @@
 	return nil
 }
 
-// decodeView decodes the tables of a view, reusing those of c.
+// decodeView decodes the tables of a view. It reuses tables that c already has.
 func (c viewContent) decodeView(v *View, digest uint64) (viewContent, error) {
 	inForce, err := c.decodeTable(v.InForce)
 	if err != nil {
@@ -256,7 +262,7 @@
 	return decoded, nil
 }
 
-// decodeTable decodes a version's table unless c has it already.
+// decodeTable returns a version's table, decoding it unless c already has it.
 func (c viewContent) decodeTable(v Version) (*config.Table, error) {
 	if c.view != nil {
 		switch {
@@ -269,6 +275,7 @@
 	return v.decodeTable()
 }
 
+// drop counts a dropped grant and returns the error that reports it.
 func (h *Holder) drop(r DropReason, cause error) error {
 	h.dropCounts[r]++
 	return &DroppedGrantError{Reason: r, Cause: cause}
@@ -279,8 +286,9 @@
 	return maps.Clone(h.dropCounts)
 }
 
-// EffectiveConfig returns what to act on. It depends on the clock alone, so it
-// is right after the process was suspended as well.
+// EffectiveConfig returns the configuration to act on now. Whether there is a
+// lease is decided by the clock, not by a timer, so the result is also right
+// after the process was suspended.
 func (h *Holder) EffectiveConfig(now float64) EffectiveConfig {
 	effective := EffectiveConfig{
 		Revision:  h.knownRevision,
@@ -295,10 +303,11 @@
 	return effective
 }
 
-// Acknowledge records that nothing of this instance acts on a lower revision
-// than r any more. The next request, due now, reports it to the leader, which
-// advances to the next stage only then. The DurableState has to be on disk
-// before. Calling it too early violates the protocol.
+// Acknowledge records that no part of this instance acts on a lower revision
+// than r any more. The DurableState has to be on disk before the call. The next
+// request becomes due now and reports r to the leader, which advances to the
+// next stage only after that. Calling Acknowledge too early violates the
+// protocol's invariants.
 func (h *Holder) Acknowledge(now float64, r Revision) {
 	if r.Compare(h.knownRevision) > 0 || r.Compare(h.appliedRevision) <= 0 {
 		return
@@ -323,9 +332,9 @@
 	return &ExpiredError{KnownRevision: h.knownRevision, ExpiredSeconds: now - h.expiresAt}
 }
 
-// Release ends the holder at the end of a graceful shutdown, when the instance
-// acts on no version any more. The returned message lets the next stage begin
-// before the lease expires.
+// Release ends the lease. It is called at the end of a graceful shutdown, when
+// the instance no longer acts on any version. The returned message allows the
+// leader to advance to the next stage before the lease expires.
 func (h *Holder) Release() Release {
 	h.released = true
 	return Release{
--- a/internal/cluster/lease/messages.go
+++ b/internal/cluster/lease/messages.go
@@ -1,14 +1,14 @@
 package lease
 
-// Request is an instance's request for a lease. It goes to any voter; a
-// follower forwards it to the leader.
+// Request is an instance's request for a lease. The instance may send it to any
+// voter; a follower forwards it to the leader.
 type Request struct {
-	Cluster         string // identity of the cluster; empty if the instance has none yet
+	Cluster         string // identity of the cluster; empty if the instance does not know it yet
 	Instance        string
-	Incarnation     uint64 // unique to each process of an instance
-	Nonce           uint64
-	AppliedRevision Revision // the instance acts on no lower revision from now on
-	ViewDigest      uint64   // of the view that the instance has; 0 if it has none
+	Incarnation     uint64   // unique to each process of an instance
+	Nonce           uint64   // identifies the request among those of the process
+	AppliedRevision Revision // the instance no longer acts on a lower revision
+	ViewDigest      uint64   // digest of the instance's view; 0 if it has none
 }
 
 // Grant is the leader's response to a Request.
@@ -16,13 +16,13 @@
 	Cluster      string
 	Instance     string
 	Incarnation  uint64
-	Nonce        uint64
-	LeaseSeconds float64 // from the sending of the request
+	Nonce        uint64  // of the request
+	LeaseSeconds float64 // counted from when the request was sent
 	Revision     Revision
 	View         *View // nil if the request's ViewDigest is current
 }
 
-// Release gives back the lease of a process that acts on no version any more.
+// Release ends the lease of a process that no longer acts on any version.
 type Release struct {
 	Cluster     string
 	Instance    string
--- a/internal/cluster/lease/model_step_test.go
+++ b/internal/cluster/lease/model_step_test.go
@@ -18,8 +18,8 @@
 }
 
 // commit applies an entry to the leader's state.
-func (w *world) commit(e Entry, on protocol) bool {
-	if e.Kind == EntryAdvance && !on.termCheck {
+func (w *world) commit(e Entry, rules protocolRules) bool {
+	if e.Kind == EntryAdvance && !rules.termCheck {
 		e.Term = w.term
 	}
 	state := w.node(w.leader).state
@@ -29,10 +29,10 @@
 	}
 	view := *state.View()
 	switch {
-	case !on.announced && view.Revision.Stage == StageAnnounced:
+	case !rules.announced && view.Revision.Stage == StageAnnounced:
 		view.Revision.Stage = StageIntersection
 		state.setView(&view)
-	case !on.intersection && view.Revision.Stage == StageIntersection:
+	case !rules.intersection && view.Revision.Stage == StageIntersection:
 		view.Revision.Stage = StageInForce
 		view.InForce = view.Next
 		view.Next = Version{}
@@ -50,24 +50,24 @@
 }
 
 // elect makes a node the leader of the next term.
-func (w *world) elect(i int, on protocol) {
+func (w *world) elect(i int, rules protocolRules) {
 	n := w.catchUp(i)
 	w.leader = i
 	w.term++
 	n.grantor.SetTerm(w.leaderClock(), w.term)
 	n.grantor.caughtUp = true // its own instance sends requests as well
-	if !on.inheritedLeases {
+	if !rules.inheritedLeases {
 		n.grantor.termStart = longAgo
 	}
-	if !on.longestLease {
+	if !rules.longestLease {
 		n.state.longestLeaseSeconds = n.grantor.settings.grantorLeaseSeconds()
 	}
 }
 
 // nextEntry returns what a node that believes it is the leader may propose.
-func (w *world) nextEntry(i int, on protocol) (Entry, bool) {
+func (w *world) nextEntry(i int, rules protocolRules) (Entry, bool) {
 	g := w.node(i).grantor
-	if !on.waitForLeases {
+	if !rules.waitForLeases {
 		g.leases = nil
 		g.termStart = longAgo
 	}
@@ -75,22 +75,22 @@
 }
 
 // deliver handles the arrival of a message. It returns false if the message changes nothing, now or ever.
-func (w *world) deliver(m message, to int, on protocol) bool {
+func (w *world) deliver(m message, to int, rules protocolRules) bool {
 	switch m.kind {
 	case requestMessage:
-		return w.deliverRequest(m, to, on)
+		return w.deliverRequest(m, to, rules)
 	case grantMessage:
-		return w.deliverGrant(m, on)
+		return w.deliverGrant(m, rules)
 	case entryMessage:
-		return w.commit(m.entry, on)
+		return w.commit(m.entry, rules)
 	}
 	w.node(w.leader).grantor.Release(m.release)
 	return true
 }
 
-func (w *world) deliverRequest(m message, to int, on protocol) bool {
+func (w *world) deliverRequest(m message, to int, rules protocolRules) bool {
 	g := w.node(to).grantor
-	if to != w.leader && on.confirmedGrants {
+	if to != w.leader && rules.confirmedGrants {
 		return false
 	}
 	if g.ReceiveRequest(w.leaderClock(), m.request) != nil {
@@ -104,22 +104,22 @@
 	return true
 }
 
-func (w *world) deliverGrant(m message, on protocol) bool {
+func (w *world) deliverGrant(m message, rules protocolRules) bool {
 	h := w.holder(m.holder).holder
 	grant := m.grant
-	if !on.incarnationCheck {
+	if !rules.incarnationCheck {
 		grant.Incarnation = h.incarnation
 	}
-	if !on.nonceCheck {
+	if !rules.nonceCheck {
 		grant.Nonce = h.request.nonce
 	}
-	if !on.monotonic {
+	if !rules.monotonic {
 		h.knownRevision = Revision{}
 	}
 	if h.HandleGrant(w.clock(m.holder), grant) != nil {
 		return false
 	}
-	if !on.leaseFromSending {
+	if !rules.leaseFromSending {
 		h.expiresAt = w.clock(m.holder) + h.settings.LeaseSeconds
 	}
 	return true
@@ -133,7 +133,7 @@
 
 // prune drops messages that can't change anything any more, by trying them.
 // Stale requests are delivered as far as the bound on duplicates allows.
-func (w *world) prune(on protocol) {
+func (w *world) prune(rules protocolRules) {
 	w.messages = slices.DeleteFunc(slices.Clone(w.messages), func(m message) bool {
 		h := w.holders[m.holder].holder
 		switch m.kind {
@@ -141,23 +141,23 @@
 			return w.isStale(m) && w.remaining.duplicates == 0
 		case grantMessage:
 			answersPending := m.grant.Incarnation == h.incarnation && m.grant.Nonce == h.request.nonce && h.request.pending
-			return on.nonceCheck && on.incarnationCheck && !answersPending
+			return rules.nonceCheck && rules.incarnationCheck && !answersPending
 		}
 		next := *w
-		return !next.deliver(m, w.leader, on)
+		return !next.deliver(m, w.leader, rules)
 	})
 }
 
 // successors collects the worlds that can follow one.
 type successors struct {
-	from *world
-	on   protocol
-	list []*world
+	from  *world
+	rules protocolRules
+	list  []*world
 }
 
 // successors returns the worlds that can follow. A violation that shows only in a transition is returned at once.
-func (w *world) successors(on protocol) (list []*world, violation string) {
-	s := &successors{from: w, on: on}
+func (w *world) successors(rules protocolRules) (list []*world, violation string) {
+	s := &successors{from: w, rules: rules}
 	s.addClockTick()
 	s.addProposals()
 	s.addLeaderEvents()
@@ -197,18 +197,18 @@
 	if left.versions > 0 && view.Next.Number == 0 {
 		s.add("table %d is proposed", left.versions, func(next *world) {
 			next.remaining.versions--
-			next.propose(left.versions, false, s.on)
+			next.propose(left.versions, false, s.rules)
 		})
 	}
 	if left.withdrawals > 0 && view.Next.Number != 0 {
 		s.add("version %d is withdrawn", int(view.Next.Number), func(next *world) {
 			next.remaining.withdrawals--
-			next.propose(int(tableBit(view.InForce.Table)>>1), true, s.on)
+			next.propose(int(tableBit(view.InForce.Table)>>1), true, s.rules)
 		})
 	}
 }
 
-func (w *world) propose(table int, withdraws bool, on protocol) {
+func (w *world) propose(table int, withdraws bool, rules protocolRules) {
 	base := w.nodes[w.leader].state.View().NewestNumber()
 	w.commit(Entry{
 		Kind:      EntryPropose,
@@ -217,7 +217,7 @@
 		Table:     modelTables[table],
 		Exclusive: true,
 		Withdraws: withdraws,
-	}, on)
+	}, rules)
 }
 
 func (s *successors) addLeaderEvents() {
@@ -227,7 +227,7 @@
 		if w.remaining.elections > 0 {
 			s.add("n%d is elected", i, func(next *world) {
 				next.remaining.elections--
-				next.elect(i, s.on)
+				next.elect(i, s.rules)
 			})
 		}
 		// The state of a node that never led has no effect.
@@ -237,7 +237,7 @@
 		if n.grantor.term == 0 || n.state.View().Next.Number == 0 {
 			continue
 		}
-		if e, ok := s.fork().nextEntry(i, s.on); ok {
+		if e, ok := s.fork().nextEntry(i, s.rules); ok {
 			s.add("n%d proposes to advance", i, func(next *world) {
 				next.send(message{kind: entryMessage, entry: e})
 			})
@@ -260,7 +260,7 @@
 			next.remaining.fileLosses--
 			next.filesLost = true
 			*next.node(leader).state = initialState(s.from.nodes[leader].state.longestLeaseSeconds)
-			next.elect(leader, s.on)
+			next.elect(leader, s.rules)
 		})
 	}
 }
@@ -269,10 +269,10 @@
 	x := s.from.holders[i]
 	left := s.from.remaining
 	if !x.holder.released && left.requests > 0 {
-		s.add("h%d sends a request", i, func(next *world) { next.sendRequest(i, s.on) })
+		s.add("h%d sends a request", i, func(next *world) { next.sendRequest(i, s.rules) })
 	}
 	if left.restarts > 0 {
-		s.add("h%d restarts", i, func(next *world) { next.restart(i, s.on) })
+		s.add("h%d restarts", i, func(next *world) { next.restart(i, s.rules) })
 	}
 	if !x.holder.released && left.releases > 0 {
 		s.add("h%d shuts down", i, func(next *world) { next.shutDown(i) })
@@ -288,24 +288,24 @@
 	return ""
 }
 
-func (w *world) sendRequest(i int, on protocol) {
+func (w *world) sendRequest(i int, rules protocolRules) {
 	w.remaining.requests--
 	h := w.holder(i).holder
 	h.request.nextAt = 0
 	request, _, _ := h.NextRequest(w.clock(i))
-	if !on.acknowledgement {
+	if !rules.acknowledgement {
 		request.AppliedRevision = h.knownRevision
 	}
 	w.send(message{kind: requestMessage, holder: i, request: request})
 }
 
-func (w *world) restart(i int, on protocol) {
+func (w *world) restart(i int, rules protocolRules) {
 	w.remaining.restarts--
 	x := w.holder(i)
 	old := x.holder
 	x.holder = NewHolder(old.instance, old.incarnation+1, old.settings)
 	x.expiresAt = 0
-	if on.monotonic {
+	if rules.monotonic {
 		x.holder.Restore(old.DurableState())
 	}
 }
@@ -334,7 +334,7 @@
 	w := s.from
 	for i, m := range w.messages {
 		for to := range w.nodes {
-			if to == w.leader || m.kind == requestMessage && !s.on.confirmedGrants {
+			if to == w.leader || m.kind == requestMessage && !s.rules.confirmedGrants {
 				s.addDelivery(i, m, to)
 			}
 		}
@@ -346,7 +346,7 @@
 	w := s.from
 	arrives := func(next *world) bool {
 		next.messages = slices.Delete(slices.Clone(next.messages), i, i+1)
-		return next.deliver(m, to, s.on)
+		return next.deliver(m, to, s.rules)
 	}
 	if next := s.fork(); arrives(next) {
 		if w.isStale(m) {
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -16,8 +16,8 @@
 // leads the term, the others keep the state and term of the last time that they
 // took part.
 
-// protocol is the set of rules that hold in the world. Each can be switched off.
-type protocol struct {
+// protocolRules is the set of rules that hold in the world. Each can be switched off.
+type protocolRules struct {
 	leaseFromSending bool // a lease begins when its request is sent
 	confirmedGrants  bool // the voters confirm the leader after a request has arrived
 	inheritedLeases  bool // a new leader waits for leases of former leaders
@@ -33,7 +33,7 @@
 	longestLease     bool // the longest lease that any leader granted is waited for
 }
 
-var allRules = protocol{
+var allRules = protocolRules{
 	leaseFromSending: true,
 	confirmedGrants:  true,
 	inheritedLeases:  true,
@@ -54,24 +54,24 @@
 	m.Run()
 }
 
-// maxWorlds ends a search that is larger than any of searchSizes.
+// maxWorlds ends a search that is larger than any of searchBounds.
 const maxWorlds = 20_000_000
 
 // search visits all worlds that can follow, breadth first. It returns the first
 // violation and the number of worlds visited.
-func search(t *testing.T, b bounds, on protocol) (violation string, worlds int) {
-	start := firstWorld(b, on)
+func search(t *testing.T, b bounds, rules protocolRules) (violation string, worlds int) {
+	start := firstWorld(b, rules)
 	visited := map[[2]uint64]bool{start.key(): true}
 	for queue := []*world{start}; len(queue) > 0; queue = queue[1:] {
 		if len(visited) > maxWorlds {
 			t.Fatalf("more than %d worlds", maxWorlds)
 		}
-		successors, violation := queue[0].successors(on)
+		successors, violation := queue[0].successors(rules)
 		if violation != "" {
 			return violation, len(visited)
 		}
 		for _, next := range successors {
-			next.prune(on)
+			next.prune(rules)
 			key := next.key()
 			if visited[key] {
 				continue
@@ -86,9 +86,9 @@
 	return "", len(visited)
 }
 
-func firstWorld(b bounds, on protocol) *world {
+func firstWorld(b bounds, rules protocolRules) *world {
 	w := &world{term: 1, remaining: b, event: "it begins (%d)"}
-	settings := modelSettings(b, on)
+	settings := modelSettings(b, rules)
 	for i := range w.nodes {
 		state := initialState(2 * settings.LeaseSeconds)
 		w.nodes[i] = &node{grantor: NewGrantor(settings, &state), state: &state}
@@ -100,9 +100,9 @@
 	return w
 }
 
-// searchSizes are the smallest bounds that show a rule to be necessary, and
+// searchBounds are the smallest bounds that show a rule to be necessary, and
 // larger ones for BELLSTREAM_MODEL=full, which visits 6.3 million worlds.
-var searchSizes = map[string]bounds{
+var searchBounds = map[string]bounds{
 	"steps":       {lease: 1, ticks: 1, requests: 3, versions: 1},
 	"looks":       {lease: 2, ticks: 1, requests: 4, versions: 1},
 	"clocks":      {lease: 2, ticks: 2, requests: 3, versions: 1},
@@ -124,7 +124,7 @@
 
 func TestModelKeepsInvariants(t *testing.T) {
 	full := os.Getenv("BELLSTREAM_MODEL") == "full"
-	for name, b := range searchSizes {
+	for name, b := range searchBounds {
 		if strings.HasPrefix(name, "large") && !full {
 			continue
 		}
@@ -145,29 +145,29 @@
 	const exclude, fall = "two act on rules that exclude each other", "falls from"
 	for _, c := range []struct {
 		name string
-		off  func(*protocol)
+		off  func(*protocolRules)
 		size string
 		want string
 	}{
-		{"lease from receiving the grant", func(on *protocol) { on.leaseFromSending = false }, "clocks", exclude},
-		{"grant without confirmation", func(on *protocol) { on.confirmedGrants = false }, "elections", exclude},
-		{"leader ignores inherited leases", func(on *protocol) { on.inheritedLeases = false }, "elections", exclude},
-		{"stage ignores leases", func(on *protocol) { on.waitForLeases = false }, "steps", exclude},
-		{"no announcement", func(on *protocol) { on.announced = false }, "withdrawals", exclude},
-		{"no intersection", func(on *protocol) { on.intersection = false }, "steps", exclude},
-		{"entry of any term", func(on *protocol) { on.termCheck = false }, "elections", exclude},
-		{"any revision", func(on *protocol) { on.monotonic = false }, "losses", fall},
-		{"grant for any request", func(on *protocol) { on.nonceCheck = false }, "steps", exclude},
-		{"grant for any process", func(on *protocol) { on.incarnationCheck = false }, "restarts", exclude},
-		{"no allowance for drift", func(on *protocol) { on.driftAllowance = false }, "clocks", exclude},
-		{"received counts as applied", func(on *protocol) { on.acknowledgement = false }, "looks", exclude},
-		{"longer leases ignored", func(on *protocol) { on.longestLease = false }, "shorter", exclude},
+		{"lease from receiving the grant", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", exclude},
+		{"grant without confirmation", func(rules *protocolRules) { rules.confirmedGrants = false }, "elections", exclude},
+		{"leader ignores inherited leases", func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", exclude},
+		{"stage ignores leases", func(rules *protocolRules) { rules.waitForLeases = false }, "steps", exclude},
+		{"no announcement", func(rules *protocolRules) { rules.announced = false }, "withdrawals", exclude},
+		{"no intersection", func(rules *protocolRules) { rules.intersection = false }, "steps", exclude},
+		{"entry of any term", func(rules *protocolRules) { rules.termCheck = false }, "elections", exclude},
+		{"any revision", func(rules *protocolRules) { rules.monotonic = false }, "losses", fall},
+		{"grant for any request", func(rules *protocolRules) { rules.nonceCheck = false }, "steps", exclude},
+		{"grant for any process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", exclude},
+		{"no allowance for drift", func(rules *protocolRules) { rules.driftAllowance = false }, "clocks", exclude},
+		{"received counts as applied", func(rules *protocolRules) { rules.acknowledgement = false }, "looks", exclude},
+		{"longer leases ignored", func(rules *protocolRules) { rules.longestLease = false }, "shorter", exclude},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			on := allRules
-			c.off(&on)
-			violation, worlds := search(t, searchSizes[c.size], on)
+			rules := allRules
+			c.off(&rules)
+			violation, worlds := search(t, searchBounds[c.size], rules)
 			t.Logf("after %d worlds: %s", worlds, violation)
 			if !strings.Contains(violation, c.want) {
 				t.Errorf("found %q, want %q", violation, c.want)
--- a/internal/cluster/lease/model_world_test.go
+++ b/internal/cluster/lease/model_world_test.go
@@ -29,14 +29,14 @@
 
 // modelSettings make a tick 1 s on the first holder's clock. The second holder's clock and those of the leaders run
 // twice as fast.
-func modelSettings(b bounds, on protocol) Settings {
+func modelSettings(b bounds, rules protocolRules) Settings {
 	s := Settings{
 		LeaseSeconds:         float64(b.lease),
 		RenewIntervalSeconds: 0.25,
 		NetworkDelaySeconds:  0.01,
 		ClockDrift:           1,
 	}
-	if !on.driftAllowance {
+	if !rules.driftAllowance {
 		s.ClockDrift = 0
 	}
 	return s
--- a/internal/cluster/lease/revision.go
+++ b/internal/cluster/lease/revision.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Stage is the progress of a configuration version.
+// Stage is how far the rollout of a version has advanced.
 type Stage uint8
 
 // The stages, in order.
 const (
-	// StageAnnounced means that every holder knows the version and still acts on the one before it.
+	// StageAnnounced means that holders are being sent the version and still act on the previous one.
 	StageAnnounced Stage = 1
-	// StageIntersection means that holders act only on what both versions allow.
+	// StageIntersection means that holders act only on what both the previous version and this one allow.
 	StageIntersection Stage = 2
-	// StageInForce means that holders act on the version alone.
+	// StageInForce means that holders act on this version alone.
 	StageInForce Stage = 3
 )
 
-// String returns the name under which operators see the stage.
+// String returns the name of the stage in operators' output.
 func (s Stage) String() string {
 	switch s {
 	case StageAnnounced:
@@ -32,8 +32,8 @@
 }
 
 // Revision identifies a version in one of its stages. The revision of a state
-// and of a holder never decreases. The zero value precedes all others: no
-// configuration has been agreed on yet.
+// and of a holder never decreases. The zero value precedes all others; it means
+// that no version has been agreed on yet.
 type Revision struct {
 	Version uint64 `json:"Version"`
 	Stage   Stage  `json:"Stage"`
--- a/internal/cluster/lease/settings.go
+++ b/internal/cluster/lease/settings.go
@@ -11,7 +11,7 @@
 	MaxClockDrift   = 0.2
 )
 
-// RenewJitter is the part of the renew interval over which requests are spread.
+// RenewJitter is the fraction of the renew interval over which requests are spread.
 const RenewJitter = 0.2
 
 const (
@@ -21,19 +21,20 @@
 	minPollIntervalSeconds  = 0.0001
 
 	// responseDelays is the number of one-way delays within which a response
-	// arrives if no message is lost: to a voter, on to the leader, to the quorum
-	// and back, to the voter, to the holder. A quorum read that is already under
-	// way does not count for a later request, which adds another round.
+	// arrives if no message is lost. Six messages are sent one after another:
+	// holder to voter, voter to leader, leader to quorum, quorum to leader, leader
+	// to voter, voter to holder. Two more delays pass if a quorum read is already
+	// in progress: it does not cover a later request, which has to wait for it.
 	responseDelays = 8
-	// renewalsPerLease is how many renewals a lease must at least allow for, so
-	// that one lost message does not let it expire.
+	// renewalsPerLease is the minimum number of renew intervals per lease, so that
+	// one lost message does not cause the lease to expire.
 	renewalsPerLease = 3
 )
 
 // Settings are the timing parameters of leases. All instances of a cluster
-// should use the same ones; the protocol remains safe where they differ.
+// should use the same settings; the protocol remains safe if they differ.
 type Settings struct {
-	// LeaseSeconds is how long an instance acts on a version without renewing its lease.
+	// LeaseSeconds is how long an instance may act on a version without renewing its lease.
 	LeaseSeconds float64
 	// RenewIntervalSeconds is the longest time from one lease request to the next.
 	RenewIntervalSeconds float64
@@ -45,7 +46,7 @@
 	PollIntervalSeconds float64
 }
 
-// DefaultSettings apply where the operator's file sets no value.
+// DefaultSettings contains the values used if the operator's file does not set them.
 var DefaultSettings = Settings{
 	LeaseSeconds:         3,
 	RenewIntervalSeconds: 0.75,
@@ -54,20 +55,21 @@
 	PollIntervalSeconds:  0.05,
 }
 
-// responseSeconds is the time within which a response arrives if no message is lost.
+// responseSeconds returns the time within which a response arrives if no message is lost.
 func (s Settings) responseSeconds() float64 {
 	return responseDelays * s.NetworkDelaySeconds
 }
 
-// RequestTimeoutSeconds is the timeout of a lease request over all voters that
-// are tried: half a lease, or two response times where those are longer, since
-// the first voter gets half of the timeout.
+// RequestTimeoutSeconds returns the timeout of a lease request, which covers all
+// voters that are tried. The first voter gets half of the timeout, so the timeout
+// is two response times if that is longer than half a lease; it is never longer
+// than a lease.
 func (s Settings) RequestTimeoutSeconds() float64 {
 	return min(s.LeaseSeconds, max(s.LeaseSeconds/2, 2*s.responseSeconds()))
 }
 
-// grantorLeaseSeconds is how long after granting a lease the leader must
-// assume, by its own clock, that the lease is in use.
+// grantorLeaseSeconds returns how long, on its own clock, the leader must assume
+// that a lease that it granted is in use.
 func (s Settings) grantorLeaseSeconds() float64 {
 	return s.LeaseSeconds * (1 + s.ClockDrift)
 }
@@ -81,16 +83,16 @@
 	retriedResponse := s.RenewIntervalSeconds + 2*s.responseSeconds()
 	switch {
 	case s.RenewIntervalSeconds > s.LeaseSeconds/renewalsPerLease:
-		return invalidSetting("period", "it is %g s, more than a third of accord.lease: "+
-			"a single lost message would lapse leases; at most %.3g s, or accord.lease at least %.3g s",
+		return invalidSetting("period", "%g s is more than a third of accord.lease: a single lost message "+
+			"would let leases expire; set it to at most %.3g s, or accord.lease to at least %.3g s",
 			s.RenewIntervalSeconds, s.LeaseSeconds/renewalsPerLease, renewalsPerLease*s.RenewIntervalSeconds)
 	case retriedResponse >= s.LeaseSeconds:
-		return invalidSetting("delay", "it is %g s: "+
-			"a question asked again after a lost one would be answered too late; "+
-			"below %.3g s, or accord.lease above %.3g s",
+		return invalidSetting("delay", "%g s is too long: "+
+			"if a lease request is lost, the response to its retry would arrive after the lease has expired; "+
+			"set it below %.3g s, or accord.lease above %.3g s",
 			s.NetworkDelaySeconds, (s.LeaseSeconds-s.RenewIntervalSeconds)/(2*responseDelays), retriedResponse)
 	case s.PollIntervalSeconds > s.LeaseSeconds:
-		return invalidSetting("look", "it is %g s, more than accord.lease of %g s",
+		return invalidSetting("look", "%g s is longer than accord.lease, which is %g s",
 			s.PollIntervalSeconds, s.LeaseSeconds)
 	}
 	return nil
@@ -112,7 +114,7 @@
 	for _, r := range ranges {
 		// The negation also rejects NaN.
 		if !(r.value >= r.min && r.value <= r.max) {
-			return invalidSetting(r.key, "it is %g, and must be %g to %g", r.value, r.min, r.max)
+			return invalidSetting(r.key, "got %g, must be %g to %g", r.value, r.min, r.max)
 		}
 	}
 	return nil
@@ -125,26 +127,28 @@
 	}
 }
 
-// Bounds are the guarantees that follow from settings, in seconds. Exclusive
-// settings of two versions are never in effect side by side.
+// Bounds are the guarantees that follow from Settings, in seconds. Conflicting
+// exclusive settings of two versions are never in effect at the same time, for
+// which no bound is needed.
 type Bounds struct {
 	// ConflictSeconds is how long two instances may act on conflicting
 	// non-exclusive settings while one of them is partitioned.
 	ConflictSeconds float64 `json:"Loose"`
-	// PropagationSeconds is the same while messages are delivered.
+	// PropagationSeconds is the same while no message is lost.
 	PropagationSeconds float64 `json:"Told"`
-	// AdvanceSeconds is the time from one stage to the next while all holders are alive.
+	// AdvanceSeconds is the maximum time from one stage to the next while all holders respond.
 	AdvanceSeconds float64 `json:"Step"`
-	// AdvanceAfterLossSeconds is the same after a holder crashed or was partitioned.
+	// AdvanceAfterLossSeconds is the same if a holder crashed or is partitioned.
 	AdvanceAfterLossSeconds float64 `json:"Gone"`
-	// AdvanceAfterElectionSeconds is the same after the election of a leader.
+	// AdvanceAfterElectionSeconds is the same if a new leader was elected.
 	AdvanceAfterElectionSeconds float64 `json:"Elected"`
 }
 
 // Bounds computes the guarantees of the settings.
 func (s Settings) Bounds() Bounds {
 	propagation := s.RenewIntervalSeconds + s.responseSeconds() + s.PollIntervalSeconds
-	// The holder acknowledges at once, to a voter and on to the leader, whose entry goes to a quorum and back.
+	// The holder acknowledges immediately, to a voter, which forwards the request to the leader. Then the leader's
+	// entry takes a round trip to a quorum.
 	advance := propagation + 4*s.NetworkDelaySeconds
 	commit := 2 * s.NetworkDelaySeconds
 	afterLoss := max(advance, s.grantorLeaseSeconds()+commit)
@@ -157,10 +161,10 @@
 	}
 }
 
-// String describes the guarantees for operators.
+// String formats the guarantees for operators.
 func (b Bounds) String() string {
-	return fmt.Sprintf("exclusive rules never contradict each other; loose ones for %.3g s at most, "+
-		"%.3g s while messages come through; a step of a version takes %.3g s, %.3g s with an instance gone, "+
+	return fmt.Sprintf("exclusive rules never conflict; loose rules conflict for at most %.3g s, "+
+		"%.3g s while no message is lost; a stage of a version takes %.3g s, %.3g s if an instance is lost, "+
 		"%.3g s after an election", b.ConflictSeconds, b.PropagationSeconds, b.AdvanceSeconds,
 		b.AdvanceAfterLossSeconds, b.AdvanceAfterElectionSeconds)
 }
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// State is the state that the voters replicate. The zero value is the state
-// before the first entry.
+// State is the state machine that the voters replicate. The zero value is the
+// state before the first entry.
 type State struct {
 	view                *View // nil before the first entry
 	digest              uint64
@@ -14,7 +14,7 @@
 	history             []Change
 }
 
-// View returns the current view.
+// View returns the current view, which is never nil.
 func (s *State) View() *View {
 	if s.view == nil {
 		return &View{}
@@ -27,24 +27,26 @@
 	return s.View().Revision
 }
 
-// LongestLeaseSeconds returns the longest time for which a lease may have been
-// granted, or 0 if none was.
+// LongestLeaseSeconds returns the longest time for which any leader may have
+// granted a lease, clock drift included, or 0 if no lease may have been granted.
 func (s *State) LongestLeaseSeconds() float64 {
 	return s.longestLeaseSeconds
 }
 
-// History returns the latest changes, oldest first, at most MaxHistoryLength.
+// History returns the latest changes, oldest first, at most MaxHistoryLength of
+// them. The caller must not modify the result.
 func (s *State) History() []Change {
 	return s.history
 }
 
-// Apply applies a committed entry of the given term. On an error nothing has
-// changed. *StaleProposalError, *ProposalInProgressError,
-// *ClusterMismatchError and *StaleEntryError are replies to whoever proposed
-// the entry. After an *UnsupportedFormatError or a *CorruptMessageError the
-// instance has to stop applying entries, since newer builds have applied this
-// one, and to be upgraded. The same entries lead every instance to the same
-// state.
+// Apply applies a committed entry of the given term and reports whether it
+// changed the state. Applying is deterministic: the same entries result in the
+// same state on every instance. On an error the state is unchanged. A
+// *StaleProposalError, *ProposalInProgressError, *ClusterMismatchError or
+// *StaleEntryError is for the proposer of the entry. After an
+// *UnsupportedFormatError or a *CorruptMessageError the instance has to stop
+// applying entries until it is upgraded, since newer builds have applied this
+// entry.
 func (s *State) Apply(term uint64, e Entry) (changed bool, err error) {
 	if err := e.validate(); err != nil {
 		return false, err
@@ -99,7 +101,8 @@
 	if !inProgress && e.Exclusive && v.InForce.Number != 0 {
 		v.announce(version)
 	} else {
-		// It has no exclusive conflict, withdraws the next version, or is the first one, before which nobody acts.
+		// The version has no exclusive conflict with its base, withdraws the next version, or is the first version.
+		// Before the first version, no instance acts on any configuration.
 		v.putInForce(version)
 	}
 	s.appendChange(Change{
@@ -113,7 +116,8 @@
 	return true, nil
 }
 
-// isLatestProposal reports whether the proposal was applied already, as the latest one.
+// isLatestProposal reports whether the proposal has already been applied and is
+// the latest one, so that e is a duplicate.
 func (s *State) isLatestProposal(e Entry) bool {
 	if len(s.history) == 0 {
 		return false
@@ -137,8 +141,8 @@
 	return true, nil
 }
 
-// applyExtendLease never lowers the longest lease: leases of a longer duration
-// may still be in use.
+// applyExtendLease raises the longest lease. It never lowers it, since longer
+// leases may still be in use.
 func (s *State) applyExtendLease(e Entry) (changed bool) {
 	if e.LeaseSeconds <= s.longestLeaseSeconds {
 		return false
@@ -158,14 +162,15 @@
 	v.Revision = Revision{Version: version.Number, Stage: StageInForce}
 }
 
-// appendChange copies the history, as callers keep slices of it.
+// appendChange adds a change and drops the oldest ones beyond MaxHistoryLength.
+// It copies the history, as callers may keep slices of it.
 func (s *State) appendChange(c Change) {
 	first := max(0, len(s.history)-MaxHistoryLength+1)
 	s.history = append(slices.Clone(s.history[first:]), c)
 }
 
-// ChangesSince returns the changes after version base, oldest first, as far as
-// the history reaches.
+// ChangesSince returns the changes after version base, oldest first. Changes that
+// the history no longer has are missing.
 func (s *State) ChangesSince(base uint64) []Change {
 	first := slices.IndexFunc(s.history, func(c Change) bool { return c.Version > base })
 	if first < 0 {
--- a/internal/cluster/lease/state_test.go
+++ b/internal/cluster/lease/state_test.go
@@ -11,7 +11,7 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-func TestStagesOfAVersion(t *testing.T) {
+func TestVersionStages(t *testing.T) {
 	s := newStateInForce(t)
 	expectRevision(t, s, 1, StageInForce)
 	propose(t, s, "n1", tableWithReservation(10, 2))
@@ -75,7 +75,7 @@
 	expectRevision(t, s, 3, StageAnnounced)
 }
 
-func TestClustersStayApart(t *testing.T) {
+func TestClusterMismatchIsRejected(t *testing.T) {
 	s := &State{}
 	var mismatch *ClusterMismatchError
 	if _, err := s.Apply(1, Entry{Kind: EntryPropose, Proposer: "n", Table: []byte("x")}); !errors.As(err, &mismatch) {
--- a/internal/cluster/lease/view.go
+++ b/internal/cluster/lease/view.go
@@ -10,16 +10,16 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// Version is one version of the configuration. It is replicated as bytes: how
-// a build interprets them must not affect the replicated state, or builds that
-// interpret them differently would diverge.
+// Version is one version of the configuration. Its table is replicated as bytes.
+// The replicated state must not depend on how a build interprets these bytes,
+// because builds that interpret them differently would diverge.
 type Version struct {
 	Number   uint64
 	Proposer string // name of the proposing instance
 	Table    []byte // encoded by config.Encode
 }
 
-// decodeTable decodes the version's table; that of version 0 is empty.
+// decodeTable decodes the version's table. Version 0 has an empty table.
 func (v Version) decodeTable() (*config.Table, error) {
 	if v.Number == 0 {
 		return &config.Table{}, nil
@@ -32,7 +32,7 @@
 	return v.Number == other.Number && bytes.Equal(v.Table, other.Table)
 }
 
-// View is the part of the state that instances need. It is immutable.
+// View is the part of the state that is sent to instances. It is immutable.
 type View struct {
 	Cluster  string // identity of the cluster; empty before the first entry
 	Revision Revision
@@ -52,7 +52,8 @@
 	return v.InForce
 }
 
-// Digest returns a hash by which instances compare views.
+// Digest returns a hash of the view by which instances compare views. Instances
+// of different builds compute the same digest.
 func (v *View) Digest() uint64 {
 	d := xxhash.New()
 	fmt.Fprintf(d, "%q %d %d %d %q %d %q ", v.Cluster, v.Revision.Version, v.Revision.Stage,
@@ -63,7 +64,7 @@
 	return d.Sum64()
 }
 
-// Change summarizes how a version differs from its base.
+// Change describes how a version differs from its base.
 type Change struct {
 	Version     uint64
 	Base        uint64
@@ -72,7 +73,7 @@
 	OmittedKeys int      // number of further keys that differ
 }
 
-// String describes the change for operators.
+// String formats the change for operators.
 func (c Change) String() string {
 	keys := strings.Join(c.Keys, ", ")
 	if c.OmittedKeys > 0 {
@@ -81,12 +82,14 @@
 	return fmt.Sprintf("%d by %s changed %s", c.Version, c.Proposer, keys)
 }
 
-// Proposal returns the entry that makes table the next version. The table's
-// version, base and proposer are set here. Its error is a *StaleProposalError
-// (without the changes since, which a view does not have) if base is not the
-// newest version, a *ProposalInProgressError, or an error of config.Validate.
-// A proposal that is rejected here costs the voters nothing; State.Apply
-// decides.
+// Proposal returns the entry that proposes table as the next version. It sets the
+// version, base and proposer in the encoded table; table itself is unchanged. The
+// error is a *StaleProposalError if base is not the newest version, without the
+// changes since base, which a view does not have; a *ProposalInProgressError; an
+// error of config.Decode, Validate or Encode; or that of an invalid entry.
+//
+// These checks reject most invalid proposals without involving the voters, but
+// State.Apply checks again and decides.
 func (v *View) Proposal(table *config.Table, proposer string, base uint64) (Entry, error) {
 	if base != v.NewestNumber() {
 		return Entry{}, &StaleProposalError{Base: base, Newest: v.NewestNumber()}
@@ -125,7 +128,8 @@
 	return e, e.validate()
 }
 
-// withdrawsNext reports whether table restores the version in force, which cancels the next one.
+// withdrawsNext reports whether table is equivalent to the version in force, so that proposing it cancels the next
+// version.
 func (v *View) withdrawsNext(table *config.Table) (bool, error) {
 	inForce, err := v.InForce.decodeTable()
 	if err != nil {
