--- a/internal/cluster/lease/endpointlists/list.go
+++ b/internal/cluster/lease/endpointlists/list.go
@@ -8,20 +8,21 @@
 	"slices"
 )
 
-// List is the list as one instance knows it. It has a single owner.
+// List is the endpoint list as one instance knows it. It is not safe for
+// concurrent use.
 type List struct {
 	transferTimeoutSeconds float64
-	epoch                  uint64 // of the configuration
+	epoch                  uint64 // set by the configuration
 	version                Version
-	versions               []uint64 // that the list had in this epoch, ascending, up to the current one
+	versions               []uint64 // the list's sequence numbers in this epoch, ascending up to the current one
 	entries                map[string]Entry
-	live                   int       // number of entries without tombstones
-	watchIsCurrent         bool      // changes of the own watch are of this epoch
+	live                   int       // number of entries that are not tombstones
+	watchIsCurrent         bool      // the own watch has sent a snapshot of this epoch, to which its changes apply
 	transfer               *transfer // in progress, or nil
 }
 
-// New returns an empty list. If a peer does not answer within the timeout,
-// another one is asked.
+// New returns an empty list. If a peer makes no progress with a transfer within
+// the timeout, the list may be requested from another peer.
 func New(transferTimeoutSeconds float64) *List {
 	return &List{
 		transferTimeoutSeconds: transferTimeoutSeconds,
@@ -29,9 +30,10 @@
 	}
 }
 
-// SetEpoch sets the epoch of discovery that the configuration names. Lists of
-// later epochs are ignored. If the epoch is a new one, the caller has to reopen
-// its watch: the first snapshot of that is the new epoch's.
+// SetEpoch sets discovery's epoch, which the configuration determines. Lists of
+// higher epochs are ignored. If reopenWatch is true, the epoch is a new one and
+// the caller has to reopen its watch, whose first snapshot then belongs to the new
+// epoch.
 func (l *List) SetEpoch(epoch uint64) (reopenWatch bool) {
 	if epoch <= l.epoch {
 		return false
@@ -41,7 +43,7 @@
 	return true
 }
 
-// Version returns the version to send with every message.
+// Version returns the version of the list. It has to be sent with every message.
 func (l *List) Version() Version {
 	return l.version
 }
@@ -60,16 +62,16 @@
 	return slices.Sorted(maps.Keys(l.entries))
 }
 
-// ApplyUpdate applies an update of the instance's own watch and returns what it
-// changed. A *SequenceResetError asks for a new configuration. After an
-// *InvalidUpdateError the caller has to reopen its watch, which begins with a
-// snapshot.
+// ApplyUpdate applies an update from the instance's own watch and returns the
+// entries that differ from before. A *SequenceResetError means that the
+// configuration has to set a new epoch. After an *InvalidUpdateError the caller
+// has to reopen its watch, whose first update is a snapshot.
 func (l *List) ApplyUpdate(u Update) (changed []Entry, err error) {
 	if err := l.checkUpdate(u); err != nil {
 		return nil, err
 	}
-	// Unchanged entries get the version as well: they may have been different in
-	// between, and others may know them so.
+	// Entries that are unchanged here get the new version too: they may have
+	// changed and changed back, and other instances may have the state in between.
 	entries := slices.Clone(u.Entries)
 	for i := range entries {
 		entries[i].Seq = u.Seq
@@ -84,12 +86,12 @@
 	ids := map[string]bool{}
 	for _, e := range u.Entries {
 		if !e.isValid() || ids[e.ID] {
-			return &InvalidUpdateError{Reason: fmt.Sprintf("entry %.64q is too large, or named twice", e.ID)}
+			return &InvalidUpdateError{Reason: fmt.Sprintf("entry %.64q is invalid, too large or listed twice", e.ID)}
 		}
 		ids[e.ID] = true
 	}
 	if u.Seq == 0 {
-		return &InvalidUpdateError{Reason: "it has no version"}
+		return &InvalidUpdateError{Reason: "the version is 0"}
 	}
 	return l.checkSize(u.Entries, u.Snapshot)
 }
@@ -116,14 +118,15 @@
 	}
 	if !l.watchIsCurrent {
 		return nil, &InvalidUpdateError{
-			Reason: "changes to a list that is not known, or of an epoch of discovery that is over",
+			Reason: "changes to a list that is not known, or to one of a former epoch",
 		}
 	}
 	return l.merge(seq, entries), nil
 }
 
-// checkSize returns an error if the list would have more than MaxEntries with
-// the given entries: those alone, if they are complete.
+// checkSize returns an *InvalidUpdateError if applying the entries would result in
+// more than MaxEntries. If complete, the entries replace the list, otherwise they
+// are changes of it.
 func (l *List) checkSize(entries []Entry, complete bool) error {
 	live := l.live
 	if complete {
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// merge applies changes that lead to a later version of this epoch.
+// merge applies all changes up to a later version of this epoch.
 func (l *List) merge(seq uint64, entries []Entry) (changed []Entry) {
 	for _, e := range entries {
 		changed = l.put(changed, e)
@@ -153,14 +156,14 @@
 
 // mergeComplete applies the complete list of a later version of this epoch.
 func (l *List) mergeComplete(seq uint64, entries []Entry) (changed []Entry) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range entries {
-		named[e.ID] = true
+		listed[e.ID] = true
 		e.Seq = seq
 		changed = l.put(changed, e)
 	}
 	for _, id := range l.sortedIDs() {
-		if !named[id] && !l.entries[id].Deleted {
+		if !listed[id] && !l.entries[id].Deleted {
 			changed = l.put(changed, Entry{ID: id, Seq: seq, Deleted: true})
 		}
 	}
@@ -168,7 +171,7 @@
 	return changed
 }
 
-// advance sets a later version of this epoch.
+// advance sets the version to a later one of this epoch.
 func (l *List) advance(seq uint64) {
 	l.version.Seq = seq
 	firstKept := max(0, len(l.versions)-MaxVersions+1)
@@ -176,7 +179,7 @@
 	l.pruneTombstones()
 }
 
-// put stores an entry and appends it to changed if it differs from the one before.
+// put stores an entry and appends it to changed if it differs from the previous one.
 func (l *List) put(changed []Entry, e Entry) []Entry {
 	old, known := l.entries[e.ID]
 	if known && !old.Deleted {
@@ -195,8 +198,9 @@
 	return append(changed, e)
 }
 
-// pruneTombstones drops the oldest tombstones, and with them the versions from
-// which changes are known.
+// pruneTombstones drops the oldest tombstones if there are more than MaxTombstones;
+// at most half of that number remain. It also drops the versions before those
+// tombstones, since which the changes are no longer known.
 func (l *List) pruneTombstones() {
 	if len(l.entries)-l.live <= MaxTombstones {
 		return
@@ -217,7 +221,7 @@
 	l.versions = slices.DeleteFunc(l.versions, func(seq uint64) bool { return seq < lastPruned })
 }
 
-// replace sets the list of another epoch, or the first one.
+// replace replaces the list by the first one or by one of another epoch.
 func (l *List) replace(v Version, entries []Entry) (changed []Entry) {
 	old := l.entries
 	l.entries = map[string]Entry{}
--- a/internal/cluster/lease/endpointlists/list_test.go
+++ b/internal/cluster/lease/endpointlists/list_test.go
@@ -12,7 +12,7 @@
 		simulate(t, seed, 12, 0)
 	}
 	for seed := range uint64(4) {
-		simulate(t, seed, 3*MaxChunkBytes/MaxDataBytes, MaxDataBytes/2) // in two chunks
+		simulate(t, seed, 3*MaxChunkBytes/MaxDataBytes, MaxDataBytes/2) // lists of two chunks
 	}
 }
 
@@ -30,16 +30,16 @@
 	}
 	var invalid *InvalidUpdateError
 	if _, err := a.ApplyUpdate(Update{Seq: 101, Entries: []Entry{entry("w3")}}); !errors.As(err, &invalid) {
-		t.Errorf("%v: changes of the new epoch were applied to the old one", err)
+		t.Errorf("got %v: changes of a new epoch must not be applied to a list of the old one", err)
 	}
 	if reopen := a.SetEpoch(2); !reopen || a.SetEpoch(2) {
-		t.Error("an epoch is new once")
+		t.Error("only the first call of SetEpoch with an epoch may ask to reopen the watch")
 	}
 	changed, err := a.ApplyUpdate(Update{Seq: 4, Snapshot: true, Entries: []Entry{entry("w2")}})
 	if err != nil || len(changed) != 2 || a.Version() != (Version{2, 4}) {
-		t.Errorf("%v %v %v", changed, err, a.Version())
+		t.Errorf("first snapshot of a new epoch: got changes %v, error %v, version %v", changed, err, a.Version())
 	}
-	// A list of an epoch that the configuration does not name yet is ignored.
+	// A list of a higher epoch than that of the configuration is ignored.
 	if _, ok := b.ReceiveVersion(0, "a", a.Version()); ok {
 		t.Error("requested a list of an unknown epoch")
 	}
@@ -51,9 +51,9 @@
 	request, ok := b.ReceiveVersion(0, "a", a.Version())
 	result, err = b.ApplyChunk(0, "a", a.ChunkSince(request))
 	if !ok || err != nil || len(result.Changed) != 2 || b.Version() != a.Version() {
-		t.Errorf("%v %v %v", ok, result.Changed, err)
+		t.Errorf("list of the new epoch from a peer: got requested %v, changes %v, error %v", ok, result.Changed, err)
 	}
-	// Its own watch of the old epoch does not lead it back.
+	// Changes from its own watch, which is still of the old epoch, are rejected.
 	if _, err := b.ApplyUpdate(Update{Seq: 102, Entries: []Entry{entry("w1")}}); !errors.As(err, &invalid) || b.Version() != a.Version() {
 		t.Error(err)
 	}
@@ -79,11 +79,11 @@
 	} {
 		var invalid *InvalidUpdateError
 		if _, err := l.ApplyUpdate(u); !errors.As(err, &invalid) || l.Version().Seq != 1 {
-			t.Errorf("%v at %v", err, l.Version())
+			t.Errorf("invalid update: got error %v, version %v", err, l.Version())
 		}
 	}
 	if before.Last || len(before.Entries) > MaxChunkEntries {
-		t.Errorf("a chunk of %d", len(before.Entries))
+		t.Errorf("got a first chunk of %d entries, want at most MaxChunkEntries and not the last", len(before.Entries))
 	}
 	for _, c := range []Chunk{
 		{Version: Version{0, 3}, Entries: []Entry{{ID: "b", Seq: 1}, {ID: "a", Seq: 1}}, Last: true},
@@ -94,16 +94,16 @@
 	} {
 		var invalid *InvalidUpdateError
 		if _, err := other.ApplyChunk(0, "x", c); !errors.As(err, &invalid) || other.Version() != (Version{}) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("applying %+v: got error %v, want an *InvalidUpdateError", c, err)
 		}
 	}
-	// Tombstones are pruned, and with them the versions from which changes are known.
+	// When tombstones are pruned, the changes since older versions are no longer known.
 	deletions := Update{Seq: 2}
 	for _, e := range many.Entries[:MaxTombstones+1] {
 		deletions.Entries = append(deletions.Entries, Entry{ID: e.ID, Deleted: true})
 	}
 	l.ApplyUpdate(deletions)
 	if c := l.ChunkSince(ChunkRequest{Version: Version{0, 1}}); c.BaseSeq != 0 || len(l.entries) != MaxEntries-MaxTombstones-1 {
-		t.Errorf("changes from %d, %d entries", c.BaseSeq, len(l.entries))
+		t.Errorf("after pruning: got changes since version %d, want the complete list; %d entries are kept", c.BaseSeq, len(l.entries))
 	}
 }
--- a/internal/cluster/lease/endpointlists/simulation_test.go
+++ b/internal/cluster/lease/endpointlists/simulation_test.go
@@ -19,23 +19,25 @@
 	transferTimeoutS = 3
 )
 
-// discovery is consistent within an epoch. An entry's data names epoch and
-// version, so that it ascends.
+// discovery simulates a discovery service, whose versions ascend within an epoch.
+// An entry's data begins with the epoch and version of its latest change, so that
+// later data is greater.
 type discovery struct {
 	epoch    uint64
 	seq      uint64
-	versions []map[string]string // data by ID, of this epoch
-	padding  string              // of each entry's data
+	versions []map[string]string // data by ID, indexed by the version in this epoch
+	padding  string              // appended to each entry's data
 }
 
 func (d *discovery) current() map[string]string { return d.versions[d.seq] }
 
+// start begins an epoch, with version 1 of all IDs.
 func (d *discovery) start(epoch uint64, ids int) {
 	*d = discovery{epoch: epoch, versions: []map[string]string{{}}, padding: d.padding}
 	d.change(nil, ids)
 }
 
-// change makes the next version, with all IDs if r is nil.
+// change creates the next version by random changes; it sets all IDs if r is nil.
 func (d *discovery) change(r *rand.Rand, ids int) {
 	next := maps.Clone(d.current())
 	d.seq++
@@ -51,7 +53,7 @@
 	d.versions = append(d.versions, next)
 }
 
-// update returns the event of a watch that is at version from; 0 for a snapshot.
+// update returns the next event for a watch that has received version from, or a snapshot if from is 0.
 func (d *discovery) update(from uint64) Update {
 	u := Update{Seq: d.seq, Snapshot: from == 0}
 	for id, data := range d.current() {
@@ -73,13 +75,13 @@
 type peer struct {
 	*List
 	name         string
-	watchVersion uint64 // version that the own watch is at; 0 after it was reopened
-	watchStalled bool   // the own watch brings nothing
+	watchVersion uint64 // version that the peer's own watch has received; 0 after it was reopened
+	watchStalled bool   // the peer's own watch delivers nothing
 	lastVersion  Version
-	latest       map[string]string // the latest data seen of each ID
+	latest       map[string]string // the greatest data that the peer had of each ID
 }
 
-// message has one of version, request and chunk.
+// message is a message between peers, given by index. Exactly one of version, request and chunk is set.
 type message struct {
 	from, to int
 	version  *Version
@@ -87,9 +89,9 @@
 	chunk    *Chunk
 }
 
-// simulation has peers, most of them with a silent watch, receive the list of a
-// discovery that changes and starts over, over links that lose, duplicate, delay
-// and reorder messages.
+// simulation simulates peers that exchange the list of a discovery service, which
+// changes the list and begins a second epoch. Most peers have a stalled watch. The
+// links between peers lose, duplicate, delay and reorder messages.
 type simulation struct {
 	t         *testing.T
 	seed      uint64
@@ -101,6 +103,7 @@
 	messages  []message
 }
 
+// simulate runs a simulation of random events, then checks that the lists converge.
 func simulate(t *testing.T, seed uint64, ids, paddingBytes int) {
 	s := &simulation{
 		t:         t,
@@ -165,7 +168,7 @@
 	s.messages = append(s.messages, message{from: i, to: (i + 1) % len(s.peers), chunk: &chunk})
 }
 
-// deliverAny delivers a message, loses it, or keeps it to be delivered again.
+// deliverAny picks a message, which is delivered or not, and removed or kept for another delivery.
 func (s *simulation) deliverAny() {
 	i := s.random.IntN(len(s.messages))
 	m := s.messages[i]
@@ -177,7 +180,7 @@
 	}
 }
 
-// restartDiscovery begins the second epoch, which no watch survives.
+// restartDiscovery begins the second epoch, which resets all watches.
 func (s *simulation) restartDiscovery() {
 	s.discovery.start(2, s.ids)
 	for _, p := range s.peers {
@@ -185,6 +188,7 @@
 	}
 }
 
+// setEpoch has a peer apply the configuration of the second epoch.
 func (s *simulation) setEpoch(p *peer) {
 	if p.SetEpoch(2) {
 		p.watchVersion = 0
@@ -193,7 +197,7 @@
 
 // runWatch delivers an event of a peer's own watch.
 func (s *simulation) runWatch(p *peer) {
-	// Until the configuration names the new epoch, a list of it is distinguished by its lower version alone.
+	// Until the configuration sets the new epoch, a peer recognizes a list of the new epoch only by its lower version.
 	if p.watchStalled || p.epoch < s.discovery.epoch && s.discovery.seq >= p.version.Seq {
 		return
 	}
@@ -233,7 +237,7 @@
 	epoch := to.version.Epoch
 	result, err := to.ApplyChunk(s.now, from, *m.chunk)
 	if err != nil {
-		s.t.Fatalf("seed %d: %v", s.seed, err)
+		s.t.Fatalf("seed %d: applying a chunk: %v", s.seed, err)
 	}
 	if result.Next != nil {
 		s.messages = append(s.messages, message{from: m.to, to: m.from, request: result.Next})
@@ -244,8 +248,8 @@
 	s.checkInvariants(to)
 }
 
-// converge checks that all lists become the same within a number of rounds,
-// once the links and one watch work again.
+// converge checks that all lists become equal within convergeRounds once the links
+// and the watch of one peer work again.
 func (s *simulation) converge() {
 	for i, p := range s.peers {
 		p.SetEpoch(2)
@@ -265,23 +269,24 @@
 	}
 	for _, p := range s.peers {
 		if p.version != (Version{Epoch: 2, Seq: s.discovery.seq}) {
-			s.t.Fatalf("seed %d: %v, discovery is at %d", s.seed, p.version, s.discovery.seq)
+			s.t.Fatalf("seed %d: a peer has version %v, discovery has %d", s.seed, p.version, s.discovery.seq)
 		}
 		s.expectMatchesDiscovery(p)
 	}
 }
 
-// checkInvariants fails the test if a peer's list went back, or is not the one that discovery had at its version.
+// checkInvariants fails the test if the version or an entry of a peer's list is older than before, or if the list
+// differs from the one that discovery had at that version.
 func (s *simulation) checkInvariants(p *peer) {
 	s.t.Helper()
 	if p.version.Compare(p.lastVersion) < 0 {
-		s.t.Fatalf("seed %d: from %v back to %v", s.seed, p.lastVersion, p.version)
+		s.t.Fatalf("seed %d: the version went back from %v to %v", s.seed, p.lastVersion, p.version)
 	}
 	p.lastVersion = p.version
 	for _, e := range p.Entries() {
 		data := string(e.Data)
 		if data < p.latest[e.ID] {
-			s.t.Fatalf("seed %d: %s back from %s to %s", s.seed, e.ID, p.latest[e.ID], data)
+			s.t.Fatalf("seed %d: entry %s went back from %s to %s", s.seed, e.ID, p.latest[e.ID], data)
 		}
 		p.latest[e.ID] = data
 	}
@@ -296,10 +301,10 @@
 	entries := p.Entries()
 	for _, e := range entries {
 		if want[e.ID] != string(e.Data) {
-			s.t.Fatalf("seed %d: %s is %q, and %q in discovery at %v", s.seed, e.ID, e.Data, want[e.ID], p.version)
+			s.t.Fatalf("seed %d: entry %s is %q, but %q in discovery at version %v", s.seed, e.ID, e.Data, want[e.ID], p.version)
 		}
 	}
 	if len(entries) != len(want) || p.live != len(want) {
-		s.t.Fatalf("seed %d: %d entries, counted %d, discovery had %d", s.seed, len(entries), p.live, len(want))
+		s.t.Fatalf("seed %d: got %d entries, a count of %d; discovery had %d", s.seed, len(entries), p.live, len(want))
 	}
 }
--- a/internal/cluster/lease/endpointlists/transfer.go
+++ b/internal/cluster/lease/endpointlists/transfer.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// transfer is the state of receiving the changes of one peer in chunks.
+// transfer is the state of receiving changes from one peer in chunks.
 type transfer struct {
 	peer         string
 	request      ChunkRequest // for the next chunk
-	version      Version      // of the chunks received; zero before the first one
+	version      Version      // of the chunks received; zero before the first chunk
 	entries      []Entry      // of the chunks received
-	lastProgress float64
+	lastProgress float64      // time of the start or of the latest chunk, in seconds
 }
 
 // ChunkResult is the outcome of applying a chunk.
 type ChunkResult struct {
-	Changed []Entry
+	Changed []Entry       // entries that differ from before
 	Next    *ChunkRequest // to send to the same peer, or nil
 }
 
-// ReceiveVersion handles the version of a peer's list and returns what to
-// request of that peer, if anything.
+// ReceiveVersion handles the version of a peer's list. If ok, the returned request
+// has to be sent to that peer.
 func (l *List) ReceiveVersion(now float64, peer string, v Version) (request ChunkRequest, ok bool) {
 	if v.Compare(l.version) <= 0 || v.Epoch > l.epoch {
 		return ChunkRequest{}, false
@@ -32,7 +32,8 @@
 	return l.transfer.request, l.transfer.peer == peer
 }
 
-// mustRestart reports whether there is no transfer, or one that is obsolete or has timed out.
+// mustRestart reports whether a transfer has to be started: there is none, it is for an obsolete version, or it has
+// timed out and peer is another one.
 func (l *List) mustRestart(now float64, peer string) bool {
 	t := l.transfer
 	if t == nil || t.request.Version != l.version {
@@ -49,8 +50,8 @@
 	}
 }
 
-// ChunkSince returns the first chunk of the changes that a peer requested, or
-// of those that are sent to all.
+// ChunkSince returns the first chunk of the changes since r.Version after r.After,
+// either for a peer that requested them or to send to all peers.
 func (l *List) ChunkSince(r ChunkRequest) Chunk {
 	chunk := Chunk{
 		Version: l.version,
@@ -77,12 +78,12 @@
 	return chunk
 }
 
-// includes reports whether an entry is one of the changes since the chunk's base.
+// includes reports whether an entry is one of the changes since the chunk's base, or of the complete list.
 func (c *Chunk) includes(e Entry) bool {
 	return e.Seq > c.BaseSeq && (!e.Deleted || c.BaseSeq > 0)
 }
 
-// isComplete reports whether the chunk is all that there is to a version.
+// isComplete reports whether the chunk contains all changes, so that no other chunk is needed.
 func (c *Chunk) isComplete() bool {
 	return c.After == "" && c.Last
 }
@@ -92,20 +93,22 @@
 	for _, e := range c.Entries {
 		if !e.isValid() || e.ID <= last || !c.includes(e) || e.Seq > c.Version.Seq {
 			return &InvalidUpdateError{
-				Reason: fmt.Sprintf("entry %.64q is too large, out of order, or of no version that it can be of", e.ID),
+				Reason: fmt.Sprintf("entry %.64q is invalid, too large, out of order or of a wrong version", e.ID),
 			}
 		}
 		last = e.ID
 	}
 	if len(c.Entries) > MaxChunkEntries || len(c.Entries) == 0 && !c.Last {
-		return &InvalidUpdateError{Reason: "a chunk with too many entries, or none"}
+		return &InvalidUpdateError{Reason: "a chunk has too many entries, or none and is not the last"}
 	}
 	return nil
 }
 
-// ApplyChunk applies a chunk of a peer. One that is complete is valid without a
-// request as well. If the epoch of Version changes by it, the caller has to
-// reopen its watch, whose changes are of the epoch before.
+// ApplyChunk applies a chunk from a peer. A chunk that contains all changes is
+// applied even if it was not requested; a chunk that does not apply to the list is
+// ignored. If the epoch of Version has changed after the call, the caller has to
+// reopen its watch, whose changes are of the previous epoch. The error is an
+// *InvalidUpdateError.
 func (l *List) ApplyChunk(now float64, peer string, c Chunk) (ChunkResult, error) {
 	if err := c.validate(); err != nil {
 		return ChunkResult{}, err
@@ -121,7 +124,7 @@
 		return ChunkResult{}, nil
 	}
 	if t.version != c.Version && t.version != (Version{}) {
-		// Chunks of two versions make no list.
+		// Chunks of different versions can't be combined into a list, so the transfer starts again.
 		l.startTransfer(now, peer)
 		return l.requestNext(), nil
 	}
@@ -132,7 +135,8 @@
 	return l.continueTransfer(now, c, entries)
 }
 
-// isApplicable reports whether a chunk leads from the list's version to a later one.
+// isApplicable reports whether a chunk contains the complete list of a later version, or the changes from this list's
+// version to a later one.
 func (l *List) isApplicable(c Chunk) bool {
 	if c.Version.Epoch > l.epoch || c.Version.Compare(l.version) <= 0 {
 		return false
@@ -157,7 +161,7 @@
 	return ChunkResult{Next: &request}
 }
 
-// finishTransfer applies all entries of a version.
+// finishTransfer ends the transfer and applies its entries. The chunk c is the last one.
 func (l *List) finishTransfer(c Chunk, entries []Entry) (ChunkResult, error) {
 	l.transfer = nil
 	complete := c.BaseSeq == 0
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// update rewrites the files under testdata/golden. What older builds wrote has to stay readable, so that is
-// only right for a file that is new.
+// update rewrites the files under testdata/golden. Use it only to create new files: the existing ones are what older
+// builds have written, and have to stay readable.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden returns the content of a golden file. With -update it first writes content to it.
+// golden returns the content of a golden file. With -update it first writes content to the file.
 func golden(t *testing.T, name string, content []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -31,7 +31,7 @@
 	return raw
 }
 
-// goldenView has a version in force and a next one, in the stage before it is in force.
+// goldenView returns a view with version 7 in force and version 9 in the stage StageIntersection.
 func goldenView() *View {
 	return &View{
 		Cluster:  "cluster-1",
@@ -53,7 +53,7 @@
 		{"entry-advance.bin", Entry{Kind: EntryAdvance, Version: 10, TargetStage: StageIntersection, Term: 12}},
 		{"entry-advance-in-force.bin", Entry{Kind: EntryAdvance, Version: 11, TargetStage: StageInForce, Term: 13}},
 		{"entry-extend-lease.bin", Entry{Kind: EntryExtendLease, LeaseSeconds: 3.03125}},
-		// Every field at once: no build makes one, and all read it.
+		// An entry with the fields of all kinds. No build creates one, but all builds have to decode it.
 		{"entry-all-fields.bin", Entry{Kind: EntryAdvance, Cluster: "cluster-2", Base: 3, Proposer: "n4", Table: []byte("table"), Exclusive: true,
 			Withdraws: true, Keys: []string{"k1", "k2"}, OmittedKeys: 9, Version: 10, TargetStage: StageInForce, Term: 12, LeaseSeconds: 13.5}},
 	} {
@@ -71,7 +71,7 @@
 	}
 	var unsupported *UnsupportedFormatError
 	if _, err := UnmarshalEntry(golden(t, "empty.bin", nil)); !errors.As(err, &unsupported) {
-		t.Errorf("an empty entry: %v", err)
+		t.Errorf("decoding an empty entry: got error %v, want an *UnsupportedFormatError", err)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 	var zero State
 	if raw := zero.Snapshot(); !bytes.Equal(raw, golden(t, "snapshot-zero.bin", raw)) {
-		t.Errorf("the zero state: %x", raw)
+		t.Errorf("the zero state: encoded %x, which differs from the golden file", raw)
 	}
 }
 
@@ -164,31 +164,31 @@
 			t.Errorf("%s: decoded %+v, %v", x.file, b, err)
 		}
 	}
-	// Without a name, none of these is one.
+	// Messages without an instance name are not valid.
 	empty := golden(t, "empty.bin", nil)
 	var corrupt *CorruptMessageError
 	if _, err := UnmarshalRequest(empty); !errors.As(err, &corrupt) {
-		t.Errorf("an empty request: %v", err)
+		t.Errorf("decoding an empty request: got error %v, want a *CorruptMessageError", err)
 	}
 	if _, err := UnmarshalGrant(empty); !errors.As(err, &corrupt) {
-		t.Errorf("an empty grant: %v", err)
+		t.Errorf("decoding an empty grant: got error %v, want a *CorruptMessageError", err)
 	}
 	if _, err := UnmarshalRelease(empty); !errors.As(err, &corrupt) {
-		t.Errorf("an empty release: %v", err)
+		t.Errorf("decoding an empty release: got error %v, want a *CorruptMessageError", err)
 	}
 }
 
-// Instances of two builds compare digests of views, and spread their requests by name, incarnation and nonce.
+// Instances of different builds compare digests of views, so the digest of a view must not change.
 func TestGoldenDigest(t *testing.T) {
 	if d := goldenView().Digest(); d != 0x1633511d8401787d {
-		t.Errorf("of a view: %#x", d)
+		t.Errorf("digest of a view: got %#x", d)
 	}
 	if d := (&View{}).Digest(); d != 0xa83e7f90b4c6712a {
-		t.Errorf("of the zero view: %#x", d)
+		t.Errorf("digest of the zero view: got %#x", d)
 	}
 }
 
-// What the admin page and the laboratory write of these types.
+// The JSON of these types, which the admin page and the lab write, must not change.
 func TestGoldenJSON(t *testing.T) {
 	raw, err := json.Marshal(struct {
 		Booking  ActiveLease
--- a/internal/cluster/lease/grantor_test.go
+++ b/internal/cluster/lease/grantor_test.go
@@ -17,36 +17,36 @@
 	expectNone := func(now float64) {
 		t.Helper()
 		if e, ok := p.grantor.NextEntry(now); ok {
-			t.Fatalf("%v at %g", e, now)
+			t.Fatalf("got entry %v at %g s, want none", e, now)
 		}
 	}
 	renew(0)
 	p.holder.Acknowledge(0, p.holder.EffectiveConfig(0).Revision)
 	propose(t, p.state, "n2", tableWithReservation(20, 1))
-	expectNone(2) // leases of a former leader may be in use
+	expectNone(2) // leases granted by a former leader may be in use
 	now := DefaultSettings.grantorLeaseSeconds()
 	renew(now)
-	expectNone(now) // received and not acknowledged
+	expectNone(now) // the holder has received the version but not acknowledged it
 	p.holder.Acknowledge(now, Revision{2, StageInForce})
 	p.holder.Acknowledge(now, Revision{2, StageAnnounced})
-	renew(now) // at once: the leader waits for it
+	renew(now) // an acknowledgement makes the next request due immediately
 	e, ok := p.grantor.NextEntry(now)
 	if want := (Entry{Kind: EntryAdvance, Version: 2, TargetStage: StageIntersection, Term: 1}); !ok || !reflect.DeepEqual(e, want) {
 		t.Fatal(e, ok)
 	}
-	expectNone(now) // it has been proposed
+	expectNone(now) // the entry has been proposed already
 	if again, ok := p.grantor.NextEntry(now + DefaultSettings.responseSeconds()); !ok || again.Version != 2 {
-		t.Error("a lost entry is not proposed again")
+		t.Error("a lost entry was not proposed again after the response time")
 	}
 	mustApply(t, p.state, 1, e)
 	expectNone(now + 2.9)
-	// The holder sends nothing: its lease expires.
+	// The lease of the holder, which sends no further requests, expires.
 	if e, ok := p.grantor.NextEntry(now + DefaultSettings.grantorLeaseSeconds() + 1); !ok || e.TargetStage != StageInForce {
 		t.Fatal(e, ok)
 	}
 	renew(now + 4)
 	if a := p.holder.EffectiveConfig(now + 4); !a.Intersection || *a.Table.Tenants[0].Reservation != 10 {
-		t.Errorf("%+v", a)
+		t.Errorf("got %+v, want the intersection, with a reservation of 10", a)
 	}
 	expectNone(now + 5)
 	p.grantor.Release(p.holder.Release())
@@ -65,7 +65,8 @@
 	}
 }
 
-// Leases of a longer duration may be in use when a leader grants shorter ones.
+// A leader that grants short leases has to wait for longer ones granted by former leaders. A leader that grants leases
+// longer than the longest one agreed on has to raise that first.
 func TestLeaseDurationChange(t *testing.T) {
 	s := newStateInForce(t)
 	short, long := DefaultSettings, DefaultSettings
@@ -85,7 +86,7 @@
 	g.SetTerm(10, 3)
 	var notReady *NotReadyError
 	if _, err := g.Grant(10, 3, q); !errors.As(err, &notReady) {
-		t.Errorf("%v: a lease longer than the longest one", err)
+		t.Errorf("granting a lease longer than the longest one: got %v, want a *NotReadyError", err)
 	}
 	e, ok := g.NextEntry(10)
 	if !ok || e.Kind != EntryExtendLease {
@@ -114,6 +115,6 @@
 		t.Error(err)
 	}
 	if err := g.ReceiveRequest(DefaultSettings.grantorLeaseSeconds(), more); err != nil || len(g.ActiveLeases(DefaultSettings.grantorLeaseSeconds())) != 0 {
-		t.Errorf("%v: expired leases still count", err)
+		t.Errorf("got error %v, or expired leases still count", err)
 	}
 }
--- a/internal/cluster/lease/holder_test.go
+++ b/internal/cluster/lease/holder_test.go
@@ -18,19 +18,19 @@
 	}
 	a := p.holder.EffectiveConfig(12.9)
 	if !a.Leased || a.ExpiresAt != 13 || a.Revision != (Revision{1, StageInForce}) || *a.Table.Tenants[0].Reservation != 10 {
-		t.Errorf("%+v", a)
+		t.Errorf("before the lease expires: got %+v", a)
 	}
-	// The clock alone decides, as nothing runs in a process that is suspended.
+	// The lease expires by the clock alone, since no timer runs while a process is suspended.
 	if a := p.holder.EffectiveConfig(13); a.Leased || !a.Table.Strict {
-		t.Errorf("%+v", a)
+		t.Errorf("when the lease has expired: got %+v, want a strict table without a lease", a)
 	}
 	if err := p.holder.Err(15); !errors.As(err, &expired) || expired.ExpiredSeconds != 2 || p.holder.Err(12) != nil {
 		t.Error(err)
 	}
 	if b := p.grantor.ActiveLeases(12); len(b) != 1 || b[0].ExpiresAt != 11+DefaultSettings.grantorLeaseSeconds() {
-		t.Errorf("%+v", b)
+		t.Errorf("active leases: got %+v, want one that starts when it was granted", b)
 	}
-	// The same view is not sent twice.
+	// A grant contains no view if the holder already has the current one.
 	if g := p.grant(13, p.request(13)); g.View != nil {
 		t.Error("the view was sent again")
 	} else if err := p.holder.HandleGrant(13, g); err != nil || !p.holder.EffectiveConfig(15).Leased {
@@ -38,9 +38,9 @@
 	}
 }
 
-// Where a response takes longer than the renew interval, the next request is due when it arrives. With a new revision
-// the request waits for the event loop, for a poll interval at most, to acknowledge it: else the next stage would wait
-// for one more response.
+// If a response takes longer than the renew interval, the next request is due as soon as the response arrives. After a
+// grant of a new revision, that request is delayed by up to a poll interval, so that the event loop can acknowledge the
+// revision first. Without the delay the next stage would have to wait for one more response.
 func TestRequestWaitsForEventLoop(t *testing.T) {
 	p := newPair(t)
 	q := p.request(10)
@@ -48,19 +48,19 @@
 		t.Fatal(err)
 	}
 	if _, due, at := p.holder.NextRequest(12); due || at != 12+p.holder.settings.PollIntervalSeconds {
-		t.Errorf("due %v, the next at %v", due, at)
+		t.Errorf("after a new revision: got due %v, next request at %v s; want a delay of a poll interval", due, at)
 	}
 	revision := p.holder.EffectiveConfig(12).Revision
 	p.holder.Acknowledge(12.01, revision)
 	q, due, _ := p.holder.NextRequest(12.01)
 	if !due || q.AppliedRevision != revision {
-		t.Errorf("due %v, acting on %v", due, q.AppliedRevision)
+		t.Errorf("after the acknowledgement: got due %v, applied revision %v", due, q.AppliedRevision)
 	}
-	if err := p.holder.HandleGrant(14, p.grant(13, q)); err != nil { // nothing new
+	if err := p.holder.HandleGrant(14, p.grant(13, q)); err != nil { // of the same revision
 		t.Fatal(err)
 	}
 	if _, due, _ := p.holder.NextRequest(14); !due {
-		t.Error("the request after a grant with nothing new is delayed")
+		t.Error("the request after a grant of the same revision is delayed")
 	}
 }
 
@@ -90,17 +90,17 @@
 		before := p.holder.DropCounts()[c.want]
 		var d *DroppedGrantError
 		if err := p.holder.HandleGrant(c.now, c.g); !errors.As(err, &d) || d.Reason != c.want || p.holder.DropCounts()[c.want] != before+1 {
-			t.Errorf("%v, want %q", err, c.want)
+			t.Errorf("got %v, want a dropped grant with the reason %q", err, c.want)
 		}
 		if p.holder.EffectiveConfig(0).Leased {
-			t.Error("a lease by a dropped grant")
+			t.Error("a dropped grant resulted in a lease")
 		}
 	}
 	if err := p.holder.HandleGrant(0, g); err != nil {
 		t.Error(err)
 	}
 	if err := p.holder.HandleGrant(0, g); err == nil {
-		t.Error("one grant was applied twice")
+		t.Error("a grant was applied a second time")
 	}
 }
 
@@ -116,7 +116,7 @@
 	if err := p.holder.HandleGrant(0, old); !errors.As(err, &lost) || p.holder.EffectiveConfig(0).Leased {
 		t.Error(err)
 	}
-	// Voters that lost their files may count up to the same version with another table.
+	// Voters that lost their files may reach the same version number again, with another table.
 	p = newPair(t)
 	if err := p.holder.HandleGrant(0, p.grant(0, p.request(0))); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,8 @@
 	}
 }
 
-// Requests are at most RenewIntervalSeconds apart, and never in bursts.
+// While responses arrive, requests are at most RenewIntervalSeconds and at least RenewIntervalSeconds*(1-RenewJitter)
+// apart, at varying intervals. Otherwise the interval doubles, to half a lease at most plus jitter.
 func TestRequestJitter(t *testing.T) {
 	p := newPair(t)
 	seen := map[float64]bool{}
@@ -141,21 +142,21 @@
 		}
 		_, _, at := p.holder.NextRequest(now)
 		if d := at - now; d > DefaultSettings.RenewIntervalSeconds || d < DefaultSettings.RenewIntervalSeconds*(1-RenewJitter)-1e-9 {
-			t.Fatalf("the next request after %g s", d)
+			t.Fatalf("the next request is due after %g s, outside the range of the jitter", d)
 		}
 		seen[at-now] = true
 		now = at
 	}
 	if len(seen) < 100 {
-		t.Errorf("%d different intervals", len(seen))
+		t.Errorf("got %d different intervals of 200, want at least 100", len(seen))
 	}
-	// Without responses the backoff grows, to half a lease at most.
+	// Without responses the backoff grows, to half a lease plus jitter at most.
 	last := now
 	for i := range 20 {
 		p.request(now)
 		_, _, now = p.holder.NextRequest(now)
 		if d := now - last; d > DefaultSettings.LeaseSeconds/2*(1+RenewJitter) || i == 0 && d > 2*DefaultSettings.responseSeconds() || i > 10 && d < DefaultSettings.LeaseSeconds/2 {
-			t.Fatalf("wait %d is %g s", i, d)
+			t.Fatalf("retry %d: got a backoff of %g s, which is out of range", i, d)
 		}
 		last = now
 	}
--- a/internal/cluster/lease/model_key_test.go
+++ b/internal/cluster/lease/model_key_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Markers of optional parts of a key.
+// Bytes that mark optional parts of a key, and the capacity reserved for a key.
 const (
 	noLeader        = 252
 	requestPending  = 253
@@ -11,6 +11,7 @@
 	typicalKeyBytes = 256
 )
 
+// appendInts appends the low byte of each number.
 func appendInts(b []byte, list ...int) []byte {
 	for _, v := range list {
 		b = append(b, byte(v))
@@ -18,9 +19,10 @@
 	return b
 }
 
+// revisionNumber returns a number that distinguishes the revision from others.
 func revisionNumber(r Revision) int { return int(r.Version)<<2 | int(r.Stage) }
 
-// remainingHalfSeconds treats all times that have passed alike.
+// remainingHalfSeconds returns the time left in units of 0.5 s, or 0 for all times that have passed.
 func remainingHalfSeconds(until, now float64) int { return int(max(0, 2*(until-now))) }
 
 func appendView(b []byte, v *View) []byte {
@@ -34,7 +36,8 @@
 	return appendInts(b, endOfPart)
 }
 
-// key distinguishes worlds.
+// key returns a 128-bit hash of the parts of a world that affect what can follow, by which search recognizes worlds
+// that it has visited.
 func (w *world) key() [2]uint64 {
 	b := make([]byte, 0, typicalKeyBytes)
 	b = appendInts(b, w.now, int(w.term), w.leader)
--- a/internal/cluster/lease/model_step_test.go
+++ b/internal/cluster/lease/model_step_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// send adds a message. One with the same content as another is the same message.
+// send adds a message, unless a message with the same content is already in transit.
 func (w *world) send(m message) {
 	m.key = m.sortKey()
 	at, found := slices.BinarySearchFunc(w.messages, m, func(a, b message) int {
@@ -17,7 +17,8 @@
 	}
 }
 
-// commit applies an entry to the leader's state.
+// commit applies an entry to the leader's state and reports whether that changed the state. If a stage is switched
+// off, the state skips it.
 func (w *world) commit(e Entry, rules protocolRules) bool {
 	if e.Kind == EntryAdvance && !rules.termCheck {
 		e.Term = w.term
@@ -41,7 +42,7 @@
 	return true
 }
 
-// catchUp applies to a node what is committed.
+// catchUp gives a node the committed state, which is that of the leader.
 func (w *world) catchUp(i int) *node {
 	committed := *w.nodes[w.leader].state
 	n := w.node(i)
@@ -55,7 +56,7 @@
 	w.leader = i
 	w.term++
 	n.grantor.SetTerm(w.leaderClock(), w.term)
-	n.grantor.caughtUp = true // its own instance sends requests as well
+	n.grantor.caughtUp = true // by requests of the leader's own instance, which the model omits
 	if !rules.inheritedLeases {
 		n.grantor.termStart = longAgo
 	}
@@ -64,7 +65,7 @@
 	}
 }
 
-// nextEntry returns what a node that believes it is the leader may propose.
+// nextEntry returns the entry that a node may propose. The node may be a deposed leader that has not noticed.
 func (w *world) nextEntry(i int, rules protocolRules) (Entry, bool) {
 	g := w.node(i).grantor
 	if !rules.waitForLeases {
@@ -74,7 +75,8 @@
 	return g.NextEntry(w.leaderClock())
 }
 
-// deliver handles the arrival of a message. It returns false if the message changes nothing, now or ever.
+// deliver handles the arrival of a message at node to, or at the message's holder. It returns false if the message has
+// no effect, in which case no later delivery is needed either.
 func (w *world) deliver(m message, to int, rules protocolRules) bool {
 	switch m.kind {
 	case requestMessage:
@@ -125,14 +127,15 @@
 	return true
 }
 
-// isStale reports whether m is a request that the holder has superseded.
+// isStale reports whether m is a request of a former process, or not the latest request of the holder.
 func (w *world) isStale(m message) bool {
 	h := w.holders[m.holder].holder
 	return m.kind == requestMessage && (m.request.Incarnation != h.incarnation || m.request.Nonce != h.request.nonce)
 }
 
-// prune drops messages that can't change anything any more, by trying them.
-// Stale requests are delivered as far as the bound on duplicates allows.
+// prune drops messages that can't have an effect any more, which it finds out for
+// entries and releases by delivering them to a copy. Stale requests are kept as
+// long as the bound on duplicates allows to deliver them.
 func (w *world) prune(rules protocolRules) {
 	w.messages = slices.DeleteFunc(slices.Clone(w.messages), func(m message) bool {
 		h := w.holders[m.holder].holder
@@ -148,14 +151,15 @@
 	})
 }
 
-// successors collects the worlds that can follow one.
+// successors collects the worlds that can follow from one.
 type successors struct {
 	from  *world
 	rules protocolRules
 	list  []*world
 }
 
-// successors returns the worlds that can follow. A violation that shows only in a transition is returned at once.
+// successors returns the worlds that can follow from w by one event. If an event itself violates an invariant, it
+// returns that violation and no worlds.
 func (w *world) successors(rules protocolRules) (list []*world, violation string) {
 	s := &successors{from: w, rules: rules}
 	s.addClockTick()
@@ -171,12 +175,14 @@
 	return s.list, ""
 }
 
+// fork returns a copy of the world, to which an event can be applied.
 func (s *successors) fork() *world {
 	next := *s.from
 	next.previous = s.from
 	return &next
 }
 
+// add adds the world that results from an event. The event is a format with the verb %d for its subject.
 func (s *successors) add(event string, subject int, apply func(next *world)) {
 	next := s.fork()
 	next.event = event
@@ -187,20 +193,20 @@
 
 func (s *successors) addClockTick() {
 	if s.from.now < s.from.remaining.ticks {
-		s.add("at %d the clock advances", s.from.now, func(next *world) { next.now++ })
+		s.add("at tick %d the clock advances", s.from.now, func(next *world) { next.now++ })
 	}
 }
 
 func (s *successors) addProposals() {
-	left := s.from.remaining
+	remaining := s.from.remaining
 	view := s.from.nodes[s.from.leader].state.View()
-	if left.versions > 0 && view.Next.Number == 0 {
-		s.add("table %d is proposed", left.versions, func(next *world) {
+	if remaining.versions > 0 && view.Next.Number == 0 {
+		s.add("table %d is proposed", remaining.versions, func(next *world) {
 			next.remaining.versions--
-			next.propose(left.versions, false, s.rules)
+			next.propose(remaining.versions, false, s.rules)
 		})
 	}
-	if left.withdrawals > 0 && view.Next.Number != 0 {
+	if remaining.withdrawals > 0 && view.Next.Number != 0 {
 		s.add("version %d is withdrawn", int(view.Next.Number), func(next *world) {
 			next.remaining.withdrawals--
 			next.propose(int(tableBit(view.InForce.Table)>>1), true, s.rules)
@@ -230,9 +236,9 @@
 				next.elect(i, s.rules)
 			})
 		}
-		// The state of a node that never led has no effect.
+		// A node that has never been the leader proposes and grants nothing, so its state has no effect.
 		if i != w.leader && n.grantor.term > 0 && n.state.digest != view.Digest() {
-			s.add("n%d applies what is committed", i, func(next *world) { next.catchUp(i) })
+			s.add("n%d applies the committed entries", i, func(next *world) { next.catchUp(i) })
 		}
 		if n.grantor.term == 0 || n.state.View().Next.Number == 0 {
 			continue
@@ -248,7 +254,7 @@
 func (s *successors) addClusterFaults() {
 	leader := s.from.leader
 	if s.from.remaining.shorterLeases > 0 {
-		s.add("n%d and all others get a shorter lease", leader, func(next *world) {
+		s.add("n%d and all others are configured with shorter leases", leader, func(next *world) {
 			next.remaining.shorterLeases--
 			for i := range next.nodes {
 				next.node(i).grantor.settings.LeaseSeconds /= 2
@@ -267,14 +273,14 @@
 
 func (s *successors) addHolderEvents(i int) (violation string) {
 	x := s.from.holders[i]
-	left := s.from.remaining
-	if !x.holder.released && left.requests > 0 {
+	remaining := s.from.remaining
+	if !x.holder.released && remaining.requests > 0 {
 		s.add("h%d sends a request", i, func(next *world) { next.sendRequest(i, s.rules) })
 	}
-	if left.restarts > 0 {
+	if remaining.restarts > 0 {
 		s.add("h%d restarts", i, func(next *world) { next.restart(i, s.rules) })
 	}
-	if !x.holder.released && left.releases > 0 {
+	if !x.holder.released && remaining.releases > 0 {
 		s.add("h%d shuts down", i, func(next *world) { next.shutDown(i) })
 	}
 	effective := x.holder.EffectiveConfig(s.from.clock(i))
@@ -282,9 +288,9 @@
 		return ""
 	}
 	if effective.Revision.Compare(x.highestRevision) < 0 {
-		return fmt.Sprintf("h%d falls from %v to %v%s", i, x.highestRevision, effective.Revision, s.from.trace())
+		return fmt.Sprintf("h%d goes back from %v to %v%s", i, x.highestRevision, effective.Revision, s.from.trace())
 	}
-	s.add("the loop of h%d runs", i, func(next *world) { next.runLoop(i, effective) })
+	s.add("the event loop of h%d runs", i, func(next *world) { next.runLoop(i, effective) })
 	return ""
 }
 
@@ -317,7 +323,7 @@
 	w.send(message{kind: releaseMessage, holder: i, release: x.holder.Release()})
 }
 
-// runLoop has an instance's event loop act on what is in effect.
+// runLoop runs an instance's event loop: the instance acts on the effective configuration and acknowledges it.
 func (w *world) runLoop(i int, effective EffectiveConfig) {
 	x := w.holder(i)
 	view := x.holder.content.view
@@ -341,7 +347,8 @@
 	}
 }
 
-// addDelivery adds the worlds in which message i arrives, and in which a duplicate of it follows.
+// addDelivery adds the world in which message i arrives and, if the bound on duplicates allows it, the world in which
+// the message arrives while a duplicate stays in transit.
 func (s *successors) addDelivery(i int, m message, to int) {
 	w := s.from
 	arrives := func(next *world) bool {
@@ -362,7 +369,7 @@
 	if next := s.fork(); arrives(next) {
 		next.remaining.duplicates--
 		next.send(m)
-		next.event = "once, with a duplicate to follow: " + deliveryEvents[m.kind]
+		next.event = "with a duplicate still in transit: " + deliveryEvents[m.kind]
 		next.subject = m.holder
 		s.list = append(s.list, next)
 	}
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// The model runs the package's own code in a world where messages are lost,
-// duplicated, delayed and reordered, leaders are deposed without noticing, and
-// instances stop, resume and restart, in every order, for small bounds. An
-// instance that is stopped makes no transition while the clock advances. The
-// consensus protocol is reduced to elections and to what is committed: one node
-// leads the term, the others keep the state and term of the last time that they
-// took part.
+// The model checker runs the package's own code and visits every state that can
+// be reached within small bounds. Messages are lost, duplicated, delayed and
+// reordered, leaders are deposed without noticing, and instances are suspended,
+// resumed and restarted, in every order. A suspended instance is one that makes
+// no transition while the clock advances. The consensus protocol is simplified to
+// elections and committed entries: one node leads the term, the other one keeps
+// the state and term that it had when it was last the leader or caught up.
 
-// protocolRules is the set of rules that hold in the world. Each can be switched off.
+// protocolRules are the rules of the protocol. Each can be switched off, to show that it is necessary.
 type protocolRules struct {
-	leaseFromSending bool // a lease begins when its request is sent
-	confirmedGrants  bool // the voters confirm the leader after a request has arrived
-	inheritedLeases  bool // a new leader waits for leases of former leaders
-	waitForLeases    bool // the next stage waits for leases
-	announced        bool // all act on one table before any acts on an intersection
-	intersection     bool // the intersection is in effect between two versions
-	termCheck        bool // an entry is valid in the term in which it was proposed
-	monotonic        bool // no revision lower than a known one is accepted, after a restart neither
-	nonceCheck       bool // a grant is valid for the pending request
-	incarnationCheck bool // a grant is valid for the process that sent the request
-	driftAllowance   bool // the leader allows for a faster clock
+	leaseFromSending bool // a lease starts when its request is sent, not when the grant arrives
+	confirmedGrants  bool // before a grant, the voters confirm the leader after the request has arrived
+	inheritedLeases  bool // a new leader waits until leases granted by former leaders have expired
+	waitForLeases    bool // the next stage waits for the holders of active leases
+	announced        bool // all instances act on the version in force alone before any acts on an intersection
+	intersection     bool // instances act on the intersection of two versions before the next one alone
+	termCheck        bool // an entry has no effect in a later term than that in which it was proposed
+	monotonic        bool // holders accept no revision lower than a known one, not even after a restart
+	nonceCheck       bool // a grant is valid only for the pending request
+	incarnationCheck bool // a grant is valid only for the process that sent the request
+	driftAllowance   bool // the leader allows for holders with a slower clock
 	acknowledgement  bool // a holder reports the revision that it acts on, not the one that it has received
-	longestLease     bool // the longest lease that any leader granted is waited for
+	longestLease     bool // a new leader waits for the longest lease that any leader may have granted
 }
 
 var allRules = protocolRules{
@@ -50,21 +50,21 @@
 }
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(400) // the search keeps what it allocates
+	debug.SetGCPercent(400) // fewer collections, as the search retains nearly all that it allocates
 	m.Run()
 }
 
-// maxWorlds ends a search that is larger than any of searchBounds.
+// maxWorlds stops a search that visits more worlds than any of searchBounds needs.
 const maxWorlds = 20_000_000
 
-// search visits all worlds that can follow, breadth first. It returns the first
-// violation and the number of worlds visited.
+// search visits all worlds that can be reached, breadth first. It returns the first
+// violation of an invariant, empty if there is none, and the number of worlds visited.
 func search(t *testing.T, b bounds, rules protocolRules) (violation string, worlds int) {
 	start := firstWorld(b, rules)
 	visited := map[[2]uint64]bool{start.key(): true}
 	for queue := []*world{start}; len(queue) > 0; queue = queue[1:] {
 		if len(visited) > maxWorlds {
-			t.Fatalf("more than %d worlds", maxWorlds)
+			t.Fatalf("the search visits more than %d worlds", maxWorlds)
 		}
 		successors, violation := queue[0].successors(rules)
 		if violation != "" {
@@ -86,8 +86,9 @@
 	return "", len(visited)
 }
 
+// firstWorld returns the initial world: the first node is the leader, and no instance has a lease.
 func firstWorld(b bounds, rules protocolRules) *world {
-	w := &world{term: 1, remaining: b, event: "it begins (%d)"}
+	w := &world{term: 1, remaining: b, event: "initial state (%d)"}
 	settings := modelSettings(b, rules)
 	for i := range w.nodes {
 		state := initialState(2 * settings.LeaseSeconds)
@@ -100,25 +101,26 @@
 	return w
 }
 
-// searchBounds are the smallest bounds that show a rule to be necessary, and
-// larger ones for BELLSTREAM_MODEL=full, which visits 6.3 million worlds.
+// searchBounds are the bounds of the searches by name: the smallest ones that show
+// each rule to be necessary, and larger ones, named "large ...", which run only with
+// BELLSTREAM_MODEL=full. The full search visits 6.3 million worlds.
 var searchBounds = map[string]bounds{
-	"steps":       {lease: 1, ticks: 1, requests: 3, versions: 1},
-	"looks":       {lease: 2, ticks: 1, requests: 4, versions: 1},
-	"clocks":      {lease: 2, ticks: 2, requests: 3, versions: 1},
-	"elections":   {lease: 1, ticks: 1, requests: 2, versions: 1, elections: 1},
-	"withdrawals": {lease: 1, ticks: 0, requests: 4, versions: 2, withdrawals: 1},
-	"restarts":    {lease: 1, ticks: 1, requests: 3, versions: 1, restarts: 1},
-	"ends":        {lease: 1, ticks: 1, requests: 2, versions: 1, releases: 1, duplicates: 1},
-	"doubles":     {lease: 1, ticks: 1, requests: 3, versions: 1, duplicates: 1},
-	"losses":      {lease: 1, ticks: 1, requests: 2, versions: 1, fileLosses: 1},
-	"shorter":     {lease: 2, ticks: 1, requests: 2, versions: 1, elections: 1, shorterLeases: 1},
+	"stages":           {lease: 1, ticks: 1, requests: 3, versions: 1},
+	"acknowledgements": {lease: 2, ticks: 1, requests: 4, versions: 1},
+	"clocks":           {lease: 2, ticks: 2, requests: 3, versions: 1},
+	"elections":        {lease: 1, ticks: 1, requests: 2, versions: 1, elections: 1},
+	"withdrawals":      {lease: 1, ticks: 0, requests: 4, versions: 2, withdrawals: 1},
+	"restarts":         {lease: 1, ticks: 1, requests: 3, versions: 1, restarts: 1},
+	"releases":         {lease: 1, ticks: 1, requests: 2, versions: 1, releases: 1, duplicates: 1},
+	"duplicates":       {lease: 1, ticks: 1, requests: 3, versions: 1, duplicates: 1},
+	"file losses":      {lease: 1, ticks: 1, requests: 2, versions: 1, fileLosses: 1},
+	"shorter leases":   {lease: 2, ticks: 1, requests: 2, versions: 1, elections: 1, shorterLeases: 1},
 
-	"large steps":       {lease: 2, ticks: 2, requests: 4, versions: 1},
+	"large stages":      {lease: 2, ticks: 2, requests: 4, versions: 1},
 	"large elections":   {lease: 2, ticks: 2, requests: 3, versions: 1, elections: 1, duplicates: 1},
 	"large withdrawals": {lease: 1, ticks: 1, requests: 4, versions: 2, withdrawals: 1},
 	"large restarts":    {lease: 2, ticks: 2, requests: 3, versions: 1, restarts: 1, fileLosses: 1},
-	"large ends":        {lease: 2, ticks: 2, requests: 3, versions: 1, releases: 1, duplicates: 1},
+	"large releases":    {lease: 2, ticks: 2, requests: 3, versions: 1, releases: 1, duplicates: 1},
 	"large leaders":     {lease: 1, ticks: 2, requests: 2, versions: 1, elections: 2, restarts: 1},
 }
 
@@ -132,7 +134,7 @@
 			t.Parallel()
 			began := time.Now()
 			violation, worlds := search(t, b, allRules)
-			t.Logf("%d worlds in %.1f s", worlds, time.Since(began).Seconds())
+			t.Logf("visited %d worlds in %.1f s", worlds, time.Since(began).Seconds())
 			if violation != "" {
 				t.Error(violation)
 			}
@@ -140,37 +142,37 @@
 	}
 }
 
-// Without any one of the rules, the same search finds a violation.
+// Every rule is necessary: the search finds a violation if any single rule is switched off.
 func TestEachModelRuleIsNecessary(t *testing.T) {
-	const exclude, fall = "two act on rules that exclude each other", "falls from"
+	const conflict, decrease = "two instances act on conflicting tables", "goes back from"
 	for _, c := range []struct {
-		name string
-		off  func(*protocolRules)
-		size string
-		want string
+		name   string
+		off    func(*protocolRules)
+		bounds string // name of the bounds in searchBounds
+		want   string // part of the violation
 	}{
-		{"lease from receiving the grant", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", exclude},
-		{"grant without confirmation", func(rules *protocolRules) { rules.confirmedGrants = false }, "elections", exclude},
-		{"leader ignores inherited leases", func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", exclude},
-		{"stage ignores leases", func(rules *protocolRules) { rules.waitForLeases = false }, "steps", exclude},
-		{"no announcement", func(rules *protocolRules) { rules.announced = false }, "withdrawals", exclude},
-		{"no intersection", func(rules *protocolRules) { rules.intersection = false }, "steps", exclude},
-		{"entry of any term", func(rules *protocolRules) { rules.termCheck = false }, "elections", exclude},
-		{"any revision", func(rules *protocolRules) { rules.monotonic = false }, "losses", fall},
-		{"grant for any request", func(rules *protocolRules) { rules.nonceCheck = false }, "steps", exclude},
-		{"grant for any process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", exclude},
-		{"no allowance for drift", func(rules *protocolRules) { rules.driftAllowance = false }, "clocks", exclude},
-		{"received counts as applied", func(rules *protocolRules) { rules.acknowledgement = false }, "looks", exclude},
-		{"longer leases ignored", func(rules *protocolRules) { rules.longestLease = false }, "shorter", exclude},
+		{"lease from receiving the grant", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", conflict},
+		{"grant without confirmation", func(rules *protocolRules) { rules.confirmedGrants = false }, "elections", conflict},
+		{"leader ignores inherited leases", func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", conflict},
+		{"stage ignores leases", func(rules *protocolRules) { rules.waitForLeases = false }, "stages", conflict},
+		{"no announcement", func(rules *protocolRules) { rules.announced = false }, "withdrawals", conflict},
+		{"no intersection", func(rules *protocolRules) { rules.intersection = false }, "stages", conflict},
+		{"entry of any term", func(rules *protocolRules) { rules.termCheck = false }, "elections", conflict},
+		{"any revision", func(rules *protocolRules) { rules.monotonic = false }, "file losses", decrease},
+		{"grant for any request", func(rules *protocolRules) { rules.nonceCheck = false }, "stages", conflict},
+		{"grant for any process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", conflict},
+		{"no allowance for drift", func(rules *protocolRules) { rules.driftAllowance = false }, "clocks", conflict},
+		{"received counts as applied", func(rules *protocolRules) { rules.acknowledgement = false }, "acknowledgements", conflict},
+		{"longer leases ignored", func(rules *protocolRules) { rules.longestLease = false }, "shorter leases", conflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			rules := allRules
 			c.off(&rules)
-			violation, worlds := search(t, searchBounds[c.size], rules)
-			t.Logf("after %d worlds: %s", worlds, violation)
+			violation, worlds := search(t, searchBounds[c.bounds], rules)
+			t.Logf("visited %d worlds, violation: %s", worlds, violation)
 			if !strings.Contains(violation, c.want) {
-				t.Errorf("found %q, want %q", violation, c.want)
+				t.Errorf("got violation %q, want one that contains %q", violation, c.want)
 			}
 		})
 	}
--- a/internal/cluster/lease/model_world_test.go
+++ b/internal/cluster/lease/model_world_test.go
@@ -9,13 +9,13 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// longAgo precedes every lease.
+// longAgo is a time before every lease.
 const longAgo = -100
 
-// bounds keep a search small.
+// bounds limit a search: each event may occur as often as its bound says.
 type bounds struct {
-	lease         int // ticks of the slow clock
-	ticks         int
+	lease         int // duration of a lease in ticks
+	ticks         int // latest time in ticks
 	requests      int
 	versions      int
 	withdrawals   int
@@ -27,8 +27,8 @@
 	shorterLeases int
 }
 
-// modelSettings make a tick 1 s on the first holder's clock. The second holder's clock and those of the leaders run
-// twice as fast.
+// modelSettings returns settings for which a tick is 1 s on the first holder's clock. The second holder's clock and
+// those of the leaders run twice as fast, so the drift is 1, unless the rule of the allowance for drift is off.
 func modelSettings(b bounds, rules protocolRules) Settings {
 	s := Settings{
 		LeaseSeconds:         float64(b.lease),
@@ -42,20 +42,22 @@
 	return s
 }
 
+// node is a voter, with its replica of the state.
 type node struct {
 	grantor *Grantor
 	state   *State
 }
 
-// instance is a holder with its event loop, which acts on what was in effect when it ran last.
+// instance is a holder with its event loop. Until the loop runs again, the instance acts on the configuration that was
+// in effect when the loop last ran.
 type instance struct {
 	holder          *Holder
-	tables          uint8   // one, or two of which the intersection is in effect
-	expiresAt       float64 // the end of the lease by which it acts
-	highestRevision Revision
+	tables          uint8    // set of tableBits: one table, or two of which the intersection is in effect
+	expiresAt       float64  // end of the lease under which the instance acts
+	highestRevision Revision // the highest revision that the instance has acted on
 }
 
-// messageKind is the type of a message. Its values are part of the messages' order.
+// messageKind is the type of a message. Messages are ordered by it first.
 type messageKind byte
 
 const (
@@ -73,6 +75,7 @@
 	releaseMessage: "the release of h%d arrives",
 }
 
+// message is a message in transit. It has the field of its kind; holder is the sender or the receiver.
 type message struct {
 	kind    messageKind
 	holder  int
@@ -83,7 +86,7 @@
 	key     string
 }
 
-// sortKey encodes what distinguishes a message from others.
+// sortKey encodes the fields that distinguish a message from others.
 func (m message) sortKey() string {
 	b := appendInts(nil, int(m.kind), m.holder)
 	switch m.kind {
@@ -101,35 +104,36 @@
 	return string(b)
 }
 
-// world is a state of the model. Worlds share what they point to; a world copies it before a change.
+// world is a state of the model. Worlds share the values that they point to; a world copies such a value before
+// changing it.
 type world struct {
 	now       int
 	term      uint64
 	leader    int
-	filesLost bool // the voters lost their files
+	filesLost bool // the voters have lost their files
 	nodes     [2]*node
 	holders   [2]*instance
-	messages  []message // in the order of their keys
-	remaining bounds
-	event     string // format of the event that led here, for its subject
+	messages  []message // ordered by key
+	remaining bounds    // how often events may still occur
+	event     string    // format of the event that led to this world, with the verb %d for its subject
 	subject   int
 	previous  *world
 }
 
-// trace describes how a world came about.
+// trace describes the events that led from the first world to w, one per line.
 func (w *world) trace() string {
 	if w == nil {
 		return ""
 	}
 	event := fmt.Sprintf(w.event, w.subject)
-	s := fmt.Sprintf("\n\tat %d, term %d of n%d: %-45s", w.now, w.term, w.leader, event)
+	s := fmt.Sprintf("\n\tat tick %d, term %d, leader n%d: %-45s", w.now, w.term, w.leader, event)
 	for i, x := range w.holders {
-		s += fmt.Sprintf(" | h%d acts on %03b, known %v", i, w.effectiveTables(i), x.holder.knownRevision)
+		s += fmt.Sprintf(" | h%d acts on tables %03b, knows %v", i, w.effectiveTables(i), x.holder.knownRevision)
 	}
 	return w.previous.trace() + s
 }
 
-// node copies a node for a change.
+// node replaces a node by a copy, which may be changed, and returns the copy.
 func (w *world) node(i int) *node {
 	state := *w.nodes[i].state
 	grantor := *w.nodes[i].grantor
@@ -139,7 +143,7 @@
 	return w.nodes[i]
 }
 
-// holder copies a holder for a change.
+// holder replaces an instance by a copy, which may be changed, and returns the copy.
 func (w *world) holder(i int) *instance {
 	x := *w.holders[i]
 	h := *x.holder
@@ -148,13 +152,14 @@
 	return &x
 }
 
-// clock is the clock of a holder.
+// clock returns the time in seconds on a holder's clock.
 func (w *world) clock(holder int) float64 { return float64(w.now * (1 + holder)) }
 
-// leaderClock is the clock of the leaders, that of the second holder.
+// leaderClock returns the time in seconds on the leaders' clocks, which run like that of the second holder.
 func (w *world) leaderClock() float64 { return w.clock(1) }
 
-// effectiveTables returns what an instance acts on now, if it runs.
+// effectiveTables returns the set of tables that an instance acts on if it is running now, or 0 if its lease has
+// expired.
 func (w *world) effectiveTables(i int) uint8 {
 	x := w.holders[i]
 	if w.clock(i) < x.expiresAt {
@@ -163,21 +168,22 @@
 	return 0
 }
 
-// violation describes the invariant that a world violates, if it does.
+// violation describes the invariant that the world violates; it is empty if there is none.
 func (w *world) violation() string {
 	if w.filesLost {
-		return "" // the voters can't know then what holders act on
+		return "" // the voters can no longer know what holders act on
 	}
 	a := w.effectiveTables(0)
 	b := w.effectiveTables(1)
-	// What two instances may do together, one table has to allow: config.Compatible.
+	// The set of tables of one instance has to contain that of the other. Then a single table allows what both
+	// instances do: see config.Compatible.
 	if a != 0 && b != 0 && a&b != a && a&b != b {
-		return "two act on rules that exclude each other"
+		return "two instances act on conflicting tables"
 	}
 	return ""
 }
 
-// modelTables are conflicting configurations, one by bit.
+// modelTables are encoded tables, each of which conflicts with all others.
 var modelTables = func() (tables [4][]byte) {
 	for i := range tables {
 		reservation := float64(i)
@@ -190,11 +196,12 @@
 	return tables
 }()
 
+// tableBit returns the bit that represents one of modelTables in a set of tables.
 func tableBit(table []byte) uint8 {
 	return 1 << slices.IndexFunc(modelTables[:], func(t []byte) bool { return string(t) == string(table) })
 }
 
-// initialState is the state in which a world begins: version 1 is in force.
+// initialState returns the state of the nodes in the first world: version 1 is in force.
 func initialState(longestLeaseSeconds float64) State {
 	var s State
 	for _, e := range []Entry{
@@ -203,7 +210,7 @@
 		{Kind: EntryPropose, Proposer: "n", Table: modelTables[0], Keys: []string{"t"}},
 	} {
 		if changed, err := s.Apply(1, e); !changed || err != nil {
-			panic(errors.Join(err, errors.New("the first state")))
+			panic(errors.Join(err, errors.New("can't build the initial state")))
 		}
 	}
 	return s
--- a/internal/cluster/lease/settings_test.go
+++ b/internal/cluster/lease/settings_test.go
@@ -21,11 +21,11 @@
 		f(&s)
 		var bad *InvalidSettingError
 		if err := s.Validate(); !errors.As(err, &bad) || bad.Key != key {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid %s: got error %v", key, err)
 		}
 	}
 	b := DefaultSettings.Bounds()
 	if math.Abs(b.ConflictSeconds-3.08) > 1e-9 || b.PropagationSeconds >= b.ConflictSeconds || b.AdvanceSeconds <= b.PropagationSeconds || b.AdvanceAfterLossSeconds <= b.ConflictSeconds-0.1 || b.AdvanceAfterElectionSeconds <= b.AdvanceAfterLossSeconds {
-		t.Errorf("%+v", b)
+		t.Errorf("bounds of the default settings: got %+v", b)
 	}
 }
