--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -61,8 +61,8 @@
 	settings    Settings
 	cluster     string
 
-	knownRevision   Revision // the highest one received by any process of the instance
-	appliedRevision Revision // the highest one that the caller has acknowledged
+	knownRevision   Revision // the highest revision received by any process of the instance
+	appliedRevision Revision // the highest revision that the caller has acknowledged
 	content         viewContent
 
 	request    outstandingRequest
@@ -321,7 +321,7 @@
 	return h.content.view
 }
 
-// Err returns nil while there is a lease, else an *ExpiredError.
+// Err returns nil while there is a lease, otherwise an *ExpiredError.
 func (h *Holder) Err(now float64) error {
 	switch {
 	case h.EffectiveConfig(now).Leased:
--- a/internal/cluster/lease/settings.go
+++ b/internal/cluster/lease/settings.go
@@ -127,12 +127,12 @@
 	}
 }
 
-// Bounds are the guarantees that follow from Settings, in seconds. Conflicting
-// exclusive settings of two versions are never in effect at the same time, for
-// which no bound is needed.
+// Bounds are the guarantees that follow from Settings, in seconds. They concern
+// non-exclusive settings and the duration of stages: conflicting exclusive
+// settings of two versions are never in effect at the same time.
 type Bounds struct {
-	// ConflictSeconds is how long two instances may act on conflicting
-	// non-exclusive settings while one of them is partitioned.
+	// ConflictSeconds is the maximum time for which two instances may act on
+	// conflicting non-exclusive settings while one of them is partitioned.
 	ConflictSeconds float64 `json:"Loose"`
 	// PropagationSeconds is the same while no message is lost.
 	PropagationSeconds float64 `json:"Told"`
