--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -46,29 +46,29 @@
 
 // runCallers has callers do b.N operations, and reports their rate and latency.
 func runCallers(b *testing.B, callers int, op func() error) {
-	took := make([]time.Duration, b.N)
+	latencies := make([]time.Duration, b.N)
 	var wg sync.WaitGroup
-	work := make(chan int)
+	indexes := make(chan int)
 	b.ResetTimer()
 	for range callers {
 		wg.Go(func() {
-			for i := range work {
+			for i := range indexes {
 				began := time.Now()
 				if err := op(); err != nil {
 					b.Error(err)
 				}
-				took[i] = time.Since(began)
+				latencies[i] = time.Since(began)
 			}
 		})
 	}
 	for i := range b.N {
-		work <- i
+		indexes <- i
 	}
-	close(work)
+	close(indexes)
 	wg.Wait()
 	b.StopTimer()
-	slices.Sort(took)
+	slices.Sort(latencies)
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "op/s")
-	b.ReportMetric(float64(took[b.N/2])/1e6, "p50-ms")
-	b.ReportMetric(float64(took[b.N*99/100])/1e6, "p99-ms")
+	b.ReportMetric(float64(latencies[b.N/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(latencies[b.N*99/100])/1e6, "p99-ms")
 }
--- a/internal/cluster/consensus/client.go
+++ b/internal/cluster/consensus/client.go
@@ -162,7 +162,7 @@
 
 // serve dials and reads until the connection is closed.
 func (c *Client) serve(conn *clientConnection) {
-	defer c.forget(conn)
+	defer c.removeConnection(conn)
 	ctx, cancel := context.WithTimeout(c.ctx, dialTimeoutTicks*c.options.Tick)
 	dialled, err := c.options.Dial(ctx, conn.address)
 	cancel()
@@ -184,7 +184,7 @@
 	c.resolve(conn, nil, &UnreachableError{conn.address, errors.New("the connection has ended before any message")})
 }
 
-func (c *Client) forget(conn *clientConnection) {
+func (c *Client) removeConnection(conn *clientConnection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.connections, conn.address)
--- a/internal/cluster/consensus/cluster_test.go
+++ b/internal/cluster/consensus/cluster_test.go
@@ -30,7 +30,7 @@
 }
 
 // withCluster runs f with the named voters started.
-func withCluster(t *testing.T, names string, set func(*Options), f func(c *testCluster)) {
+func withCluster(t *testing.T, names string, configure func(*Options), f func(c *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &testCluster{
@@ -40,7 +40,7 @@
 			nodes:      map[string]*Node{},
 			registers:  map[string]*register{},
 			leadership: map[string]string{},
-			configure:  set,
+			configure:  configure,
 		}
 		defer c.stopAll()
 		c.start(names, names)
@@ -112,14 +112,14 @@
 }
 
 // waitFor waits for a condition in the bubble's time.
-func (c *testCluster) waitFor(what string, ok func() bool) {
+func (c *testCluster) waitFor(condition string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(tick / 2) {
 		if time.Now().After(end) {
 			for name, n := range c.nodes {
 				c.t.Logf("%s: %+v", name, n.Status())
 			}
-			c.t.Fatalf("waited for %s", what)
+			c.t.Fatalf("waited for %s", condition)
 		}
 	}
 }
@@ -165,8 +165,8 @@
 }
 
 // without returns the names but one.
-func without(names, but string) string {
-	return strings.Join(slices.DeleteFunc(strings.Fields(names), func(s string) bool { return s == but }), " ")
+func without(names, excluded string) string {
+	return strings.Join(slices.DeleteFunc(strings.Fields(names), func(s string) bool { return s == excluded }), " ")
 }
 
 // runAndWait runs f on the loop's goroutine.
--- a/internal/cluster/consensus/faults_test.go
+++ b/internal/cluster/consensus/faults_test.go
@@ -21,28 +21,28 @@
 			withCluster(t, names, nil, func(c *testCluster) {
 				old := c.waitForLeader(names)
 				c.propose(old, "one")
-				most := without(names, old.options.Name)
-				less := []string{old.options.Name}
+				majority := without(names, old.options.Name)
+				minority := []string{old.options.Name}
 				if names == "a b c d e" {
-					with, rest, _ := strings.Cut(most, " ")
-					less, most = append(less, with), rest
+					second, rest, _ := strings.Cut(majority, " ")
+					minority, majority = append(minority, second), rest
 				}
-				c.network.partition(true, less, strings.Fields(most))
+				c.network.partition(true, minority, strings.Fields(majority))
 				for _, operation := range []func() error{
 					func() error { return old.Propose(c.context(), []byte("lost")) },
 					func() error { _, _, err := old.ReadIndex(c.context()); return err },
 				} {
 					began := time.Now()
-					var none *NoQuorumError
-					if err := operation(); !errors.As(err, &none) {
+					var noQuorum *NoQuorumError
+					if err := operation(); !errors.As(err, &noQuorum) {
 						t.Errorf("without a majority: %v", err)
 					}
-					if took := time.Since(began); took > leaderLossBound {
-						t.Errorf("failed after %v, at most %v", took, leaderLossBound)
+					if elapsed := time.Since(began); elapsed > leaderLossBound {
+						t.Errorf("failed after %v, at most %v", elapsed, leaderLossBound)
 					}
 				}
-				c.propose(c.waitForLeader(most), "two")
-				c.network.partition(false, less, strings.Fields(most))
+				c.propose(c.waitForLeader(majority), "two")
+				c.network.partition(false, minority, strings.Fields(majority))
 				c.waitForValue(names, "two")
 				leader := c.waitForLeader(names)
 				c.propose(leader, "three")
@@ -80,14 +80,14 @@
 	withCluster(t, names, nil, func(c *testCluster) {
 		leader := c.waitForLeader(names)
 		c.propose(leader, "one")
-		gone := strings.Join(strings.Fields(without(names, leader.options.Name))[:3], " ")
-		c.stop(gone)
+		stopped := strings.Join(strings.Fields(without(names, leader.options.Name))[:3], " ")
+		c.stop(stopped)
 		time.Sleep(leaderLossBound)
-		var none *NoQuorumError
-		if err := leader.Propose(c.context(), []byte("lost")); !errors.As(err, &none) || none.OutcomeUnknown {
+		var noQuorum *NoQuorumError
+		if err := leader.Propose(c.context(), []byte("lost")); !errors.As(err, &noQuorum) || noQuorum.OutcomeUnknown {
 			t.Errorf("without a majority: %v", err)
 		}
-		c.start(gone, names)
+		c.start(stopped, names)
 		c.propose(c.waitForLeader(names), "two")
 		c.waitForValue(names, "two")
 		c.stop(names) // and all at once
@@ -109,13 +109,13 @@
 		withCluster(t, names, nil, func(c *testCluster) {
 			old := c.waitForLeader(names)
 			c.propose(old, "one")
-			wake := make(chan struct{})
-			old.calls <- func() { <-wake }
-			most := without(names, old.options.Name)
+			resume := make(chan struct{})
+			old.calls <- func() { <-resume }
+			majority := without(names, old.options.Name)
 			if partitioned {
-				c.network.partition(true, []string{old.options.Name}, strings.Fields(most))
+				c.network.partition(true, []string{old.options.Name}, strings.Fields(majority))
 			}
-			next := c.waitForLeader(most)
+			next := c.waitForLeader(majority)
 			c.propose(next, "two")
 			got := make(chan error, 2)
 			go func() { got <- old.Propose(c.context(), []byte("late")) }()
@@ -128,14 +128,14 @@
 			}()
 			time.Sleep(20 * time.Second) // longer than any lease
 			began := time.Now()
-			close(wake)
+			close(resume)
 			for range 2 {
 				err := <-got
 				if !errors.As(err, new(*NoQuorumError)) && !errors.As(err, new(*NotLeaderError)) || time.Since(began) > leaderLossBound {
 					t.Errorf("%v after it resumed: %v", time.Since(began), err)
 				}
 			}
-			c.network.partition(false, []string{old.options.Name}, strings.Fields(most))
+			c.network.partition(false, []string{old.options.Name}, strings.Fields(majority))
 			c.waitForValue(names, "two")
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -252,8 +252,8 @@
 		leader := c.waitForLeader(names)
 		c.propose(leader, "zero")
 		c.waitForValue(names, "zero")
-		away := strings.Fields(without(names, leader.options.Name))[0]
-		c.stop(away)
+		lagging := strings.Fields(without(names, leader.options.Name))[0]
+		c.stop(lagging)
 		for i := range 100 {
 			c.propose(leader, fmt.Sprint(big, i))
 		}
@@ -263,7 +263,7 @@
 		c.network.mu.Lock()
 		c.network.corruptions = 3
 		c.network.mu.Unlock()
-		c.start(away, names)
+		c.start(lagging, names)
 		c.waitForValue(names, big+"99")
 		c.network.mu.Lock()
 		left := c.network.corruptions
@@ -271,7 +271,7 @@
 		if left > 0 {
 			t.Error("no message was corrupted")
 		}
-		if r := c.registers[away]; r.count != 101 {
+		if r := c.registers[lagging]; r.count != 101 {
 			t.Errorf("%d entries in its state", r.count)
 		}
 		c.stop(names)
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -24,7 +24,7 @@
 	goldenCluster = "east"
 )
 
-func filled(first byte) []byte {
+func sequentialSeed(first byte) []byte {
 	b := make([]byte, wire.SeedLen)
 	for i := range b {
 		b[i] = first + byte(i)
@@ -32,11 +32,11 @@
 	return b
 }
 
-func goldenState(data string) []byte {
+func goldenSnapshotData(data string) []byte {
 	raw, _ := proto.MarshalOptions{Deterministic: true}.Marshal(&wire.SnapshotState{
 		Members: []*wire.Member{
-			{Name: "voter-a", Address: "10.0.0.1:7000", Seed: filled(0x10)},
-			{Name: "voter-b", Address: "10.0.0.2:7001", Seed: filled(0x40)},
+			{Name: "voter-a", Address: "10.0.0.1:7000", Seed: sequentialSeed(0x10)},
+			{Name: "voter-b", Address: "10.0.0.2:7001", Seed: sequentialSeed(0x40)},
 		},
 		RemovedNames: []string{"voter-x"},
 		Data:         []byte(data),
@@ -44,7 +44,7 @@
 	return raw
 }
 
-func goldenConf() *raftpb.ConfState {
+func goldenConfState() *raftpb.ConfState {
 	return raftpb.EnsureConfState(&raftpb.ConfState{Voters: []uint64{wire.NodeID("voter-a"), wire.NodeID("voter-b")}})
 }
 
@@ -55,7 +55,7 @@
 // goldenEntries are a proposal, a leader's first entry and a change of voters.
 func goldenEntries() []*raftpb.Entry {
 	context, _ := proto.Marshal(&wire.VoterChange{Incarnation: 0x1112131415161718, Sequence: 19,
-		Member: &wire.Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: filled(0x70)}})
+		Member: &wire.Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: sequentialSeed(0x70)}})
 	change, _ := proto.Marshal(&raftpb.ConfChange{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: new(wire.NodeID("voter-c")), Context: context})
 	return []*raftpb.Entry{
 		goldenEntry(2, 3, raftpb.EntryNormal, wire.EncodeProposal(0x2122232425262728, 29, []byte("first"))),
@@ -65,41 +65,41 @@
 	}
 }
 
-// writeGolden makes a voter's file: it joins a cluster, takes four entries,
+// writeGoldenFile makes a voter's file: it joins a cluster, takes four entries,
 // drops a fifth of a former leader, and replaces the first two by a snapshot.
-func writeGolden(t *testing.T, dir string) {
+func writeGoldenFile(t *testing.T, dir string) {
 	t.Helper()
-	d, err := openStorage(dir, goldenName, goldenCluster)
+	store, err := openStorage(dir, goldenName, goldenCluster)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.close()
-	d.owner.Seed = filled(0x10) // in place of a random one
+	defer store.close()
+	store.owner.Seed = sequentialSeed(0x10) // in place of a random one
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	must(d.saveIdentity(wire.Identity(filled(0xa0)), &raftpb.Snapshot{
-		Data:     goldenState("before any entry"),
-		Metadata: &raftpb.SnapshotMetadata{ConfState: goldenConf(), Index: new(uint64(1)), Term: new(uint64(1))},
+	must(store.saveIdentity(wire.Identity(sequentialSeed(0xa0)), &raftpb.Snapshot{
+		Data:     goldenSnapshotData("before any entry"),
+		Metadata: &raftpb.SnapshotMetadata{ConfState: goldenConfState(), Index: new(uint64(1)), Term: new(uint64(1))},
 	}))
 	hard := func(term, vote, commit uint64) *raftpb.HardState {
 		return &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit}
 	}
 	list := goldenEntries()
 	dropped := goldenEntry(5, 3, raftpb.EntryNormal, wire.EncodeProposal(9, 9, []byte("dropped")))
-	must(d.saveReady(raft.Ready{HardState: hard(3, wire.NodeID("voter-b"), 2), Entries: []*raftpb.Entry{list[0], list[1],
+	must(store.saveReady(raft.Ready{HardState: hard(3, wire.NodeID("voter-b"), 2), Entries: []*raftpb.Entry{list[0], list[1],
 		goldenEntry(4, 3, raftpb.EntryNormal, wire.EncodeProposal(9, 8, []byte("dropped"))), dropped}}))
-	must(d.saveReady(raft.Ready{HardState: hard(4, wire.NodeID("voter-a"), 3), Entries: list[2:3]}))
-	must(d.saveReady(raft.Ready{HardState: hard(4, wire.NodeID("voter-a"), 4), Entries: list[3:]}))
-	must(d.saveSnapshot(3, goldenState("after two entries"), 0))
-	must(d.probeSpace())
+	must(store.saveReady(raft.Ready{HardState: hard(4, wire.NodeID("voter-a"), 3), Entries: list[2:3]}))
+	must(store.saveReady(raft.Ready{HardState: hard(4, wire.NodeID("voter-a"), 4), Entries: list[3:]}))
+	must(store.saveSnapshot(3, goldenSnapshotData("after two entries"), 0))
+	must(store.probeSpace())
 }
 
-// dump is what a file holds: buckets, keys and values. Pages are the library's own.
-func dump(t *testing.T, path string) string {
+// dumpFile is what a file holds: buckets, keys and values. Pages are the library's own.
+func dumpFile(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -111,11 +111,11 @@
 		return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
 			fmt.Fprintf(&b, "bucket %s\n", name)
 			return bucket.ForEach(func(k, v []byte) error {
-				shown := fmt.Sprintf("%x", v)
-				if strings.Trim(shown, "0") == "" {
-					shown = fmt.Sprintf("%d zeros", len(v))
+				value := fmt.Sprintf("%x", v)
+				if strings.Trim(value, "0") == "" {
+					value = fmt.Sprintf("%d zeros", len(v))
 				}
-				_, err := fmt.Fprintf(&b, "%q %s\n", k, shown)
+				_, err := fmt.Fprintf(&b, "%q %s\n", k, value)
 				return err
 			})
 		})
@@ -139,17 +139,17 @@
 
 // TestGoldenFile pins a voter's file: log, snapshot, hard state and identity.
 func TestGoldenFile(t *testing.T) {
-	golden := filepath.Join("testdata", "golden", "accord.db")
+	goldenPath := filepath.Join("testdata", "golden", "accord.db")
 	listing := filepath.Join("testdata", "golden", "accord.txt")
 	dir := t.TempDir()
-	writeGolden(t, dir)
-	made := dump(t, filepath.Join(dir, "accord.db"))
+	writeGoldenFile(t, dir)
+	written := dumpFile(t, filepath.Join(dir, "accord.db"))
 	if *update {
-		if err := os.MkdirAll(filepath.Dir(golden), 0o755); err != nil {
+		if err := os.MkdirAll(filepath.Dir(goldenPath), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		copyFile(t, golden, filepath.Join(dir, "accord.db"))
-		if err := os.WriteFile(listing, []byte(made), 0o644); err != nil {
+		copyFile(t, goldenPath, filepath.Join(dir, "accord.db"))
+		if err := os.WriteFile(listing, []byte(written), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,33 +157,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if made != string(want) {
-		t.Errorf("written:\n%s\nwant:\n%s", made, want)
+	if written != string(want) {
+		t.Errorf("written:\n%s\nwant:\n%s", written, want)
 	}
 	old := t.TempDir()
-	copyFile(t, filepath.Join(old, "accord.db"), golden)
-	if got := dump(t, filepath.Join(old, "accord.db")); got != string(want) {
+	copyFile(t, filepath.Join(old, "accord.db"), goldenPath)
+	if got := dumpFile(t, filepath.Join(old, "accord.db")); got != string(want) {
 		t.Errorf("the file holds\n%s\nwant\n%s", got, want)
 	}
-	d, err := openStorage(old, goldenName, goldenCluster)
+	store, err := openStorage(old, goldenName, goldenCluster)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.close()
-	self := &wire.FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: filled(0x10), Identity: filled(0xa0)}
-	if !proto.Equal(d.owner, self) {
-		t.Errorf("self: %v", d.owner)
+	defer store.close()
+	wantOwner := &wire.FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: sequentialSeed(0x10), Identity: sequentialSeed(0xa0)}
+	if !proto.Equal(store.owner, wantOwner) {
+		t.Errorf("self: %v", store.owner)
 	}
-	hard, conf, _ := d.InitialState()
+	hard, conf, _ := store.InitialState()
 	if hard.GetTerm() != 4 || hard.GetVote() != wire.NodeID("voter-a") || hard.GetCommit() != 4 {
 		t.Errorf("hard state: %v", hard)
 	}
-	snap, err := d.Snapshot()
-	if err != nil || string(snap.GetData()) != string(goldenState("after two entries")) || snap.GetMetadata().GetIndex() != 3 ||
-		snap.GetMetadata().GetTerm() != 3 || !proto.Equal(raftpb.EnsureConfState(conf), goldenConf()) {
+	snap, err := store.Snapshot()
+	if err != nil || string(snap.GetData()) != string(goldenSnapshotData("after two entries")) || snap.GetMetadata().GetIndex() != 3 ||
+		snap.GetMetadata().GetTerm() != 3 || !proto.Equal(raftpb.EnsureConfState(conf), goldenConfState()) {
 		t.Errorf("snapshot: %v, %v, %v", snap, conf, err)
 	}
-	list, err := d.Entries(4, 6, 1<<30)
+	list, err := store.Entries(4, 6, 1<<30)
 	if err != nil || len(list) != 2 {
 		t.Fatalf("entries: %v, %v", list, err)
 	}
--- a/internal/cluster/consensus/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -42,7 +42,7 @@
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			names := []string{"a b c", "a b c d e"}[seed%2]
 			withCluster(t, names, func(o *Options) { o.SnapshotCount = 20 }, func(c *testCluster) {
-				ops, pending := playHistory(c, names, seed)
+				ops, pending := runHistory(c, names, seed)
 				if r, _ := porcupine.CheckOperationsVerbose(registerModel, ops, 0); r != porcupine.Ok {
 					t.Errorf("not linearizable, seed %d: %v", seed, ops)
 				}
@@ -57,8 +57,8 @@
 	}
 }
 
-// noEnd is the end of an operation whose outcome is unknown.
-const noEnd = int64(1 << 62)
+// unknownReturn is the end of an operation whose outcome is unknown.
+const unknownReturn = int64(1 << 62)
 
 const historyCallers = 4
 
@@ -66,7 +66,7 @@
 type history struct {
 	cluster *testCluster
 	names   string
-	list    []string // the names
+	voters  []string // the names
 	seed    uint64
 	began   time.Time
 
@@ -75,14 +75,14 @@
 	pending int // proposals of unknown outcome
 }
 
-// playHistory runs operations under faults, and returns what the callers saw and
+// runHistory runs operations under faults, and returns what the callers saw and
 // how many proposals have an unknown outcome.
-func playHistory(c *testCluster, names string, seed uint64) (ops []porcupine.Operation, pending int) {
-	h := &history{cluster: c, names: names, list: strings.Fields(names), seed: seed, began: time.Now()}
+func runHistory(c *testCluster, names string, seed uint64) (ops []porcupine.Operation, pending int) {
+	h := &history{cluster: c, names: names, voters: strings.Fields(names), seed: seed, began: time.Now()}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for caller := range historyCallers {
-		wg.Go(func() { h.call(caller, stop) })
+		wg.Go(func() { h.runCaller(caller, stop) })
 	}
 	rng := rand.New(rand.NewPCG(seed, 99))
 	for range 12 {
@@ -96,8 +96,8 @@
 	return h.ops, h.pending
 }
 
-// call runs the operations of one caller, one at a time.
-func (h *history) call(caller int, stop <-chan struct{}) {
+// runCaller runs the operations of one caller, one at a time.
+func (h *history) runCaller(caller int, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(h.seed, uint64(caller)))
 	for i := 0; ; i++ {
 		select {
@@ -105,7 +105,7 @@
 			return
 		case <-time.After(randomDuration(rng, 3*tick)):
 		}
-		name := h.list[rng.IntN(len(h.list))]
+		name := h.voters[rng.IntN(len(h.voters))]
 		h.mu.Lock()
 		node := h.cluster.nodes[name]
 		register := h.cluster.registers[name]
@@ -117,12 +117,12 @@
 		if rng.IntN(2) == 0 {
 			proposal.value = fmt.Sprint(caller, ".", i)
 		}
-		h.run(caller, node, register, proposal)
+		h.runOperation(caller, node, register, proposal)
 	}
 }
 
-// run runs and records one operation.
-func (h *history) run(caller int, node *Node, register *register, input operation) {
+// runOperation runs and records one operation.
+func (h *history) runOperation(caller int, node *Node, register *register, input operation) {
 	op := porcupine.Operation{ClientId: caller, Input: input, Call: int64(time.Since(h.began))}
 	ctx, cancel := context.WithTimeout(h.cluster.t.Context(), 3*time.Second)
 	var err error
@@ -141,7 +141,7 @@
 	case input.value != "" && mayBeCommitted(err):
 		// A caller does one operation at a time, so a pending one is another client's.
 		op.ClientId = historyCallers + h.pending
-		op.Return = noEnd
+		op.Return = unknownReturn
 		h.ops = append(h.ops, op)
 		h.pending++
 	}
@@ -150,7 +150,7 @@
 // injectFault impairs a voter for a while, the leader more often than others.
 func (h *history) injectFault(rng *rand.Rand) {
 	c := h.cluster
-	name := h.list[rng.IntN(len(h.list))]
+	name := h.voters[rng.IntN(len(h.voters))]
 	c.mu.Lock()
 	leader, _, _ := c.nodes[name].Leader()
 	c.mu.Unlock()
@@ -170,10 +170,10 @@
 		time.Sleep(duration)
 		c.network.partitionOneWay(false, name, others[0])
 	case 2:
-		wake := make(chan struct{})
-		node.calls <- func() { <-wake }
+		resume := make(chan struct{})
+		node.calls <- func() { <-resume }
 		time.Sleep(duration)
-		close(wake)
+		close(resume)
 	case 3:
 		h.restart(name, duration)
 	case 4:
--- a/internal/cluster/consensus/limits_test.go
+++ b/internal/cluster/consensus/limits_test.go
@@ -50,8 +50,8 @@
 			}
 		}
 		c.propose(node, strings.Repeat("x", MaxProposalBytes))
-		wake := make(chan struct{})
-		node.calls <- func() { <-wake }
+		resume := make(chan struct{})
+		node.calls <- func() { <-resume }
 		for range maxQueuedCalls {
 			node.ReadIndexAsync(func(uint64, uint64, error) {})
 		}
@@ -63,7 +63,7 @@
 		if err := node.Propose(ctx, []byte("x")); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
-		close(wake)
+		close(resume)
 		c.stop("a")
 		if err := node.Propose(c.context(), []byte("x")); !errors.Is(err, ErrClosed) {
 			t.Errorf("after Close: %v", err)
--- a/internal/cluster/consensus/requests_test.go
+++ b/internal/cluster/consensus/requests_test.go
@@ -43,14 +43,14 @@
 			})
 		})
 		// While the leader is blocked, a request to another voter times out.
-		wake := make(chan struct{})
-		leader.calls <- func() { <-wake }
+		resume := make(chan struct{})
+		leader.calls <- func() { <-resume }
 		began := time.Now()
 		_, err = client.Request(c.context(), follower.options.Name+":1", nil)
 		if !errors.As(err, new(*NoQuorumError)) || time.Since(began) > (forwardTimeoutTicks+1)*tick {
 			t.Errorf("after %v: %v", time.Since(began), err)
 		}
-		close(wake)
+		close(resume)
 		c.stop(without(names, follower.options.Name))
 		c.waitFor("the loss of the leader", func() bool {
 			_, err := client.Request(c.context(), follower.options.Name+":1", nil)
--- a/internal/cluster/consensus/storage_load.go
+++ b/internal/cluster/consensus/storage_load.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	errNotWritten    = errors.New("it is not what was written")
+	errInvalidRecord = errors.New("it is not what was written")
 	errEntryMissing  = errors.New("it is missing")
 	errNotVoterFile  = errors.New("it is no voter's file")
 	errBucketMissing = errors.New("half of it is missing")
@@ -63,7 +63,7 @@
 	}
 	encoded, ok := boltfile.DecodeRecord(key, value)
 	if !ok || proto.Unmarshal(encoded, record) != nil {
-		return true, errNotWritten
+		return true, errInvalidRecord
 	}
 	return true, nil
 }
@@ -148,10 +148,10 @@
 	entry := &raftpb.Entry{}
 	encoded, ok := boltfile.DecodeRecord(key, value)
 	if !ok || proto.Unmarshal(encoded, entry) != nil {
-		return nil, errNotWritten
+		return nil, errInvalidRecord
 	}
 	if entry.GetIndex() != lastIndex+1 || entry.GetTerm() < lastTerm {
-		return nil, errNotWritten
+		return nil, errInvalidRecord
 	}
 	if _, _, err := wire.DecodeVoterChange(entry); err != nil {
 		return nil, err
--- a/internal/cluster/consensus/storage_test.go
+++ b/internal/cluster/consensus/storage_test.go
@@ -111,26 +111,26 @@
 		}
 		os.WriteFile(path, raw, 0o600)
 	})
-	d, err := openStorage(filepath.Dir(path), "a", "test")
+	store, err := openStorage(filepath.Dir(path), "a", "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.close()
-	return path, contents(t, d)
+	defer store.close()
+	return path, raftContents(t, store)
 }
 
-// contents returns everything that raft would read.
-func contents(t *testing.T, d *storage) string {
-	hard, conf, _ := d.InitialState()
-	snap, err := d.Snapshot()
+// raftContents returns everything that raft would read.
+func raftContents(t *testing.T, store *storage) string {
+	hard, conf, _ := store.InitialState()
+	snap, err := store.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _ := d.FirstIndex()
-	last, _ := d.LastIndex()
-	out := fmt.Sprint(d.owner, hard, conf, snap, first, last)
+	first, _ := store.FirstIndex()
+	last, _ := store.LastIndex()
+	out := fmt.Sprint(store.owner, hard, conf, snap, first, last)
 	if first <= last {
-		list, err := d.Entries(first, last+1, 1<<30)
+		list, err := store.Entries(first, last+1, 1<<30)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -152,43 +152,43 @@
 	}
 	rng := rand.New(rand.NewPCG(5, 6))
 	rejected := 0
-	check := func(what string, raw []byte) {
+	check := func(damage string, raw []byte) {
 		dir := t.TempDir()
-		bad := filepath.Join(dir, "accord.db")
-		os.WriteFile(bad, raw, 0o600)
-		d, err := openStorage(dir, "a", "test")
+		corruptPath := filepath.Join(dir, "accord.db")
+		os.WriteFile(corruptPath, raw, 0o600)
+		store, err := openStorage(dir, "a", "test")
 		if err == nil {
-			defer d.close()
-			if contents(t, d) != content {
-				t.Fatalf("%s: accepted with another content", what)
+			defer store.close()
+			if raftContents(t, store) != content {
+				t.Fatalf("%s: accepted with another content", damage)
 			}
 			return
 		}
 		rejected++
-		if !strings.Contains(err.Error(), bad) {
-			t.Fatalf("%s: the error does not name the file: %v", what, err)
+		if !strings.Contains(err.Error(), corruptPath) {
+			t.Fatalf("%s: the error does not name the file: %v", damage, err)
 		}
-		if is, _ := os.ReadFile(bad); string(is) != string(raw) {
-			t.Fatalf("%s: the corrupt file was modified", what)
+		if current, _ := os.ReadFile(corruptPath); string(current) != string(raw) {
+			t.Fatalf("%s: the corrupt file was modified", damage)
 		}
 	}
 	for n := range 250 {
 		raw := append([]byte(nil), intact...)
-		at := rng.IntN(len(raw))
+		offset := rng.IntN(len(raw))
 		if n < 50 {
-			at = rng.IntN(2)*os.Getpagesize() + rng.IntN(80) // the meta pages
+			offset = rng.IntN(2)*os.Getpagesize() + rng.IntN(80) // the meta pages
 		}
-		raw[at] ^= 1 << rng.IntN(8)
-		check(fmt.Sprintf("bit at %d", at), raw)
+		raw[offset] ^= 1 << rng.IntN(8)
+		check(fmt.Sprintf("bit at %d", offset), raw)
 	}
 	for n := range 40 {
 		check(fmt.Sprintf("cut %d", n), intact[:1+rng.IntN(len(intact)-1)])
 	}
 	for n := range 40 { // a page that was not written, or only in part
 		raw := append([]byte(nil), intact...)
-		at := rng.IntN(len(raw)/512) * 512
-		clear(raw[at:min(len(raw), at+512*(1+n%8))])
-		check(fmt.Sprintf("zeros at %d", at), raw)
+		offset := rng.IntN(len(raw)/512) * 512
+		clear(raw[offset:min(len(raw), offset+512*(1+n%8))])
+		check(fmt.Sprintf("zeros at %d", offset), raw)
 	}
 	t.Logf("%d of 330 rejected", rejected)
 	if rejected < 50 {
@@ -209,7 +209,7 @@
 		return b.Put(k, v)
 	}
 	last := func(log *bbolt.Bucket) []byte { k, _ := log.Cursor().Last(); return k }
-	for want, spoil := range map[string]func(one, log *bbolt.Bucket) error{
+	for want, corrupt := range map[string]func(one, log *bbolt.Bucket) error{
 		"record self":              func(one, _ *bbolt.Bucket) error { return flip(one, keyOwner) },
 		"record mark: it is not":   func(one, _ *bbolt.Bucket) error { return flip(one, keyLogState) },
 		"record mark: it is miss":  func(one, _ *bbolt.Bucket) error { return one.Delete(keyLogState) },
@@ -219,18 +219,18 @@
 		"entry after 25: it is mi": func(_, log *bbolt.Bucket) error { k, _ := log.Cursor().First(); return log.Delete(k) },
 	} {
 		dir := t.TempDir()
-		bad := filepath.Join(dir, "accord.db")
-		os.WriteFile(bad, intact, 0o600)
-		db, err := bbolt.Open(bad, 0o600, nil)
+		corruptPath := filepath.Join(dir, "accord.db")
+		os.WriteFile(corruptPath, intact, 0o600)
+		db, err := bbolt.Open(corruptPath, 0o600, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := db.Update(func(tx *bbolt.Tx) error { return spoil(tx.Bucket(bucketRecords), tx.Bucket(bucketLog)) }); err != nil {
+		if err := db.Update(func(tx *bbolt.Tx) error { return corrupt(tx.Bucket(bucketRecords), tx.Bucket(bucketLog)) }); err != nil {
 			t.Fatal(err)
 		}
 		db.Close()
-		var damaged *CorruptFileError
-		if _, err := openStorage(dir, "a", "test"); !errors.As(err, &damaged) || damaged.Path != bad || !strings.Contains(err.Error(), want) {
+		var corruptErr *CorruptFileError
+		if _, err := openStorage(dir, "a", "test"); !errors.As(err, &corruptErr) || corruptErr.Path != corruptPath || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
 	}
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -166,12 +166,12 @@
 		}
 		ctx, cancel := context.WithCancel(t.ctx)
 		t.dialTargets[name] = &dialTarget{address, cancel}
-		t.wg.Go(func() { t.maintain(ctx, name, address) })
+		t.wg.Go(func() { t.keepConnected(ctx, name, address) })
 	}
 }
 
-// maintain dials a voter whenever there is no connection with it.
-func (t *transport) maintain(ctx context.Context, name, address string) {
+// keepConnected dials a voter whenever there is no connection with it.
+func (t *transport) keepConnected(ctx context.Context, name, address string) {
 	delay := t.initialDelay(name)
 	if t.name > name && !sleepWithJitter(ctx, delay) {
 		return
@@ -272,7 +272,7 @@
 		t.drops.Add(dropWrongIdentity)
 		return false
 	}
-	if conn.remote == nil && !t.open(conn, recipient, frame.Handshake) {
+	if conn.remote == nil && !t.acceptHandshake(conn, recipient, frame.Handshake) {
 		return false
 	}
 	if frame.Handshake != nil && !conn.remote.Voter {
@@ -292,8 +292,8 @@
 	return true
 }
 
-// open checks the first frame of a connection, which has to be a handshake.
-func (t *transport) open(conn *connection, recipient string, handshake *wire.Handshake) bool {
+// acceptHandshake checks the first frame of a connection, which has to be a handshake.
+func (t *transport) acceptHandshake(conn *connection, recipient string, handshake *wire.Handshake) bool {
 	switch {
 	case handshake == nil || handshake.Name == t.name:
 		t.drops.Add(dropUnknownSender)
@@ -304,7 +304,7 @@
 		return false
 	}
 	conn.remote = handshake
-	return !handshake.Voter || t.claimVoter(conn)
+	return !handshake.Voter || t.registerVoter(conn)
 }
 
 // checkSender returns the reason to drop a frame, empty if there is none.
@@ -343,15 +343,15 @@
 	return false
 }
 
-// claimVoter makes conn the one connection with its voter, and reports whether it
+// registerVoter makes conn the one connection with its voter, and reports whether it
 // may be that.
-func (t *transport) claimVoter(conn *connection) bool {
+func (t *transport) registerVoter(conn *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := conn.remote.Name
 	if existing := t.voterConnections[name]; existing != nil {
-		lower := t.name < name
-		if existing.outbound == lower && conn.outbound != lower {
+		isLowerName := t.name < name
+		if existing.outbound == isLowerName && conn.outbound != isLowerName {
 			return false // the existing one was dialled by the lower name, this one by the higher
 		}
 		existing.close() // or its dialler has dialled again, and knows that it is dead
--- a/internal/cluster/consensus/transport_test.go
+++ b/internal/cluster/consensus/transport_test.go
@@ -160,9 +160,9 @@
 		if _, err := client.Request(c.context(), "a:1", []byte("q")); err != nil {
 			t.Fatal(err)
 		}
-		wake := make(chan struct{})
+		resume := make(chan struct{})
 		results := make(chan error)
-		node.calls <- func() { <-wake }
+		node.calls <- func() { <-resume }
 		const requests = inboxBytes/MaxPayloadBytes + 1
 		for range requests {
 			go func() {
@@ -177,7 +177,7 @@
 		if !errors.As(err, new(*OverloadedError)) || queued > inboxBytes || drops[dropInboxFull] != 1 {
 			t.Errorf("%v; %d bytes queued, at most %d; %v", err, queued, inboxBytes, drops)
 		}
-		close(wake)
+		close(resume)
 		for range requests - 1 {
 			<-results
 		}
--- a/internal/cluster/consensus/wire/golden_test.go
+++ b/internal/cluster/consensus/wire/golden_test.go
@@ -15,7 +15,7 @@
 
 const goldenCluster = 0x0102030405060708
 
-func filled(first byte) []byte {
+func sequentialSeed(first byte) []byte {
 	b := make([]byte, SeedLen)
 	for i := range b {
 		b[i] = first + byte(i)
@@ -25,13 +25,13 @@
 
 func goldenMembers() []*Member {
 	return []*Member{
-		{Name: "voter-a", Address: "10.0.0.1:7000", Seed: filled(0x10)},
-		{Name: "voter-b", Address: "10.0.0.2:7001", Seed: filled(0x40)},
+		{Name: "voter-a", Address: "10.0.0.1:7000", Seed: sequentialSeed(0x10)},
+		{Name: "voter-b", Address: "10.0.0.2:7001", Seed: sequentialSeed(0x40)},
 	}
 }
 
-func goldenChange() []byte {
-	m := &Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: filled(0x70)}
+func goldenConfChange() []byte {
+	m := &Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: sequentialSeed(0x70)}
 	context, _ := proto.Marshal(&VoterChange{Incarnation: 0x1112131415161718, Sequence: 19, Member: m})
 	raw, _ := proto.Marshal(&raftpb.ConfChange{
 		Type: raftpb.ConfChangeAddNode.Enum(), NodeId: new(NodeID("voter-c")), Context: context, Id: new(uint64(77)),
@@ -51,7 +51,7 @@
 	}
 }
 
-func goldenRaft(kind raftpb.MessageType) *raftpb.Message {
+func goldenRaftMessage(kind raftpb.MessageType) *raftpb.Message {
 	return &raftpb.Message{
 		Type: kind.Enum(), From: new(NodeID("voter-a")), To: new(NodeID("voter-b")), Term: new(uint64(5)),
 		LogTerm: new(uint64(3)), Index: new(uint64(40)), Commit: new(uint64(39)), Vote: new(uint64(2)),
@@ -61,18 +61,18 @@
 
 // goldenFrames is one frame of each kind with every field set, and one with none.
 func goldenFrames() map[string]Frame {
-	id := Identity(filled(0xa0))
-	entries := goldenRaft(raftpb.MsgApp)
+	id := Identity(sequentialSeed(0xa0))
+	entries := goldenRaftMessage(raftpb.MsgApp)
 	entries.Entries = []*raftpb.Entry{
 		entry(41, 3, raftpb.EntryNormal, EncodeProposal(0x2122232425262728, 29, []byte("proposal"))),
 		entry(42, 4, raftpb.EntryNormal, nil),
-		entry(43, 5, raftpb.EntryConfChange, goldenChange()),
+		entry(43, 5, raftpb.EntryConfChange, goldenConfChange()),
 	}
-	snap := goldenRaft(raftpb.MsgSnap)
+	snap := goldenRaftMessage(raftpb.MsgSnap)
 	snap.Snapshot = goldenSnapshot()
 	all := map[string]Frame{
 		"hello": {Identity: id, Handshake: &Handshake{
-			Name: "voter-a", Recipient: "voter-b", Address: "10.0.0.1:7000", Voter: true, Seed: filled(0x10), VoterSetDigest: 0x3132333435363738,
+			Name: "voter-a", Recipient: "voter-b", Address: "10.0.0.1:7000", Voter: true, Seed: sequentialSeed(0x10), VoterSetDigest: 0x3132333435363738,
 			ReplyRequested: true, Leader: "voter-b", LeaderAddress: "10.0.0.2:7001", Term: 5, AppliedIndex: 43, Members: goldenMembers(), RecipientRemoved: true,
 		}},
 		"hello-empty":    {Handshake: &Handshake{Name: "i"}}, // a name is the least that is read
@@ -98,20 +98,20 @@
 		"raft-heartbeat-response": raftpb.MsgHeartbeatResp,
 		"raft-timeout-now":        raftpb.MsgTimeoutNow,
 	} {
-		all[name] = Frame{Identity: id, Raft: goldenRaft(kind)}
+		all[name] = Frame{Identity: id, Raft: goldenRaftMessage(kind)}
 	}
 	return all
 }
 
-// golden is a committed file's content; with -update it is what is given.
-func golden(t *testing.T, name string, made []byte) []byte {
+// goldenContent is a committed file's content; with -update it is what is given.
+func goldenContent(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, made, 0o644); err != nil {
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -122,7 +122,7 @@
 	return raw
 }
 
-func sameFrame(a, b Frame) bool {
+func equalFrames(a, b Frame) bool {
 	return a.Identity == b.Identity && proto.Equal(a.Handshake, b.Handshake) && proto.Equal(a.Raft, b.Raft) &&
 		proto.Equal(a.Request, b.Request) && proto.Equal(a.Response, b.Response) && proto.Equal(a.Ping, b.Ping)
 }
@@ -130,13 +130,13 @@
 // TestGoldenFrames pins every kind of message on the wire, its framing included.
 func TestGoldenFrames(t *testing.T) {
 	for name, want := range goldenFrames() {
-		made := Encode(goldenCluster, want)
-		raw := golden(t, name+".frame", made)
-		if !bytes.Equal(raw, made) {
-			t.Errorf("%s is encoded as\n%x, the file has\n%x", name, made, raw)
+		encoded := Encode(goldenCluster, want)
+		raw := goldenContent(t, name+".frame", encoded)
+		if !bytes.Equal(raw, encoded) {
+			t.Errorf("%s is encoded as\n%x, the file has\n%x", name, encoded, raw)
 		}
 		got, err := Decode(goldenCluster, raw)
-		if err != nil || !sameFrame(got, want) {
+		if err != nil || !equalFrames(got, want) {
 			t.Errorf("%s is decoded as %+v, %v", name, got, err)
 		}
 	}
@@ -158,23 +158,23 @@
 // TestGoldenRecords pins the messages that are only in a voter's file.
 func TestGoldenRecords(t *testing.T) {
 	for name, c := range map[string]struct{ want, got proto.Message }{
-		"self": {&FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: filled(0x10), Identity: filled(0xa0)}, &FileOwner{}},
+		"self": {&FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: sequentialSeed(0x10), Identity: sequentialSeed(0xa0)}, &FileOwner{}},
 		"mark": {&LogState{Term: 5, Vote: 6, Commit: 41, LastIndex: 43, LastTerm: 4}, &LogState{}},
 		"state": {&SnapshotState{Members: goldenMembers(), RemovedNames: []string{"voter-x", "voter-y"}, Data: []byte("application state")},
 			&SnapshotState{}},
 		"state-no-data": {&SnapshotState{Members: goldenMembers()}, &SnapshotState{}},
-		"change": {&VoterChange{Incarnation: 0x1112131415161718, Sequence: 19, Member: &Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: filled(0x70)}},
+		"change": {&VoterChange{Incarnation: 0x1112131415161718, Sequence: 19, Member: &Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: sequentialSeed(0x70)}},
 			&VoterChange{}},
 		"self-empty": {&FileOwner{}, &FileOwner{}},
 		"mark-empty": {&LogState{}, &LogState{}},
 	} {
-		made, err := proto.Marshal(c.want)
+		encoded, err := proto.Marshal(c.want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw := golden(t, name+".record", made)
-		if !bytes.Equal(raw, made) {
-			t.Errorf("%s is encoded as\n%x, the file has\n%x", name, made, raw)
+		raw := goldenContent(t, name+".record", encoded)
+		if !bytes.Equal(raw, encoded) {
+			t.Errorf("%s is encoded as\n%x, the file has\n%x", name, encoded, raw)
 		}
 		if err := proto.Unmarshal(raw, c.got); err != nil || !proto.Equal(c.got, c.want) {
 			t.Errorf("%s is decoded as %v, %v", name, c.got, err)
@@ -182,10 +182,10 @@
 	}
 	// Data that is there and empty is not the same as none.
 	empty := &SnapshotState{Data: []byte{}}
-	made, _ := proto.Marshal(empty)
+	encoded, _ := proto.Marshal(empty)
 	got := &SnapshotState{}
-	if raw := golden(t, "state-empty-data.record", made); !bytes.Equal(raw, made) || proto.Unmarshal(raw, got) != nil || got.Data == nil {
-		t.Errorf("empty data: encoded as %x, decoded as %v", made, got)
+	if raw := goldenContent(t, "state-empty-data.record", encoded); !bytes.Equal(raw, encoded) || proto.Unmarshal(raw, got) != nil || got.Data == nil {
+		t.Errorf("empty data: encoded as %x, decoded as %v", encoded, got)
 	}
 }
 
--- a/internal/cluster/consensus/wire/wire_test.go
+++ b/internal/cluster/consensus/wire/wire_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// frameOf returns a frame with any body.
-func frameOf(body []byte) []byte {
+// sealBody returns a frame with any body.
+func sealBody(body []byte) []byte {
 	frame := append(make([]byte, peerconn.HeaderLen), body...)
 	peerconn.SealFrame(frame)
 	return frame
@@ -123,7 +123,7 @@
 	confChange := func(data []byte) *raftpb.Message {
 		return appendMessage(entry(5, 2, raftpb.EntryConfChange, data))
 	}
-	with := func(m *raftpb.Message, modify func(*raftpb.Message)) *raftpb.Message {
+	modified := func(m *raftpb.Message, modify func(*raftpb.Message)) *raftpb.Message {
 		modify(m)
 		return m
 	}
@@ -137,7 +137,7 @@
 		"storage message":  {Type: raftpb.MsgStorageAppend.Enum(), Term: new(uint64(2))},
 		"proposal":         {Type: raftpb.MsgProp.Enum(), Term: new(uint64(2)), Entries: []*raftpb.Entry{normal(1, 1, nil)}},
 		"no term":          {Type: raftpb.MsgVote.Enum()},
-		"entries in vote":  with(appendMessage(normal(5, 2, nil)), func(m *raftpb.Message) { m.Type = raftpb.MsgVote.Enum() }),
+		"entries in vote":  modified(appendMessage(normal(5, 2, nil)), func(m *raftpb.Message) { m.Type = raftpb.MsgVote.Enum() }),
 		"index gap":        appendMessage(normal(6, 2, nil)),
 		"decreasing term":  appendMessage(normal(5, 2, nil), normal(6, 1, nil)),
 		"term too high":    appendMessage(normal(5, 3, nil)),
@@ -155,11 +155,11 @@
 		"snapshot, term":    withSnapshot(func(s *raftpb.Snapshot) { s.Metadata.Term = new(uint64(3)) }),
 		"snapshot, data":    withSnapshot(func(s *raftpb.Snapshot) { s.Data = []byte{0xff} }),
 		"snapshot, large":   withSnapshot(func(s *raftpb.Snapshot) { s.Data = make([]byte, MaxSnapshotBytes+1) }),
-		"snapshot in append": with(appendMessage(), func(m *raftpb.Message) {
+		"snapshot in append": modified(appendMessage(), func(m *raftpb.Message) {
 			m.Snapshot = sampleSnapshot()
 		}),
-		"long context": with(appendMessage(), func(m *raftpb.Message) { m.Context = make([]byte, maxContextBytes+1) }),
-		"responses":    with(appendMessage(), func(m *raftpb.Message) { m.Responses = []*raftpb.Message{{}} }),
+		"long context": modified(appendMessage(), func(m *raftpb.Message) { m.Context = make([]byte, maxContextBytes+1) }),
+		"responses":    modified(appendMessage(), func(m *raftpb.Message) { m.Responses = []*raftpb.Message{{}} }),
 	} {
 		if validRaftMessage(m) {
 			t.Errorf("%s: accepted", name)
@@ -186,7 +186,7 @@
 		Body:             &Envelope_Ping{&Ping{}},
 	}
 	raw, _ := proto.Marshal(envelope)
-	if _, err := Decode(7, frameOf(raw)); !errors.Is(err, ErrUnsupportedVersion) {
+	if _, err := Decode(7, sealBody(raw)); !errors.Is(err, ErrUnsupportedVersion) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -222,7 +222,7 @@
 		f.Add(Encode(7, frame)[peerconn.HeaderLen:])
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		frame, err := Decode(7, frameOf(body))
+		frame, err := Decode(7, sealBody(body))
 		if err != nil {
 			return
 		}
