--- a/internal/cluster/consensus/client.go
+++ b/internal/cluster/consensus/client.go
@@ -18,14 +18,15 @@
 type ClientOptions struct {
 	Name    string // of the instance
 	Cluster string
-	Listen  string // connections are dialled from its host
-	// Tick is 100 ms by default. A connection is closed after 30 ticks without a byte.
+	Listen  string // host:port; connections are dialled from this host
+	// Tick is the unit of timeouts, 100 ms by default. A connection is closed if no
+	// complete frame is received within 30 ticks.
 	Tick time.Duration
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Client sends requests to voters, over one connection to each address. Its
-// methods may be called from any goroutine.
+// Client sends requests to voters over one connection per address. Its methods
+// are safe for concurrent use.
 type Client struct {
 	options   ClientOptions
 	drops     peerconn.DropCounters
@@ -35,7 +36,7 @@
 	wg        sync.WaitGroup
 
 	mu          sync.Mutex
-	identity    wire.Identity // of the cluster that responded first
+	identity    wire.Identity // of the first cluster that responded
 	connections map[string]*clientConnection
 }
 
@@ -73,10 +74,11 @@
 // Drops returns the number of dropped frames by reason.
 func (c *Client) Drops() map[string]uint64 { return dropCounts(&c.drops) }
 
-// Request sends a request to the voter at addr, which forwards it if another one
-// is the leader. It waits until ctx ends at most. Errors are NotLeaderError,
-// NoQuorumError, OverloadedError, UnavailableError, UnreachableError,
-// WrongClusterError, TooLargeError and ErrClosed.
+// Request sends a request to the voter at addr, which forwards it if another voter
+// is the leader, and returns the response. If ctx ends first, it fails with
+// UnreachableError. Other errors are NotLeaderError, NoQuorumError,
+// OverloadedError, UnavailableError, WrongClusterError, TooLargeError and
+// ErrClosed.
 func (c *Client) Request(ctx context.Context, addr string, payload []byte) ([]byte, error) {
 	if len(payload) > MaxPayloadBytes {
 		return nil, &TooLargeError{len(payload), MaxPayloadBytes}
@@ -103,7 +105,7 @@
 	}
 }
 
-// connect returns the open connection to addr, after opening it if need be.
+// connect returns an open connection to addr. It dials addr if there is none.
 func (c *Client) connect(ctx context.Context, addr string) (*clientConnection, error) {
 	conn, err := c.connection(addr)
 	if err != nil {
@@ -136,7 +138,8 @@
 	return conn, nil
 }
 
-// newRequest returns a request's frame, and the channel for its response.
+// newRequest registers a pending request on conn. It returns the frame to send and
+// the channel that receives the response.
 func (c *Client) newRequest(conn *clientConnection, payload []byte) (wire.Frame, chan *wire.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +154,8 @@
 	return wire.Frame{Identity: c.identity, Request: request}, result, nil
 }
 
-// takePending removes a request, and returns its channel; nil if it has ended.
+// takePending removes a pending request and returns its channel, or nil if the
+// request is no longer pending.
 func (c *Client) takePending(conn *clientConnection, id uint64) chan *wire.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +164,7 @@
 	return result
 }
 
-// serve dials and reads until the connection is closed.
+// serve dials conn's address and reads frames until the connection is closed.
 func (c *Client) serve(conn *clientConnection) {
 	defer c.removeConnection(conn)
 	ctx, cancel := context.WithTimeout(c.ctx, dialTimeoutTicks*c.options.Tick)
@@ -190,8 +194,8 @@
 	delete(c.connections, conn.address)
 }
 
-// resolve makes a connection ready, or failed; only the first call has an effect.
-// It is called by the connection's own goroutine alone.
+// resolve marks a connection as ready or failed; only the first call has an effect.
+// Only the connection's own goroutine calls it.
 func (c *Client) resolve(conn *clientConnection, opened *connection, err error) {
 	select {
 	case <-conn.ready:
@@ -205,7 +209,7 @@
 	close(conn.ready)
 }
 
-// receive reports whether the connection may stay open.
+// receive handles a frame and reports whether the connection may stay open.
 func (c *Client) receive(conn *clientConnection, opened *connection, frame wire.Frame) bool {
 	if !c.checkIdentity(frame.Identity) {
 		c.drops.Add(dropWrongIdentity)
@@ -225,7 +229,8 @@
 	return true
 }
 
-// checkIdentity reports whether a frame is of the cluster that responded first.
+// checkIdentity reports whether a frame belongs to the first cluster that
+// responded. A frame without an identity is accepted.
 func (c *Client) checkIdentity(identity wire.Identity) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/consensus/connection.go
+++ b/internal/cluster/consensus/connection.go
@@ -12,8 +12,8 @@
 	"example.org/bellstream/internal/cluster/mesh/peerconn"
 )
 
-// Limits of what waits to be sent on one connection. Frames beyond them are
-// dropped and counted.
+// Limits of the send queue of one connection. Frames beyond them are dropped and
+// counted.
 const (
 	outboxFrames = 512
 	outboxBytes  = 2 * wire.MaxFrameBytes
@@ -21,7 +21,7 @@
 
 const readBufferBytes = 64 << 10
 
-// connectionOptions are what all connections of a node have in common.
+// connectionOptions are shared by all connections of a node or client.
 type connectionOptions struct {
 	clusterDigest uint64
 	idleTimeout   time.Duration
@@ -29,18 +29,18 @@
 	sentBytes     *atomic.Uint64 // of all connections
 }
 
-// connection sends and receives frames. It is closed after idleTimeout without
-// a byte, so both ends send pings.
+// connection sends and receives frames. It is closed if no complete frame is
+// received within idleTimeout, so both ends send pings.
 type connection struct {
 	connectionOptions
 	conn     net.Conn
-	outbound bool // this end has dialled
+	outbound bool // dialled by this end
 
 	outbox    *peerconn.Outbox
 	closed    chan struct{}
 	closeOnce sync.Once
 
-	remote *wire.Handshake // the first of the other end; set before others know the connection
+	remote *wire.Handshake // the peer's first handshake; set before connectionTo can return the connection
 }
 
 func newConnection(conn net.Conn, options connectionOptions, outbound bool) *connection {
@@ -86,8 +86,8 @@
 	}.Run(c.outbox)
 }
 
-// readLoop passes frames to handle until one can't be decoded, or handle returns
-// false.
+// readLoop passes frames other than pings to handle until reading or decoding
+// fails, or handle returns false.
 func (c *connection) readLoop(handle func(f wire.Frame, size int) bool) {
 	defer c.close()
 	reader := bufio.NewReaderSize(c.conn, readBufferBytes)
@@ -106,9 +106,10 @@
 	}
 }
 
-// newDialer dials from the host that listen names.
+// newDialer returns a function that dials TCP addresses. If the host of listen, a
+// host:port address, is an IP address, connections originate from it.
 func newDialer(listen string) func(context.Context, string) (net.Conn, error) {
-	host, _, _ := net.SplitHostPort(listen) // empty if there is none
+	host, _, _ := net.SplitHostPort(listen) // host is empty if listen has none
 	dialer := peerconn.Dialer(net.ParseIP(host))
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", addr)
--- a/internal/cluster/consensus/drops.go
+++ b/internal/cluster/consensus/drops.go
@@ -7,7 +7,7 @@
 	"example.org/bellstream/internal/cluster/mesh/peerconn"
 )
 
-// Reasons for which frames are dropped, beside those of package wire. They are
+// Reasons for dropping frames, in addition to those of package wire. They are
 // values of a metric's label.
 const (
 	dropOutboxFull         = "outbox full"
@@ -28,8 +28,8 @@
 	wire.ErrTooLarge,
 }
 
-// countDecodeError counts a frame that could not be decoded; other errors are not
-// counted.
+// countDecodeError counts a frame that could not be decoded. Other errors, such as
+// those of the connection, are not counted.
 func countDecodeError(drops *peerconn.DropCounters, err error) {
 	for _, reason := range decodeErrors {
 		if errors.Is(err, reason) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// dropCounts returns the counters, empty rather than nil if nothing was dropped:
-// it is JSON output.
+// dropCounts returns the number of dropped frames by reason. The map is never nil,
+// so that JSON output has {} rather than null.
 func dropCounts(drops *peerconn.DropCounters) map[string]uint64 {
 	counts := drops.Snapshot()
 	if counts == nil {
--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -9,14 +9,14 @@
 
 const outcomeUnknownHint = "; the proposal may still be committed: read before you propose it again"
 
-// ErrClosed is returned after Close.
+// ErrClosed is returned by operations on a closed node or client.
 var ErrClosed = errors.New("consensus: closed")
 
 // NoQuorumError is returned if no majority of the voters has confirmed an
 // operation in time, or no leader is known.
 type NoQuorumError struct {
 	OutcomeUnknown bool  // the proposal may still be committed
-	Err            error // what ended the wait, if anything but a timeout of the majority
+	Err            error // why the wait ended, such as the context's error; may be nil
 }
 
 func (e *NoQuorumError) Error() string {
@@ -31,10 +31,10 @@
 	return text
 }
 
-// Unwrap returns what ended the wait.
+// Unwrap returns e.Err.
 func (e *NoQuorumError) Unwrap() error { return e.Err }
 
-// NotLeaderError is returned by a voter that is not the leader.
+// NotLeaderError is returned by a voter that is not the leader. It names the leader.
 type NotLeaderError struct{ Leader, Address string }
 
 func (e *NotLeaderError) Error() string {
@@ -42,7 +42,8 @@
 		e.Leader, e.Address)
 }
 
-// TooLargeError is returned for a proposal, request or response beyond the limit.
+// TooLargeError is returned for a proposal, request, response or snapshot beyond
+// the limit, and for an empty proposal.
 type TooLargeError struct{ Size, Limit int } // in bytes
 
 func (e *TooLargeError) Error() string {
@@ -74,11 +75,11 @@
 	return text
 }
 
-// CorruptFileError is returned if the voter's file, or one record of it, is not
-// what was written. None of it is used.
+// CorruptFileError is returned if the voter's file, or one record of it, is corrupt
+// or inconsistent, or could not be written. The voter does not vote with this file.
 type CorruptFileError struct {
 	Path   string
-	Record string // empty if the file as a whole is corrupt
+	Record string // empty if the error concerns the entire file
 	Err    error
 }
 
@@ -94,8 +95,9 @@
 // Unwrap returns the cause.
 func (e *CorruptFileError) Unwrap() error { return e.Err }
 
-// DataLostError is returned by a voter whose file was lost: the others know it by
-// another file. It may have voted and can't know for whom, so it never votes again.
+// DataLostError is returned by a voter whose file was lost: the cluster's members
+// have its name with another file's seed. The votes that it may have cast are lost
+// with the file, so it never votes again.
 type DataLostError struct{ Name, Dir string }
 
 func (e *DataLostError) Error() string {
@@ -103,8 +105,8 @@
 		"put a voter under another name in its place (%s)", e.Name, e.Dir, operatorsPage)
 }
 
-// NotVoterError is returned by a node that is not among the voters, or does not
-// know yet whether it is.
+// NotVoterError is returned by a node that is not a voter, or does not know yet
+// whether it is one.
 type NotVoterError struct{ Name, Reason string }
 
 func (e *NotVoterError) Error() string {
--- a/internal/cluster/consensus/loop.go
+++ b/internal/cluster/consensus/loop.go
@@ -13,17 +13,17 @@
 	"example.org/bellstream/internal/cluster/consensus/wire"
 )
 
-// loop is the state that the node's one goroutine owns.
+// loop holds the state that the node's loop goroutine owns.
 type loop struct {
 	node           *Node
 	options        *Options
 	storage        *storage
 	nodeID         uint64
-	incarnation    uint64 // of this process: proposals of others have no callback here
-	voterSetDigest uint64 // of the names in the options
+	incarnation    uint64 // identifies this process; only its proposals have callbacks here
+	voterSetDigest uint64 // of the voters' names in the options
 
 	state       VoterState
-	stateReason error         // for not voting
+	stateReason error         // why this voter does not vote; nil while it votes
 	rawNode     *raft.RawNode // nil while not voting
 
 	members  membership
@@ -32,17 +32,17 @@
 	pending  pendingOperations
 
 	leaderTerm   uint64 // the term in which this voter leads, 0 if it does not
-	lastSequence uint64 // of the last proposal, read or forwarded request
+	lastSequence uint64 // of the last proposal, read batch, change of voters or forwarded request
 	forwarded    map[uint64]*forwardedRequest
 
 	ticks              uint64
 	ticksWithoutLeader uint64
-	snapshotSentTicks  map[uint64]uint64        // when a snapshot was sent, by voter
+	snapshotSentTicks  map[uint64]uint64        // tick at which a snapshot was sent, by voter ID
 	peers              map[string]advertisement // the last handshake of each peer, by name
 	status             Status
 }
 
-// appliedPosition is the last entry that was applied.
+// appliedPosition is the position of the last applied entry.
 type appliedPosition struct {
 	index uint64
 	term  uint64
@@ -93,8 +93,8 @@
 	}
 }
 
-// handleQueued handles what waits already, so that one write to the file serves
-// all of it.
+// handleQueued handles frames and calls that are already queued, at most
+// maxEventsPerWrite, so that they share one write to the file.
 func (l *loop) handleQueued() {
 	for range maxEventsPerWrite {
 		select {
@@ -108,7 +108,8 @@
 	}
 }
 
-// initialize resumes from the file.
+// initialize starts to vote if the file holds a cluster's identity. Otherwise it
+// looks for a cluster.
 func (l *loop) initialize() {
 	l.updatePeers()
 	if l.storage.identity().IsZero() {
@@ -144,9 +145,10 @@
 		return
 	}
 	l.guardRaft(func() {
-		_ = l.rawNode.Step(message) // it fails for messages of former voters
+		_ = l.rawNode.Step(message) // fails for messages of former voters, which are ignored
 	})
-	// The message may be a newer leader's: calls that follow must not be accepted as leader.
+	// The message may end this voter's leadership: calls handled after it must not be
+	// accepted as leader.
 	l.updateLeadership()
 }
 
@@ -173,8 +175,8 @@
 	l.expireForwarded()
 }
 
-// needsHandshakes reports whether this voter has to learn from the others who
-// the members are: it does not vote, or has missed a leader for too long.
+// needsHandshakes reports whether this voter has to ask its peers for the members:
+// it does not vote, or has known no leader for more than two times electionTicks.
 func (l *loop) needsHandshakes() bool {
 	return l.rawNode == nil || l.ticksWithoutLeader > 2*electionTicks
 }
@@ -194,13 +196,13 @@
 	}
 }
 
-// fail ends this voter's part until its file is replaced.
+// fail stops voting for the rest of this process.
 func (l *loop) fail(reason error) {
 	l.options.Log.Error().Err(reason).Msg("consensus: this voter stops voting")
 	l.stopRaft(StateFailed, reason)
 }
 
-// stopRaft stops voting. Calls fail with reason from now on.
+// stopRaft stops voting. Pending and later operations fail with reason.
 func (l *loop) stopRaft(state VoterState, reason error) {
 	l.rawNode = nil
 	l.state = state
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -15,9 +15,10 @@
 // voter joins a cluster. The members of a cluster are known by name and seed:
 //
 //   - A voter without an identity that finds its name and seed among the members
-//     of a cluster belongs to it and has never voted: it writes the identity
-//     before it votes.
-//   - A voter that finds its name there with another seed has lost its file.
+//     of a cluster belongs to it and has never voted. It writes the cluster's
+//     identity to its file before it votes.
+//   - A voter that finds its name there with another seed has lost its file, and
+//     must not vote.
 //   - The identity of a new cluster is derived from the seeds of all its members,
 //     and only by a voter to which each of the others has reported that it has no
 //     identity. Two voters that do so at the same time derive the same one.
@@ -25,8 +26,8 @@
 // membership is the voters as of the last applied entry.
 type membership struct {
 	byID         map[uint64]*wire.Member
-	sorted       []*wire.Member // by name; replaced, never modified, as handshakes refer to it
-	removedNames []string       // of former members, the last ones
+	sorted       []*wire.Member // by name; replaced rather than modified, because handshakes share it
+	removedNames []string       // of former members, oldest first; at most wire.MaxRemovedNames
 }
 
 func newMembership(state *wire.SnapshotState) membership {
@@ -59,7 +60,8 @@
 	m.sorted = wire.SortByName(slices.Collect(maps.Values(m.byID)))
 }
 
-// currentAdvertisement returns what this voter reports of itself to others.
+// currentAdvertisement returns the identity and the handshake that this voter
+// sends to its peers.
 func (l *loop) currentAdvertisement() *advertisement {
 	handshake := &wire.Handshake{
 		Name:           l.options.Name,
@@ -77,10 +79,10 @@
 	return &advertisement{l.storage.identity(), handshake}
 }
 
-// requestHandshakes has all connected voters report what they know.
+// requestHandshakes asks all connected voters for their handshakes.
 func (l *loop) requestHandshakes() {
 	own := l.currentAdvertisement()
-	own.handshake.ReplyRequested = true // nobody else has a reference to it yet
+	own.handshake.ReplyRequested = true // not shared with other goroutines yet
 	for _, conn := range l.node.transport.connectedVoters() {
 		conn.send(wire.Frame{Identity: own.identity, Handshake: own.handshake})
 	}
@@ -102,8 +104,8 @@
 	l.evaluateMembership()
 }
 
-// evaluateMembership decides by the others' handshakes whether this voter joins
-// a cluster, bootstraps one, waits, or must not vote.
+// evaluateMembership decides from the peers' handshakes whether this voter joins a
+// cluster, bootstraps one, waits or must not vote.
 func (l *loop) evaluateMembership() {
 	if !l.storage.identity().IsZero() {
 		l.checkRemoved()
@@ -127,8 +129,9 @@
 	}
 }
 
-// checkRemoved stops a member that was removed: nothing is sent to it any more,
-// so it asks when it misses its leader.
+// checkRemoved stops this voter if a peer has reported that it was removed. A
+// removed voter receives no raft messages, so it learns of its removal from the
+// handshakes that it requests while it knows no leader.
 func (l *loop) checkRemoved() {
 	for _, peer := range l.peers {
 		if l.rawNode != nil && peer.handshake.RecipientRemoved && peer.identity == l.storage.identity() {
@@ -141,11 +144,11 @@
 	l.stopRaft(StateRemoved, l.notVoter("it was removed from the voters"))
 }
 
-// membershipVerdict is what the others' handshakes come to.
+// membershipVerdict is the result of findCluster.
 type membershipVerdict struct {
-	state    VoterState    // Voting: a member of the cluster; Discovering: there is no cluster
-	identity wire.Identity // of the cluster, if a member
-	reason   error         // for not voting
+	state    VoterState    // StateVoting: this voter is a member; StateDiscovering: no cluster found
+	identity wire.Identity // of the cluster, with StateVoting
+	reason   error         // why this voter does not vote
 }
 
 // findCluster looks for a cluster among the peers that belong to one.
@@ -174,8 +177,8 @@
 	return verdict
 }
 
-// bootstrap makes a new cluster once every other voter has reported that it
-// belongs to none, and has the same voters in its settings.
+// bootstrap creates a new cluster once every other voter in the options has
+// reported that it belongs to none and has the same voters in its options.
 func (l *loop) bootstrap() {
 	own := &wire.Member{
 		Name:    l.options.Name,
@@ -200,8 +203,8 @@
 	l.joinCluster(wire.NewIdentity(l.options.Cluster, members), members)
 }
 
-// joinCluster makes this voter a member of a cluster. members is nil, or the
-// members of a new cluster that this voter makes.
+// joinCluster makes this voter a member of a cluster. members is nil for an
+// existing cluster, and lists all members of a cluster that this voter creates.
 func (l *loop) joinCluster(identity wire.Identity, members []*wire.Member) {
 	bootstrapped := members != nil
 	var first *raftpb.Snapshot
@@ -216,7 +219,7 @@
 	switch {
 	case errors.Is(err, boltfile.ErrNoSpace):
 		l.members.clear()
-		l.stateReason = &DiskFullError{Path: l.storage.path} // the next handshake leads to another attempt
+		l.stateReason = &DiskFullError{Path: l.storage.path} // retried on the next handshake
 		return
 	case err != nil:
 		l.fail(&CorruptFileError{Path: l.storage.path, Err: err})
@@ -227,11 +230,11 @@
 	l.startFromStorage()
 }
 
-// firstSnapshot returns the state that a new cluster begins with.
+// firstSnapshot returns the initial snapshot of a new cluster.
 func (l *loop) firstSnapshot(members []*wire.Member) (*raftpb.Snapshot, error) {
 	confState := raftpb.EnsureConfState(nil)
 	for _, member := range wire.SortByName(members) {
-		l.members.add(member) // startFromStorage reads them again
+		l.members.add(member) // read by encodeSnapshot; startFromStorage loads them again
 		confState.Voters = append(confState.Voters, wire.NodeID(member.Name))
 	}
 	l.updatePeers()
@@ -243,9 +246,9 @@
 	return &raftpb.Snapshot{Data: data, Metadata: metadata}, nil
 }
 
-// updatePeers has the transport keep connections with the members, with a voter
-// that is being added, and before there are members, with all that are named in
-// the options.
+// updatePeers sets the voters with which the transport keeps connections: the
+// members, or the voters in the options while there are no members, and a voter
+// that is being added or moved.
 func (l *loop) updatePeers() {
 	voters := map[string]string{}
 	for _, member := range l.members.byID {
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -14,8 +14,8 @@
 	"example.org/bellstream/internal/cluster/mesh/peerconn"
 )
 
-// Node is a voter, or one that is to become a voter or was one. Its methods may
-// be called from any goroutine.
+// Node is a present, future or former voter. Its methods are safe for concurrent
+// use.
 type Node struct {
 	options    Options
 	transport  *transport
@@ -29,8 +29,8 @@
 	loop       *loop
 }
 
-// New opens the voter's file, listens and starts. It neither needs the other
-// voters nor waits for them.
+// New opens the voter's file, listens and starts the node's goroutines. It does
+// not wait for the other voters.
 func New(o Options) (*Node, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	return n, nil
 }
 
-// randomID returns a number that distinguishes this process from all others.
+// randomID returns a random number that identifies this process.
 func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
@@ -94,7 +94,8 @@
 	return err
 }
 
-// runOnLoop queues f for the loop's goroutine. It waits while the queue is full.
+// runOnLoop queues f for the loop's goroutine. It waits while the queue is full,
+// and fails with ErrClosed, or with NoQuorumError if ctx ends first.
 func (n *Node) runOnLoop(ctx context.Context, f func()) error {
 	select {
 	case <-n.stopping:
@@ -122,8 +123,8 @@
 	}
 }
 
-// await receives one result of a call that runs on the loop. outcomeUnknown tells
-// whether the call may take effect after ctx has ended.
+// await waits for the result of a call that was queued for the loop. outcomeUnknown
+// states whether the call may still take effect after ctx has ended.
 func await[T any](ctx context.Context, n *Node, result chan T, outcomeUnknown bool) (value T, err error) {
 	select {
 	case value = <-result:
@@ -133,14 +134,15 @@
 	case <-n.stopped:
 	}
 	select {
-	case value = <-result: // sent right before the loop's end
+	case value = <-result: // sent just before the loop ended
 		return value, nil
 	default:
 		return value, ErrClosed
 	}
 }
 
-// awaitError runs a call that reports an error only.
+// awaitError runs a call on the loop and waits for the error that it passes to
+// done.
 func (n *Node) awaitError(ctx context.Context, call func(done func(error))) error {
 	result := make(chan error, 1)
 	done := func(err error) { result <- err }
@@ -154,8 +156,8 @@
 	return outcome
 }
 
-// Propose returns nil once the entry is committed and applied here. Only the
-// leader accepts proposals. Errors are NotLeaderError, TooLargeError,
+// Propose returns nil once the entry is committed and applied on this node. Only
+// the leader accepts proposals. Errors are NotLeaderError, TooLargeError,
 // OverloadedError, DiskFullError, NotVoterError, DataLostError,
 // CorruptFileError, ErrClosed and NoQuorumError: a leader that reaches no
 // majority fails within 2 x 10 ticks. If the error has OutcomeUnknown set, or is
@@ -164,17 +166,17 @@
 	return n.awaitError(ctx, func(done func(error)) { n.loop.propose(data, done) })
 }
 
-// ProposeAsync is Propose for callbacks: it does not wait. done runs on the
-// loop's goroutine, but not after Close. If the queue is full, it returns
-// OverloadedError and never calls done.
+// ProposeAsync is the non-blocking form of Propose: it passes the result to done,
+// which runs on the loop's goroutine, but not after Close. If the queue is full,
+// ProposeAsync returns OverloadedError and never calls done.
 func (n *Node) ProposeAsync(data []byte, done func(error)) error {
 	return n.TryRun(func() { n.loop.propose(data, done) })
 }
 
-// ReadIndex returns once a majority has confirmed, after the call, that this
-// node is the leader, and everything committed by then is applied here: index is
-// at least that far, and term the one that it leads. Errors are those of
-// Propose; none has a lasting effect.
+// ReadIndex returns once a majority has confirmed, after the call began, that this
+// node is the leader, and all entries committed by then are applied on this node.
+// index is that of the last applied entry, and term the leader's term. Errors are
+// those of Propose; a failed call has no lasting effect.
 func (n *Node) ReadIndex(ctx context.Context) (index, term uint64, err error) {
 	type readResult struct {
 		index, term uint64
@@ -192,21 +194,23 @@
 	return read.index, read.term, read.err
 }
 
-// ReadIndexAsync is to ReadIndex what ProposeAsync is to Propose.
+// ReadIndexAsync is the non-blocking form of ReadIndex. The rules of ProposeAsync
+// apply to done.
 func (n *Node) ReadIndexAsync(done func(index, term uint64, err error)) error {
 	return n.TryRun(func() { n.loop.readIndex(done) })
 }
 
-// ChangeVoters makes voters, addresses by name, the voting members: one more,
-// one less, or one with another address than now. Only the leader can. Errors are
-// those of Propose, ChangeRejectedError, and UnreachableError for a new voter
-// that does not respond. The name of a former voter is rejected.
+// ChangeVoters sets the voting members to voters, a map of names to addresses. One
+// call may add one voter, remove one, or change the address of one. Only the
+// leader accepts changes. Errors are those of Propose, ChangeRejectedError, and
+// UnreachableError for a new voter that does not respond. The name of a former
+// voter is rejected.
 func (n *Node) ChangeVoters(ctx context.Context, voters map[string]string) error {
 	return n.awaitError(ctx, func(done func(error)) { n.loop.changeVoters(voters, done) })
 }
 
-// Request sends a request to the leader on behalf of this instance; if this node
-// leads, to its own HandleRequest. Errors are NotLeaderError, NoQuorumError,
+// Request sends a request of this instance to the leader and returns the response.
+// If this node is the leader, its own HandleRequest is called. Errors are NotLeaderError, NoQuorumError,
 // UnavailableError, OverloadedError, TooLargeError and ErrClosed.
 func (n *Node) Request(ctx context.Context, payload []byte) ([]byte, error) {
 	if len(payload) > MaxPayloadBytes {
--- a/internal/cluster/consensus/operations.go
+++ b/internal/cluster/consensus/operations.go
@@ -12,7 +12,7 @@
 	"example.org/bellstream/internal/cluster/consensus/wire"
 )
 
-// readCallback receives the applied index and the term of the leader, or an error.
+// readCallback receives the applied index and the leader's term, or an error.
 type readCallback func(index, term uint64, err error)
 
 // pendingOperations are the calls that wait for a majority.
@@ -23,10 +23,10 @@
 	voterChange *voterChange
 }
 
-// readBatch is a group of reads that one round of messages confirms.
+// readBatch is a group of reads that are confirmed by one round of messages.
 type readBatch struct {
 	requestContext []byte
-	index          uint64 // once confirmed
+	index          uint64 // that has to be applied before the reads complete; set once confirmed
 	confirmed      bool
 	callbacks      []readCallback
 }
@@ -86,7 +86,8 @@
 	l.pending.queuedReads = append(l.pending.queuedReads, done)
 }
 
-// startReadBatch has a majority confirm the queued reads, one batch at a time.
+// startReadBatch asks a majority to confirm the queued reads, unless a batch is
+// already in progress.
 func (l *loop) startReadBatch() {
 	if l.pending.readBatch != nil || len(l.pending.queuedReads) == 0 || l.leaderTerm == 0 {
 		return
@@ -122,7 +123,7 @@
 }
 
 // abortPending ends this voter's leadership, if it leads, and fails all pending
-// operations.
+// operations with reason.
 func (l *loop) abortPending(reason error) {
 	if term := l.leaderTerm; term != 0 {
 		l.leaderTerm = 0
@@ -160,7 +161,8 @@
 	}
 }
 
-// withUnknownOutcome returns reason for an operation that may still be committed.
+// withUnknownOutcome returns reason as an error with OutcomeUnknown set, for an
+// operation that may still be committed.
 func withUnknownOutcome(reason error) error {
 	if noQuorum, ok := errors.AsType[*NoQuorumError](reason); ok {
 		return &NoQuorumError{OutcomeUnknown: true, Err: noQuorum.Err}
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -20,42 +20,43 @@
 // Options configure a [Node]. All callbacks run on the loop's goroutine and must
 // not block.
 type Options struct {
-	// Name is the voter's. A voter whose file is lost needs a new one.
+	// Name identifies the voter. A voter whose file was lost needs a new name.
 	Name    string
 	Cluster string
 	// Dir holds the voter's file, accord.db. It is created if it does not exist.
 	Dir    string
 	Listen string // host:port
-	// Voters are addresses by name, this voter's included: the members of a new
-	// cluster, and later the peers to ask about an existing one.
+	// Voters maps names to addresses and includes this voter. They become the
+	// members of a new cluster. A voter that belongs to no cluster asks them whether
+	// there is one.
 	Voters map[string]string
-	// Tick is the period of heartbeats; an election takes 10 to 20 ticks. The
-	// default is 100 ms.
+	// Tick is the heartbeat interval, 100 ms by default. A voter starts an election
+	// after 10 to 20 ticks without a leader.
 	Tick time.Duration
 	// SnapshotCount is the number of entries between two snapshots, 1024 by
-	// default. 8 MiB of entries lead to a snapshot too.
+	// default. A snapshot is also written after 8 MiB of entries.
 	SnapshotCount int
 
-	// Apply is called for each committed entry in order, and after a restart
-	// again for those after the last snapshot.
+	// Apply is called for each committed entry in order. After a restart, it is
+	// called again for the entries after the last snapshot.
 	Apply func(term, index uint64, data []byte)
 	// Snapshot returns the application's state. If it returns nil, no snapshot
 	// is written.
 	Snapshot func() []byte
-	// Restore replaces the application's state by what Snapshot returned, here
-	// or on another voter.
+	// Restore replaces the application's state by a state that Snapshot returned
+	// on this or another voter.
 	Restore func([]byte) error
-	// LeadershipChanged is called when this voter becomes the leader of a term
-	// and when it stops being so. It is optional.
+	// LeadershipChanged, if set, is called when this voter becomes the leader of a
+	// term and when that leadership ends.
 	LeadershipChanged func(term uint64, leads bool)
-	// HandleRequest is called on the leader. respond may be called later, from
-	// any goroutine, once. It is optional.
+	// HandleRequest, if set, handles requests on the leader. It may call respond
+	// once, at any time and from any goroutine.
 	HandleRequest func(from string, payload []byte, respond func(out []byte))
 
 	Log zerolog.Logger
-	// Listener is used instead of listening on Listen.
+	// Listener, if set, is used instead of listening on Listen.
 	Listener net.Listener
-	// Dial is used instead of TCP from the host of Listen.
+	// Dial, if set, is used instead of dialling TCP from the host of Listen.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
--- a/internal/cluster/consensus/raft.go
+++ b/internal/cluster/consensus/raft.go
@@ -13,15 +13,15 @@
 
 // Limits that raft enforces.
 const (
-	maxInFlightMessages = 64       // unacknowledged messages with entries, by voter
-	maxInFlightBytes    = 8 << 20  // of these messages
-	maxMessageBytes     = 1 << 20  // of entries, but one entry at least
-	maxUncommittedBytes = 16 << 20 // of proposals that wait for a majority
+	maxInFlightMessages = 64       // unacknowledged messages with entries, per voter
+	maxInFlightBytes    = 8 << 20  // total size of these messages
+	maxMessageBytes     = 1 << 20  // of entries; a message holds at least one entry, whatever its size
+	maxUncommittedBytes = 16 << 20 // of proposals waiting for a majority
 )
 
-// RaftConfig returns the configuration of raft's state machine. It is exported
-// for simulations, which have to use the same. applied is the index of the last
-// entry that was applied.
+// RaftConfig returns the configuration of raft's state machine. It is exported so
+// that simulations use the same configuration. applied is the index of the last
+// applied entry.
 func RaftConfig(id uint64, s raft.Storage, applied uint64, log raft.Logger) *raft.Config {
 	return &raft.Config{
 		ID:                        id,
@@ -57,7 +57,7 @@
 	l.startRaft()
 }
 
-// startRaft creates raft's state machine from the file.
+// startRaft creates raft's state machine from the contents of the file.
 func (l *loop) startRaft() {
 	l.guardRaft(func() {
 		config := RaftConfig(l.nodeID, l.storage, l.applied.index, &raftLogger{l.options.Log})
@@ -69,8 +69,9 @@
 	})
 }
 
-// guardRaft runs a step of raft's state machine, which panics on inconsistent
-// input: for example, if the file is older than what this voter has promised.
+// guardRaft runs a step of raft's state machine and stops this voter if it panics.
+// It panics on inconsistent input, for example if the file was replaced by an older
+// copy, which lacks entries that this voter has acknowledged.
 func (l *loop) guardRaft(step func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -81,7 +82,7 @@
 	step()
 }
 
-// processReady carries out raft's output until there is none.
+// processReady handles raft's output until there is none left.
 func (l *loop) processReady() {
 	for l.rawNode != nil {
 		l.updateLeadership()
@@ -94,7 +95,7 @@
 	l.publishStatus()
 }
 
-// handleReady carries out one output of raft. The file is written before any
+// handleReady handles one batch of raft's output. The file is written before any
 // message is sent.
 func (l *loop) handleReady() {
 	var ready raft.Ready
@@ -115,8 +116,9 @@
 	l.maybeSnapshot()
 }
 
-// persist reports whether the output was written. If the disk is full, the file
-// is unchanged, and raft is restarted from it once there is space.
+// persist writes raft's output to the file and reports whether that succeeded. If
+// the disk is full, the file is unchanged, and raft is restarted from it once there
+// is space.
 func (l *loop) persist(ready raft.Ready) bool {
 	err := l.storage.saveReady(ready)
 	switch {
@@ -132,7 +134,8 @@
 	return false
 }
 
-// applyReady reports whether this voter still votes.
+// applyReady applies a snapshot and committed entries, and reports whether this
+// voter still votes.
 func (l *loop) applyReady(ready raft.Ready) bool {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := l.restoreSnapshot(ready.Snapshot); err != nil {
@@ -153,7 +156,7 @@
 	l.applied = appliedPosition{index: entry.GetIndex(), term: entry.GetTerm()}
 	l.snapshot.bytesSince += len(entry.GetData())
 	confChange, change, err := wire.DecodeVoterChange(entry)
-	if err != nil { // it was validated when it was received, and when it was read from the file
+	if err != nil { // unexpected: entries are validated on receipt and when the file is read
 		record := fmt.Sprintf("entry %d", entry.GetIndex())
 		l.fail(&CorruptFileError{Path: l.storage.path, Record: record, Err: err})
 		return
@@ -195,8 +198,8 @@
 	}
 }
 
-// checkLeader returns nil if this voter leads as far as it knows, or the reason
-// why it accepts no operations.
+// checkLeader returns nil if this voter considers itself the leader, and otherwise
+// the reason why it accepts no operations.
 func (l *loop) checkLeader() error {
 	if l.rawNode == nil {
 		return l.stateReason
@@ -211,8 +214,8 @@
 	return &NoQuorumError{}
 }
 
-// currentLeader returns the leader according to raft, or while this voter does
-// not vote, according to the others.
+// currentLeader returns the leader that raft knows or, while this voter does not
+// vote, the one that its peers report. The name is empty if none is known.
 func (l *loop) currentLeader() (name, address string) {
 	if l.rawNode == nil {
 		return l.advertisedLeader()
@@ -223,8 +226,8 @@
 	return "", ""
 }
 
-// advertisedLeader returns the leader of the highest term that a peer has
-// reported, among those to whom there is a connection.
+// advertisedLeader returns the leader of the highest term that a peer has reported.
+// Leaders without a connection to this voter are skipped.
 func (l *loop) advertisedLeader() (name, address string) {
 	var latest *wire.Handshake
 	for _, peer := range l.peers {
@@ -256,9 +259,9 @@
 	}
 }
 
-// voterName returns the name of a member, or of a connected voter that is no
-// member as far as is known here: it was added while this voter was away, and
-// asks for a vote.
+// voterName returns the name of the voter with an ID, or "" if it is unknown. It
+// also finds connected voters that are not in this voter's list of members: one
+// that was added while this voter was down may request its vote.
 func (l *loop) voterName(id uint64) string {
 	if member := l.members.byID[id]; member != nil {
 		return member.Name
--- a/internal/cluster/consensus/raftlogger.go
+++ b/internal/cluster/consensus/raftlogger.go
@@ -6,8 +6,9 @@
 	"github.com/rs/zerolog"
 )
 
-// raftLogger passes raft's errors to the log, and the rest as debug lines. What
-// would end the process is a panic, which guardRaft recovers from.
+// raftLogger logs raft's errors as errors, its warnings and information as debug
+// lines, and discards its debug lines. Fatal panics like Panic, instead of ending
+// the process; guardRaft recovers from both.
 type raftLogger struct{ log zerolog.Logger }
 
 func (l *raftLogger) debug(text string) { l.log.Debug().Msg("consensus: raft: " + text) }
--- a/internal/cluster/consensus/requests.go
+++ b/internal/cluster/consensus/requests.go
@@ -2,14 +2,15 @@
 
 import "example.org/bellstream/internal/cluster/consensus/wire"
 
-// forwardedRequest is a request that was forwarded to the leader.
+// forwardedRequest is a request that was forwarded to the leader and has no
+// response yet.
 type forwardedRequest struct {
 	deadlineTick uint64
 	respond      func(*wire.Response)
 }
 
-// handleRequest has the application handle a request if this voter leads, and
-// forwards it to the leader otherwise. A request is forwarded once.
+// handleRequest passes a request to the application if this voter leads, and
+// forwards it to the leader otherwise. A request is forwarded at most once.
 func (l *loop) handleRequest(request *wire.Request, respond func(*wire.Response)) {
 	if l.leaderTerm != 0 {
 		l.handleAsLeader(request, respond)
@@ -84,7 +85,7 @@
 	}
 }
 
-// responseResult returns the payload of a response, or the error that it stands for.
+// responseResult returns the payload of a response, or the error that it reports.
 func responseResult(address string, response *wire.Response) ([]byte, error) {
 	switch response.Result {
 	case wire.Response_OK:
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -17,10 +17,10 @@
 type snapshotProgress struct {
 	index      uint64 // of the last snapshot
 	bytesSince int    // of entries applied since then
-	// voterChanged makes a snapshot due at once: raft accepts none from a leader
-	// if the receiver is no voter in it.
+	// voterChanged makes a snapshot due immediately: raft ignores a received
+	// snapshot in which the receiver is not a voter.
 	voterChanged bool
-	attemptTick  uint64 // of the last attempt
+	attemptTick  uint64 // of the last attempt to write a snapshot
 }
 
 func (p *snapshotProgress) written(index uint64) {
@@ -29,7 +29,8 @@
 	p.voterChanged = false
 }
 
-// restoreSnapshot replaces the members and the application's state.
+// restoreSnapshot replaces the members and the application's state by those of a
+// snapshot.
 func (l *loop) restoreSnapshot(snapshot *raftpb.Snapshot) error {
 	state, err := wire.DecodeSnapshotState(snapshot)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// encodeSnapshot returns the content of a snapshot; data is the application's,
-// or nil if there is none yet.
+// encodeSnapshot returns the content of a snapshot. data is the application's
+// state, or nil if there is none yet.
 func (l *loop) encodeSnapshot(data []byte) ([]byte, error) {
 	state := &wire.SnapshotState{
 		Members:      l.members.sorted,
@@ -59,8 +60,9 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(state)
 }
 
-// snapshotDue reports whether there is enough to compact. After an error, the
-// next attempt waits.
+// snapshotDue reports whether enough entries were applied since the last snapshot,
+// or the voters have changed. After a failed attempt, the next one is due after
+// diskRetryTicks.
 func (l *loop) snapshotDue() bool {
 	if l.rawNode == nil {
 		return false
@@ -110,9 +112,9 @@
 	return l.storage.saveSnapshot(l.applied.index, encoded, keep)
 }
 
-// expireSentSnapshots has raft go on with voters that were sent a snapshot long
-// ago: it sends nothing more to them until then. Whether the snapshot has
-// arrived shows in the voter's next response.
+// expireSentSnapshots reports to raft that snapshots sent snapshotLostTicks ago are
+// finished. Until then, raft sends no entries to the voter. The voter's next
+// response shows whether the snapshot has arrived.
 func (l *loop) expireSentSnapshots() {
 	if l.rawNode == nil {
 		return
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -1,17 +1,18 @@
 package consensus
 
-// VoterState is the state of a voter apart from who leads.
+// VoterState tells whether a node votes and, if not, why.
 type VoterState string
 
-// States. Voting and DiskFull change into each other; DataLost, Removed and
-// Failed are final for this file.
+// Voter states. A voter alternates between StateVoting and StateDiskFull. From
+// StateDataLost, StateRemoved and StateFailed it does not return to voting;
+// StateDataLost becomes StateRemoved once the voter is removed.
 const (
 	StateDiscovering VoterState = "asking"  // waits for every other voter to report whether there is a cluster
-	StateNotMember   VoterState = "waiting" // there is a cluster, and this voter is not a member yet
+	StateNotMember   VoterState = "waiting" // there is a cluster, and this node is not a member yet
 	StateVoting      VoterState = "voting"
 	StateDiskFull    VoterState = "full"
-	StateDataLost    VoterState = "lost"    // the others know this voter by another file
-	StateRemoved     VoterState = "removed" // from the voters
+	StateDataLost    VoterState = "lost"    // the cluster knows this voter with another file's seed
+	StateRemoved     VoterState = "removed" // this node was removed from the voters
 	StateFailed      VoterState = "failed"  // the file can't be trusted
 )
 
@@ -21,7 +22,7 @@
 	Cluster       string            `json:"cluster"`
 	Identity      string            `json:"identity,omitempty"`
 	State         VoterState        `json:"stand"`
-	Reason        string            `json:"why,omitempty"` // for not voting
+	Reason        string            `json:"why,omitempty"` // why this node does not vote
 	IsLeader      bool              `json:"leads"`
 	Leader        string            `json:"leader,omitempty"`
 	LeaderAddress string            `json:"leader_address,omitempty"`
@@ -32,20 +33,20 @@
 	Proposals     uint64            `json:"proposals"` // committed, since the start
 	Reads         uint64            `json:"reads"`     // confirmed, since the start
 	Forwarded     uint64            `json:"passed"`    // requests forwarded to the leader
-	Snapshots     uint64            `json:"snapshots"` // written here
+	Snapshots     uint64            `json:"snapshots"` // written by this node
 	SentBytes     uint64            `json:"sent_bytes"`
 	SnapshotError string            `json:"trouble,omitempty"`
 	Drops         map[string]uint64 `json:"drops"` // frames, by reason
 }
 
-// Leader returns the leader as far as it is known here; the name is empty if
-// there is none.
+// Leader returns the leader that this node knows, and this node's current term. The
+// name is empty if no leader is known.
 func (n *Node) Leader() (name, addr string, term uint64) {
 	s := n.status.Load()
 	return s.Leader, s.LeaderAddress, s.Term
 }
 
-// Status returns the node's status. It does not wait.
+// Status returns the node's status. It does not wait for the loop.
 func (n *Node) Status() Status {
 	s := *n.status.Load()
 	s.Drops = dropCounts(&n.drops)
--- a/internal/cluster/consensus/storage.go
+++ b/internal/cluster/consensus/storage.go
@@ -21,7 +21,7 @@
 const (
 	fileName          = "accord.db"
 	fileFormatVersion = 1
-	spaceProbeBytes   = 64 << 10 // written to find out whether there is space again
+	spaceProbeBytes   = 64 << 10 // written to test whether there is space again
 )
 
 var (
@@ -42,8 +42,8 @@
 )
 
 // storage is a voter's file: its owner, raft's hard state, the last snapshot and
-// the entries after it. What raft reads back is held in memory as well, bounded
-// by compaction.
+// the entries after it. The snapshot and entries that raft reads are also kept in
+// memory, bounded by compaction.
 type storage struct {
 	*raft.MemoryStorage
 	path      string
@@ -58,8 +58,9 @@
 	return proto.CloneOf(s.hardState), proto.CloneOf(s.confState), nil
 }
 
-// openStorage opens a voter's file. If there is none, it is created with a new
-// seed. Corruption is an error that names the record, and changes nothing.
+// openStorage opens a voter's file. If there is none, it creates one with a new
+// seed. A corrupt file is not modified; the error is a CorruptFileError that names
+// the record.
 func openStorage(dir, name, cluster string) (*storage, error) {
 	s := &storage{
 		MemoryStorage: raft.NewMemoryStorage(),
@@ -75,7 +76,7 @@
 	if s.owner == nil {
 		err = s.create(name, cluster)
 		if err == nil && isNew {
-			err = syncDirectory(dir) // otherwise the file might not survive a power failure
+			err = syncDirectory(dir) // so that the new file survives a power failure
 		}
 	}
 	if err != nil {
@@ -158,8 +159,8 @@
 	return identity
 }
 
-// saveIdentity writes the identity of the cluster that this voter joins, and with
-// it the first snapshot if this voter makes the cluster.
+// saveIdentity writes the identity of the cluster that this voter joins. first is
+// the initial snapshot if this voter creates the cluster, and nil otherwise.
 func (s *storage) saveIdentity(identity wire.Identity, first *raftpb.Snapshot) error {
 	owner := proto.CloneOf(s.owner)
 	owner.Identity = identity[:]
@@ -188,8 +189,9 @@
 	return s.ApplySnapshot(first)
 }
 
-// saveReady writes what raft needs on disk before its messages are sent. A commit
-// index alone waits for the next write: raft learns it again after a restart.
+// saveReady writes the part of raft's output that has to be durable before messages
+// are sent. If only the commit index has changed, nothing is written until the next
+// change: raft learns the index again after a restart.
 func (s *storage) saveReady(ready raft.Ready) error {
 	hardState := s.hardState
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -226,7 +228,7 @@
 	return s.Append(ready.Entries)
 }
 
-// logState returns the log state for a hard state with the log as it is.
+// logState returns a hard state and the position of the log's last entry.
 func (s *storage) logState(hardState *raftpb.HardState) (*wire.LogState, error) {
 	lastIndex, err := s.LastIndex()
 	if err != nil {
@@ -264,7 +266,8 @@
 	return writeRecord(tx, keyLogState, state)
 }
 
-// writeEntries appends entries, and deletes those of a former leader after them.
+// writeEntries writes entries, and deletes all old entries after them, which a
+// former leader has proposed.
 func writeEntries(tx *bbolt.Tx, state *wire.LogState, entries []*raftpb.Entry) error {
 	oldLast := state.LastIndex
 	if err := putEntries(tx, state, entries); err != nil {
@@ -296,8 +299,8 @@
 	return nil
 }
 
-// saveSnapshot replaces the entries up to index by a snapshot. In memory, keep of
-// these entries stay for voters that lag a little.
+// saveSnapshot replaces the entries up to index by a snapshot. The last keep of these
+// entries stay in memory for voters that lag slightly behind.
 func (s *storage) saveSnapshot(index uint64, data []byte, keep uint64) error {
 	term, err := s.Term(index)
 	if err != nil {
@@ -342,7 +345,7 @@
 	return nil
 }
 
-// probeSpace fails if the file can't be written.
+// probeSpace returns an error if spaceProbeBytes can't be written to the file.
 func (s *storage) probeSpace() error {
 	return s.file.Update(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketRecords).Put(keySpaceProbe, make([]byte, spaceProbeBytes))
--- a/internal/cluster/consensus/storage_load.go
+++ b/internal/cluster/consensus/storage_load.go
@@ -20,7 +20,7 @@
 	errBucketMissing = errors.New("half of it is missing")
 )
 
-// load reads and checks the whole file.
+// load reads and validates all records of the file.
 func (s *storage) load(tx *bbolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	log := tx.Bucket(bucketLog)
@@ -55,7 +55,7 @@
 	return s.Append(entries)
 }
 
-// readRecord reports whether there is a record.
+// readRecord decodes the record of a key, and reports whether it exists.
 func readRecord(records *bbolt.Bucket, key []byte, record proto.Message) (bool, error) {
 	value := records.Get(key)
 	if value == nil {
@@ -110,9 +110,8 @@
 	return snapshot, nil
 }
 
-// loadEntries returns the entries after the snapshot. It compares the last one
-// with the log state, as a log whose end is missing, or an older state of it,
-// looks complete by itself.
+// loadEntries returns the entries after the snapshot. It compares the last one with
+// the log state, because a log whose last entries are missing looks valid by itself.
 func (s *storage) loadEntries(
 	log *bbolt.Bucket, snapshot *raftpb.Snapshot, state *wire.LogState,
 ) ([]*raftpb.Entry, error) {
@@ -140,7 +139,8 @@
 	return entries, nil
 }
 
-// decodeEntry returns the entry after the one of lastIndex and lastTerm.
+// decodeEntry decodes and validates the entry that follows the one with lastIndex
+// and lastTerm.
 func decodeEntry(key, value []byte, lastIndex, lastTerm uint64) (*raftpb.Entry, error) {
 	if len(key) != 8 || binary.BigEndian.Uint64(key) != lastIndex+1 {
 		return nil, errEntryMissing
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -14,28 +14,28 @@
 
 const (
 	maxInboundConnections = 1024
-	inboxBytes            = 8 * wire.MaxFrameBytes // of frames that wait for the loop
+	inboxBytes            = 8 * wire.MaxFrameBytes // of frames waiting for the loop
 )
 
 // Timeouts of connections, in ticks.
 const (
-	idleTimeoutTicks     = 30 // without a byte
+	idleTimeoutTicks     = 30 // without a complete frame
 	dialTimeoutTicks     = 10
 	maxBackoffTicks      = 10 // between two dials
-	higherNameDelayTicks = 2  // before the higher name dials, so that the lower name dials first
+	higherNameDelayTicks = 2  // by which the voter with the higher name delays its dials, so that the other dials first
 )
 
-// receivedFrame is a frame and the connection that it came by.
+// receivedFrame is a frame and the connection on which it was received.
 type receivedFrame struct {
 	from  *connection
 	frame wire.Frame
-	bytes int
+	bytes int // of the frame's body
 }
 
-// transport keeps one connection to each other voter, and accepts those of
-// clients. It dials each target to which there is no connection. If two voters
-// dial each other at the same time, the connection dialled by the lower name
-// stays.
+// transport keeps one connection with each other voter, and accepts connections
+// from clients. It dials each target with which there is no connection. If two
+// voters dial each other at the same time, the connection that was dialled by the
+// voter with the lower name is kept.
 type transport struct {
 	name          string
 	clusterDigest uint64
@@ -63,7 +63,7 @@
 	cancel  context.CancelFunc
 }
 
-// advertisement is what a voter reports of itself.
+// advertisement is the identity and the handshake that a voter sends to its peers.
 type advertisement struct {
 	identity  wire.Identity
 	handshake *wire.Handshake
@@ -125,7 +125,7 @@
 	}
 }
 
-// sleep reports whether the time has passed before ctx has ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -135,7 +135,8 @@
 	}
 }
 
-// register reports whether a connection may stay open.
+// register records an open connection. It returns false if the connection has to be
+// closed because the transport is closed or has too many connections.
 func (t *transport) register(conn *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +151,8 @@
 	return true
 }
 
-// setTargets sets the voters, addresses by name, to keep a connection with.
+// setTargets sets the voters to keep connections with. addresses maps names to
+// addresses.
 func (t *transport) setTargets(addresses map[string]string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,7 +172,8 @@
 	}
 }
 
-// keepConnected dials a voter whenever there is no connection with it.
+// keepConnected dials a voter whenever there is no connection with it, until ctx
+// ends.
 func (t *transport) keepConnected(ctx context.Context, name, address string) {
 	delay := t.initialDelay(name)
 	if t.name > name && !sleepWithJitter(ctx, delay) {
@@ -189,7 +192,7 @@
 			t.dialAndServe(ctx, name, address)
 			delay = min(2*delay, maxBackoffTicks*t.tick)
 			if time.Since(began) > t.idleTimeout() {
-				delay = t.tick // the connection has worked for a while
+				delay = t.tick // the connection has worked, so the backoff starts again
 			}
 		}
 		if ctx.Err() != nil || !sleepWithJitter(ctx, delay) {
@@ -209,7 +212,7 @@
 	return sleep(ctx, d+rand.N(d/2+1))
 }
 
-// dialAndServe serves a connection to a voter until it is closed.
+// dialAndServe dials a voter and serves the connection until it is closed.
 func (t *transport) dialAndServe(ctx context.Context, name, address string) {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeoutTicks*t.tick)
 	dialled, err := t.dial(dialCtx, address)
@@ -225,8 +228,9 @@
 	t.serve(conn, name)
 }
 
-// serve reads a connection until it is closed. recipient is the voter that was
-// dialled, if any.
+// serve sends the opening handshake, then reads frames until the connection is
+// closed. recipient is the name of the dialled voter, empty if the connection was
+// accepted.
 func (t *transport) serve(conn *connection, recipient string) {
 	defer t.unregister(conn)
 	own := t.advertised.Load()
@@ -263,8 +267,8 @@
 	}
 }
 
-// receive checks a frame by its sender and queues it for the loop. It reports
-// whether the connection may stay open.
+// receive checks that the sender may send a frame, and queues the frame for the
+// loop. It reports whether the connection may stay open.
 func (t *transport) receive(conn *connection, recipient string, received receivedFrame) bool {
 	frame := received.frame
 	identity := t.advertised.Load().identity
@@ -276,7 +280,7 @@
 		return false
 	}
 	if frame.Handshake != nil && !conn.remote.Voter {
-		return true // a client reports nothing but its name
+		return true // a client's handshake has no further use than its name
 	}
 	if reason := t.checkSender(conn, frame, identity); reason != "" {
 		t.drops.Add(reason)
@@ -292,7 +296,8 @@
 	return true
 }
 
-// acceptHandshake checks the first frame of a connection, which has to be a handshake.
+// acceptHandshake checks the first frame of a connection, which has to be a
+// handshake. It reports whether the connection may stay open.
 func (t *transport) acceptHandshake(conn *connection, recipient string, handshake *wire.Handshake) bool {
 	switch {
 	case handshake == nil || handshake.Name == t.name:
@@ -307,14 +312,16 @@
 	return !handshake.Voter || t.registerVoter(conn)
 }
 
-// checkSender returns the reason to drop a frame, empty if there is none.
+// checkSender returns the reason for dropping a frame, or "" if the sender may send
+// it.
 func (t *transport) checkSender(conn *connection, frame wire.Frame, identity wire.Identity) string {
 	remote := conn.remote
 	switch {
 	case frame.Handshake != nil && frame.Handshake.Name == remote.Name:
 		return ""
 	case frame.Raft != nil:
-		// A voter that was away may not know the newer members, so the identity decides.
+		// A voter that was down may not know members that were added meanwhile, so the
+		// sender needs the cluster's identity but need not be a known member.
 		if frame.Identity.IsZero() || !remote.Voter || frame.Raft.GetFrom() != wire.NodeID(remote.Name) ||
 			frame.Raft.GetTo() != wire.NodeID(t.name) {
 			return dropUnknownSender
@@ -329,7 +336,7 @@
 	return dropUnknownSender
 }
 
-// enqueue reports whether there was space in the inbox.
+// enqueue adds a frame to the inbox. It returns false if the inbox is full.
 func (t *transport) enqueue(received receivedFrame) bool {
 	size := int64(received.bytes)
 	if t.queuedBytes.Add(size) <= inboxBytes {
@@ -343,8 +350,8 @@
 	return false
 }
 
-// registerVoter makes conn the one connection with its voter, and reports whether it
-// may be that.
+// registerVoter makes conn the only connection with its voter. It returns false if
+// the existing connection takes precedence.
 func (t *transport) registerVoter(conn *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -352,9 +359,9 @@
 	if existing := t.voterConnections[name]; existing != nil {
 		isLowerName := t.name < name
 		if existing.outbound == isLowerName && conn.outbound != isLowerName {
-			return false // the existing one was dialled by the lower name, this one by the higher
+			return false // existing was dialled by the lower name, conn by the higher
 		}
-		existing.close() // or its dialler has dialled again, and knows that it is dead
+		existing.close() // conn takes precedence, or the same voter has dialled again because existing failed
 	}
 	t.voterConnections[name] = conn
 	return true
--- a/internal/cluster/consensus/voterchange.go
+++ b/internal/cluster/consensus/voterchange.go
@@ -10,7 +10,7 @@
 	"example.org/bellstream/internal/cluster/consensus/wire"
 )
 
-// voterChange is a change of voters that is in progress. raft makes one at a time.
+// voterChange is a change of voters in progress. raft allows one at a time.
 type voterChange struct {
 	kind         raftpb.ConfChangeType
 	member       *wire.Member
@@ -21,7 +21,8 @@
 
 func (c *voterChange) proposed() bool { return c.sequence != 0 }
 
-// changeVoters starts a change to the given voters, addresses by name.
+// changeVoters starts a change to the given voters, a map of names to addresses, and
+// passes the result to done.
 func (l *loop) changeVoters(voters map[string]string, done func(error)) {
 	change, err := l.planVoterChange(voters)
 	if err != nil || change == nil {
@@ -37,7 +38,8 @@
 	l.proposeVoterChange()
 }
 
-// planVoterChange returns the change to make, or nil if there is none.
+// planVoterChange returns the change to make, or nil if the voters are already the
+// given ones.
 func (l *loop) planVoterChange(voters map[string]string) (*voterChange, error) {
 	if err := l.checkLeader(); err != nil {
 		return nil, err
@@ -58,7 +60,7 @@
 	return changes[0], nil
 }
 
-// voterDifference returns all changes between the members and the given voters.
+// voterDifference returns the changes that turn the members into the given voters.
 func (l *loop) voterDifference(voters map[string]string) ([]*voterChange, error) {
 	if len(voters) == 0 || len(voters) > MaxVoters {
 		return nil, &ChangeRejectedError{"there have to be 1 to 32 voters"}
@@ -100,9 +102,9 @@
 	return nil
 }
 
-// proposeVoterChange gives raft the change in progress once it can be. raft
-// accepts no change before this leader has applied an entry of its own term, and
-// drops it silently otherwise.
+// proposeVoterChange proposes the change in progress as soon as it can take effect:
+// raft silently drops a change before this leader has applied an entry of its own
+// term, and a new voter has to be ready.
 func (l *loop) proposeVoterChange() {
 	change := l.pending.voterChange
 	if change == nil || change.proposed() || l.applied.term != l.leaderTerm {
@@ -119,8 +121,9 @@
 	}
 }
 
-// newVoterReady reports whether a new voter has responded, and notes its seed. A
-// voter that is down would only raise the majority that the others have to reach.
+// newVoterReady reports whether a new voter has responded, and stores its seed in the
+// change. Adding a voter that is down would only increase the majority that the
+// others have to reach. A new voter whose file has an identity is rejected.
 func (l *loop) newVoterReady(change *voterChange) bool {
 	peer, known := l.peers[change.member.Name]
 	if !known || l.node.transport.connectionTo(change.member.Name) == nil {
--- a/internal/cluster/consensus/wire/frame.go
+++ b/internal/cluster/consensus/wire/frame.go
@@ -21,8 +21,9 @@
 	Ping      *Ping
 }
 
-// Encode returns a frame as bytes with its header, or nil if the frame has no
-// encoding: it is larger than MaxFrameBytes, or has a string that is not UTF-8.
+// Encode returns a frame as bytes with its header. cluster is the digest of the
+// cluster's name. The result is nil if the frame can't be encoded: it is larger than
+// MaxFrameBytes, or has a string that is not UTF-8.
 func Encode(cluster uint64, f Frame) []byte {
 	envelope := &Envelope{
 		ProtocolVersion:  ProtocolVersion,
@@ -61,13 +62,14 @@
 	return frame
 }
 
-// Decode decodes and validates an encoded frame.
+// Decode decodes and validates an encoded frame. Errors are those of ReadFrame.
 func Decode(cluster uint64, encoded []byte) (Frame, error) {
 	frame, _, err := ReadFrame(bytes.NewReader(encoded), cluster)
 	return frame, err
 }
 
-// ReadFrame reads, decodes and validates a frame. size is that of its body.
+// ReadFrame reads, decodes and validates a frame. size is the size of its body, in
+// bytes. Errors are those of r and of this package.
 func ReadFrame(r io.Reader, cluster uint64) (frame Frame, size int, err error) {
 	header, err := peerconn.ReadHeader(r)
 	if err != nil {
@@ -107,8 +109,8 @@
 	return f, nil
 }
 
-// decodeBody reports whether the body is valid. A kind of body that a newer
-// build has added is not.
+// decodeBody sets f to the body and reports whether it is valid. A body of an
+// unknown kind, which a newer build may have added, is not.
 func (f *Frame) decodeBody(envelope *Envelope) bool {
 	switch body := envelope.Body.(type) {
 	case *Envelope_Handshake:
--- a/internal/cluster/consensus/wire/identity.go
+++ b/internal/cluster/consensus/wire/identity.go
@@ -12,13 +12,13 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Identity distinguishes clusters that may have the same name. The zero value
-// means none.
+// Identity distinguishes clusters that may have the same name. The zero value means
+// that there is no identity.
 type Identity [16]byte
 
 func (i Identity) String() string { return fmt.Sprintf("%x", i[:]) }
 
-// IsZero reports whether there is no identity.
+// IsZero reports whether i is the zero value.
 func (i Identity) IsZero() bool { return i == Identity{} }
 
 // ClusterDigest returns the digest of a cluster's name.
@@ -33,7 +33,8 @@
 	return id
 }
 
-// VoterSetDigest returns the digest of a set of names.
+// VoterSetDigest returns the digest of a set of names. It does not depend on their
+// order.
 func VoterSetDigest(names []string) uint64 {
 	d := xxhash.New()
 	for _, name := range slices.Sorted(slices.Values(names)) {
@@ -61,7 +62,7 @@
 	return identity
 }
 
-// SortByName returns the members in the order of their names.
+// SortByName returns a new slice with the members sorted by name.
 func SortByName(members []*Member) []*Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b *Member) int {
 		return cmp.Compare(a.Name, b.Name)
--- a/internal/cluster/consensus/wire/records.go
+++ b/internal/cluster/consensus/wire/records.go
@@ -17,8 +17,8 @@
 	return append(buffer, data...)
 }
 
-// DecodeProposal is the inverse of EncodeProposal. ok is false for an entry
-// without a proposal, with which each leader's term begins.
+// DecodeProposal is the inverse of EncodeProposal. ok is false for an entry without
+// a proposal, such as the empty entry at the beginning of each leader's term.
 func DecodeProposal(entry []byte) (incarnation, sequence uint64, data []byte, ok bool) {
 	if len(entry) < ProposalHeaderLen {
 		return 0, 0, nil, false
@@ -28,8 +28,8 @@
 	return incarnation, sequence, entry[ProposalHeaderLen:], true
 }
 
-// DecodeVoterChange returns the change of voters that an entry holds; both
-// results are nil if it holds none.
+// DecodeVoterChange returns the change of voters that an entry holds; both results
+// are nil if it holds none. It returns ErrMalformed for an invalid entry.
 func DecodeVoterChange(entry *raftpb.Entry) (*raftpb.ConfChange, *VoterChange, error) {
 	switch entry.GetType() {
 	case raftpb.EntryNormal:
@@ -63,8 +63,9 @@
 	return nil, nil, ErrMalformed
 }
 
-// DecodeSnapshotState returns the content of a snapshot. Its members are exactly
-// the voters in the snapshot's metadata.
+// DecodeSnapshotState returns the content of a snapshot. It returns ErrMalformed if
+// the content is invalid, or its members are not exactly the voters in the
+// snapshot's metadata.
 func DecodeSnapshotState(snapshot *raftpb.Snapshot) (*SnapshotState, error) {
 	state := &SnapshotState{}
 	if proto.Unmarshal(snapshot.GetData(), state) != nil {
@@ -79,8 +80,9 @@
 	return state, nil
 }
 
-// matchesVoters reports whether the members, at least one and each of them once,
-// are the voters of a configuration that has nobody else.
+// matchesVoters reports whether members has each voter of conf exactly once and
+// nothing else, there is at least one, and conf has no learners and no outgoing
+// voters.
 func matchesVoters(members []*Member, conf *raftpb.ConfState) bool {
 	if len(members) == 0 {
 		return false
--- a/internal/cluster/consensus/wire/validate.go
+++ b/internal/cluster/consensus/wire/validate.go
@@ -38,8 +38,8 @@
 	return true
 }
 
-// validRaftMessage reports whether raft may be given m: its state machine takes
-// the shape of its input for granted, and panics otherwise.
+// validRaftMessage reports whether m may be passed to raft, whose state machine
+// does not validate its input and panics on malformed messages.
 func validRaftMessage(m *raftpb.Message) bool {
 	if m.GetTerm() == 0 || len(m.Responses) > 0 || len(m.GetContext()) > maxContextBytes {
 		return false
@@ -53,7 +53,7 @@
 	case raftpb.MsgSnap:
 		return validSnapshot(m) && len(m.Entries) == 0
 	}
-	// The rest are local to a node, or never sent here: proposals and reads are not forwarded.
+	// All other types are local to a node or unused, as proposals and reads are not forwarded.
 	return false
 }
 
@@ -72,8 +72,8 @@
 	return err == nil
 }
 
-// validEntries reports whether the entries follow the message's index without
-// gaps, in terms that never decrease, within the limits.
+// validEntries reports whether the entries follow the message's index without gaps,
+// their terms never decrease, and their sizes are within the limits.
 func validEntries(m *raftpb.Message) bool {
 	size := 0
 	term := m.GetLogTerm()
--- a/internal/cluster/consensus/wire/wire.go
+++ b/internal/cluster/consensus/wire/wire.go
@@ -1,10 +1,10 @@
 // Package wire encodes and decodes the messages between voters, and between
-// instances and voters. Whatever comes from outside is validated here: decoded
-// messages are within the limits below, and raft is given no message whose shape
-// would make its state machine panic.
+// instances and voters. It validates all received data: decoded messages are within
+// the limits below, and malformed raft messages, on which raft's state machine would
+// panic, are rejected.
 //
-// The body of a frame is an [Envelope]; package peerconn puts length and checksum
-// before it.
+// The body of a frame is an [Envelope]; package peerconn adds a header with its
+// length and checksum.
 package wire
 
 import (
@@ -18,16 +18,16 @@
 // Versions of the protocol.
 const (
 	ProtocolVersion  = 1 // of this build
-	MinReaderVersion = 1 // the lowest that reads what this build writes
+	MinReaderVersion = 1 // the lowest version that can read what this build writes
 )
 
 // Sizes of fixed parts, in bytes.
 const (
-	ProposalHeaderLen = 16 // of a proposal: incarnation and sequence of its proposer
+	ProposalHeaderLen = 16 // of a proposal: its proposer's incarnation and sequence number
 	SeedLen           = 16 // of a member
 )
 
-// Limits of what is read.
+// Limits of decoded messages. Names with Bytes are in bytes, the others are counts.
 const (
 	MaxProposalBytes     = 1 << 20
 	MaxPayloadBytes      = 4 << 20 // of a request or a response
@@ -40,7 +40,7 @@
 	maxContextBytes      = 64   // of a raft message
 )
 
-// Reasons for which a frame is dropped. Their texts are values of a metric's label.
+// Reasons for dropping a frame. Their texts are values of a metric's label.
 var (
 	ErrChecksum           = peerconn.ErrChecksum
 	ErrMalformed          = errors.New("garbled")
