--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkPropose has concurrent proposals of 300 bytes, on TCP over loopback; the
-// voters' files share one disk.
+// BenchmarkPropose measures concurrent proposals of 300 bytes over TCP on the
+// loopback interface. All voters' files are on one disk.
 func BenchmarkPropose(b *testing.B) {
 	for _, voters := range []int{3, 7} {
 		for _, callers := range []int{1, 32, 256} {
@@ -23,6 +23,7 @@
 	}
 }
 
+// BenchmarkRead measures concurrent calls of ReadIndex.
 func BenchmarkRead(b *testing.B) {
 	for _, voters := range []int{3, 7} {
 		for _, callers := range []int{1, 256} {
@@ -44,7 +45,8 @@
 	return startTCPVoters(b, names, Options{Cluster: "bench"}).propose(b.Context(), b, "first")
 }
 
-// runCallers has callers do b.N operations, and reports their rate and latency.
+// runCallers runs b.N operations on the given number of concurrent callers, and
+// reports their rate and latency.
 func runCallers(b *testing.B, callers int, op func() error) {
 	latencies := make([]time.Duration, b.N)
 	var wg sync.WaitGroup
--- a/internal/cluster/consensus/cluster_test.go
+++ b/internal/cluster/consensus/cluster_test.go
@@ -17,7 +17,7 @@
 
 const tick = 100 * time.Millisecond
 
-// testCluster is a cluster in one synctest bubble.
+// testCluster is a cluster in a synctest bubble.
 type testCluster struct {
 	t          *testing.T
 	network    *memoryNetwork
@@ -29,7 +29,7 @@
 	mu         sync.Mutex
 }
 
-// withCluster runs f with the named voters started.
+// withCluster runs f on a cluster of the named voters, which it starts before.
 func withCluster(t *testing.T, names string, configure func(*Options), f func(c *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// start starts the named voters of a cluster of all.
+// start starts the named voters; all lists the voters in their options.
 func (c *testCluster) start(names, all string) {
 	c.t.Helper()
 	for name := range strings.FieldsSeq(names) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// waitFor waits for a condition in the bubble's time.
+// waitFor waits at most 60 s, in the bubble's time, until ok returns true.
 func (c *testCluster) waitFor(condition string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(tick / 2) {
@@ -119,7 +119,7 @@
 			for name, n := range c.nodes {
 				c.t.Logf("%s: %+v", name, n.Status())
 			}
-			c.t.Fatalf("waited for %s", condition)
+			c.t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
@@ -152,31 +152,32 @@
 func (c *testCluster) propose(n *Node, value string) {
 	c.t.Helper()
 	if err := n.Propose(c.context(), []byte(value)); err != nil {
-		c.t.Fatalf("%s proposes %s: %v", n.options.Name, value, err)
+		c.t.Fatalf("proposal by %s of %s: got %v, want no error", n.options.Name, value, err)
 	}
 }
 
 // waitForValue waits until all named voters have the value.
 func (c *testCluster) waitForValue(names, value string) {
 	c.t.Helper()
-	c.waitFor(names+" having "+value, func() bool {
+	c.waitFor(names+" to have the value "+value, func() bool {
 		return !slices.ContainsFunc(strings.Fields(names), func(name string) bool { return c.registers[name].get() != value })
 	})
 }
 
-// without returns the names but one.
+// without returns the names except one.
 func without(names, excluded string) string {
 	return strings.Join(slices.DeleteFunc(strings.Fields(names), func(s string) bool { return s == excluded }), " ")
 }
 
-// runAndWait runs f on the loop's goroutine.
+// runAndWait runs f on the loop's goroutine and waits for its end.
 func (n *Node) runAndWait(f func()) {
 	done := make(chan struct{})
 	n.calls <- func() { f(); close(done) }
 	<-done
 }
 
-// failCommits makes commits of a node's file fail at their end, until restore is called.
+// failCommits makes commits of a node's file fail with err after their changes are
+// made, until restore is called.
 func (n *Node) failCommits(err error) (restore func()) {
 	f := n.loop.storage.file
 	commit := f.Commit
--- a/internal/cluster/consensus/faults_test.go
+++ b/internal/cluster/consensus/faults_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// leaderLossBound is the time within which operations fail without a majority.
+// leaderLossBound is the longest time after which operations fail without a majority.
 const leaderLossBound = (2*electionTicks + 1) * tick
 
-// On the side of a partition without a majority, operations fail in time; the
-// other side goes on, and the first catches up once the partition is healed.
+// In the minority part of a partition, operations fail within leaderLossBound. The
+// majority part accepts proposals, and the minority catches up once the partition
+// is healed.
 func TestPartition(t *testing.T) {
 	for _, names := range []string{"a b c", "a b c d e"} {
 		t.Run(names, func(t *testing.T) {
@@ -35,10 +36,10 @@
 					began := time.Now()
 					var noQuorum *NoQuorumError
 					if err := operation(); !errors.As(err, &noQuorum) {
-						t.Errorf("without a majority: %v", err)
+						t.Errorf("operation without a majority: got %v, want NoQuorumError", err)
 					}
 					if elapsed := time.Since(began); elapsed > leaderLossBound {
-						t.Errorf("failed after %v, at most %v", elapsed, leaderLossBound)
+						t.Errorf("operation failed after %v, want at most %v", elapsed, leaderLossBound)
 					}
 				}
 				c.propose(c.waitForLeader(majority), "two")
@@ -55,8 +56,8 @@
 	}
 }
 
-// A leader that receives nothing steps down, although the others receive its
-// messages.
+// A leader that receives no messages steps down, although the other voters receive
+// its messages.
 func TestOneWayPartition(t *testing.T) {
 	names := "a b c"
 	withCluster(t, names, nil, func(c *testCluster) {
@@ -85,24 +86,25 @@
 		time.Sleep(leaderLossBound)
 		var noQuorum *NoQuorumError
 		if err := leader.Propose(c.context(), []byte("lost")); !errors.As(err, &noQuorum) || noQuorum.OutcomeUnknown {
-			t.Errorf("without a majority: %v", err)
+			t.Errorf("proposal without a majority: got %v, want NoQuorumError with a known outcome", err)
 		}
 		c.start(stopped, names)
 		c.propose(c.waitForLeader(names), "two")
 		c.waitForValue(names, "two")
-		c.stop(names) // and all at once
+		c.stop(names) // all voters at once
 		c.start(names, names)
 		if leader = c.waitForLeader(names); c.registers[leader.options.Name].get() != "two" {
 			if _, _, err := leader.ReadIndex(c.context()); err != nil || c.registers[leader.options.Name].get() != "two" {
-				t.Errorf("after a restart of all: %q, %v", c.registers[leader.options.Name].get(), err)
+				t.Errorf("after a restart of all voters: got value %q, error %v, want \"two\"",
+					c.registers[leader.options.Name].get(), err)
 			}
 		}
 	})
 }
 
-// A leader is paused with a proposal and a read in its queue, and resumes when
-// another one leads: both operations fail, whether it reaches the others at once
-// or is still partitioned.
+// A leader is paused with a proposal and a read in its queue, and resumes after
+// another voter has become the leader. Both operations fail, whether the old leader
+// is connected or partitioned when it resumes.
 func TestPausedLeaderConfirmsNothing(t *testing.T) {
 	names := "a b c"
 	for _, partitioned := range []bool{false, true} {
@@ -132,7 +134,8 @@
 			for range 2 {
 				err := <-got
 				if !errors.As(err, new(*NoQuorumError)) && !errors.As(err, new(*NotLeaderError)) || time.Since(began) > leaderLossBound {
-					t.Errorf("%v after it resumed: %v", time.Since(began), err)
+					t.Errorf("%v after the old leader resumed: got %v, want NoQuorumError or NotLeaderError within leaderLossBound",
+						time.Since(began), err)
 				}
 			}
 			c.network.partition(false, []string{old.options.Name}, strings.Fields(majority))
@@ -141,14 +144,14 @@
 			defer c.mu.Unlock()
 			changes := strings.Fields(c.leadership[old.options.Name])
 			if len(changes) < 2 || "-"+changes[0][1:] != changes[1] {
-				t.Errorf("changes of leadership: %v", changes)
+				t.Errorf("got changes of leadership %v, want the first to be reverted by the second", changes)
 			}
 		})
 	}
 }
 
-// proposeContinuously proposes at any voter until stop is closed, and returns the
-// number of committed proposals.
+// proposeContinuously proposes to the voters in turn until stop is closed, and
+// returns the number of committed proposals.
 func (c *testCluster) proposeContinuously(stop <-chan struct{}) int {
 	committed := 0
 	for i := 0; ; i++ {
@@ -169,10 +172,10 @@
 	}
 }
 
-// changeVoters changes the voters at whichever of the current ones leads.
+// changeVoters changes the voters to next, by the one of the current voters that leads.
 func (c *testCluster) changeVoters(current, next string) {
 	c.t.Helper()
-	c.waitFor("voters "+next, func() bool {
+	c.waitFor("a change to the voters "+next, func() bool {
 		for name := range strings.FieldsSeq(current) {
 			node := c.nodes[name]
 			if node != nil && node.ChangeVoters(c.context(), addresses(next)) == nil {
@@ -190,18 +193,18 @@
 	c.mu.Lock()
 	c.start(added, both)
 	c.mu.Unlock()
-	c.waitFor(added+" not being a member", func() bool { return c.nodes[added].Status().State == StateNotMember })
+	c.waitFor(added+" to be no member", func() bool { return c.nodes[added].Status().State == StateNotMember })
 	c.changeVoters(current, both)
 	next := without(both, removed)
 	c.changeVoters(both, next)
-	c.waitFor(removed+" being removed", func() bool { return c.nodes[removed].Status().State == StateRemoved })
+	c.waitFor(removed+" to be removed", func() bool { return c.nodes[removed].Status().State == StateRemoved })
 	c.mu.Lock()
 	c.stop(removed)
 	c.mu.Unlock()
 	return next
 }
 
-// All voters are replaced one by one while proposals go on.
+// All voters are replaced one by one while proposals are made continuously.
 func TestReplaceVotersUnderLoad(t *testing.T) {
 	withCluster(t, "a b c", nil, func(c *testCluster) {
 		voters := "a b c"
@@ -219,33 +222,34 @@
 		c.waitForValue(voters, "last")
 		count := c.registers["d"].count
 		if committed < 20 || count < committed+1 || c.registers["f"].count != count {
-			t.Errorf("%d committed, %d and %d applied", committed, count, c.registers["f"].count)
+			t.Errorf("got %d proposals committed, %d applied by d and %d by f", committed, count, c.registers["f"].count)
 		}
 		checkInvalidVoterChanges(t, c, leader)
-		c.start("a", "a b c") // with its old file and its old settings
-		c.waitFor("a to find that it was removed", func() bool { return c.nodes["a"].Status().State == StateRemoved })
+		c.start("a", "a b c") // with its old file and options
+		c.waitFor("a to learn that it was removed", func() bool { return c.nodes["a"].Status().State == StateRemoved })
 	})
 }
 
-// checkInvalidVoterChanges has a leader of the voters d, e and f reject changes.
+// checkInvalidVoterChanges checks that the leader of the voters d, e and f rejects
+// invalid changes.
 func checkInvalidVoterChanges(t *testing.T, c *testCluster, leader *Node) {
 	t.Helper()
 	err := leader.ChangeVoters(c.context(), addresses("d e f a"))
 	if err == nil || !strings.Contains(err.Error(), "was one before") {
-		t.Errorf("a former voter again: %v", err)
+		t.Errorf("adding a former voter: got %v, want a rejection", err)
 	}
 	err = leader.ChangeVoters(c.context(), addresses("d g"))
 	if err == nil || !strings.Contains(err.Error(), "at a time") {
-		t.Errorf("three changes at once: %v", err)
+		t.Errorf("three changes at once: got %v, want a rejection", err)
 	}
 	err = leader.ChangeVoters(c.context(), addresses("d e f g"))
 	if !errors.As(err, new(*UnreachableError)) {
-		t.Errorf("a voter that is not there: %v", err)
+		t.Errorf("adding a voter that is not running: got %v, want UnreachableError", err)
 	}
 }
 
 // A voter that lags behind the compacted log gets a snapshot, even if the first
-// ones are lost on their way.
+// large messages to it are corrupted in transit.
 func TestSnapshotCatchesUpLaggingVoter(t *testing.T) {
 	names, big := "a b c", strings.Repeat("x", 3000)
 	withCluster(t, names, func(o *Options) { o.SnapshotCount = 16 }, func(c *testCluster) {
@@ -258,7 +262,7 @@
 			c.propose(leader, fmt.Sprint(big, i))
 		}
 		if s := leader.Status(); s.Snapshots < 4 {
-			t.Errorf("%d snapshots for 100 entries", s.Snapshots)
+			t.Errorf("got %d snapshots for 100 entries, want at least 4", s.Snapshots)
 		}
 		c.network.mu.Lock()
 		c.network.corruptions = 3
@@ -269,10 +273,10 @@
 		left := c.network.corruptions
 		c.network.mu.Unlock()
 		if left > 0 {
-			t.Error("no message was corrupted")
+			t.Error("not all corruptions were injected")
 		}
 		if r := c.registers[lagging]; r.count != 101 {
-			t.Errorf("%d entries in its state", r.count)
+			t.Errorf("state of the lagging voter: got %d entries, want 101", r.count)
 		}
 		c.stop(names)
 		c.start(names, names) // from snapshots
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -52,7 +52,7 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Type: kind.Enum(), Data: data}
 }
 
-// goldenEntries are a proposal, a leader's first entry and a change of voters.
+// goldenEntries returns two proposals, a leader's first entry and a change of voters.
 func goldenEntries() []*raftpb.Entry {
 	context, _ := proto.Marshal(&wire.VoterChange{Incarnation: 0x1112131415161718, Sequence: 19,
 		Member: &wire.Member{Name: "voter-c", Address: "10.0.0.3:7002", Seed: sequentialSeed(0x70)}})
@@ -65,8 +65,9 @@
 	}
 }
 
-// writeGoldenFile makes a voter's file: it joins a cluster, takes four entries,
-// drops a fifth of a former leader, and replaces the first two by a snapshot.
+// writeGoldenFile writes a voter's file: the voter joins a cluster, replaces two
+// entries of a former leader by new ones, and replaces the first two of its four
+// entries by a snapshot.
 func writeGoldenFile(t *testing.T, dir string) {
 	t.Helper()
 	store, err := openStorage(dir, goldenName, goldenCluster)
@@ -74,7 +75,7 @@
 		t.Fatal(err)
 	}
 	defer store.close()
-	store.owner.Seed = sequentialSeed(0x10) // in place of a random one
+	store.owner.Seed = sequentialSeed(0x10) // instead of a random seed
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -98,7 +99,8 @@
 	must(store.probeSpace())
 }
 
-// dumpFile is what a file holds: buckets, keys and values. Pages are the library's own.
+// dumpFile returns a listing of a file's buckets, keys and values. It leaves out the
+// page layout, which depends on the database library.
 func dumpFile(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -137,7 +139,8 @@
 	}
 }
 
-// TestGoldenFile pins a voter's file: log, snapshot, hard state and identity.
+// TestGoldenFile checks the format of a voter's file: log, snapshot, hard state and
+// identity.
 func TestGoldenFile(t *testing.T) {
 	goldenPath := filepath.Join("testdata", "golden", "accord.db")
 	listing := filepath.Join("testdata", "golden", "accord.txt")
@@ -163,7 +166,7 @@
 	old := t.TempDir()
 	copyFile(t, filepath.Join(old, "accord.db"), goldenPath)
 	if got := dumpFile(t, filepath.Join(old, "accord.db")); got != string(want) {
-		t.Errorf("the file holds\n%s\nwant\n%s", got, want)
+		t.Errorf("content of the golden file: got\n%s\nwant\n%s", got, want)
 	}
 	store, err := openStorage(old, goldenName, goldenCluster)
 	if err != nil {
@@ -172,29 +175,30 @@
 	defer store.close()
 	wantOwner := &wire.FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: sequentialSeed(0x10), Identity: sequentialSeed(0xa0)}
 	if !proto.Equal(store.owner, wantOwner) {
-		t.Errorf("self: %v", store.owner)
+		t.Errorf("file owner: got %v", store.owner)
 	}
 	hard, conf, _ := store.InitialState()
 	if hard.GetTerm() != 4 || hard.GetVote() != wire.NodeID("voter-a") || hard.GetCommit() != 4 {
-		t.Errorf("hard state: %v", hard)
+		t.Errorf("hard state: got %v", hard)
 	}
 	snap, err := store.Snapshot()
 	if err != nil || string(snap.GetData()) != string(goldenSnapshotData("after two entries")) || snap.GetMetadata().GetIndex() != 3 ||
 		snap.GetMetadata().GetTerm() != 3 || !proto.Equal(raftpb.EnsureConfState(conf), goldenConfState()) {
-		t.Errorf("snapshot: %v, %v, %v", snap, conf, err)
+		t.Errorf("snapshot: got %v, configuration %v, error %v", snap, conf, err)
 	}
 	list, err := store.Entries(4, 6, 1<<30)
 	if err != nil || len(list) != 2 {
-		t.Fatalf("entries: %v, %v", list, err)
+		t.Fatalf("entries 4 and 5: got %v, error %v", list, err)
 	}
 	for i, e := range goldenEntries()[2:] {
 		if !proto.Equal(list[i], e) {
-			t.Errorf("entry %d: %v, want %v", e.GetIndex(), list[i], e)
+			t.Errorf("entry %d: got %v, want %v", e.GetIndex(), list[i], e)
 		}
 	}
 }
 
-// TestGoldenStatus pins the names and values in what operators are shown as JSON.
+// TestGoldenStatus checks the names and values of the status as JSON, which operators
+// use.
 func TestGoldenStatus(t *testing.T) {
 	s := Status{
 		Name: "voter-a", Cluster: "east", Identity: "a0a1", State: StateVoting, Reason: "why", IsLeader: true, Leader: "voter-b",
@@ -219,7 +223,7 @@
 	if string(raw) != string(want) {
 		t.Errorf("got\n%s\nwant\n%s", raw, want)
 	}
-	// The reasons of drops are labels of a metric.
+	// The reasons for dropping frames are label values of a metric.
 	reasons := []string{dropOutboxFull, dropInboxFull, dropWrongIdentity, dropUnknownSender, dropWrongRecipient, dropNotVoting, dropTooManyConnections, dropLateResponse}
 	for _, err := range []error{wire.ErrChecksum, wire.ErrMalformed, wire.ErrWrongCluster, wire.ErrUnsupportedVersion, wire.ErrTooLarge} {
 		reasons = append(reasons, err.Error())
@@ -227,6 +231,6 @@
 	const labels = "outbox full|inbox full|of another identity|sender unknown|meant for another voter|does not vote here|" +
 		"too many connections|answer too late|damaged on the way|garbled|of another cluster|needs a newer build|too large"
 	if got := strings.Join(reasons, "|"); got != labels {
-		t.Errorf("reasons of drops: %s", got)
+		t.Errorf("reasons for dropping frames: got %s", got)
 	}
 }
--- a/internal/cluster/consensus/history_test.go
+++ b/internal/cluster/consensus/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation sets the replicated value, or reads it.
+// operation is a write of the replicated value, or a read.
 type operation struct {
 	value string // to set; empty for a read
 }
@@ -31,8 +31,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v -> %v", in, out) },
 }
 
-// Proposals and reads at any voter are linearizable under partitions, pauses,
-// restarts, full disks and delays at random moments.
+// Proposals and reads through any voter are linearizable under random partitions,
+// pauses, restarts, full disks and delays.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	done, unknown, seeds := 0, 0, uint64(4)
 	if os.Getenv("BELLSTREAM_MODEL") == "full" {
@@ -44,25 +44,26 @@
 			withCluster(t, names, func(o *Options) { o.SnapshotCount = 20 }, func(c *testCluster) {
 				ops, pending := runHistory(c, names, seed)
 				if r, _ := porcupine.CheckOperationsVerbose(registerModel, ops, 0); r != porcupine.Ok {
-					t.Errorf("not linearizable, seed %d: %v", seed, ops)
+					t.Errorf("seed %d: the history is not linearizable: %v", seed, ops)
 				}
 				done += len(ops)
 				unknown += pending
 			})
 		})
 	}
-	t.Logf("%d operations, %d of them of unknown outcome", done, unknown)
+	t.Logf("%d operations, %d of them with unknown outcome", done, unknown)
 	if done-unknown < 400 {
-		t.Error("hardly any operation succeeded")
+		t.Error("fewer than 400 operations succeeded")
 	}
 }
 
-// unknownReturn is the end of an operation whose outcome is unknown.
+// unknownReturn is the return time of an operation whose outcome is unknown.
 const unknownReturn = int64(1 << 62)
 
 const historyCallers = 4
 
-// history runs operations and faults on a cluster, and records what callers saw.
+// history runs operations and faults on a cluster, and records the results that
+// callers observed.
 type history struct {
 	cluster *testCluster
 	names   string
@@ -70,13 +71,13 @@
 	seed    uint64
 	began   time.Time
 
-	mu      sync.Mutex // of the following, and of the cluster's nodes
+	mu      sync.Mutex // guards the following fields, and the cluster's nodes
 	ops     []porcupine.Operation
 	pending int // proposals of unknown outcome
 }
 
-// runHistory runs operations under faults, and returns what the callers saw and
-// how many proposals have an unknown outcome.
+// runHistory runs operations under faults. It returns the operations with their
+// results, and the number of proposals with unknown outcome.
 func runHistory(c *testCluster, names string, seed uint64) (ops []porcupine.Operation, pending int) {
 	h := &history{cluster: c, names: names, voters: strings.Fields(names), seed: seed, began: time.Now()}
 	stop := make(chan struct{})
@@ -139,7 +140,8 @@
 	case err == nil:
 		h.ops = append(h.ops, op)
 	case input.value != "" && mayBeCommitted(err):
-		// A caller does one operation at a time, so a pending one is another client's.
+		// A client has one operation at a time, so a pending one is recorded as that of
+		// a client of its own.
 		op.ClientId = historyCallers + h.pending
 		op.Return = unknownReturn
 		h.ops = append(h.ops, op)
@@ -147,7 +149,8 @@
 	}
 }
 
-// injectFault impairs a voter for a while, the leader more often than others.
+// injectFault impairs a voter for a random time, the leader more often than the
+// other voters.
 func (h *history) injectFault(rng *rand.Rand) {
 	c := h.cluster
 	name := h.voters[rng.IntN(len(h.voters))]
@@ -188,7 +191,7 @@
 	}
 }
 
-// restart stops a voter for a while.
+// restart stops a voter, and starts it again after duration.
 func (h *history) restart(name string, duration time.Duration) {
 	h.mu.Lock()
 	node := h.cluster.nodes[name]
@@ -209,7 +212,7 @@
 	if diskFull, ok := errors.AsType[*DiskFullError](err); ok {
 		return diskFull.OutcomeUnknown
 	}
-	return errors.Is(err, ErrClosed) // raft may have had it already
+	return errors.Is(err, ErrClosed) // raft may have accepted the proposal before Close
 }
 
 func randomDuration(rng *rand.Rand, d time.Duration) time.Duration {
--- a/internal/cluster/consensus/limits_test.go
+++ b/internal/cluster/consensus/limits_test.go
@@ -16,7 +16,8 @@
 	"example.org/bellstream/internal/cluster/consensus/wire"
 )
 
-// A snapshot beyond the limit is an error in the status, and the log grows on.
+// A snapshot beyond the limit is reported as an error in the status, and the voter
+// still accepts proposals. Once the snapshot is small enough, it is written.
 func TestSnapshotTooLarge(t *testing.T) {
 	size := wire.MaxSnapshotBytes + 1
 	withCluster(t, "a", func(o *Options) {
@@ -29,14 +30,14 @@
 		}
 		synctest.Wait() // the status is published after the callbacks
 		if s := node.Status(); s.Snapshots != 0 || !strings.Contains(s.SnapshotError, "no snapshot") {
-			t.Errorf("got %+v", s)
+			t.Errorf("with a snapshot beyond the limit: got status %+v", s)
 		}
 		node.runAndWait(func() { size = 1 })
 		time.Sleep(2 * diskRetryTicks * tick)
 		c.propose(node, "y")
 		synctest.Wait()
 		if s := node.Status(); s.Snapshots != 1 || s.SnapshotError != "" {
-			t.Errorf("got %+v", s)
+			t.Errorf("with a small snapshot: got status %+v", s)
 		}
 	})
 }
@@ -46,7 +47,7 @@
 		node := c.waitForLeader("a")
 		for _, size := range []int{0, MaxProposalBytes + 1} {
 			if err := node.Propose(c.context(), make([]byte, size)); !errors.As(err, new(*TooLargeError)) {
-				t.Errorf("%d bytes: %v", size, err)
+				t.Errorf("proposal of %d bytes: got %v, want TooLargeError", size, err)
 			}
 		}
 		c.propose(node, strings.Repeat("x", MaxProposalBytes))
@@ -56,22 +57,23 @@
 			node.ReadIndexAsync(func(uint64, uint64, error) {})
 		}
 		if err := node.ProposeAsync([]byte("x"), func(error) {}); !errors.As(err, new(*OverloadedError)) {
-			t.Errorf("got %v", err)
+			t.Errorf("asynchronous proposal with a full queue: got %v, want OverloadedError", err)
 		}
 		ctx, cancel := context.WithTimeout(c.context(), time.Second)
 		defer cancel()
 		if err := node.Propose(ctx, []byte("x")); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %v", err)
+			t.Errorf("proposal with a full queue: got %v, want DeadlineExceeded", err)
 		}
 		close(resume)
 		c.stop("a")
 		if err := node.Propose(c.context(), []byte("x")); !errors.Is(err, ErrClosed) {
-			t.Errorf("after Close: %v", err)
+			t.Errorf("proposal after Close: got %v, want ErrClosed", err)
 		}
 	})
 }
 
-// Each error names what an operator can do, by a page or a section that exists.
+// Each error text tells the operator what to do. The pages and sections that it
+// refers to exist.
 func TestErrorsNameARemedy(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	cause := syscall.ENOSPC
@@ -93,16 +95,16 @@
 	} {
 		text := err.Error()
 		if !remedy.MatchString(text) {
-			t.Errorf("%T names no remedy: %s", err, text)
+			t.Errorf("%T: no remedy in %s", err, text)
 		}
 		for _, match := range section.FindAllStringSubmatch(text, -1) {
 			page, err := os.ReadFile(filepath.Join(root, match[1]))
 			if err != nil || !strings.Contains(string(page), "\n## "+match[2]) {
-				t.Errorf("%s: no section %s in %s: %v", text, match[2], match[1], err)
+				t.Errorf("error text %s refers to section %s, which is not in %s: %v", text, match[2], match[1], err)
 			}
 		}
 		if wrapper, wraps := err.(interface{ Unwrap() error }); wraps && !errors.Is(err, cause) {
-			t.Errorf("%T hides %v", err, wrapper.Unwrap())
+			t.Errorf("%T does not wrap its cause: Unwrap returns %v", err, wrapper.Unwrap())
 		}
 	}
 	if got := fmt.Sprint(withUnknownOutcome(&DiskFullError{Path: "/d"})); !strings.Contains(got, "may still") {
--- a/internal/cluster/consensus/network_test.go
+++ b/internal/cluster/consensus/network_test.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// route is a pair of hosts, from the first to the second.
+// route is a direction between two hosts.
 type route struct{ from, to string }
 
-// memoryNetwork is a network in memory. A host is an address up to the colon.
+// memoryNetwork is a network in memory. The host of an address is the part before
+// the colon.
 type memoryNetwork struct {
 	mu          sync.Mutex
 	listeners   map[string]*memoryListener
-	cut         map[route]bool // data waits, as TCP would have it
+	cut         map[route]bool // data on a cut route is held back, as TCP would do
 	delay       time.Duration
-	corruptions int // number of large chunks to corrupt from now on
+	corruptions int // number of large chunks that are still to be corrupted
 	connections map[route][]net.Conn
 	dialed      int
 }
@@ -37,7 +38,8 @@
 	return name
 }
 
-// partition cuts, or heals, the routes between two groups in both directions.
+// partition cuts, or restores if cut is false, the routes between two groups in both
+// directions.
 func (n *memoryNetwork) partition(cut bool, one, other []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +51,7 @@
 	}
 }
 
-// partitionOneWay cuts, or heals, a route in one direction.
+// partitionOneWay cuts, or restores if cut is false, a route in one direction.
 func (n *memoryNetwork) partitionOneWay(cut bool, from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -148,7 +150,8 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrClosedPipe)
 }
 
-// impair corrupts a large chunk if one is to be, and returns the delay.
+// impair corrupts chunk if it is large and corruptions are left, and returns the
+// network's delay.
 func (n *memoryNetwork) impair(chunk []byte) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 )
 
-// register is an application whose state is the last entry.
+// register is an application whose state is the data of the last entry.
 type register struct {
 	mu    sync.Mutex
 	value string
@@ -49,7 +49,8 @@
 	addresses map[string]string
 }
 
-// startTCPVoters starts voters with the given options beside names and addresses.
+// startTCPVoters starts voters with the given options, except names, directories and
+// addresses, which it sets.
 func startTCPVoters(tb testing.TB, names []string, options Options) *tcpVoters {
 	tb.Helper()
 	v := &tcpVoters{
@@ -85,7 +86,8 @@
 	return v
 }
 
-// propose has some voter accept a proposal, and returns it: the leader.
+// propose proposes value to the voters in turn until one accepts it, and returns that
+// voter, which is the leader.
 func (v *tcpVoters) propose(ctx context.Context, tb testing.TB, value string) *Node {
 	tb.Helper()
 	for ctx.Err() == nil {
@@ -96,12 +98,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	tb.Fatal("no leader")
+	tb.Fatal("no voter accepted the proposal before the timeout")
 	return nil
 }
 
-// Three voters over TCP elect a leader, propose, read and handle requests, and
-// leak no goroutine.
+// Three voters over TCP elect a leader, propose, read and handle requests, and leak no
+// goroutines.
 func TestOverTCP(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) }) // after the voters are closed
 	voters := startTCPVoters(t, []string{"a", "b", "c"}, Options{
@@ -116,10 +118,10 @@
 	leader := voters.propose(ctx, t, "one")
 	index, term, err := leader.ReadIndex(ctx)
 	if err != nil || index < 2 || term == 0 {
-		t.Fatalf("got %d %d %v", index, term, err)
+		t.Fatalf("ReadIndex: got index %d, term %d, error %v", index, term, err)
 	}
 	if got := voters.registers[leader.options.Name].get(); got != "one" {
-		t.Errorf("read %q", got)
+		t.Errorf("value after ReadIndex: got %q, want \"one\"", got)
 	}
 	client := NewClient(ClientOptions{Name: "i", Cluster: "test", Listen: "127.0.0.1:0"})
 	defer client.Close()
@@ -129,7 +131,7 @@
 			got, err = client.Request(ctx, voters.addresses[name], []byte("who"))
 		}
 		if string(got) != "i asked who" {
-			t.Errorf("%s responds %q %v", name, got, err)
+			t.Errorf("request to %s: got response %q, error %v", name, got, err)
 		}
 		if node != leader {
 			checkFollower(ctx, t, node, leader)
@@ -137,16 +139,16 @@
 	}
 }
 
-// checkFollower checks that a follower accepts no proposal, and forwards requests.
+// checkFollower checks that a follower rejects proposals and forwards requests.
 func checkFollower(ctx context.Context, t *testing.T, follower, leader *Node) {
 	t.Helper()
 	name := follower.options.Name
 	err := follower.Propose(ctx, []byte("two"))
 	notLeader, ok := errors.AsType[*NotLeaderError](err)
 	if !ok || notLeader.Leader != leader.options.Name || notLeader.Address != leader.options.Listen {
-		t.Errorf("%s accepts a proposal: %v", name, err)
+		t.Errorf("proposal to follower %s: got %v, want NotLeaderError that names the leader", name, err)
 	}
 	if got, err := follower.Request(ctx, []byte("I")); string(got) != name+" asked I" {
-		t.Errorf("own request of %s: %q %v", name, got, err)
+		t.Errorf("request by follower %s: got response %q, error %v", name, got, err)
 	}
 }
--- a/internal/cluster/consensus/requests_test.go
+++ b/internal/cluster/consensus/requests_test.go
@@ -9,8 +9,9 @@
 	"example.org/bellstream/internal/cluster/consensus/wire"
 )
 
-// Whichever voter gets a request, the leader handles it. Without a leader the
-// request fails at once, and a forwarded request is not forwarded again.
+// A request to any voter is handled by the leader. A forwarded request is not
+// forwarded again. If the leader does not respond or there is none, the request fails
+// with NoQuorumError.
 func TestRequestsReachLeader(t *testing.T) {
 	names := "a b c"
 	withCluster(t, names, func(o *Options) {
@@ -24,21 +25,21 @@
 		for name := range strings.FieldsSeq(names) {
 			got, err := client.Request(c.context(), name+":1", []byte("q"))
 			if string(got) != leader.options.Name+" to i" {
-				t.Errorf("request to %s: %q %v", name, got, err)
+				t.Errorf("request to %s: got response %q, error %v", name, got, err)
 			}
 		}
 		follower := c.nodes[strings.Fields(without(names, leader.options.Name))[0]]
 		if n := follower.Status().Forwarded; n != 1 {
-			t.Errorf("%d requests forwarded", n)
+			t.Errorf("got %d requests forwarded by the follower, want 1", n)
 		}
 		_, err := client.Request(c.context(), "a:1", make([]byte, MaxPayloadBytes+1))
 		if !errors.As(err, new(*TooLargeError)) {
-			t.Errorf("too large: %v", err)
+			t.Errorf("request beyond the limit: got %v, want TooLargeError", err)
 		}
 		follower.runAndWait(func() {
 			follower.loop.handleRequest(&wire.Request{Forwarded: true}, func(r *wire.Response) {
 				if r.Result != wire.Response_NOT_LEADER || r.Leader != leader.options.Name {
-					t.Errorf("forwarded twice: %v", r)
+					t.Errorf("forwarded request at a follower: got response %v, want NOT_LEADER that names the leader", r)
 				}
 			})
 		})
@@ -48,18 +49,18 @@
 		began := time.Now()
 		_, err = client.Request(c.context(), follower.options.Name+":1", nil)
 		if !errors.As(err, new(*NoQuorumError)) || time.Since(began) > (forwardTimeoutTicks+1)*tick {
-			t.Errorf("after %v: %v", time.Since(began), err)
+			t.Errorf("request with a blocked leader, after %v: got %v, want NoQuorumError", time.Since(began), err)
 		}
 		close(resume)
 		c.stop(without(names, follower.options.Name))
-		c.waitFor("the loss of the leader", func() bool {
+		c.waitFor("the follower to know no leader", func() bool {
 			_, err := client.Request(c.context(), follower.options.Name+":1", nil)
 			return errors.As(err, new(*NoQuorumError))
 		})
 		c.stop(follower.options.Name)
 		_, err = client.Request(c.context(), follower.options.Name+":1", nil)
 		if !errors.As(err, new(*UnreachableError)) {
-			t.Errorf("no voter left: %v", err)
+			t.Errorf("request to a stopped voter: got %v, want UnreachableError", err)
 		}
 	})
 }
--- a/internal/cluster/consensus/storage_test.go
+++ b/internal/cluster/consensus/storage_test.go
@@ -15,8 +15,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// While the leader's disk is full, its proposals fail, another voter leads, and it
-// reports why it does not vote and forwards requests. It resumes by itself.
+// While the leader's disk is full, its proposals fail and another voter becomes the
+// leader. The old leader reports why it does not vote, and forwards requests. It votes
+// again once there is space.
 func TestDiskFull(t *testing.T) {
 	names := "a b c"
 	withCluster(t, names, nil, func(c *testCluster) {
@@ -25,22 +26,22 @@
 		restore := old.failCommits(fmt.Errorf("write: %w", syscall.ENOSPC))
 		var full *DiskFullError
 		if err := old.Propose(c.context(), []byte("lost")); !errors.As(err, &full) || !full.OutcomeUnknown {
-			t.Fatalf("got %v", err)
+			t.Fatalf("proposal when the disk gets full: got %v, want DiskFullError with unknown outcome", err)
 		}
 		next := c.waitForLeader(without(names, old.options.Name))
 		c.propose(next, "two")
 		time.Sleep(5 * time.Second)
 		if err := old.Propose(c.context(), []byte("lost")); !errors.As(err, &full) || full.OutcomeUnknown {
-			t.Errorf("got %v", err)
+			t.Errorf("proposal while the disk is full: got %v, want DiskFullError with known outcome", err)
 		}
 		if _, _, err := old.ReadIndex(c.context()); !errors.As(err, &full) {
-			t.Errorf("a read: %v", err)
+			t.Errorf("read while the disk is full: got %v, want DiskFullError", err)
 		}
 		if s := old.Status(); s.State != StateDiskFull || s.IsLeader || !strings.Contains(s.Reason, "make room") {
-			t.Errorf("status %+v", s)
+			t.Errorf("while the disk is full: got status %+v", s)
 		}
 		if got, err := old.Request(c.context(), []byte("q")); err != nil || !strings.HasPrefix(string(got), next.options.Name) {
-			t.Errorf("a request: %q %v", got, err)
+			t.Errorf("request while the disk is full: got response %q, error %v", got, err)
 		}
 		restore()
 		c.waitForValue(names, "two")
@@ -49,7 +50,8 @@
 	})
 }
 
-// After any other failed commit the file is not trusted any more.
+// After a commit that failed for any reason other than a full disk, the voter no longer
+// uses the file.
 func TestCommitErrorIsFinal(t *testing.T) {
 	names := "a b c"
 	withCluster(t, names, nil, func(c *testCluster) {
@@ -59,16 +61,17 @@
 		restore()
 		var corrupt *CorruptFileError
 		if err := old.Propose(c.context(), []byte("lost")); !errors.As(err, &corrupt) || corrupt.Path != old.loop.storage.path {
-			t.Errorf("got %v", err)
+			t.Errorf("proposal after a failed commit: got %v, want CorruptFileError that names the file", err)
 		}
 		c.propose(c.waitForLeader(without(names, old.options.Name)), "two")
 		if s := old.Status(); s.State != StateFailed {
-			t.Errorf("status %+v", s)
+			t.Errorf("after a failed commit: got status %+v, want StateFailed", s)
 		}
 	})
 }
 
-// A file is replaced by an older copy of itself.
+// A voter whose file was replaced by an older copy stops voting: the copy lacks entries
+// that the voter has acknowledged.
 func TestRolledBackFileIsRejected(t *testing.T) {
 	names := "a b c"
 	withCluster(t, names, nil, func(c *testCluster) {
@@ -89,14 +92,14 @@
 		c.waitFor("the voter to fail", func() bool { return c.nodes[name].Status().State == StateFailed })
 		var corrupt *CorruptFileError
 		if err := c.nodes[name].Propose(c.context(), []byte("x")); !errors.As(err, &corrupt) || !strings.Contains(err.Error(), "older one put back") {
-			t.Errorf("got %v", err)
+			t.Errorf("proposal with a rolled-back file: got %v, want CorruptFileError", err)
 		}
 		c.propose(leader, "three")
 	})
 }
 
-// writeVoterFile creates a voter's file with some entries, and returns its path and
-// its content.
+// writeVoterFile creates a voter's file with a snapshot and entries, and returns its
+// path and its raftContents.
 func writeVoterFile(t *testing.T) (path, content string) {
 	path = filepath.Join(t.TempDir(), "accord.db")
 	withCluster(t, "a", func(o *Options) { o.SnapshotCount = 24 }, func(c *testCluster) {
@@ -119,7 +122,8 @@
 	return path, raftContents(t, store)
 }
 
-// raftContents returns everything that raft would read.
+// raftContents returns, as text, the owner of a file and everything that raft reads
+// from it.
 func raftContents(t *testing.T, store *storage) string {
 	hard, conf, _ := store.InitialState()
 	snap, err := store.Snapshot()
@@ -142,8 +146,9 @@
 	return out
 }
 
-// With a flipped bit, a missing end or a torn page anywhere in the file, it is
-// either rejected or has its complete content, the last commit included.
+// A file with a flipped bit, a truncated end or a torn page at a random position is
+// either rejected without being modified, or opened with its complete content,
+// including the last commit.
 func TestCorruptFileIsRejected(t *testing.T) {
 	path, content := writeVoterFile(t)
 	intact, err := os.ReadFile(path)
@@ -160,7 +165,7 @@
 		if err == nil {
 			defer store.close()
 			if raftContents(t, store) != content {
-				t.Fatalf("%s: accepted with another content", damage)
+				t.Fatalf("%s: the file was accepted with changed content", damage)
 			}
 			return
 		}
@@ -176,7 +181,7 @@
 		raw := append([]byte(nil), intact...)
 		offset := rng.IntN(len(raw))
 		if n < 50 {
-			offset = rng.IntN(2)*os.Getpagesize() + rng.IntN(80) // the meta pages
+			offset = rng.IntN(2)*os.Getpagesize() + rng.IntN(80) // in the meta pages
 		}
 		raw[offset] ^= 1 << rng.IntN(8)
 		check(fmt.Sprintf("bit at %d", offset), raw)
@@ -184,19 +189,19 @@
 	for n := range 40 {
 		check(fmt.Sprintf("cut %d", n), intact[:1+rng.IntN(len(intact)-1)])
 	}
-	for n := range 40 { // a page that was not written, or only in part
+	for n := range 40 { // pages that were not written, or only in part
 		raw := append([]byte(nil), intact...)
 		offset := rng.IntN(len(raw)/512) * 512
 		clear(raw[offset:min(len(raw), offset+512*(1+n%8))])
 		check(fmt.Sprintf("zeros at %d", offset), raw)
 	}
-	t.Logf("%d of 330 rejected", rejected)
+	t.Logf("%d of 330 corrupt files rejected", rejected)
 	if rejected < 50 {
-		t.Error("hardly any corruption was found")
+		t.Error("fewer than 50 corrupt files were rejected")
 	}
 }
 
-// Each record is verified, and the error names it.
+// Each record is validated, and the error names the corrupt one.
 func TestCorruptRecordIsNamed(t *testing.T) {
 	path, _ := writeVoterFile(t)
 	intact, err := os.ReadFile(path)
@@ -231,11 +236,11 @@
 		db.Close()
 		var corruptErr *CorruptFileError
 		if _, err := openStorage(dir, "a", "test"); !errors.As(err, &corruptErr) || corruptErr.Path != corruptPath || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
+			t.Errorf("got error %v, want CorruptFileError with %q", err, want)
 		}
 	}
 	dir := filepath.Dir(path)
 	if _, err := openStorage(dir, "b", "test"); err == nil || !strings.Contains(err.Error(), `of voter "a"`) {
-		t.Errorf("another voter's file: %v", err)
+		t.Errorf("opening another voter's file: got error %v", err)
 	}
 }
--- a/internal/cluster/consensus/transport_test.go
+++ b/internal/cluster/consensus/transport_test.go
@@ -17,14 +17,14 @@
 
 const rawPeerName = "x"
 
-// rawPeer sends frames to a voter as no correct peer would.
+// rawPeer sends arbitrary frames to a voter, including invalid ones.
 type rawPeer struct {
 	cluster  *testCluster
 	target   *Node
 	identity wire.Identity
 }
 
-// send opens a connection and writes frames to it. What comes back is discarded.
+// send opens a connection and writes frames to it. It discards the received data.
 func (p *rawPeer) send(frames ...[]byte) net.Conn {
 	p.cluster.t.Helper()
 	conn, err := p.cluster.network.dial(rawPeerName)(p.cluster.context(), p.target.options.Listen)
@@ -96,7 +96,7 @@
 		} {
 			before := leader.Status().Drops[test.reason]
 			conn := peer.send(test.frames...)
-			c.waitFor("a drop: "+test.reason, func() bool { return leader.Status().Drops[test.reason] > before })
+			c.waitFor("a frame drop: "+test.reason, func() bool { return leader.Status().Drops[test.reason] > before })
 			conn.Close()
 		}
 		checkIdleConnectionIsClosed(t, leader, peer)
@@ -118,11 +118,11 @@
 	before := openConnections()
 	time.Sleep(idleTimeoutTicks*tick + tick)
 	if n := openConnections(); n != before-1 {
-		t.Errorf("%d connections, %d before the idle timeout", n, before)
+		t.Errorf("after the idle timeout: got %d connections, %d before it, want one less", n, before)
 	}
 }
 
-// Frames beyond the limits of an outbox are dropped and counted.
+// Frames beyond the limits of a connection's send queue are dropped and counted.
 func TestOutboxIsBounded(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -135,7 +135,7 @@
 		conn.send(wire.Frame{Ping: &wire.Ping{}})
 	}
 	if got := drops.Snapshot()[dropOutboxFull]; got != 10 {
-		t.Errorf("%d frames dropped of %d, %d fit", got, outboxFrames+10, outboxFrames)
+		t.Errorf("got %d frames dropped of %d, want all but %d", got, outboxFrames+10, outboxFrames)
 	}
 	const requests = 10
 	large := wire.Frame{Request: &wire.Request{Payload: make([]byte, MaxPayloadBytes)}}
@@ -147,11 +147,11 @@
 	queued := requests - int(drops.Snapshot()[dropOutboxFull])
 	got := queued * len(wire.Encode(options.clusterDigest, large))
 	if got > outboxBytes || got < outboxBytes-MaxPayloadBytes-peerconn.HeaderLen-64 {
-		t.Errorf("%d bytes queued, at most %d", got, outboxBytes)
+		t.Errorf("got %d bytes queued, want at most %d and at most one frame less", got, outboxBytes)
 	}
 }
 
-// While the loop is blocked, its inbox holds no more than the limit.
+// While the loop is blocked, its inbox holds no more than its limit in bytes.
 func TestInboxIsBounded(t *testing.T) {
 	withCluster(t, "a", nil, func(c *testCluster) {
 		node := c.waitForLeader("a")
@@ -175,14 +175,15 @@
 		queued := node.transport.queuedBytes.Load()
 		drops := node.Status().Drops
 		if !errors.As(err, new(*OverloadedError)) || queued > inboxBytes || drops[dropInboxFull] != 1 {
-			t.Errorf("%v; %d bytes queued, at most %d; %v", err, queued, inboxBytes, drops)
+			t.Errorf("got error %v, want OverloadedError; got %d bytes queued, want at most %d; got drops %v, want one",
+				err, queued, inboxBytes, drops)
 		}
 		close(resume)
 		for range requests - 1 {
 			<-results
 		}
 		if left := node.transport.queuedBytes.Load(); left != 0 {
-			t.Errorf("%d bytes queued in an empty inbox", left)
+			t.Errorf("got %d bytes queued after all requests were handled, want 0", left)
 		}
 	})
 }
--- a/internal/cluster/consensus/wire/golden_test.go
+++ b/internal/cluster/consensus/wire/golden_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// goldenFrames is one frame of each kind with every field set, and one with none.
+// goldenFrames returns, by file name, a frame of each kind with every field set and one
+// with the fewest fields that are accepted.
 func goldenFrames() map[string]Frame {
 	id := Identity(sequentialSeed(0xa0))
 	entries := goldenRaftMessage(raftpb.MsgApp)
@@ -75,10 +76,10 @@
 			Name: "voter-a", Recipient: "voter-b", Address: "10.0.0.1:7000", Voter: true, Seed: sequentialSeed(0x10), VoterSetDigest: 0x3132333435363738,
 			ReplyRequested: true, Leader: "voter-b", LeaderAddress: "10.0.0.2:7001", Term: 5, AppliedIndex: 43, Members: goldenMembers(), RecipientRemoved: true,
 		}},
-		"hello-empty":    {Handshake: &Handshake{Name: "i"}}, // a name is the least that is read
+		"hello-empty":    {Handshake: &Handshake{Name: "i"}}, // a name is required
 		"raft-entries":   {Identity: id, Raft: entries},
 		"raft-snapshot":  {Identity: id, Raft: snap},
-		"raft-empty":     {Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: new(uint64(1))}}, // the least that is read
+		"raft-empty":     {Raft: &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), Term: new(uint64(1))}}, // a term is required
 		"question":       {Identity: id, Request: &Request{Id: 51, From: "instance-i", Forwarded: true, Payload: []byte("question")}},
 		"question-empty": {Request: &Request{}},
 		"answer": {Identity: id, Response: &Response{
@@ -103,7 +104,8 @@
 	return all
 }
 
-// goldenContent is a committed file's content; with -update it is what is given.
+// goldenContent returns the content of a golden file. With -update, it first writes
+// encoded to the file.
 func goldenContent(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -127,7 +129,7 @@
 		proto.Equal(a.Request, b.Request) && proto.Equal(a.Response, b.Response) && proto.Equal(a.Ping, b.Ping)
 }
 
-// TestGoldenFrames pins every kind of message on the wire, its framing included.
+// TestGoldenFrames checks the encoding of every kind of message, including its framing.
 func TestGoldenFrames(t *testing.T) {
 	for name, want := range goldenFrames() {
 		encoded := Encode(goldenCluster, want)
@@ -151,11 +153,12 @@
 		}
 	}
 	if frames != len(goldenFrames()) {
-		t.Errorf("%d files, %d frames", frames, len(goldenFrames()))
+		t.Errorf("got %d frame files, want %d", frames, len(goldenFrames()))
 	}
 }
 
-// TestGoldenRecords pins the messages that are only in a voter's file.
+// TestGoldenRecords checks the encoding of the messages that occur only in a voter's
+// file.
 func TestGoldenRecords(t *testing.T) {
 	for name, c := range map[string]struct{ want, got proto.Message }{
 		"self": {&FileOwner{FormatVersion: 1, Name: "voter-a", Cluster: "east", Seed: sequentialSeed(0x10), Identity: sequentialSeed(0xa0)}, &FileOwner{}},
@@ -180,16 +183,17 @@
 			t.Errorf("%s is decoded as %v, %v", name, c.got, err)
 		}
 	}
-	// Data that is there and empty is not the same as none.
+	// Empty data differs from absent data.
 	empty := &SnapshotState{Data: []byte{}}
 	encoded, _ := proto.Marshal(empty)
 	got := &SnapshotState{}
 	if raw := goldenContent(t, "state-empty-data.record", encoded); !bytes.Equal(raw, encoded) || proto.Unmarshal(raw, got) != nil || got.Data == nil {
-		t.Errorf("empty data: encoded as %x, decoded as %v", encoded, got)
+		t.Errorf("empty data: encoded as %x, decoded as %v, want Data to be present", encoded, got)
 	}
 }
 
-// TestGoldenDigests pins the numbers that voters compute alike from names and seeds.
+// TestGoldenDigests checks the digests that voters compute from names and seeds: all
+// builds have to compute the same values.
 func TestGoldenDigests(t *testing.T) {
 	const (
 		cluster  = 0xbead0ca03df5b2be
@@ -198,15 +202,15 @@
 		identity = "98c60959c086824cd099077505edf1b4"
 	)
 	if got := ClusterDigest("east"); got != cluster {
-		t.Errorf("cluster: %#x", got)
+		t.Errorf("cluster digest: got %#x", got)
 	}
 	if got := NodeID("voter-a"); got != voter {
-		t.Errorf("voter's number: %#x", got)
+		t.Errorf("node ID: got %#x", got)
 	}
 	if got := VoterSetDigest([]string{"voter-b", "voter-a"}); got != voters {
-		t.Errorf("voters: %#x", got)
+		t.Errorf("voter set digest: got %#x", got)
 	}
 	if got := NewIdentity("east", goldenMembers()).String(); got != identity {
-		t.Errorf("identity: %s", got)
+		t.Errorf("identity: got %s", got)
 	}
 }
--- a/internal/cluster/consensus/wire/wire_test.go
+++ b/internal/cluster/consensus/wire/wire_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// sealBody returns a frame with any body.
+// sealBody returns a frame with a valid header for any body.
 func sealBody(body []byte) []byte {
 	frame := append(make([]byte, peerconn.HeaderLen), body...)
 	peerconn.SealFrame(frame)
@@ -100,19 +100,19 @@
 			t.Errorf("%+v is decoded as %+v, %v", f, got, err)
 		}
 		if _, err := Decode(8, encoded); !errors.Is(err, ErrWrongCluster) {
-			t.Errorf("another cluster's frame: %v", err)
+			t.Errorf("decoding another cluster's frame: got %v, want ErrWrongCluster", err)
 		}
 		encoded[(peerconn.HeaderLen+len(encoded))/2] ^= 8
 		if _, err := Decode(7, encoded); !errors.Is(err, ErrChecksum) {
-			t.Errorf("a flipped bit: %v", err)
+			t.Errorf("decoding a frame with a flipped bit: got %v, want ErrChecksum", err)
 		}
 	}
 	incarnation, sequence, data, ok := DecodeProposal(EncodeProposal(1, 2, []byte("x")))
 	if incarnation != 1 || sequence != 2 || string(data) != "x" || !ok {
-		t.Errorf("proposal: %d %d %q %v", incarnation, sequence, data, ok)
+		t.Errorf("decoded proposal: got incarnation %d, sequence %d, data %q, ok %v", incarnation, sequence, data, ok)
 	}
 	if Encode(7, Frame{Request: &Request{Payload: make([]byte, MaxFrameBytes)}}) != nil {
-		t.Error("a frame beyond the limit is encoded")
+		t.Error("a frame beyond MaxFrameBytes was encoded, want nil")
 	}
 }
 
@@ -162,7 +162,7 @@
 		"responses":    modified(appendMessage(), func(m *raftpb.Message) { m.Responses = []*raftpb.Message{{}} }),
 	} {
 		if validRaftMessage(m) {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("raft message, %s: got accepted, want rejected", name)
 		}
 	}
 	for name, h := range map[string]*Handshake{
@@ -173,7 +173,7 @@
 		"invalid member":   {Name: "a", Members: []*Member{{Name: "b"}}},
 	} {
 		if validHandshake(h) {
-			t.Errorf("handshake, %s: accepted", name)
+			t.Errorf("handshake, %s: got accepted, want rejected", name)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	raw, _ := proto.Marshal(envelope)
 	if _, err := Decode(7, sealBody(raw)); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Errorf("got %v", err)
+		t.Errorf("frame of a newer version: got %v, want ErrUnsupportedVersion", err)
 	}
 }
 
@@ -202,21 +202,21 @@
 	}
 	otherSeed := &Member{Name: "b", Seed: append(zeroSeed()[1:], 1)}
 	if NewIdentity("c", []*Member{a, b}) == NewIdentity("c", []*Member{a, otherSeed}) {
-		t.Error("the seed does not count")
+		t.Error("the identity does not depend on the seeds")
 	}
 	if NewIdentity("c", []*Member{a}) == NewIdentity("d", []*Member{a}) {
-		t.Error("the cluster's name does not count")
+		t.Error("the identity does not depend on the cluster's name")
 	}
 	if VoterSetDigest([]string{"ab"}) == VoterSetDigest([]string{"a", "b"}) {
-		t.Error("two sets of voters have one digest")
+		t.Error("two different sets of voters have the same digest")
 	}
 	if id := NodeID("a"); id == raft.None || id >= math.MaxUint64-1 {
 		t.Error("the ID is reserved by raft")
 	}
 }
 
-// FuzzDecode checks that nothing panics, and that what is accepted is within the
-// limits and survives another round trip.
+// FuzzDecode checks that decoding does not panic, and that accepted frames can be
+// encoded and decoded again without a change.
 func FuzzDecode(f *testing.F) {
 	for _, frame := range sampleFrames() {
 		f.Add(Encode(7, frame)[peerconn.HeaderLen:])
@@ -227,18 +227,18 @@
 			return
 		}
 		if m := frame.Raft; m != nil && len(m.Entries) > 0 && m.Entries[0].GetIndex() != m.GetIndex()+1 {
-			t.Fatal("a gap before the entries")
+			t.Fatal("an append message with a gap before its entries was accepted")
 		}
 		raw := Encode(7, frame)
 		if raw == nil {
 			t.Fatal("an accepted frame can't be encoded")
 		}
 		if size := binary.BigEndian.Uint32(raw); int(size) != len(raw)-peerconn.HeaderLen {
-			t.Fatal("wrong length in the header")
+			t.Fatal("the header has a wrong length")
 		}
 		second, err := Decode(7, raw)
 		if err != nil || second.Identity != frame.Identity || !bytes.Equal(Encode(7, second), raw) {
-			t.Fatalf("decoded again as %+v, %v", second, err)
+			t.Fatalf("second decoding: got %+v, error %v", second, err)
 		}
 	})
 }
