--- a/internal/cluster/consensus/client.go
+++ b/internal/cluster/consensus/client.go
@@ -101,7 +101,7 @@
 	case <-ctx.Done():
 		return nil, &UnreachableError{addr, ctx.Err()}
 	case <-conn.conn.closed:
-		return nil, &UnreachableError{addr, errors.New("the connection has ended")}
+		return nil, &UnreachableError{addr, errors.New("the connection was closed")}
 	}
 }
 
@@ -185,7 +185,7 @@
 	opened.send(wire.Frame{Handshake: &wire.Handshake{Name: c.options.Name}})
 	c.wg.Go(opened.writeLoop)
 	opened.readLoop(func(frame wire.Frame, _ int) bool { return c.receive(conn, opened, frame) })
-	c.resolve(conn, nil, &UnreachableError{conn.address, errors.New("the connection has ended before any message")})
+	c.resolve(conn, nil, &UnreachableError{conn.address, errors.New("the connection was closed before any message")})
 }
 
 func (c *Client) removeConnection(conn *clientConnection) {
--- a/internal/cluster/consensus/errors.go
+++ b/internal/cluster/consensus/errors.go
@@ -7,7 +7,7 @@
 
 const operatorsPage = "docs/operators/accord.md, Mend"
 
-const outcomeUnknownHint = "; the proposal may still be committed: read before you propose it again"
+const outcomeUnknownHint = "; the proposal may still be committed: read the current state before you propose it again"
 
 // ErrClosed is returned by operations on a closed node or client.
 var ErrClosed = errors.New("consensus: closed")
@@ -21,7 +21,7 @@
 
 func (e *NoQuorumError) Error() string {
 	text := "consensus: no majority of the voters responds: " +
-		"start those that are down or mend the links between them (" + operatorsPage + ")"
+		"start the voters that are down or repair the network between them (" + operatorsPage + ")"
 	if e.OutcomeUnknown {
 		text += outcomeUnknownHint
 	}
@@ -38,7 +38,7 @@
 type NotLeaderError struct{ Leader, Address string }
 
 func (e *NotLeaderError) Error() string {
-	return fmt.Sprintf("consensus: %q is the leader, at %s: propose there, with its instance's file and SIGHUP",
+	return fmt.Sprintf("consensus: the leader is %q at %s: propose there, with that instance's file and SIGHUP",
 		e.Leader, e.Address)
 }
 
@@ -47,7 +47,7 @@
 type TooLargeError struct{ Size, Limit int } // in bytes
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("consensus: %d bytes, at most %d in one entry or request: make the rules block smaller (%s)",
+	return fmt.Sprintf("consensus: size is %d bytes, at most %d are allowed: make the rules block smaller (%s)",
 		e.Size, e.Limit, operatorsPage)
 }
 
@@ -67,7 +67,7 @@
 }
 
 func (e *DiskFullError) Error() string {
-	text := fmt.Sprintf("consensus: no space to write %s: make room on its disk, the voter goes on by itself then",
+	text := fmt.Sprintf("consensus: no space to write %s: make room on its disk; the voter then goes on by itself",
 		e.Path)
 	if e.OutcomeUnknown {
 		text += outcomeUnknownHint
@@ -89,7 +89,7 @@
 		place += ", " + e.Record
 	}
 	return fmt.Sprintf("consensus: %s: %v: keep the file for an investigation, "+
-		"and put a voter under another name, with an empty folder, in its place (%s)", place, e.Err, operatorsPage)
+		"and replace this voter by one with another name and an empty directory (%s)", place, e.Err, operatorsPage)
 }
 
 // Unwrap returns the cause.
@@ -101,8 +101,8 @@
 type DataLostError struct{ Name, Dir string }
 
 func (e *DataLostError) Error() string {
-	return fmt.Sprintf("consensus: the file of voter %q in %s is lost, so it does not vote: "+
-		"put a voter under another name in its place (%s)", e.Name, e.Dir, operatorsPage)
+	return fmt.Sprintf("consensus: the file of voter %q in %s is lost, so this voter does not vote: "+
+		"replace it by a voter with another name (%s)", e.Name, e.Dir, operatorsPage)
 }
 
 // NotVoterError is returned by a node that is not a voter, or does not know yet
@@ -117,7 +117,7 @@
 type ChangeRejectedError struct{ Reason string }
 
 func (e *ChangeRejectedError) Error() string {
-	return "consensus: the voters stay as they are: " + e.Reason + " (" + operatorsPage + ")"
+	return "consensus: change of voters rejected: " + e.Reason + " (" + operatorsPage + ")"
 }
 
 // UnreachableError is returned if there was no response from an address.
@@ -127,8 +127,8 @@
 }
 
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("consensus: no response from %s: see whether the instance there runs "+
-		"and can be reached (%s): %v",
+	return fmt.Sprintf("consensus: no response from %s: see whether the instance there is running "+
+		"and reachable (%s): %v",
 		e.Address, operatorsPage, e.Err)
 }
 
@@ -140,13 +140,13 @@
 type WrongClusterError struct{ Address string }
 
 func (e *WrongClusterError) Error() string {
-	return fmt.Sprintf("consensus: another cluster responds at %s: correct the voters' addresses; "+
-		"if this cluster was created anew on purpose, restart this instance (%s)", e.Address, operatorsPage)
+	return fmt.Sprintf("consensus: the voter at %s belongs to another cluster: correct the voters' addresses; "+
+		"if the cluster was recreated on purpose, restart this instance (%s)", e.Address, operatorsPage)
 }
 
 // UnavailableError is returned if a voter can neither handle nor forward a request.
 type UnavailableError struct{ Address, Reason string }
 
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("consensus: the voter at %s can't answer: %s", e.Address, e.Reason)
+	return fmt.Sprintf("consensus: the voter at %s can't handle the request: %s", e.Address, e.Reason)
 }
--- a/internal/cluster/consensus/faults_test.go
+++ b/internal/cluster/consensus/faults_test.go
@@ -235,7 +235,7 @@
 func checkInvalidVoterChanges(t *testing.T, c *testCluster, leader *Node) {
 	t.Helper()
 	err := leader.ChangeVoters(c.context(), addresses("d e f a"))
-	if err == nil || !strings.Contains(err.Error(), "was one before") {
+	if err == nil || !strings.Contains(err.Error(), "was removed before") {
 		t.Errorf("adding a former voter: got %v, want a rejection", err)
 	}
 	err = leader.ChangeVoters(c.context(), addresses("d g"))
--- a/internal/cluster/consensus/limits_test.go
+++ b/internal/cluster/consensus/limits_test.go
@@ -77,7 +77,7 @@
 func TestErrorsNameARemedy(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	cause := syscall.ENOSPC
-	remedy := regexp.MustCompile(`\b(start|mend|propose|make|ask|put|see|correct|docs/|can't answer: why)`)
+	remedy := regexp.MustCompile(`\b(start|mend|propose|make|ask|put|see|correct|docs/|can't handle the request: why)`)
 	section := regexp.MustCompile(`(docs/[\w/.-]+\.md), (\w+)`)
 	for _, err := range []error{
 		&NoQuorumError{OutcomeUnknown: true, Err: cause},
--- a/internal/cluster/consensus/loop.go
+++ b/internal/cluster/consensus/loop.go
@@ -63,8 +63,8 @@
 		snapshotSentTicks: map[uint64]uint64{},
 		peers:             map[string]advertisement{},
 	}
-	l.stateReason = l.notVoter("not every other voter has reported yet whether there is a cluster already: " +
-		"start them all")
+	l.stateReason = l.notVoter("not all other voters have reported yet whether there is a cluster: " +
+		"start all voters")
 	return l
 }
 
@@ -187,7 +187,7 @@
 	switch {
 	case err == nil:
 		l.options.Log.Info().Str("file", l.storage.path).
-			Msg("consensus: disk space is available again: this voter votes")
+			Msg("consensus: disk space is available again: this voter resumes voting")
 		l.state = StateVoting
 		l.stateReason = nil
 		l.startRaft()
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -165,13 +165,13 @@
 			return membershipVerdict{state: StateVoting, identity: peer.identity}
 		case peer.handshake.RecipientRemoved:
 			verdict.state = StateRemoved
-			verdict.reason = l.notVoter("a voter of this name was removed: give this one another")
+			verdict.reason = l.notVoter("a voter with this name was removed: give this voter another name")
 		case i >= 0:
 			verdict.state = StateDataLost
 			verdict.reason = &DataLostError{l.options.Name, l.options.Dir}
 		case verdict.state == StateDiscovering:
 			verdict.state = StateNotMember
-			verdict.reason = l.notVoter("there is a cluster, and it is not among its voters: name it in their rules")
+			verdict.reason = l.notVoter("a cluster exists without this voter: add it to the voters in the rules")
 		}
 	}
 	return verdict
@@ -195,7 +195,8 @@
 			return
 		}
 		if peer.handshake.VoterSetDigest != l.voterSetDigest {
-			l.stateReason = l.notVoter("voter " + name + " was given other voters than this one: give all the same")
+			l.stateReason = l.notVoter("voter " + name +
+				" is configured with other voters than this one: configure all alike")
 			return
 		}
 		members = append(members, &wire.Member{Name: name, Address: address, Seed: peer.handshake.Seed})
--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -63,11 +63,11 @@
 func (o *Options) validate() error {
 	switch {
 	case o.Name == "" || len(o.Name) > wire.MaxNameBytes || o.Cluster == "":
-		return errors.New("consensus: a voter has a name of 1 to 255 bytes and a cluster")
+		return errors.New("consensus: a voter needs a name of 1 to 255 bytes and a cluster name")
 	case o.Voters[o.Name] == "":
 		return fmt.Errorf("consensus: %q is not among the voters: add its address (%s)", o.Name, operatorsPage)
 	case len(o.Voters) > MaxVoters:
-		return fmt.Errorf("consensus: %d voters, at most %d", len(o.Voters), MaxVoters)
+		return fmt.Errorf("consensus: %d voters, at most %d are allowed are allowed", len(o.Voters), MaxVoters)
 	}
 	names := map[uint64]string{}
 	for name := range o.Voters {
--- a/internal/cluster/consensus/raft.go
+++ b/internal/cluster/consensus/raft.go
@@ -75,7 +75,7 @@
 func (l *loop) guardRaft(step func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			err := fmt.Errorf("messages of others contradict it, as if it were an older one put back: %v", reason)
+			err := fmt.Errorf("messages of others contradict it, as if it was replaced by an older copy: %v", reason)
 			l.fail(&CorruptFileError{Path: l.storage.path, Err: err})
 		}
 	}()
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -96,7 +96,7 @@
 	default:
 		l.status.SnapshotError = "no snapshot: " + err.Error()
 		l.options.Log.Error().Err(err).
-			Msg("consensus: no snapshot could be written: the log grows until one can")
+			Msg("consensus: failed to write a snapshot: the log grows until one is written")
 	}
 }
 
--- a/internal/cluster/consensus/storage.go
+++ b/internal/cluster/consensus/storage.go
@@ -120,11 +120,11 @@
 
 func (s *storage) checkOwner(name, cluster string) error {
 	if s.owner.Name != name || s.owner.Cluster != cluster {
-		return fmt.Errorf("consensus: %s is the file of voter %q of cluster %q: give %q of %q a folder of its own",
+		return fmt.Errorf("consensus: %s is the file of voter %q of cluster %q: give voter %q of %q its own directory",
 			s.path, s.owner.Name, s.owner.Cluster, name, cluster)
 	}
 	if s.owner.FormatVersion > fileFormatVersion {
-		return fmt.Errorf("consensus: %s has version %d, this program knows %d: start the newer program",
+		return fmt.Errorf("consensus: %s has format version %d, this build supports at most %d: start a newer build",
 			s.path, s.owner.FormatVersion, fileFormatVersion)
 	}
 	return nil
--- a/internal/cluster/consensus/storage_load.go
+++ b/internal/cluster/consensus/storage_load.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	errInvalidRecord = errors.New("it is not what was written")
+	errInvalidRecord = errors.New("its checksum or content is invalid")
 	errEntryMissing  = errors.New("it is missing")
-	errNotVoterFile  = errors.New("it is no voter's file")
-	errBucketMissing = errors.New("half of it is missing")
+	errNotVoterFile  = errors.New("it is not a voter's file")
+	errBucketMissing = errors.New("one of its two buckets is missing")
 )
 
 // load reads and validates all records of the file.
@@ -73,7 +73,7 @@
 	found, err := readRecord(records, keyOwner, owner)
 	validIdentity := len(owner.Identity) == 0 || len(owner.Identity) == len(wire.Identity{})
 	if err != nil || !found || len(owner.Seed) != wire.SeedLen || !validIdentity {
-		return nil, s.corrupt(recordOwner, errors.Join(errors.New("it can't be read"), err))
+		return nil, s.corrupt(recordOwner, errors.Join(errors.New("it is missing or invalid"), err))
 	}
 	return owner, nil
 }
@@ -85,7 +85,7 @@
 		return nil, s.corrupt(recordLogState, err)
 	}
 	if found != (len(owner.Identity) > 0) {
-		return nil, s.corrupt(recordLogState, errors.New("it is missing, or there without an identity"))
+		return nil, s.corrupt(recordLogState, errors.New("it is missing, or present although there is no identity"))
 	}
 	return state, nil
 }
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if lastIndex != state.LastIndex || lastTerm != state.LastTerm || state.Commit > lastIndex {
-		err := fmt.Errorf("the log ends with entry %d of term %d, not %d of %d",
+		err := fmt.Errorf("the log ends with entry %d of term %d, not with entry %d of term %d",
 			lastIndex, lastTerm, state.LastIndex, state.LastTerm)
 		return nil, s.corrupt(fmt.Sprintf("entry %d", state.LastIndex), err)
 	}
--- a/internal/cluster/consensus/storage_test.go
+++ b/internal/cluster/consensus/storage_test.go
@@ -91,7 +91,8 @@
 		c.start(name, names)
 		c.waitFor("the voter to fail", func() bool { return c.nodes[name].Status().State == StateFailed })
 		var corrupt *CorruptFileError
-		if err := c.nodes[name].Propose(c.context(), []byte("x")); !errors.As(err, &corrupt) || !strings.Contains(err.Error(), "older one put back") {
+		if err := c.nodes[name].Propose(c.context(), []byte("x")); !errors.As(err, &corrupt) ||
+			!strings.Contains(err.Error(), "replaced by an older copy") {
 			t.Errorf("proposal with a rolled-back file: got %v, want CorruptFileError", err)
 		}
 		c.propose(leader, "three")
@@ -216,10 +217,10 @@
 	last := func(log *bbolt.Bucket) []byte { k, _ := log.Cursor().Last(); return k }
 	for want, corrupt := range map[string]func(one, log *bbolt.Bucket) error{
 		"record self":              func(one, _ *bbolt.Bucket) error { return flip(one, keyOwner) },
-		"record mark: it is not":   func(one, _ *bbolt.Bucket) error { return flip(one, keyLogState) },
+		"record mark: its check":   func(one, _ *bbolt.Bucket) error { return flip(one, keyLogState) },
 		"record mark: it is miss":  func(one, _ *bbolt.Bucket) error { return one.Delete(keyLogState) },
 		"record snapshot":          func(one, _ *bbolt.Bucket) error { return one.Put(keySnapshot, one.Get(keyLogState)) },
-		"it is not what was":       func(_, log *bbolt.Bucket) error { return flip(log, last(log)) },
+		"its checksum or content":  func(_, log *bbolt.Bucket) error { return flip(log, last(log)) },
 		"the log ends with":        func(_, log *bbolt.Bucket) error { return log.Delete(last(log)) },
 		"entry after 25: it is mi": func(_, log *bbolt.Bucket) error { k, _ := log.Cursor().First(); return log.Delete(k) },
 	} {
--- a/internal/cluster/consensus/voterchange.go
+++ b/internal/cluster/consensus/voterchange.go
@@ -50,10 +50,10 @@
 	}
 	switch {
 	case len(changes) > 1:
-		return nil, &ChangeRejectedError{"only one may be added, removed or moved at a time: " +
-			"add the new one, then remove the old one"}
+		return nil, &ChangeRejectedError{"only one voter may be added, removed or moved at a time: " +
+			"add the new voter, then remove the old one"}
 	case l.pending.voterChange != nil:
-		return nil, &ChangeRejectedError{"a change is in progress: wait for its end"}
+		return nil, &ChangeRejectedError{"a change of voters is in progress: wait until it has ended"}
 	case len(changes) == 0:
 		return nil, nil
 	}
@@ -63,7 +63,7 @@
 // voterDifference returns the changes that turn the members into the given voters.
 func (l *loop) voterDifference(voters map[string]string) ([]*voterChange, error) {
 	if len(voters) == 0 || len(voters) > MaxVoters {
-		return nil, &ChangeRejectedError{"there have to be 1 to 32 voters"}
+		return nil, &ChangeRejectedError{"there must be 1 to 32 voters"}
 	}
 	var changes []*voterChange
 	for _, member := range l.members.byID {
@@ -95,9 +95,9 @@
 		return &ChangeRejectedError{"a voter has a name and an address of 1 to 255 bytes"}
 	case slices.Contains(l.members.removedNames, name):
 		return &ChangeRejectedError{"voter " + name +
-			" was one before, and its votes of then may still count: give it another name"}
+			" was removed before, and votes that it cast then may still count: give the new voter another name"}
 	case l.members.byID[wire.NodeID(name)] != nil:
-		return &ChangeRejectedError{"voter " + name + " has the ID of another one: give it another name"}
+		return &ChangeRejectedError{"voter " + name + " has the same ID as another voter: give it another name"}
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 	if !peer.identity.IsZero() {
 		l.pending.voterChange = nil
 		change.done(&ChangeRejectedError{"voter " + change.member.Name +
-			" has a file of another time: give it an empty folder and a new name"})
+			" has a file that already belongs to a cluster: give it an empty directory and a new name"})
 		return false
 	}
 	change.member.Seed = peer.handshake.Seed
--- a/internal/cluster/consensus/wire/frame.go
+++ b/internal/cluster/consensus/wire/frame.go
@@ -97,7 +97,7 @@
 	case envelope.ClusterDigest != cluster:
 		return Frame{}, ErrWrongCluster
 	case envelope.MinReaderVersion > ProtocolVersion:
-		return Frame{}, fmt.Errorf("%w: version %d, this is %d",
+		return Frame{}, fmt.Errorf("%w: version %d, this build has version %d",
 			ErrUnsupportedVersion, envelope.MinReaderVersion, ProtocolVersion)
 	case len(envelope.Identity) != 0 && len(envelope.Identity) != len(f.Identity):
 		return Frame{}, ErrMalformed
