--- a/internal/cluster/consensus/cluster_test.go
+++ b/internal/cluster/consensus/cluster_test.go
@@ -24,7 +24,7 @@
 	dir        string
 	nodes      map[string]*Node
 	registers  map[string]*register
-	leadership map[string]string // changes of leadership by voter: "+2 -2"
+	leadership map[string]string // by voter; "+2 -2 " if it became and ceased to be the leader of term 2
 	configure  func(*Options)    // applied to the options of each start
 	mu         sync.Mutex
 }
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -6,7 +6,7 @@
 // into the loop's bounded inbox. Frames that do not fit or are corrupt are dropped
 // and counted; raft sends its messages again.
 //
-// [VoterState] tells whether a node votes and, if not, why.
+// [VoterState] describes whether a node votes and, if not, why.
 package consensus
 
 import "example.org/bellstream/internal/cluster/consensus/wire"
--- a/internal/cluster/consensus/status.go
+++ b/internal/cluster/consensus/status.go
@@ -1,6 +1,6 @@
 package consensus
 
-// VoterState tells whether a node votes and, if not, why.
+// VoterState describes whether a node votes and, if not, why.
 type VoterState string
 
 // Voter states. A voter alternates between StateVoting and StateDiskFull. From
--- a/internal/cluster/consensus/transport.go
+++ b/internal/cluster/consensus/transport.go
@@ -280,7 +280,7 @@
 		return false
 	}
 	if frame.Handshake != nil && !conn.remote.Voter {
-		return true // a client's handshake has no further use than its name
+		return true // only the name is used of a client's handshake
 	}
 	if reason := t.checkSender(conn, frame, identity); reason != "" {
 		t.drops.Add(reason)
