--- a/balance/admission.go
+++ b/balance/admission.go
@@ -89,14 +89,14 @@
 			h.visitWhile(late, collect)
 		}
 		excess := float64(len(found)) - max(0, b.availableTokens(t))
-		t.queue.eachRetry(collect)
+		t.queue.visitRetries(collect)
 		t.queue.byDeadline.visitWhile(expiring, collect)
 		slices.SortFunc(found, compareArrival)
 		for _, j := range slices.Compact(found) {
 			switch {
 			case expiring(j), b.cannotBeServed(j):
 				b.answerUnserved(j)
-			case b.isWorthless(j, excess):
+			case b.shouldDropLate(j, excess):
 				b.answerUnserved(j)
 				excess--
 			}
@@ -104,8 +104,8 @@
 	}
 }
 
-// isWorthless reports whether a job that is late is surplus, or would be answered too late for any value.
-func (b *Balancer) isWorthless(j *job, excess float64) bool {
+// shouldDropLate reports whether a job that is late is surplus, or would be answered too late for any value.
+func (b *Balancer) shouldDropLate(j *job, excess float64) bool {
 	if !j.cannotMeetObjective(b.now) || j.inFlight > 0 || j.hasMaxWait() {
 		return false
 	}
--- a/balance/config.go
+++ b/balance/config.go
@@ -149,7 +149,7 @@
 			return c, err
 		}
 	}
-	return c, checkNumbers("", []number{
+	return c, checkNumbers("", []fieldValue{
 		{"PollInterval", c.PollInterval},
 		{"DialTimeout", c.DialTimeout},
 		{"Tick", c.Tick},
@@ -170,7 +170,7 @@
 	default:
 		return &ConfigError{path + "Idempotence", fmt.Sprintf("unknown %q", c.Idempotence)}
 	}
-	return checkNumbers(path, []number{
+	return checkNumbers(path, []fieldValue{
 		{"LatencyObjective", c.LatencyObjective},
 		{"ObjectiveStretch", c.ObjectiveStretch},
 		{"Deadline", c.Deadline},
@@ -183,7 +183,7 @@
 
 func (t *Tenant) normalize(path string) error {
 	setDefault(&t.Weight, defaultTenantWeight)
-	return checkNumbers(path, []number{
+	return checkNumbers(path, []fieldValue{
 		{"Quota", t.Quota},
 		{"Weight", t.Weight},
 	})
@@ -195,14 +195,14 @@
 	}
 }
 
-// number is a value with the name of its field.
-type number struct {
+// fieldValue is a value with the name of its field.
+type fieldValue struct {
 	field string
 	value float64
 }
 
 // checkNumbers rejects negative and infinite values, and those that are no numbers.
-func checkNumbers(path string, numbers []number) error {
+func checkNumbers(path string, numbers []fieldValue) error {
 	for _, n := range numbers {
 		if n.value < 0 || math.IsNaN(n.value) || math.IsInf(n.value, 0) {
 			return &ConfigError{path + n.field, fmt.Sprintf("%v is not a finite number from 0 up", n.value)}
--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -25,30 +25,30 @@
 // A worker that operators leave out gets nothing, whatever the list says, and
 // what runs there goes on. Its jobs that have to go again go elsewhere.
 func TestCordonedGetsNothing(t *testing.T) {
-	r := newRig(t, base(), up("w", "v")...)
-	s := of[Send](r.step(r.job("read", "a"), r.report("w", 1)))
+	r := newRig(t, testConfig(), runningWorkers("w", "v")...)
+	s := actionsOf[Send](r.step(r.job("read", "a"), r.report("w", 1)))
 	if len(s) != 1 || s[0].Worker != "w" {
 		t.Fatalf("sent %v", s)
 	}
 	r.step(Cordon{"w", true}, Cordon{"w", true})
-	if acts := r.at(101, r.report("w", 5), r.job("read", "a")); touches(acts, "w") > 0 || len(of[Cancel](acts)) > 0 {
+	if acts := r.stepAt(101, r.report("w", 5), r.job("read", "a")); touches(acts, "w") > 0 || len(actionsOf[Cancel](acts)) > 0 {
 		t.Errorf("%v though w is cordoned", acts)
 	}
-	restarted := up("w")
+	restarted := runningWorkers("w")
 	restarted[0].StartedAt = 101
-	acts := r.at(102, EndpointUpdate{Kind: EndpointsDelta, Workers: restarted}, done(s[0], 0, ConnectionLost), r.report("v", 2))
-	if touches(acts, "w") > 0 || len(of[Send](acts)) == 0 {
+	acts := r.stepAt(102, EndpointUpdate{Kind: EndpointsDelta, Workers: restarted}, done(s[0], 0, ConnectionLost), r.report("v", 2))
+	if touches(acts, "w") > 0 || len(actionsOf[Send](acts)) == 0 {
 		t.Errorf("%v: the list says active, but it is cordoned; its job goes elsewhere", acts)
 	}
 	// Gone and back in the list, also under a whole one, it is still cordoned.
-	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
-	acts = r.at(103, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.job("read", "a"))
+	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: runningWorkers("v")})
+	acts = r.stepAt(103, EndpointUpdate{Kind: EndpointsSnapshot, Workers: runningWorkers("v", "w")}, r.job("read", "a"), r.job("read", "a"))
 	if touches(acts, "w") > 0 {
 		t.Errorf("%v after it left the list and came back", acts)
 	}
 	// One that no list has named yet is cordoned when one does.
 	r.step(Cordon{"x", true})
-	if acts := r.at(104, EndpointUpdate{Kind: EndpointsDelta, Workers: up("x")}, r.job("read", "a")); touches(acts, "x") > 0 {
+	if acts := r.stepAt(104, EndpointUpdate{Kind: EndpointsDelta, Workers: runningWorkers("x")}, r.job("read", "a")); touches(acts, "x") > 0 {
 		t.Errorf("%v: named first by operators, then by the list", acts)
 	}
 }
@@ -56,21 +56,21 @@
 // Uncordoned once, however often it was cordoned, a worker warms up from then on, is checked before it is used,
 // and is the next to get a job, within its budget.
 func TestUncordoned(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = 0.5, 20, 3, 3
-	r := newRig(t, cfg, up("w", "v")...)
+	r := newRig(t, cfg, runningWorkers("w", "v")...)
 	r.step(Cordon{"w", true}, Cordon{"w", true}, r.report("v", 9))
-	r.at(150, Cordon{"w", false})
+	r.stepAt(150, Cordon{"w", false})
 	w := r.b.workersByID["w"]
 	if r.b.capacityShare(w) != 0.5 {
 		t.Errorf("warm to %v right after it was called back", r.b.capacityShare(w))
 	}
-	acts := r.at(150.1, r.job("read", "a"), r.report("v", 9))
+	acts := r.stepAt(150.1, r.job("read", "a"), r.report("v", 9))
 	probed := false
-	for _, p := range of[HealthCheck](acts) {
+	for _, p := range actionsOf[HealthCheck](acts) {
 		probed = probed || p.Worker == "w"
 	}
-	for _, s := range of[Send](acts) {
+	for _, s := range actionsOf[Send](acts) {
 		if s.Worker == "w" {
 			t.Error("used before it was asked")
 		}
@@ -79,17 +79,17 @@
 		t.Errorf("%v: not asked for its report", acts)
 	}
 	// Where the list knows a start since the cordon, that one counts.
-	r.at(200, Cordon{"v", true})
-	late := up("v")
+	r.stepAt(200, Cordon{"v", true})
+	late := runningWorkers("v")
 	late[0].StartedAt = 201
-	r.at(205, EndpointUpdate{Kind: EndpointsDelta, Workers: late})
-	r.at(210, Cordon{"v", false})
+	r.stepAt(205, EndpointUpdate{Kind: EndpointsDelta, Workers: late})
+	r.stepAt(210, Cordon{"v", false})
 	if got := r.b.capacityShare(r.b.workersByID["v"]); got < 0.7 || got > 0.75 {
 		t.Errorf("warm to %v, 9 of 20 s after its start", got)
 	}
 	// One that the list calls draining is not used when operators take it back.
-	r.at(300, Cordon{"w", true}, EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: "w", Zone: "here", Kind: "k", State: Draining}}})
-	if acts := r.at(301, Cordon{"w", false}, r.job("read", "a"), r.report("w", 3)); touches(acts, "w") > 0 {
+	r.stepAt(300, Cordon{"w", true}, EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: "w", Zone: "here", Kind: "k", State: Draining}}})
+	if acts := r.stepAt(301, Cordon{"w", false}, r.job("read", "a"), r.report("w", 3)); touches(acts, "w") > 0 {
 		t.Errorf("%v to one that drains", acts)
 	}
 }
@@ -99,15 +99,15 @@
 func TestUncordonedIsNext(t *testing.T) {
 	first := 0
 	for seed := range uint64(40) {
-		b, err := New(base(), seed)
+		b, err := New(testConfig(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := &rig{t: t, b: b, now: 100}
-		r.step(EndpointUpdate{Kind: EndpointsCached, Workers: up("w", "v")}, Cordon{"w", true}, r.report("v", 4))
-		r.at(150, Cordon{"w", false}, r.report("v", 4))
-		r.at(150.1, r.report("w", 2), r.report("v", 4))
-		for _, s := range of[Send](r.step(r.job("read", "a"))) {
+		r.step(EndpointUpdate{Kind: EndpointsCached, Workers: runningWorkers("w", "v")}, Cordon{"w", true}, r.report("v", 4))
+		r.stepAt(150, Cordon{"w", false}, r.report("v", 4))
+		r.stepAt(150.1, r.report("w", 2), r.report("v", 4))
+		for _, s := range actionsOf[Send](r.step(r.job("read", "a"))) {
 			if s.Worker == "w" {
 				first++
 			}
@@ -123,12 +123,12 @@
 
 // One that the list has removed can be uncordoned: it is used when a list names it again.
 func TestUncordonedWhileRemoved(t *testing.T) {
-	r := newRig(t, base(), up("w", "v")...)
-	r.step(Cordon{"w", true}, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
-	if acts := r.at(110, Cordon{"w", false}, r.job("read", "a"), r.report("v", 0)); touches(acts, "w") > 0 {
+	r := newRig(t, testConfig(), runningWorkers("w", "v")...)
+	r.step(Cordon{"w", true}, EndpointUpdate{Kind: EndpointsSnapshot, Workers: runningWorkers("v")})
+	if acts := r.stepAt(110, Cordon{"w", false}, r.job("read", "a"), r.report("v", 0)); touches(acts, "w") > 0 {
 		t.Errorf("%v to one that is gone", acts)
 	}
-	acts := r.at(120, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.report("w", 2))
+	acts := r.stepAt(120, EndpointUpdate{Kind: EndpointsSnapshot, Workers: runningWorkers("v", "w")}, r.job("read", "a"), r.report("w", 2))
 	if touches(acts, "w") == 0 {
 		t.Errorf("%v: back in the list and in use, it gets nothing", acts)
 	}
@@ -140,7 +140,7 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		ids := []string{"u", "v", "w"}
-		r := newRig(t, base(), up(ids...)...)
+		r := newRig(t, testConfig(), runningWorkers(ids...)...)
 		out, live := map[string]bool{}, []Send{}
 		tries := map[string]int{}
 		for range 400 {
@@ -154,7 +154,7 @@
 				out[id] = false
 				ev = append(ev, Cordon{id, false})
 			case 2:
-				i := up(id)
+				i := runningWorkers(id)
 				i[0].State = []WorkerState{Running, Running, Draining, Removed}[rng.IntN(4)]
 				i[0].StartedAt = float64(rng.IntN(2)) * r.now
 				ev = append(ev, EndpointUpdate{Kind: EndpointsDelta, Workers: i})
@@ -201,7 +201,7 @@
 		for _, s := range live {
 			play(r.step(done(s, tries[s.ID]-1, Served)))
 		}
-		play(r.at(r.now+60, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up(ids...)}, Cordon{"u", false}, Cordon{"v", false},
+		play(r.stepAt(r.now+60, EndpointUpdate{Kind: EndpointsSnapshot, Workers: runningWorkers(ids...)}, Cordon{"u", false}, Cordon{"v", false},
 			Cordon{"w", false}, r.report("u", 3), r.report("v", 3), r.report("w", 3)))
 		clear(used)
 		for range 400 {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -10,20 +10,20 @@
 // a quarter of all workers had four slots free. A report of just enough capacity, asked for a
 // moment ago, was taken for older than it was, and counted for less.
 func TestRequestedReportHoldsForAWideJob(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants[0].Quota = 80, 4000
-	r := newRig(t, cfg, up("full", "room")...)
+	r := newRig(t, cfg, runningWorkers("full", "room")...)
 	for range 8 { // jobs are short, and its zone has little capacity as a rule
-		r.at(r.now+1, r.report("full", 1), r.report("room", 0))
-		for _, s := range of[Send](r.step(r.job("read", "a"))) {
+		r.stepAt(r.now+1, r.report("full", 1), r.report("room", 0))
+		for _, s := range actionsOf[Send](r.step(r.job("read", "a"))) {
 			r.step(AttemptStarted{s.ID, 0})
-			r.at(r.now+0.5, done(s, 0, Served))
+			r.stepAt(r.now+0.5, done(s, 0, Served))
 		}
 	}
 	wide := r.job("write", "a")
 	wide.Slots = 4
-	r.at(r.now+1, wide)
-	sent := of[Send](r.at(r.now+0.01, r.report("full", 1), r.report("room", 4)))
+	r.stepAt(r.now+1, wide)
+	sent := actionsOf[Send](r.stepAt(r.now+0.01, r.report("full", 1), r.report("room", 4)))
 	if len(sent) != 1 || sent[0].Worker != "room" {
 		t.Errorf("a worker that has just told of four free slots gets %v, want the job of four", sent)
 	}
@@ -31,15 +31,15 @@
 
 // A report that comes unasked, with an answer, is as old as before.
 func TestUnrequestedReportIsOlder(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers = 80
-	r := newRig(t, cfg, up("w")...)
-	s := of[Send](r.step(r.report("w", 1), r.job("read", "a")))[0]
-	r.at(r.now+1, AttemptDone{ID: s.ID, Outcome: Served, Report: []float64{4}})
+	r := newRig(t, cfg, runningWorkers("w")...)
+	s := actionsOf[Send](r.step(r.report("w", 1), r.job("read", "a")))[0]
+	r.stepAt(r.now+1, AttemptDone{ID: s.ID, Outcome: Served, Report: []float64{4}})
 	if age := r.now - r.b.workersByID["w"].report.measuredAt; age < reportAgeSeconds {
 		t.Errorf("it is taken to be %.2f s old, want %.2f or more", age, reportAgeSeconds)
 	}
-	r.at(r.now+1, r.report("w", 3))
+	r.stepAt(r.now+1, r.report("w", 3))
 	if age := r.now - r.b.workersByID["w"].report.measuredAt; age > requestedReportAgeSeconds+1e-9 {
 		t.Errorf("one that was asked for is taken to be %.2f s old, want %.2f", age, requestedReportAgeSeconds)
 	}
@@ -47,7 +47,7 @@
 
 // Found in a fleet of 80: a wide job asked three workers, and as full ones counted as known, no more.
 func TestChecksUntilOneHasRoom(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.HealthCheckCost, cfg.Classes[2].WorkerKind = 80, 4000, 0.001, "k"
 	r := newRig(t, cfg, fleet(30)...)
 	j := r.job("write", "a")
@@ -57,15 +57,15 @@
 	r.b.healthCheckBudget = 1
 	ev := []Event{TimerFired{}}
 	for range 30 {
-		acts := r.at(r.now+0.005, ev...)
-		if sent := of[Send](acts); len(sent) > 0 {
+		acts := r.stepAt(r.now+0.005, ev...)
+		if sent := actionsOf[Send](acts); len(sent) > 0 {
 			if sent[0].Worker != last {
 				t.Errorf("sent to %s, want %s, which alone has room", sent[0].Worker, last)
 			}
 			return
 		}
 		ev = nil
-		for _, p := range of[HealthCheck](acts) {
+		for _, p := range actionsOf[HealthCheck](acts) {
 			free := 1.0
 			if asked++; asked == 12 {
 				free, last = 5, p.Worker
@@ -84,7 +84,7 @@
 		free float64
 		want int
 	}{{1, 1}, {0.5, 0}} {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.Classes[2].WorkerKind = 80, 1, "k"
 		r := newRig(t, cfg, fleet(20)...)
 		var ev []Event
@@ -96,7 +96,7 @@
 		}
 		tenant := r.b.tenantsByName["a"]
 		tenant.tokens, tenant.refilledAt, tenant.localTag = 0, r.now, r.now+100 // it had its allotment
-		if got := of[Send](r.step(append(ev, r.job("read", "a"))...)); len(got) != c.want {
+		if got := actionsOf[Send](r.step(append(ev, r.job("read", "a"))...)); len(got) != c.want {
 			t.Errorf("%v free slots a worker: %d surplus jobs sent, want %d", c.free, len(got), c.want)
 		}
 	}
@@ -107,7 +107,7 @@
 // and 40 got the same. Each has to get what is there in proportion, and who was there alone
 // must not pay for it when another comes.
 func TestSurplusKeepsProportion(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers = 5
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 20, Weight: 1}, {Name: "b", Quota: 40, Weight: 1}}
 	r := newRig(t, cfg, fleet(8)...)
@@ -129,7 +129,7 @@
 					ev = append(ev, r.job("write", name))
 				}
 			}
-			out = of[Send](r.step(ev...))
+			out = actionsOf[Send](r.step(ev...))
 			for _, s := range out {
 				sent[s.ID[:1]]++
 			}
@@ -150,7 +150,7 @@
 // Found in a fleet of 80: sixty workers of which nothing was heard of late, each counted for its
 // zone's mean, got nine in ten jobs, though three had just reported capacity.
 func TestSelectionPrefersFreshReports(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.Classes[2].WorkerKind = 80, 4000, "k"
 	told, n := 0, 0
 	for i := range 200 {
@@ -163,7 +163,7 @@
 		for _, w := range r.b.workers[:3] {
 			r.step(r.report(w.ID, 3))
 		}
-		for _, s := range of[Send](r.step(r.job("read", "a"))) {
+		for _, s := range actionsOf[Send](r.step(r.job("read", "a"))) {
 			if n++; r.b.workersByID[s.Worker].report.receivedAt == r.now {
 				told++
 			}
@@ -177,7 +177,7 @@
 // Most of a fleet starts at once on an old cached list while discovery rejects callers. All serve from
 // the list, and their calls spread: they don't come again in step.
 func TestManyDispatchersSpreadTheirPolls(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval, cfg.Tenants[0].Quota = 80, true, 10, 4000
 	var rigs []*rig
 	for i := range 80 {
@@ -199,14 +199,14 @@
 			if tick == 5 {
 				ev = append(ev, r.job("read", "a"))
 			}
-			acts := r.at(now, append(ev, TimerFired{})...)
+			acts := r.stepAt(now, append(ev, TimerFired{})...)
 			for len(acts) > 0 {
-				sent += len(of[Send](acts))
+				sent += len(actionsOf[Send](acts))
 				var answers []Event
-				for _, p := range of[HealthCheck](acts) {
+				for _, p := range actionsOf[HealthCheck](acts) {
 					answers = append(answers, r.report(p.Worker, 3))
 				}
-				if n := len(of[Subscribe](acts)); n > 0 {
+				if n := len(actionsOf[Subscribe](acts)); n > 0 {
 					calls[tick] += n
 					if now < 130 { // then discovery bears calls again
 						answers = append(answers, EndpointUpdate{Kind: EndpointsFailed})
@@ -295,7 +295,7 @@
 func TestPollsFollowInTime(t *testing.T) {
 	for _, every := range []float64{1, 6, 10, 300} {
 		for seed := range uint64(1000) {
-			cfg := base()
+			cfg := testConfig()
 			cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval = 300, true, every
 			b, err := New(cfg, seed)
 			if err != nil {
@@ -303,13 +303,13 @@
 			}
 			r := &rig{t: t, b: b, now: 100}
 			chance := rand.New(rand.NewPCG(seed, 3))
-			r.step(EndpointUpdate{Kind: EndpointsCached, Workers: up("w")})
+			r.step(EndpointUpdate{Kind: EndpointsCached, Workers: runningWorkers("w")})
 			free, calls, within := r.now, 0, 2.81 // since when no call is out, and how soon the next is to be
 			for r.now < 130 {
 				if r.now+0.01 > free+within {
 					t.Fatalf("asked every %v s, seed %d: no call %.2f s after the last one ended", every, seed, r.now-free)
 				}
-				if len(of[Subscribe](r.at(r.now+0.01, TimerFired{}))) > 0 {
+				if len(actionsOf[Subscribe](r.stepAt(r.now+0.01, TimerFired{}))) > 0 {
 					calls++
 					took := []float64{0, 0, chance.Float64(), 3.1, 1.5 + 1.6*chance.Float64()}[chance.IntN(5)]
 					r.now += took
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -52,7 +52,7 @@
 				b.checkUntilFree(g.jobShape, healthChecksPerJob*g.count)
 			}
 		} else {
-			t.queue.eachRetry(func(j *job) {
+			t.queue.visitRetries(func(j *job) {
 				b.checkUntilFree(j.group.jobShape, healthChecksPerJob*min(j.inFlight, 1))
 			})
 		}
--- a/balance/large_test.go
+++ b/balance/large_test.go
@@ -12,20 +12,20 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("w", i)
 	}
-	return up(ids...)
+	return runningWorkers(ids...)
 }
 
 // Found at full size: each event ranked all workers, and each job went to another
 // worker on a new connection.
-func TestDispatcherKeepsToSomeWorkers(t *testing.T) {
+func TestDispatcherUsesSmallPool(t *testing.T) {
 	seen := map[string]int{}
 	for index := range 60 {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers, cfg.Index, cfg.HealthChecks = 60, index, false
 		r := newRig(t, cfg, fleet(100)...)
 		own := map[string]bool{}
 		for range 40 {
-			for _, s := range of[Send](r.at(r.now+5, r.job("read", "a"))) {
+			for _, s := range actionsOf[Send](r.stepAt(r.now+5, r.job("read", "a"))) {
 				own[s.Worker] = true
 				r.step(AttemptStarted{s.ID, 0})
 				r.step(done(s, 0, Served))
@@ -49,19 +49,19 @@
 }
 
 // Found at full size: what a report showed seconds ago had long been taken.
-func TestOldReportFadesToItsZone(t *testing.T) {
-	cfg := base()
+func TestOldReportDecaysToZoneEstimate(t *testing.T) {
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.HealthChecks = 100, false
-	r := newRig(t, cfg, up("old", "v", "w")...)
+	r := newRig(t, cfg, runningWorkers("old", "v", "w")...)
 	r.step(r.report("old", 4))
 	for i := range 12 {
-		r.at(101+float64(i), r.report("v", float64(i%2)*0.1), r.report("w", float64(i%2)*0.1))
+		r.stepAt(101+float64(i), r.report("v", float64(i%2)*0.1), r.report("w", float64(i%2)*0.1))
 	}
 	if slots, _ := r.b.estimateFree(r.b.workersByID["old"]); slots > 1 {
 		t.Errorf("a report of 4 slots still counts for %.1f after 12 s", slots)
 	}
 	cfg.Dispatchers = 1
-	r = newRig(t, cfg, up("old")...)
+	r = newRig(t, cfg, runningWorkers("old")...)
 	r.step(r.report("old", 4))
 	r.now += 12
 	r.step(TimerFired{})
@@ -72,12 +72,12 @@
 
 // Found at full size: among hundreds a slice of the slow-start budget is below a job, so
 // none sent. Whole jobs in turn must keep the budget in any span, and use some of it.
-func TestSlowStartJobsAreDealtOut(t *testing.T) {
+func TestSlowStartBudgetAcrossDispatchers(t *testing.T) {
 	const n, slots = 150, 4.0
 	cold := WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: 100}
 	var all []*rig
 	for index := range n {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers, cfg.Index, cfg.HealthChecks = n, index, false
 		cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = 0.3, 20, 3, 2
 		r := newRig(t, cfg, cold)
@@ -96,7 +96,7 @@
 			if step%10 == 0 {
 				ev = append(ev, r.job("read", "a"))
 			}
-			for range of[Send](r.at(now, ev...)) {
+			for range actionsOf[Send](r.stepAt(now, ev...)) {
 				sent = append(sent, now)
 			}
 		}
@@ -125,22 +125,22 @@
 		prompt float64
 		copies int
 	}{{"read", 1, 1}, {"read", 0, 0}, {"write", 1, 0}} {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers, cfg.HealthChecks, cfg.Cancellation, cfg.Hedging = 100, false, true, true
-		r := newRig(t, cfg, up("v", "w")...)
+		r := newRig(t, cfg, runningWorkers("v", "w")...)
 		for range 20 {
 			r.b.promptStartRate.observe(c.prompt)
 		}
-		first := of[Send](r.step(r.job(c.class, "a")))
+		first := actionsOf[Send](r.step(r.job(c.class, "a")))
 		if len(first) != 1 {
 			t.Fatalf("%d sends, want 1", len(first))
 		}
-		again := of[Send](r.at(104, TimerFired{}))
+		again := actionsOf[Send](r.stepAt(104, TimerFired{}))
 		if len(again) != c.copies || c.copies == 1 && again[0].Worker == first[0].Worker {
 			t.Errorf("%s, %v of sends prompt: copies %v after %v", c.class, c.prompt, again, first)
 		}
 		if c.copies == 1 {
-			off := of[Cancel](r.step(AttemptStarted{first[0].ID, 1}))
+			off := actionsOf[Cancel](r.step(AttemptStarted{first[0].ID, 1}))
 			if len(off) != 1 || off[0].Attempt != 0 {
 				t.Errorf("called off %v, want the attempt that has not started", off)
 			}
@@ -150,28 +150,28 @@
 
 // Found at full size: no report is fresh when a job comes to a quiet dispatcher.
 func TestJobWaitsForHealthChecks(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers = 100
 	r := newRig(t, cfg, fleet(healthChecksPerJob)...)
 	acts := r.step(r.job("write", "a"))
-	asked := of[HealthCheck](acts)
-	if len(of[Send](acts)) != 0 || len(asked) != healthChecksPerJob {
-		t.Fatalf("%d sends and %d probes at once, want none and %d", len(of[Send](acts)), len(asked), healthChecksPerJob)
+	asked := actionsOf[HealthCheck](acts)
+	if len(actionsOf[Send](acts)) != 0 || len(asked) != healthChecksPerJob {
+		t.Fatalf("%d sends and %d probes at once, want none and %d", len(actionsOf[Send](acts)), len(asked), healthChecksPerJob)
 	}
-	if more := of[HealthCheck](r.at(100.01, r.report(asked[0].Worker, 0))); len(more) > 0 {
+	if more := actionsOf[HealthCheck](r.stepAt(100.01, r.report(asked[0].Worker, 0))); len(more) > 0 {
 		t.Errorf("%d more probes while an answer is still out", len(more))
 	}
-	got := of[Send](r.at(100.02, r.report(asked[1].Worker, 4)))
+	got := actionsOf[Send](r.stepAt(100.02, r.report(asked[1].Worker, 4)))
 	if len(got) != 1 || got[0].Worker != asked[1].Worker {
 		t.Errorf("sent %v, want to %s which shows room", got, asked[1].Worker)
 	}
 }
 
 // Found at full size: at a job in ten seconds chance looked like surplus.
-func TestChanceIsNotSurplus(t *testing.T) {
-	cfg := base()
+func TestRandomArrivalsAreNotSurplus(t *testing.T) {
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants = 100, []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
-	r := newRig(t, cfg, up("w")...)
+	r := newRig(t, cfg, runningWorkers("w")...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	over := map[string]int{}
 	for range 500 { // a sends nine tenths of its allotment, b three times it
@@ -199,7 +199,7 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cfg := base()
+			cfg := testConfig()
 			cfg.Dispatchers = 300
 			bal, err := New(cfg, 1)
 			if err != nil {
@@ -229,15 +229,15 @@
 }
 
 // Found where few dispatchers share busy workers: sends rejected used up attempts.
-func TestRejectionsMakeCautious(t *testing.T) {
+func TestRejectionsRaiseRequiredFreeSlots(t *testing.T) {
 	for _, c := range []struct{ miss, want float64 }{{0, 1}, {1, 0}} {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers = 4
-		r := newRig(t, cfg, up("w")...)
+		r := newRig(t, cfg, runningWorkers("w")...)
 		for range 20 {
 			r.b.rejectionRate.observe(c.miss)
 		}
-		if got := of[Send](r.step(r.report("w", 1), r.job("write", "a"))); float64(len(got)) != c.want {
+		if got := actionsOf[Send](r.step(r.report("w", 1), r.job("write", "a"))); float64(len(got)) != c.want {
 			t.Errorf("%d sends after refusals in %v of the sends, want %v", len(got), c.miss, c.want)
 		}
 	}
--- a/balance/names_test.go
+++ b/balance/names_test.go
@@ -9,7 +9,7 @@
 // A deployment's names tell its classes, tenants, zones and kinds apart and say nothing: under any
 // other names the same settings, seed and events give the same actions. The names here also turn
 // their order around, are taken from one another, and differ in length.
-func TestNamesDecideNothing(t *testing.T) {
+func TestNamesDoNotAffectDecisions(t *testing.T) {
 	names := []string{"read", "write", "put", "a", "b", "c", "here", "there", "far", "k", "m"}
 	renamings := map[string]func(i int) string{
 		"reversed": func(i int) string { return fmt.Sprintf("%02d", len(names)-i) },
@@ -24,7 +24,7 @@
 	cfgs["kinded"] = kinded
 	for label, cfg := range cfgs {
 		for seed := range uint64(2) {
-			want := stream(t, cfg, seed, mixed(func(name string) string { return name }))
+			want := actionDigest(t, cfg, seed, extraEvents(func(name string) string { return name }))
 			for how, renaming := range renamings {
 				as := func(name string) string {
 					i := slices.Index(names, name)
@@ -33,7 +33,7 @@
 					}
 					return renaming(i)
 				}
-				if got := streamAs(t, renamed(cfg, as), seed, mixed(as), as); got != want {
+				if got := renamedActionDigest(t, renameConfig(cfg, as), seed, extraEvents(as), as); got != want {
 					t.Errorf("%s, seed %d, names %s: actions %s, under the first names %s", label, seed, how, got, want)
 				}
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// renamed returns the settings with other names.
-func renamed(c Config, as func(string) string) Config {
+// renameConfig returns the settings with other names.
+func renameConfig(c Config, as func(string) string) Config {
 	c.Zone = as(c.Zone)
 	c.Classes, c.Tenants = slices.Clone(c.Classes), slices.Clone(c.Tenants)
 	for i := range c.Classes {
@@ -57,9 +57,9 @@
 	return c
 }
 
-// mixed adds workers of a further zone and another kind, a warming one among them, to a stream, and
+// extraEvents adds workers of a further zone and another kind, a warming one among them, to a stream, and
 // shares that others tell of.
-func mixed(as func(string) string) func(*Balancer, float64) []Event {
+func extraEvents(as func(string) string) func(*Balancer, float64) []Event {
 	looks := 0
 	return func(_ *Balancer, now float64) []Event {
 		looks++
--- a/balance/promised_test.go
+++ b/balance/promised_test.go
@@ -10,34 +10,34 @@
 
 // fleetSim plays workers of some slots against one balancer in virtual time.
 type fleetSim struct {
-	t       *testing.T
-	b       *Balancer
-	now     float64
-	rng     *rand.Rand
-	due     simHeap
-	free    map[string]float64
-	tries   map[string]int
-	slots   map[string]float64
-	came    map[string]float64
-	first   map[string]float64 // when a job was first sent
-	refused map[string]float64
-	failed  map[string]bool
-	silent  map[string]bool
-	run     float64
-	n       int
+	t            *testing.T
+	b            *Balancer
+	now          float64
+	rng          *rand.Rand
+	pending      simHeap
+	freeSlots    map[string]float64
+	attempts     map[string]int
+	jobSlots     map[string]float64
+	arrivedAt    map[string]float64
+	firstSentAt  map[string]float64 // when a job was first sent
+	rejectedAt   map[string]float64
+	failed       map[string]bool
+	unresponsive map[string]bool
+	meanRunTime  float64
+	sequence     int
 }
 
 type simEvent struct {
-	at float64
-	n  int
-	e  Event
-	do func()
+	at       float64
+	sequence int
+	event    Event
+	callback func()
 }
 type simHeap []simEvent
 
 func (h simHeap) Len() int { return len(h) }
 func (h simHeap) Less(i, k int) bool {
-	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].n < h[k].n
+	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].sequence < h[k].sequence
 }
 func (h simHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
 func (h *simHeap) Push(x any)   { *h = append(*h, x.(simEvent)) }
@@ -48,82 +48,82 @@
 	return x
 }
 
-func newSim(t *testing.T, cfg Config, workers int, slots float64) *fleetSim {
+func newFleetSim(t *testing.T, cfg Config, workers int, slots float64) *fleetSim {
 	b, err := New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fleetSim{t: t, b: b, now: 100, rng: rand.New(rand.NewPCG(5, 6)), free: map[string]float64{}, tries: map[string]int{}, slots: map[string]float64{},
-		came: map[string]float64{}, first: map[string]float64{}, refused: map[string]float64{}, failed: map[string]bool{}, silent: map[string]bool{}, run: 0.2}
+	s := &fleetSim{t: t, b: b, now: 100, rng: rand.New(rand.NewPCG(5, 6)), freeSlots: map[string]float64{}, attempts: map[string]int{}, jobSlots: map[string]float64{},
+		arrivedAt: map[string]float64{}, firstSentAt: map[string]float64{}, rejectedAt: map[string]float64{}, failed: map[string]bool{}, unresponsive: map[string]bool{}, meanRunTime: 0.2}
 	list := fleet(workers)
 	for _, w := range list {
-		s.free[w.ID] = slots
+		s.freeSlots[w.ID] = slots
 	}
-	s.after(0, EndpointUpdate{Kind: EndpointsCached, Workers: list}, nil)
+	s.schedule(0, EndpointUpdate{Kind: EndpointsCached, Workers: list}, nil)
 	return s
 }
 
-func (s *fleetSim) after(d float64, e Event, do func()) {
-	s.n++
-	heap.Push(&s.due, simEvent{s.now + d, s.n, e, do})
+func (s *fleetSim) schedule(d float64, e Event, do func()) {
+	s.sequence++
+	heap.Push(&s.pending, simEvent{s.now + d, s.sequence, e, do})
 }
 
 func (s *fleetSim) job(class, tenant string, slots, left float64) string {
-	s.n++
-	id := fmt.Sprint(class, s.n)
-	s.came[id], s.slots[id] = s.now, slots
-	s.after(0, JobArrived{ID: id, Class: class, Tenant: tenant, Timeout: left, Slots: slots}, nil)
+	s.sequence++
+	id := fmt.Sprint(class, s.sequence)
+	s.arrivedAt[id], s.jobSlots[id] = s.now, slots
+	s.schedule(0, JobArrived{ID: id, Class: class, Tenant: tenant, Timeout: left, Slots: slots}, nil)
 	return id
 }
 
-// stream has jobs of tenant a arrive evenly at a rate.
-func (s *fleetSim) stream(class string, slots, rate, left float64) {
+// addArrivals has jobs of tenant a arrive evenly at a rate.
+func (s *fleetSim) addArrivals(class string, slots, rate, left float64) {
 	var next func()
 	next = func() {
 		s.job(class, "a", slots, left)
-		s.after(1/rate, nil, next)
+		s.schedule(1/rate, nil, next)
 	}
-	s.after(s.rng.Float64()/rate, nil, next)
+	s.schedule(s.rng.Float64()/rate, nil, next)
 }
 
-func (s *fleetSim) play(until float64) {
-	for len(s.due) > 0 && s.due[0].at <= until {
-		x := heap.Pop(&s.due).(simEvent)
+func (s *fleetSim) runUntil(until float64) {
+	for len(s.pending) > 0 && s.pending[0].at <= until {
+		x := heap.Pop(&s.pending).(simEvent)
 		s.now = x.at
-		if x.do != nil {
-			x.do()
+		if x.callback != nil {
+			x.callback()
 		}
-		if x.e == nil {
+		if x.event == nil {
 			continue
 		}
-		for _, a := range s.b.Step(s.now, []Event{x.e}) {
+		for _, a := range s.b.Step(s.now, []Event{x.event}) {
 			switch a := a.(type) {
 			case SetTimer:
-				s.after(a.After, TimerFired{}, nil)
+				s.schedule(a.After, TimerFired{}, nil)
 			case HealthCheck:
-				s.after(0.005, HealthCheckDone{Worker: a.Worker, Outcome: Served, Report: []float64{max(0, s.free[a.Worker])}}, nil)
+				s.schedule(0.005, HealthCheckDone{Worker: a.Worker, Outcome: Served, Report: []float64{max(0, s.freeSlots[a.Worker])}}, nil)
 			case Reject:
-				s.refused[a.ID] = s.now
+				s.rejectedAt[a.ID] = s.now
 			case Fail:
 				s.failed[a.ID] = true
 			case Send:
-				k := s.tries[a.ID]
-				s.tries[a.ID]++
+				k := s.attempts[a.ID]
+				s.attempts[a.ID]++
 				if k == 0 {
-					s.first[a.ID] = s.now
+					s.firstSentAt[a.ID] = s.now
 				}
-				if s.free[a.Worker] < s.slots[a.ID] {
-					s.after(0.002, AttemptDone{ID: a.ID, Attempt: k, Worker: a.Worker, Outcome: Overloaded}, nil)
+				if s.freeSlots[a.Worker] < s.jobSlots[a.ID] {
+					s.schedule(0.002, AttemptDone{ID: a.ID, Attempt: k, Worker: a.Worker, Outcome: Overloaded}, nil)
 					continue
 				}
-				s.free[a.Worker] -= s.slots[a.ID]
-				s.after(0.002, AttemptStarted{ID: a.ID, Attempt: k}, nil)
-				if s.silent[a.Worker] {
+				s.freeSlots[a.Worker] -= s.jobSlots[a.ID]
+				s.schedule(0.002, AttemptStarted{ID: a.ID, Attempt: k}, nil)
+				if s.unresponsive[a.Worker] {
 					continue
 				}
-				s.after(0.002+s.run*s.rng.ExpFloat64(), nil, func() {
-					s.free[a.Worker] += s.slots[a.ID]
-					s.after(0, AttemptDone{ID: a.ID, Attempt: k, Worker: a.Worker, Outcome: Served, JobFinished: true, Report: []float64{s.free[a.Worker]}}, nil)
+				s.schedule(0.002+s.meanRunTime*s.rng.ExpFloat64(), nil, func() {
+					s.freeSlots[a.Worker] += s.jobSlots[a.ID]
+					s.schedule(0, AttemptDone{ID: a.ID, Attempt: k, Worker: a.Worker, Outcome: Served, JobFinished: true, Report: []float64{s.freeSlots[a.Worker]}}, nil)
 				})
 			}
 		}
@@ -131,15 +131,15 @@
 	s.now = until
 }
 
-// waits are the promised wait for a first attempt of admitted jobs of a class, how
+// waitStats are the promised wait for a first attempt of admitted jobs of a class, how
 // many were sent, refused as they came, and not sent at all in the end.
-func (s *fleetSim) waits(class string) (worst float64, sent, refused, starved int) {
-	for id, came := range s.came {
+func (s *fleetSim) waitStats(class string) (worst float64, sent, refused, starved int) {
+	for id, came := range s.arrivedAt {
 		if !strings.HasPrefix(id, class) {
 			continue
 		}
-		at, ok := s.first[id]
-		r, no := s.refused[id]
+		at, ok := s.firstSentAt[id]
+		r, no := s.rejectedAt[id]
 		switch {
 		case ok:
 			sent++
@@ -157,8 +157,8 @@
 	return
 }
 
-func agingConfig(maxWait float64) Config {
-	cfg := base()
+func promisedWaitConfig(maxWait float64) Config {
+	cfg := testConfig()
 	cfg.Classes = []Class{
 		{Name: "hi", LatencyObjective: 0.5, Deadline: 3, PriorityWeight: 10, Idempotence: Idempotent},
 		{Name: "lo", LatencyObjective: 9, Deadline: 12, PriorityWeight: 1, Idempotence: NonIdempotent, MaxWait: maxWait},
@@ -172,16 +172,16 @@
 // Under a sustained stream of dearer jobs at 120% of the fleet, cheap ones and
 // wide ones are sent within their promised wait or rejected on arrival; the
 // stream loses little. Without the promise they starve.
-func TestAgeing(t *testing.T) {
+func TestPromisedWaitUnderOverload(t *testing.T) {
 	play := func(maxWait float64) *fleetSim {
-		s := newSim(t, agingConfig(maxWait), 8, 4) // 160 slots a second
-		s.stream("hi", 1, 1.2*160, 3)
-		s.stream("lo", 1, 6, 12)
-		s.stream("wide", 4, 0.5, 12)
-		s.play(140)
-		for id, came := range s.came { // those that came last have not had their time
+		s := newFleetSim(t, promisedWaitConfig(maxWait), 8, 4) // 160 slots a second
+		s.addArrivals("hi", 1, 1.2*160, 3)
+		s.addArrivals("lo", 1, 6, 12)
+		s.addArrivals("wide", 4, 0.5, 12)
+		s.runUntil(140)
+		for id, came := range s.arrivedAt { // those that came last have not had their time
 			if came > 140-4 {
-				delete(s.came, id)
+				delete(s.arrivedAt, id)
 			}
 		}
 		return s
@@ -189,8 +189,8 @@
 	const most = 4.0
 	with, without := play(most), play(0)
 	for _, class := range []string{"lo", "wide"} {
-		worst, sent, refused, starved := with.waits(class)
-		was, wasSent, _, wasStarved := without.waits(class)
+		worst, sent, refused, starved := with.waitStats(class)
+		was, wasSent, _, wasStarved := without.waitStats(class)
 		t.Logf("%s: worst %.2f s, %d sent, %d refused, %d starved; without: worst %.2f s, %d sent, %d starved", class, worst, sent, refused, starved, was, wasSent, wasStarved)
 		if worst > most || starved > 0 || sent == 0 {
 			t.Errorf("%s: worst wait %.2f s, %d sent, %d starved", class, worst, sent, starved)
@@ -199,8 +199,8 @@
 			t.Errorf("%s: waits at most %.2f s without the promise: the test shows nothing", class, was)
 		}
 	}
-	_, hi, _, _ := with.waits("hi")
-	_, all, _, _ := without.waits("hi")
+	_, hi, _, _ := with.waitStats("hi")
+	_, all, _, _ := without.waitStats("hi")
 	if float64(hi) < 0.95*float64(all) {
 		t.Errorf("the stream has %d jobs sent, %d without the promise", hi, all)
 	}
@@ -209,17 +209,17 @@
 
 // More than a small part of what is started is not promised: the rest is
 // rejected on arrival, with a Retry-After, and what is admitted is sent in time.
-func TestAgeingFlood(t *testing.T) {
-	s := newSim(t, agingConfig(4), 8, 4)
-	s.stream("hi", 1, 1.2*160, 3)
-	s.stream("lo", 1, 100, 12)
-	s.play(130)
-	for id, came := range s.came {
+func TestPromisedWaitRejectsExcess(t *testing.T) {
+	s := newFleetSim(t, promisedWaitConfig(4), 8, 4)
+	s.addArrivals("hi", 1, 1.2*160, 3)
+	s.addArrivals("lo", 1, 100, 12)
+	s.runUntil(130)
+	for id, came := range s.arrivedAt {
 		if came > 126 {
-			delete(s.came, id)
+			delete(s.arrivedAt, id)
 		}
 	}
-	worst, sent, refused, starved := s.waits("lo")
+	worst, sent, refused, starved := s.waitStats("lo")
 	if worst > 4 || starved > 0 || refused < sent || sent < 50 {
 		t.Errorf("worst %.2f s, %d sent, %d refused, %d starved", worst, sent, refused, starved)
 	}
@@ -227,8 +227,8 @@
 
 // Where classes are promised different waits, a job that is due to go before the
 // tags is not hidden by one that has to go sooner and is not due yet.
-func TestMixedPromises(t *testing.T) {
-	cfg := base()
+func TestDifferentPromisedWaits(t *testing.T) {
+	cfg := testConfig()
 	cfg.Classes[0].MaxWait, cfg.Classes[1].MaxWait = 10, 3
 	b, err := New(cfg, 1)
 	if err != nil {
@@ -249,21 +249,21 @@
 }
 
 // A promised wait can be set and removed while jobs are queued: theirs stays.
-func TestPromiseChanges(t *testing.T) {
-	cfg := base()
+func TestPromisedWaitChanges(t *testing.T) {
+	cfg := testConfig()
 	class := cfg.Classes[0].Name
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused := func(id string, more ...Event) bool {
-		return len(of[Reject](b.Step(100, append(more, JobArrived{ID: id, Class: class, Tenant: "a", Timeout: 60})))) > 0
+		return len(actionsOf[Reject](b.Step(100, append(more, JobArrived{ID: id, Class: class, Tenant: "a", Timeout: 60})))) > 0
 	}
 	if refused("a") || refused("b") || len(b.promised.jobs) > 0 {
 		t.Fatal("promised without a promise")
 	}
 	promise := func(of int, wait float64) ConfigChanged {
-		next := base()
+		next := testConfig()
 		next.Classes[of].MaxWait = wait
 		return ConfigChanged{Config: next}
 	}
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// eachRetry visits the jobs that have been sent before.
-func (q *queue) eachRetry(visit func(*job)) {
+// visitRetries visits the jobs that have been sent before.
+func (q *queue) visitRetries(visit func(*job)) {
 	for _, g := range q.groups {
 		if !g.retry {
 			continue
@@ -161,7 +161,7 @@
 	j.index = len(g.jobs)
 	g.count++
 	g.jobs = append(g.jobs, j)
-	if last := g.lastAt(len(g.jobs) - 2); last == nil || compareArrival(last, j) < 0 {
+	if last := g.lastAtOrBefore(len(g.jobs) - 2); last == nil || compareArrival(last, j) < 0 {
 		return
 	}
 	g.compact()
@@ -174,15 +174,15 @@
 	for len(g.jobs) < length {
 		g.jobs = append(g.jobs, nil)
 	}
-	if last := g.lastAt(index); last == j {
+	if last := g.lastAtOrBefore(index); last == j {
 		g.jobs[j.index] = nil
 		g.jobs[index] = j
 		j.index = index
 	}
 }
 
-// lastAt is the last job at or before an index.
-func (g *group) lastAt(i int) *job {
+// lastAtOrBefore is the last job at or before an index.
+func (g *group) lastAtOrBefore(i int) *job {
 	for ; i >= 0; i-- {
 		if g.jobs[i] != nil {
 			return g.jobs[i]
@@ -218,17 +218,17 @@
 		}
 		return
 	}
-	end := g.visitFirst(g.searchNotSkipped(skip), most, visit)
+	end := g.visitFirst(g.firstNotSkipped(skip), most, visit)
 	g.visitLast(end, most, visit)
 }
 
-// searchNotSkipped is the index before which jobs are skipped, by bisection.
-func (g *group) searchNotSkipped(skip func(*job) bool) int {
+// firstNotSkipped is the index before which jobs are skipped, by bisection.
+func (g *group) firstNotSkipped(skip func(*job) bool) int {
 	low := g.firstOccupied
 	high := len(g.jobs)
 	for low < high {
 		middle := (low + high) / 2
-		if j := g.lastAt(middle); j != nil && skip(j) {
+		if j := g.lastAtOrBefore(middle); j != nil && skip(j) {
 			low = middle + 1
 		} else {
 			high = middle
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// crowd is a balancer at which so many jobs wait, and at which workers have no
+// newBacklog is a balancer at which so many jobs wait, and at which workers have no
 // capacity: half of the jobs of each of two tenants, of all classes and sizes.
-func crowd(tb testing.TB, waiting, workers int) (*Balancer, float64, map[string]int) {
-	cfg := base()
+func newBacklog(tb testing.TB, waiting, workers int) (*Balancer, float64, map[string]int) {
+	cfg := testConfig()
 	cfg.HealthChecks, cfg.HealthCheckCost, cfg.Dispatchers = true, 0.01, 4
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective, cfg.Classes[i].Deadline = 500, 1000
@@ -50,13 +50,13 @@
 	return b, now, tries
 }
 
-var crowds = []struct{ waiting, workers int }{{100, 12}, {10_000, 12}, {100_000, 12}, {100, 1000}, {100_000, 1000}, {100, 5000}, {100_000, 5000}}
+var backlogSizes = []struct{ waiting, workers int }{{100, 12}, {10_000, 12}, {100_000, 12}, {100, 1000}, {100_000, 1000}, {100, 5000}, {100_000, 5000}}
 
 // One step while nothing has capacity.
-func BenchmarkCrowdedStep(b *testing.B) {
-	for _, c := range crowds {
+func BenchmarkBacklogStep(b *testing.B) {
+	for _, c := range backlogSizes {
 		b.Run(fmt.Sprint(c.waiting, "waiting-", c.workers, "workers"), func(b *testing.B) {
-			r, now, _ := crowd(b, c.waiting, c.workers)
+			r, now, _ := newBacklog(b, c.waiting, c.workers)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -69,10 +69,10 @@
 
 // A worker reports a slot, a job goes there and ends, another comes; the client of
 // one leaves where none was sent, so that as many wait as before.
-func BenchmarkCrowdedRelease(b *testing.B) {
-	for _, c := range crowds {
+func BenchmarkBacklogRelease(b *testing.B) {
+	for _, c := range backlogSizes {
 		b.Run(fmt.Sprint(c.waiting, "waiting-", c.workers, "workers"), func(b *testing.B) {
-			r, now, tries := crowd(b, c.waiting, c.workers)
+			r, now, tries := newBacklog(b, c.waiting, c.workers)
 			sent, extra, gone := 0, 0, 0
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -87,9 +87,9 @@
 					}
 				}
 				acts := r.Step(now, events)
-				for o := Served; len(of[Send](acts)) > 0; o = Overloaded { // what the end lets go finds no capacity
+				for o := Served; len(actionsOf[Send](acts)) > 0; o = Overloaded { // what the end lets go finds no capacity
 					var ended []Event
-					for _, s := range of[Send](acts) {
+					for _, s := range actionsOf[Send](acts) {
 						sent++
 						if o == Served {
 							extra--
@@ -114,7 +114,7 @@
 }
 
 // The bookkeeping of a queue against the plainest one: a list in order.
-func TestQueueKeepsItsOrders(t *testing.T) {
+func TestQueueMatchesPlainList(t *testing.T) {
 	c := &class{Class: Class{Name: "c", LatencyObjective: 1}}
 	d := &class{Class: Class{Name: "d", LatencyObjective: 1}}
 	var q queue
@@ -145,7 +145,7 @@
 		if q.count != len(all) || q.size != size {
 			t.Fatalf("%d jobs of size %v, want %d of %v", q.count, q.size, len(all), size)
 		}
-		q.eachRetry(func(*job) { again-- })
+		q.visitRetries(func(*job) { again-- })
 		if again != 0 {
 			t.Fatalf("%d sent before are not listed", again)
 		}
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// stream drives a balancer through a day of every kind of event, drawn by a
+// actionDigest drives a balancer through a day of every kind of event, drawn by a
 // seed, and returns a digest of all its actions in order. The stream does not
 // depend on anything but the seed and the actions themselves.
-func stream(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event) string {
+func actionDigest(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event) string {
 	t.Helper()
-	return streamAs(t, cfg, seed, extra, func(name string) string { return name })
+	return renamedActionDigest(t, cfg, seed, extra, func(name string) string { return name })
 }
 
-// streamAs is stream with other names for the classes, tenants, zones and kinds of its events; cfg is taken as it is.
-func streamAs(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event, as func(string) string) string {
+// renamedActionDigest is stream with other names for the classes, tenants, zones and kinds of its events; cfg is taken as it is.
+func renamedActionDigest(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event, as func(string) string) string {
 	t.Helper()
 	b, err := New(cfg, seed)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return fmt.Sprintf("%x", digest.Sum(nil))[:16]
 }
 
-// recordedLog gives log lines the words with which they were recorded.
-var recordedLog = strings.NewReplacer(
+// recordedLogWording gives log lines the words with which they were recorded.
+var recordedLogWording = strings.NewReplacer(
 	"checking its health until it answers", "probing it",
 	"endpoint poll failed", "roster call failed",
 	"next poll in", "asking again in",
@@ -110,25 +110,25 @@
 	case HealthCheck:
 		return fmt.Sprintf("balance.Probe {Worker:%v}", a.Worker)
 	case Log:
-		return fmt.Sprintf("balance.Log {Text:%v}", recordedLog.Replace(a.Text))
+		return fmt.Sprintf("balance.Log {Text:%v}", recordedLogWording.Replace(a.Text))
 	default:
 		return fmt.Sprintf("%T %+v", a, a)
 	}
 }
 
 func recordedConfigs() map[string]Config {
-	one := base()
-	four := base()
+	one := testConfig()
+	four := testConfig()
 	four.Dispatchers, four.Index, four.PollEndpoints, four.Cancellation, four.ClientsMarkRetries, four.HealthCheckCost = 4, 1, true, true, true, 0.01
-	seven := base()
+	seven := testConfig()
 	seven.Dispatchers, seven.Index, seven.Hedging, seven.OverloadedMayHaveRun, seven.RemovedStayUsable = 7, 6, true, true, true
 	return map[string]Config{"one": one, "four": four, "seven": seven}
 }
 
-// recorded are the digests of the scheduler's actions without a QuotaUpdate. They were taken anew when
+// recordedDigests are the digests of the scheduler's actions without a QuotaUpdate. They were taken anew when
 // surplus past the buckets began to leave in proportion to reservations, and when the waits between calls to the
 // endpoint list were held to 6 s: where it is not asked nothing but the line in the log changed then.
-var recorded = map[string]string{
+var recordedDigests = map[string]string{
 	"four-0":  "1cda9972f39c290d",
 	"four-1":  "b3babe5e8b12b8d1",
 	"four-2":  "9bcfaf187b2941c1",
@@ -142,25 +142,25 @@
 
 // With no peers the decisions are, action by action, those that were recorded
 // before there were any; and a QuotaUpdate that says what holds anyhow changes none.
-func TestDecisionsAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for name, cfg := range recordedConfigs() {
 		for seed := range uint64(3) {
 			key := fmt.Sprint(name, "-", seed)
-			if got := stream(t, cfg, seed, nil); got != recorded[key] {
-				t.Errorf("%q: %q, recorded %q", key, got, recorded[key])
+			if got := actionDigest(t, cfg, seed, nil); got != recordedDigests[key] {
+				t.Errorf("%q: %q, recorded %q", key, got, recordedDigests[key])
 			}
 		}
 	}
 }
 
 // The allotment that a QuotaUpdate grants is what a tenant gets of due tags.
-func TestAllotmentIsThePace(t *testing.T) {
+func TestAllotmentSetsRate(t *testing.T) {
 	served := func(slice float64) int {
-		cfg := base()
+		cfg := testConfig()
 		cfg.Dispatchers = 5
 		cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 90, 200
 		cfg.Tenants = []Tenant{{Name: "a", Quota: 40, Weight: 1}, {Name: "b", Weight: 40}}
-		r := newRig(t, cfg, up("w")...)
+		r := newRig(t, cfg, runningWorkers("w")...)
 		var first []Event
 		for range 300 {
 			first = append(first, r.job("read", "a"), r.job("read", "b"))
@@ -170,7 +170,7 @@
 		}
 		r.step(first...)
 		n, total := 0, 0
-		last := of[Send](r.step(r.report("w", 1)))
+		last := actionsOf[Send](r.step(r.report("w", 1)))
 		for range 200 {
 			for _, s := range last {
 				if strings.HasPrefix(s.ID, "a") {
@@ -185,7 +185,7 @@
 				ended = append(ended, end)
 			}
 			total += len(last)
-			last = of[Send](r.step(ended...))
+			last = actionsOf[Send](r.step(ended...))
 		}
 		t.Log(slice, n, total)
 		return n
@@ -198,16 +198,16 @@
 
 // What others have sent for a tenant counts as sent here.
 func TestRemoteUsageMovesTheGlobalTag(t *testing.T) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
-	r := newRig(t, cfg, up("w")...)
+	r := newRig(t, cfg, runningWorkers("w")...)
 	var first []Event
 	for range 60 {
 		first = append(first, r.job("read", "a"), r.job("read", "b"))
 	}
 	r.step(append(first, QuotaUpdate{Tenant: "a", Allotment: 1, RemoteUsage: 10})...)
 	n := 0
-	last := of[Send](r.step(r.report("w", 1)))
+	last := actionsOf[Send](r.step(r.report("w", 1)))
 	for range 30 {
 		for _, s := range last {
 			if strings.HasPrefix(s.ID, "a") {
@@ -215,7 +215,7 @@
 			}
 		}
 		r.now += 0.01
-		last = of[Send](r.step(done(last[0], 0, Served)))
+		last = actionsOf[Send](r.step(done(last[0], 0, Served)))
 	}
 	if n < 8 || n > 12 {
 		t.Errorf("%d of 30 for a, want some 10: it had 10 elsewhere", n)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// randomDay plays random but lawful events and checks the rules: one final answer for each job, no send after it, no
+// randomRun plays random but lawful events and checks the rules: one final answer for each job, no send after it, no
 // non-idempotent retry, no send to a worker that drains, attempts within the limit, nothing kept.
-type randomDay struct {
+type randomRun struct {
 	*rig
 	seed     uint64
 	rng      *rand.Rand
 	cfg      Config
-	inFlight []dayAttempt
-	jobs     map[string]*dayJob
+	inFlight []trackedAttempt
+	jobs     map[string]*trackedJob
 	draining map[string]bool
 }
 
-type dayAttempt struct {
+type trackedAttempt struct {
 	Send
 	number    int
 	cancelled bool
 }
 
-type dayJob struct {
+type trackedJob struct {
 	class      string
 	deadline   float64
 	attempts   int
@@ -32,21 +32,21 @@
 	mayHaveRun bool
 }
 
-var dayOutcomes = []Outcome{
+var randomOutcomes = []Outcome{
 	Served, Served, Served, Failed, Overloaded, Unreachable, ConnectionLost, StaleConnection, Blocked,
 }
 
-// playDay plays some steps and has all end.
-func playDay(t *testing.T, seed uint64, steps int) {
-	cfg := base()
+// runRandomEvents plays some steps and has all end.
+func runRandomEvents(t *testing.T, seed uint64, steps int) {
+	cfg := testConfig()
 	cfg.Hedging = seed%2 == 0
 	cfg.Cancellation = seed%3 > 0
-	d := &randomDay{
-		rig:      newRig(t, cfg, up("u", "v", "w", "x")...),
+	d := &randomRun{
+		rig:      newRig(t, cfg, runningWorkers("u", "v", "w", "x")...),
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		cfg:      cfg,
-		jobs:     map[string]*dayJob{},
+		jobs:     map[string]*trackedJob{},
 		draining: map[string]bool{},
 	}
 	for i := range steps {
@@ -56,8 +56,8 @@
 	d.finish()
 }
 
-// play plays one step, in which a job may arrive.
-func (d *randomDay) play(mayArrive bool) {
+// runUntil plays one step, in which a job may arrive.
+func (d *randomRun) play(mayArrive bool) {
 	var events []Event
 	if d.rng.IntN(3) > 0 && mayArrive {
 		events = append(events, d.arrive())
@@ -84,14 +84,14 @@
 	d.check(d.step(append(events, TimerFired{})...))
 }
 
-func (d *randomDay) arrive() Event {
+func (d *randomRun) arrive() Event {
 	j := d.job([]string{"read", "write", "put"}[d.rng.IntN(3)], []string{"a", "b"}[d.rng.IntN(2)])
-	d.jobs[j.ID] = &dayJob{class: j.Class, deadline: d.now + j.Timeout}
+	d.jobs[j.ID] = &trackedJob{class: j.Class, deadline: d.now + j.Timeout}
 	return j
 }
 
 // toggle has a worker drain, or run again.
-func (d *randomDay) toggle(w string) Event {
+func (d *randomRun) toggle(w string) Event {
 	d.draining[w] = !d.draining[w]
 	state := Running
 	if d.draining[w] {
@@ -101,8 +101,8 @@
 }
 
 // end draws how an attempt ends.
-func (d *randomDay) end(a dayAttempt, late bool) Event {
-	o := dayOutcomes[d.rng.IntN(len(dayOutcomes))]
+func (d *randomRun) end(a trackedAttempt, late bool) Event {
+	o := randomOutcomes[d.rng.IntN(len(randomOutcomes))]
 	switch {
 	case late:
 		o = TimedOut
@@ -112,14 +112,14 @@
 	j := d.jobs[a.ID]
 	j.answered = j.answered || o == Served
 	if o == Overloaded || o == Unreachable || o == Blocked {
-		other := slices.ContainsFunc(d.inFlight, func(x dayAttempt) bool { return x.ID == a.ID })
+		other := slices.ContainsFunc(d.inFlight, func(x trackedAttempt) bool { return x.ID == a.ID })
 		j.mayHaveRun = other || d.b.jobs[a.ID] != nil && d.b.jobs[a.ID].mayHaveRun
 	}
 	return AttemptDone{ID: a.ID, Attempt: a.number, Worker: a.Worker, Outcome: o, JobFinished: j.answered}
 }
 
 // finish has time pass until all that is in flight has timed out.
-func (d *randomDay) finish() {
+func (d *randomRun) finish() {
 	for range 400 {
 		d.now += 0.1
 		d.check(d.step(TimerFired{}))
@@ -146,7 +146,7 @@
 }
 
 // check checks actions against the rules and carries them out.
-func (d *randomDay) check(actions []Action) {
+func (d *randomRun) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -175,7 +175,7 @@
 	}
 }
 
-func (d *randomDay) checkSend(a Send) {
+func (d *randomRun) checkSend(a Send) {
 	j := d.jobs[a.ID]
 	if j.answered || d.draining[a.Worker] || j.attempts >= d.cfg.MaxAttempts {
 		d.t.Fatalf("seed %d: send %v: answered %v, drains %v, attempt %d", d.seed, a, j.answered, d.draining[a.Worker], j.attempts)
@@ -188,19 +188,19 @@
 			d.t.Fatalf("seed %d: two attempts of %s in flight at once", d.seed, a.ID)
 		}
 	}
-	d.inFlight = append(d.inFlight, dayAttempt{Send: a, number: j.attempts})
+	d.inFlight = append(d.inFlight, trackedAttempt{Send: a, number: j.attempts})
 	j.attempts++
 	j.mayHaveRun = true
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
-		playDay(t, seed, 600)
+		runRandomEvents(t, seed, 600)
 	}
 }
 
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1), uint16(200))
 	f.Add(uint64(42), uint16(900))
-	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { playDay(t, seed, int(steps%1000)) })
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { runRandomEvents(t, seed, int(steps%1000)) })
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -90,7 +90,7 @@
 func (p *coldPress) now() float64 { return pressBegin + float64(p.step)*pressTick }
 
 func (p *coldPress) begin(i int, list ...WorkerInfo) {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers, cfg.Index, cfg.HealthChecks, cfg.Tenants[0].Quota = len(p.all), i, false, 1e5
 	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = coldFrom, pressWarm, coldMultiple, coldSpan
 	cfg.Classes[0].LatencyObjective = p.own // what it is taken to need while that is not known
@@ -103,8 +103,8 @@
 		b.meanRunTime.observe(p.job)
 		b.classes["read"].runTime.observe(p.own)
 	}
-	p.all[i], p.due[i] = &rig{t: p.t, b: b, n: 1e6 * p.step}, map[int][]Event{}
-	p.all[i].at(p.now(), EndpointUpdate{Kind: EndpointsCached, Workers: list})
+	p.all[i], p.due[i] = &rig{t: p.t, b: b, jobCount: 1e6 * p.step}, map[int][]Event{}
+	p.all[i].stepAt(p.now(), EndpointUpdate{Kind: EndpointsCached, Workers: list})
 }
 
 // list sends all dispatchers a list of these workers.
@@ -114,7 +114,7 @@
 	}
 }
 
-// play goes on to a time; more are the events of each step, and waiting keeps so many jobs at each dispatcher.
+// runUntil goes on to a time; more are the events of each step, and waiting keeps so many jobs at each dispatcher.
 func (p *coldPress) play(until float64, waiting int, more func(i int, r *rig) []Event) {
 	for ; p.now() < until; p.step++ {
 		now := p.now()
@@ -127,7 +127,7 @@
 			for k := len(r.b.jobs) - r.b.inFlight; k < waiting; k++ {
 				ev = append(ev, r.job("read", "a"))
 			}
-			for _, s := range of[Send](r.at(now, ev...)) {
+			for _, s := range actionsOf[Send](r.stepAt(now, ev...)) {
 				if s.Worker == p.cold.ID {
 					p.sent = append(p.sent, now)
 				}
--- a/balance/slowstartsim_test.go
+++ b/balance/slowstartsim_test.go
@@ -67,7 +67,7 @@
 	id              string
 }
 
-// play returns how far the worst of the warming workers went, and how many calls they got.
+// runUntil returns how far the worst of the warming workers went, and how many calls they got.
 func (f coldFleet) play(t *testing.T, seed uint64, ramp bool) (worst float64, calls int) {
 	s := newColdSim(t, f, seed, ramp)
 	s.schedule()
@@ -101,7 +101,7 @@
 func (f coldFleet) classWork() []float64 { return []float64{0.4 * f.mean, 2 * f.mean, f.mean} }
 
 func (f coldFleet) config(ramp bool) Config {
-	cfg := base()
+	cfg := testConfig()
 	cfg.Dispatchers = f.dispatchers
 	cfg.Cancellation = true
 	cfg.Hedging = f.copies
@@ -178,7 +178,7 @@
 	return s
 }
 
-// after has something done after a time, in a later step.
+// schedule has something done after a time, in a later step.
 func (s *coldSim) after(wait float64, do func()) {
 	if i := s.step + max(1, int(math.Ceil(wait/coldTick))); i < len(s.due) {
 		s.due[i] = append(s.due[i], do)
--- a/cmd/bellstream-simadapter/golden_test.go
+++ b/cmd/bellstream-simadapter/golden_test.go
@@ -92,11 +92,11 @@
 			t.Fatal(err)
 		}
 	}
-	matches(t, "decisions.jsonl", got.Bytes())
+	compareWithGolden(t, "decisions.jsonl", got.Bytes())
 }
 
-// recordedLog gives log lines the words with which they were recorded.
-var recordedLog = strings.NewReplacer(
+// recordedLogWording gives log lines the words with which they were recorded.
+var recordedLogWording = strings.NewReplacer(
 	"checking its health until it answers", "probing it",
 	"endpoint poll failed", "roster call failed",
 	"next poll in", "asking again in",
@@ -112,10 +112,10 @@
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	matches(t, "conversation-out.jsonl", []byte(recordedLog.Replace(out.String())))
+	compareWithGolden(t, "conversation-out.jsonl", []byte(recordedLogWording.Replace(out.String())))
 }
 
-func matches(t *testing.T, name string, got []byte) {
+func compareWithGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := "testdata/golden/" + name
 	if *update {
