--- a/balance/actions.go
+++ b/balance/actions.go
@@ -3,38 +3,38 @@
 // Action is something that the caller has to carry out.
 type Action interface{ action() }
 
-// Send starts an attempt, counted 0, 1, 2 ... for each job, that lasts until the client gives up. The
-// caller reports its end with one AttemptDone.
+// Send starts an attempt, which may last until the client gives up. The attempts of a job are numbered
+// 0, 1, 2 ... The caller reports the end of each with one AttemptDone.
 type Send struct {
 	ID     string
 	Worker string
 }
 
-// Reject is a final answer: the job was not served, and a retry is harmless.
+// Reject is a final answer: the job was not served, and the client may safely retry it.
 type Reject struct {
 	ID         string
-	RetryAfter float64 // seconds the client should wait before a retry; 0: no advice
+	RetryAfter float64 // seconds that the client should wait before a retry; 0: no advice
 }
 
-// Fail is a final answer: the job was not served, and whether it took effect is unknown.
+// Fail is a final answer: the job was not served, and it is unknown whether it took effect.
 type Fail struct{ ID string }
 
-// Cancel stops waiting for an attempt.
+// Cancel tells the caller to stop waiting for an attempt.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// HealthCheck requests a load report from a worker; one HealthCheckDone answers it.
+// HealthCheck requests a load report from a worker. The caller answers with one HealthCheckDone.
 type HealthCheck struct{ Worker string }
 
-// SetTimer requests a TimerFired after the given seconds.
+// SetTimer requests a TimerFired after the given number of seconds.
 type SetTimer struct{ After float64 }
 
-// Subscribe requests all changes of the endpoint list from now on; one EndpointUpdate answers it.
+// Subscribe requests all later changes of the endpoint list. The caller answers with one EndpointUpdate.
 type Subscribe struct{}
 
-// Log is a line for the operators' log.
+// Log requests that a line is written to the operators' log.
 type Log struct{ Text string }
 
 func (Send) action()           {}
--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Admission.
+// Constants of admission.
 const (
-	promisedWorkShare = 0.05 // part of the work in flight that jobs with a promised wait may take
-	// retryAfterShare is the part of the expected wait here that a rejected client is advised to wait:
-	// other dispatchers have capacity earlier.
+	promisedWorkShare = 0.05 // fraction of the work in flight that jobs with a promised wait may take up
+	// retryAfterShare is the fraction of the wait expected at this dispatcher that a rejected client is
+	// advised to wait. It is small because another dispatcher is likely to have capacity earlier.
 	retryAfterShare = 0.125
 )
 
-// handleArrival admits a job and queues it, or rejects it where its promised wait cannot be kept. A job
-// of an unknown class is never retried, and one of an unknown tenant has no reservation.
+// handleArrival admits a job and queues it, or rejects it if its promised wait cannot be kept. A job of
+// an unknown class is never retried, and a job of an unknown tenant has no reservation.
 func (b *Balancer) handleArrival(e JobArrived) {
 	if b.jobs[e.ID] != nil {
 		return
@@ -45,16 +45,16 @@
 		slots:            max(e.Slots, 1),
 		memory:           max(e.Memory, 0),
 	}
-	impatient := b.config.ClientsMarkRetries && !e.Retry && j.cannotMeetObjective(b.now)
-	if e.StartsNow || impatient { // a short timeout, not an old job
+	shortTimeout := b.config.ClientsMarkRetries && !e.Retry && j.cannotMeetObjective(b.now)
+	if e.StartsNow || shortTimeout { // the job is new: its client merely set a short timeout
 		j.firstRequestedAt = b.now
 	}
 	return j
 }
 
-// canKeepMaxWait reports whether a job can be sent within its class's MaxWait, and the expected wait.
-// One job of each class is always admitted; others wait for all before them, which may take a small
-// part of the work in flight.
+// canKeepMaxWait returns the expected wait of a job and reports whether the job can be sent within its
+// class's MaxWait. The first queued job of a class is always admitted. Any other job waits for all
+// promised jobs before it, and these may take up only promisedWorkShare of the work in flight.
 func (b *Balancer) canKeepMaxWait(j *job) (wait float64, ok bool) {
 	wait = b.promisedWait(j)
 	c := j.class
@@ -62,13 +62,14 @@
 	return wait, !full
 }
 
-// promisedWait is how long a job with a promised wait waits for those before it.
+// promisedWait returns how long, in seconds, a job with a promised wait is expected to wait for the
+// promised jobs before it.
 func (b *Balancer) promisedWait(j *job) float64 {
 	runTime := b.meanRunTime.withPrior(j.class.LatencyObjective, 1)
 	return runTime * (b.promised.size + j.size()) / (promisedWorkShare * float64(max(b.inFlight, 1)))
 }
 
-// observeDemand records the size of a job that was admitted.
+// observeDemand records the size and the work of an admitted job.
 func (b *Balancer) observeDemand(j *job) {
 	b.meanSlots.observe(j.size())
 	b.totalWork += j.work()
@@ -77,8 +78,9 @@
 	}
 }
 
-// expireJobs answers queued jobs before their clients give up, and at once where waiting gains nothing
-// any more: surplus that is late would pile up and fail at the deadline, at a cost.
+// expireJobs answers queued jobs shortly before their clients give up. Jobs for which further waiting has
+// no value are answered at once: late surplus jobs would otherwise accumulate and still fail at their
+// deadlines, at a cost.
 func (b *Balancer) expireJobs() {
 	late := func(j *job) bool { return j.cannotMeetObjective(b.now) }
 	expiring := func(j *job) bool { return b.now >= j.deadline-busyTimerSeconds-2*b.config.Tick }
@@ -104,7 +106,8 @@
 	}
 }
 
-// shouldDropLate reports whether a job that is late is surplus, or would be answered too late for any value.
+// shouldDropLate reports whether a late job should not wait any longer, because it exceeds what its tenant
+// may send (excess is above 0), a late answer has no value, or it would not end before its deadline.
 func (b *Balancer) shouldDropLate(j *job, excess float64) bool {
 	if !j.cannotMeetObjective(b.now) || j.inFlight > 0 || j.hasMaxWait() {
 		return false
@@ -112,8 +115,8 @@
 	return excess > 0 || j.class.LateWeightFraction == 0 || j.deadline-b.now < j.class.expectedRunTime()
 }
 
-// answerUnserved ends a job that will not be served: it is rejected where a retry is provably harmless,
-// and fails otherwise.
+// answerUnserved ends a job that will not be served. The answer is Reject if a retry is provably safe,
+// and Fail otherwise.
 func (b *Balancer) answerUnserved(j *job) {
 	if j.retryIsHarmless() {
 		b.emit(Reject{ID: j.id, RetryAfter: b.retryAfter(j)})
@@ -123,7 +126,7 @@
 	b.closeJob(j)
 }
 
-// retryIsHarmless reports whether the client may send the job again, to any dispatcher.
+// retryIsHarmless reports whether the client may safely send the job again, to any dispatcher.
 func (j *job) retryIsHarmless() bool {
 	switch {
 	case j.class.Idempotence == Idempotent:
@@ -134,8 +137,9 @@
 	return j.class.Idempotence == IdempotentWithKey && j.class.DedupScope == ScopeAll
 }
 
-// retryAfter is the advice to a rejected client: a part of the time until what is queued before it has
-// passed through the slots in use here and its tenant's bucket holds a job.
+// retryAfter returns how long, in seconds, a rejected client is advised to wait: a fraction
+// (retryAfterShare) of the time until the jobs queued before this one have run in the slots in use by
+// this dispatcher and the tenant's bucket holds enough tokens for the job.
 func (b *Balancer) retryAfter(j *job) float64 {
 	t := j.tenant
 	runTime := b.meanRunTime.withPrior(j.class.LatencyObjective, 1)
@@ -143,7 +147,7 @@
 	return min(max(wait, b.tokenWait(t, j.size()))*retryAfterShare, b.config.MaxRetryAfter)
 }
 
-// closeJob records that no answer is owed any more.
+// closeJob records that the job needs no further answer, and forgets it once no attempt is in flight.
 func (b *Balancer) closeJob(j *job) {
 	j.closed = true
 	b.dequeue(j)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -9,22 +9,22 @@
 	"slices"
 )
 
-// seedStream separates this generator from others that have the same seed.
+// seedStream makes this generator's numbers differ from those of other generators with the same seed.
 const seedStream = 0x1f15
 
-// Balancer decides for one dispatcher. New makes one.
+// Balancer makes the decisions of one dispatcher. Use New to create one.
 type Balancer struct {
 	config    Config
 	rng       *rand.Rand
 	now       float64
-	startedAt float64 // when the first step was
+	startedAt float64 // time of the first step
 	timerAt   float64
 	actions   []Action
 
 	classes       map[string]*class
-	tenants       []*tenant // in the order of the configuration, unknown ones after them
+	tenants       []*tenant // in the order of the configuration, then tenants that it does not name
 	tenantsByName map[string]*tenant
-	passBuffer    []*tenant // of passOrder, reused
+	passBuffer    []*tenant // reused by passOrder
 
 	jobTable
 	workerTable
@@ -33,47 +33,48 @@
 	statistics
 	healthCheckBudget float64 // priority weight that may be spent on health checks
 
-	anyIdempotent   bool    // some class is idempotent
-	anyWorkerKind   bool    // some class runs on one kind of worker only
-	maxVisibleSlots float64 // most free slots that an estimate can show: 1 without load reports
+	anyIdempotent   bool    // at least one class is idempotent
+	anyWorkerKind   bool    // at least one class runs on one kind of worker only
+	maxVisibleSlots float64 // upper bound of an estimate of free slots: 1 without load reports
 }
 
-// jobTable is the jobs that are queued or in flight.
+// jobTable holds the jobs that are queued or in flight.
 type jobTable struct {
 	jobs           map[string]*job
 	promised       promisedQueue // queued jobs with a promised wait
 	inFlight       int           // attempts without an outcome
 	sendCount      uint64
-	awaitingStart  []*attempt // that are hedged or moved if they do not start promptly
-	reservedWorker *worker    // for a job with a promised wait, in this step
+	awaitingStart  []*attempt // attempts that are hedged or moved if they do not start promptly
+	reservedWorker *worker    // reserved in this step for reservedFor, a job with a promised wait
 	reservedFor    *job
 }
 
-// workerTable is the workers and the subscription to their list.
+// workerTable holds the workers and the state of the subscription to the endpoint list.
 type workerTable struct {
-	workers     []*worker // in this dispatcher's own order
+	workers     []*worker // in this dispatcher's own order of preference
 	workersByID map[string]*worker
 	cordonedAt  map[string]float64
 	endpoints   endpointState
 }
 
-// statistics is what was learned over all workers and classes.
+// statistics holds what was learned over all workers and classes.
 type statistics struct {
-	rejectionRate    mean // 1 for each send that met an overloaded worker, 0 for each that started
-	promptStartRate  mean // 1 for each watched send that started promptly, 0 for each that did not
-	failureRate      mean // 1 for each failed attempt, but only the first of a job, 0 for each served one
+	rejectionRate    mean // 1 for each send that an overloaded worker rejected, 0 for each that started
+	promptStartRate  mean // 1 for each watched attempt that started promptly, 0 for each that did not
+	failureRate      mean // 1 for each failed attempt (only the first failure of a job), 0 for each served one
 	retrySuccessRate mean // 1 for each retry after an error that was served, 0 for each that failed
 	meanSlots        mean
 	meanRunTime      mean
-	kindSlowdowns    meansByName // run times relative to the fleet's, by kind of worker
-	zoneFreeSlots    meansByName // recently reported, by zone
+	kindSlowdowns    meansByName // run times relative to the mean of all workers, by kind of worker
+	zoneFreeSlots    meansByName // free slots in recent reports, by zone
 	maxSlotsByKind   map[string]float64
-	maxSlots         float64 // of any worker
-	totalWork        float64 // slots times seconds that were requested
-	wideWork         float64 // the same by jobs that take more than half of a worker
+	maxSlots         float64 // largest slot count of any worker
+	totalWork        float64 // work of all admitted jobs, in slots times seconds
+	wideWork         float64 // the part of totalWork by jobs that need more than half of the largest worker's slots
 }
 
-// New returns a Balancer. The same configuration, seed and events yield the same actions.
+// New returns a Balancer, or an error that wraps a [*ConfigError] if the configuration is invalid. The same
+// configuration, seed and events yield the same actions.
 func New(config Config, seed uint64) (*Balancer, error) {
 	config, err := config.normalize()
 	if err != nil {
@@ -97,8 +98,9 @@
 	return b, nil
 }
 
-// Step takes the events that happened up to now, in order, and returns the actions to take, in order.
-// Now never decreases. The result is valid until the next Step.
+// Step handles the events that have happened since the previous step, in order, and returns the actions to
+// take, in order. The time now is in seconds and must not decrease from step to step. The result is valid
+// until the next Step.
 func (b *Balancer) Step(now float64, events []Event) []Action {
 	b.now = now
 	b.startedAt = cmp.Or(b.startedAt, now)
@@ -152,7 +154,7 @@
 	}
 }
 
-// answerAll gives every job that is owed an answer its final one.
+// answerAll sends the final answer of every job that has not had one.
 func (b *Balancer) answerAll() {
 	for _, id := range slices.Sorted(maps.Keys(b.jobs)) {
 		if j := b.jobs[id]; !j.closed {
--- a/balance/config.go
+++ b/balance/config.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Idempotence is how often a job of a class may take effect.
+// Idempotence states whether a job of a class may run more than once.
 type Idempotence string
 
 // The degrees of idempotence.
 const (
 	Idempotent        Idempotence = "safe"   // may run any number of times
-	IdempotentWithKey Idempotence = "keyed"  // the workers of one scope drop duplicates within a window
+	IdempotentWithKey Idempotence = "keyed"  // the workers within DedupScope drop duplicates for DedupWindow
 	NonIdempotent     Idempotence = "unsafe" // must never run twice
 )
 
-// DedupScope names the workers that recognise duplicates of a job with an idempotency key.
+// DedupScope is the set of workers that recognise duplicates of a job with an idempotency key.
 type DedupScope string
 
 // The scopes of deduplication.
@@ -33,25 +33,25 @@
 	LatencyObjective   float64
 	ObjectiveStretch   float64     // default 0
 	Deadline           float64     // the client's timeout; 0 means 60
-	PriorityWeight     float64     // of an answer in time; 0 means 1
-	LateWeightFraction float64     // part of PriorityWeight that a late answer has, 0 to 1
+	PriorityWeight     float64     // value of an answer within the objective; 0 means 1
+	LateWeightFraction float64     // fraction of PriorityWeight that a late answer has, 0 to 1
 	Idempotence        Idempotence // required
-	DedupScope         DedupScope  // for IdempotentWithKey; empty: no scope, hence no retry
+	DedupScope         DedupScope  // for IdempotentWithKey; empty: no worker, hence no retry
 	DedupWindow        float64     // for IdempotentWithKey: how long duplicates are recognised
-	MaxWait            float64     // a job is sent for the first time within this or rejected on arrival; 0: no promise
-	WorkerKind         string      // the only kind of worker that runs it; empty: any
+	MaxWait            float64     // longest wait for the first send, else rejected on arrival; 0: no limit
+	WorkerKind         string      // the only kind of worker that can run the class; empty: any
 }
 
-// Tenant describes one tenant's claims. Reservation and weight are independent.
+// Tenant describes one tenant's reservation (Quota) and weight, which are independent of each other.
 type Tenant struct {
 	Name  string
 	Quota float64 // reserved jobs per second over all dispatchers; 0: none
-	// Weight divides what the reservations leave over; 0 means 1. Weights in proportion to quotas
-	// would reduce the scheduler to plain fair queueing.
+	// Weight is the tenant's share of the capacity that the reservations leave over; 0 means 1. With
+	// weights in proportion to the quotas the scheduler would be the same as plain fair queueing.
 	Weight float64
 }
 
-// The fields of a load report that the balancer understands; others are skipped.
+// The fields of a load report that the balancer evaluates; others are ignored.
 const (
 	FieldFreeSlots   = "free_slots"
 	FieldFreeMemory  = "free_memory"
@@ -60,39 +60,40 @@
 
 // Config is the configuration of one dispatcher. Times are in seconds.
 type Config struct {
-	Index       int // of this dispatcher, from 0 to Dispatchers - 1
-	Dispatchers int // that share the workers; 0 means 1
+	Index       int // index of this dispatcher, from 0 to Dispatchers - 1
+	Dispatchers int // number of dispatchers that share the workers; 0 means 1
 	Zone        string
 	Classes     []Class
 	Tenants     []Tenant
 
-	PollEndpoints      bool     // the endpoint list is served on request only
-	PollInterval       float64  // longest time without a poll while unsubscribed; 0 means 10
-	ReportFields       []string // meaning of the values of a load report; without FieldFreeSlots reports are ignored
+	PollEndpoints      bool     // the endpoint list is sent only on request, by a Subscribe
+	PollInterval       float64  // longest time between polls while unsubscribed; 0 means 10
+	ReportFields       []string // names of a load report's values, in order; without FieldFreeSlots reports are ignored
 	StartNotifications bool     // workers report the start of a job
 
 	ClientsMarkRetries bool    // clients mark their retries; false: a job's age is derived from its timeout
-	MaxAttempts        int     // for one job; 0 means 1
+	MaxAttempts        int     // highest number of attempts of one job; 0 means 1
 	DialTimeout        float64 // 0 means 0.25
-	HealthChecks       bool    // HealthCheck is supported
-	Cancellation       bool    // Cancel is supported
+	HealthChecks       bool    // the caller supports HealthCheck
+	Cancellation       bool    // the caller supports Cancel
 	Hedging            bool    // two attempts of an idempotent job may be in flight at once
 	Tick               float64 // longest time between batches; 0 means 0.001
 
 	OverloadedMayHaveRun bool    // Overloaded does not prove that the job never ran
-	RemovedStayUsable    bool    // a worker that leaves the list without draining may still be sent to
-	MaxRetryAfter        float64 // longest wait that clients heed; 0: they ignore such advice
+	RemovedStayUsable    bool    // jobs may still be sent to a worker that left the list without draining
+	MaxRetryAfter        float64 // longest Retry-After that clients respect; 0: they ignore it
 
-	SlowStartFloor   float64 // part of its capacity that a worker has when it starts; 0 means 0.1
-	SlowStartSeconds float64 // until a started worker has all of its capacity; 0: at once
-	// More than OverloadMultiple of its present capacity for OverloadSeconds overloads a warming worker.
+	SlowStartFloor   float64 // fraction of its capacity that a worker has when it starts; 0 means 0.1
+	SlowStartSeconds float64 // time until a started worker has its full capacity; 0: at once
+	// A worker that warms up is overloaded by more than OverloadMultiple times its present capacity
+	// for OverloadSeconds.
 	OverloadMultiple float64
 	OverloadSeconds  float64
 
-	HealthCheckCost float64 // in units of Class.PriorityWeight
+	HealthCheckCost float64 // cost of one health check, in units of Class.PriorityWeight
 }
 
-// Defaults of a Config and its classes.
+// Defaults of a Config, its classes and its tenants.
 const (
 	defaultPollInterval   = 10
 	defaultDialTimeout    = 0.25
@@ -103,7 +104,7 @@
 	defaultTenantWeight   = 1
 )
 
-// ConfigError is a value that cannot be used.
+// ConfigError reports an invalid value of a Config.
 type ConfigError struct {
 	Field   string
 	Problem string
@@ -111,13 +112,13 @@
 
 func (e *ConfigError) Error() string { return e.Field + ": " + e.Problem }
 
-// Check returns a [*ConfigError] for a configuration that New and ConfigChanged reject.
+// Check returns a [*ConfigError] if New and ConfigChanged would reject the configuration, and nil otherwise.
 func (c Config) Check() error {
 	_, err := c.normalize()
 	return err
 }
 
-// normalize returns the configuration with defaults filled in.
+// normalize returns the configuration with defaults filled in, or a [*ConfigError].
 func (c Config) normalize() (Config, error) {
 	setDefault(&c.PollInterval, defaultPollInterval)
 	setDefault(&c.DialTimeout, defaultDialTimeout)
@@ -132,7 +133,7 @@
 		return c, &ConfigError{"Index", fmt.Sprintf("%d, must be 0 to %d", c.Index, c.Dispatchers-1)}
 	}
 	if !slices.Contains(c.ReportFields, FieldFreeSlots) {
-		c.ReportFields = nil // a missing value would read as no free slot
+		c.ReportFields = nil // a missing value would be taken for 0 free slots
 	}
 	if len(c.Classes) == 0 {
 		return c, &ConfigError{"Classes", "none given"}
@@ -195,17 +196,17 @@
 	}
 }
 
-// fieldValue is a value with the name of its field.
+// fieldValue is a number with the name of its configuration field.
 type fieldValue struct {
 	field string
 	value float64
 }
 
-// checkNumbers rejects negative and infinite values, and those that are no numbers.
+// checkNumbers returns a [*ConfigError] for the first value that is negative, infinite or NaN.
 func checkNumbers(path string, numbers []fieldValue) error {
 	for _, n := range numbers {
 		if n.value < 0 || math.IsNaN(n.value) || math.IsInf(n.value, 0) {
-			return &ConfigError{path + n.field, fmt.Sprintf("%v is not a finite number from 0 up", n.value)}
+			return &ConfigError{path + n.field, fmt.Sprintf("%v, must be a finite number, 0 or more", n.value)}
 		}
 	}
 	return nil
