--- a/balance/dispatch.go
+++ b/balance/dispatch.go
@@ -5,29 +5,31 @@
 	"slices"
 )
 
-// Dispatch.
+// Constants of dispatch.
 const (
-	surplusFreeShare   = 0.65 // free slots that surplus leaves for each worker considered, on average
-	maxScannedPerShape = 16   // jobs of a shape considered at either end of a long queue
-	minProbabilityGain = 1e-9 // by which a later job's probability must exceed that of an earlier one
-	duePassRank        = -1.0 // of tenants with a due tag: before all others
+	surplusFreeShare   = 0.65 // average number of free slots per considered worker that surplus must leave
+	maxScannedPerShape = 16   // jobs of a shape that are compared at each end of a long queue
+	minProbabilityGain = 1e-9 // least gain in probability for which a later job is preferred to an earlier one
+	duePassRank        = -1.0 // rank of tenants with a due tag: ahead of all others
 )
 
-// candidate is a queued job that stands for all of its shape in the present pass.
+// candidate is the queued job that represents all jobs of its shape in the present pass.
 type candidate struct {
 	job         *job
-	oldest      *job // of the shape
+	oldest      *job // oldest queued job of the shape
 	probability float64
-	value       float64 // expected weight per slot and second
+	value       float64 // expected PriorityWeight per slot and second
 }
 
-// dispatchQueued sends what fits: the tenant with the earliest due local tag first, then by global tag.
-// Jobs that cannot meet their objective are sent only when no other fits: else a tenant's backlog would
-// make its later jobs miss their objective, too, one after the other. As in the paper, no local tag is
-// older than its job, so that a tenant that fell short for long does not precede all others for as long.
+// dispatchQueued sends the queued jobs for which workers have capacity: first those of tenants with a due
+// local tag, the earliest tag first, then the others by global tag. Late jobs, which cannot meet their
+// objective, are sent only when no other job fits; otherwise a tenant's backlog would make each of its
+// later jobs miss its objective, too. As in the paper, the local tag that counts is never earlier than the
+// arrival of the job, so that a tenant that was short of service for long does not precede all others for
+// as long.
 func (b *Balancer) dispatchQueued() {
 	if b.mostFreeSlots < 1-estimateSlackSlots {
-		return // no job takes less than a slot
+		return // every job takes at least one slot
 	}
 	b.dispatchPromised()
 	for _, late := range []bool{false, true} {
@@ -38,10 +40,11 @@
 
 func (b *Balancer) hasPriority(j *job) bool { return b.now >= j.priorityFrom }
 
-// dispatchPromised sends jobs with a promised wait that have waited for long, the earliest promise
-// first, charged as usual. A wide one would never find its slots free at once, as each goes to a
-// smaller job; so the first that does not fit has a worker reserved for it. No other job is sent there
-// meanwhile, since its run time is not known.
+// dispatchPromised sends jobs with a promised wait that have waited for priorityWaitShare of it, the one
+// whose promise ends first at the front, and charges their tenants as usual. A job of several slots might
+// never find enough of them free at once, because each freed slot goes to a smaller job. So a worker is
+// reserved for the first such job that does not fit. No other job is sent there meanwhile, since it is
+// not known how long that job would run.
 func (b *Balancer) dispatchPromised() {
 	b.reservedWorker = nil
 	b.reservedFor = nil
@@ -58,8 +61,8 @@
 	}
 }
 
-// dispatchNext sends one job, of those that are late or of those that are not, and reports whether
-// there was one that fits.
+// dispatchNext sends one job, either a late one or one that is not late, and reports whether a worker had
+// capacity for one.
 func (b *Balancer) dispatchNext(late bool) bool {
 	for _, t := range b.passOrder(late) {
 		for _, c := range t.candidates {
@@ -71,8 +74,8 @@
 	return false
 }
 
-// passOrder is the tenants that have candidates, in the order in which they may send. The result is valid
-// until the next call.
+// passOrder returns the tenants that have candidates, in the order in which they may send. The result is
+// valid until the next call.
 func (b *Balancer) passOrder(late bool) []*tenant {
 	order := b.passBuffer[:0]
 	for _, t := range b.tenants {
@@ -96,7 +99,8 @@
 	return order
 }
 
-// dispatchCandidate sends a job if a worker has capacity for it and, for surplus, for others as well.
+// dispatchCandidate sends a job if a worker has capacity for it, and reports whether it did. Surplus is sent
+// only if enough free slots remain for other jobs.
 func (b *Balancer) dispatchCandidate(t *tenant, j *job, late bool) bool {
 	leaveFree := 0.0
 	debt := 0.0
@@ -108,7 +112,7 @@
 	if w == nil || leaveFree != 0 && !(b.totalFreeSlots-leaveFree >= min(j.slots, b.maxVisibleSlots)) {
 		return false
 	}
-	for _, other := range b.tenants { // a tenant in debt for long has all buckets refill
+	for _, other := range b.tenants { // a bucket far below 0 refills all buckets, by the same time
 		other.refilledAt -= debt
 	}
 	t.localTag = t.effectiveTag
@@ -116,10 +120,10 @@
 	return true
 }
 
-// candidates returns one queued job of each shape, the most value for the slot time first. Of a shape it
-// is the oldest of those with the best chance; in a long queue only the oldest and the youngest are
-// compared. (In a long backlog, first come, first served would make nearly all miss their objective.)
-// This favours a tenant's short jobs over its long ones.
+// candidates returns one queued job of each shape, ordered by descending value per slot and second. The
+// candidate of a shape is the oldest of the jobs that are most likely to meet their objective; in a long
+// queue only the oldest and the newest are compared. (In a long backlog, first come, first served would
+// make nearly all jobs miss their objective.) A tenant's short jobs are favoured over its long ones.
 func (b *Balancer) candidates(t *tenant, late bool) (found []candidate) {
 	skip := func(j *job) bool { return !late && j.cannotMeetObjective(b.now) }
 	for _, g := range t.queue.groups {
@@ -145,7 +149,8 @@
 	return found
 }
 
-// expectedValue is the weight that a job is expected to have per slot and second.
+// expectedValue returns the expected weight of a job's answer per slot and second, where probability is that
+// of an answer within the objective.
 func (j *job) expectedValue(probability float64) float64 {
 	c := j.class
 	return c.PriorityWeight * (probability + (1-probability)*c.LateWeightFraction) / j.work()
@@ -163,7 +168,7 @@
 	b.emit(Send{ID: j.id, Worker: w.ID})
 }
 
-// recordSend books a new attempt at a worker.
+// recordSend records a new attempt and the capacity that it takes of its worker.
 func (b *Balancer) recordSend(j *job, w *worker, toReservation bool) *attempt {
 	b.sendCount++
 	a := &attempt{
--- a/balance/events.go
+++ b/balance/events.go
@@ -1,28 +1,28 @@
 package balance
 
-// Event is something that happened to this dispatcher.
+// Event is something that happened at this dispatcher.
 type Event interface{ event() }
 
-// JobArrived hands over a job that must get one final answer.
+// JobArrived adds a job, which must get exactly one final answer.
 type JobArrived struct {
 	ID      string
 	Class   string
 	Tenant  string
-	Timeout float64 // until the client gives up; 0 or less: at once
+	Timeout float64 // seconds until the client gives up; 0 or less: it does so at once
 	Slots   float64 // 0 means 1
 	Memory  float64
-	Retry   bool // the client states that it has tried before
-	// StartsNow has the latency objective count from now, however much of the client's timeout has passed.
+	Retry   bool // the client states that this is a retry
+	// StartsNow makes the latency objective count from now, even if part of the client's timeout has passed.
 	StartsNow bool
-	// Age is how long ago the job arrived, where something other than the caller has held it since.
-	// It determines the place in the queue.
+	// Age is how long ago the job arrived, in seconds, if it was held elsewhere before the caller got it.
+	// It determines the job's place in the queue.
 	Age float64
 }
 
-// ClientDisconnected reports that a job's client has left: no answer is owed any more.
+// ClientDisconnected reports that a job's client has disconnected: the job needs no answer any more.
 type ClientDisconnected struct{ ID string }
 
-// Outcome is how an attempt or a health check ended.
+// Outcome states how an attempt or a health check ended.
 type Outcome string
 
 // The outcomes. Unreachable, NotSent and Blocked prove that the job never ran, and so does Overloaded
@@ -34,13 +34,13 @@
 	TimedOut        Outcome = "timed_out"
 	Unreachable     Outcome = "unreachable"
 	ConnectionLost  Outcome = "broken"
-	StaleConnection Outcome = "stale" // lost on a reused connection: no evidence against the worker
+	StaleConnection Outcome = "stale" // a reused connection was lost: does not count against the worker
 	Cancelled       Outcome = "cancelled"
 	NotSent         Outcome = "void"
-	Blocked         Outcome = "barred" // not sent, as conditions had changed: no evidence against the worker
+	Blocked         Outcome = "barred" // not sent because conditions changed: does not count against the worker
 )
 
-// NeverRan reports whether an outcome proves that the worker did not take the job.
+// NeverRan reports whether an outcome proves that the worker did not run the job.
 func (o Outcome) NeverRan() bool {
 	switch o {
 	case Overloaded, Unreachable, NotSent, Blocked:
@@ -49,56 +49,56 @@
 	return false
 }
 
-// AttemptDone ends an attempt. Each Send gets exactly one.
+// AttemptDone reports the end of an attempt. There is exactly one for each Send.
 type AttemptDone struct {
 	ID          string
 	Attempt     int
 	Worker      string
 	Outcome     Outcome
-	JobFinished bool      // the job has its final answer, by this attempt or earlier
+	JobFinished bool      // the client has its final answer, by this attempt or an earlier one
 	Report      []float64 // the worker's load report, if one came with the answer
 }
 
-// AttemptStarted reports that the worker has started the job.
+// AttemptStarted reports that the worker has started to run the job.
 type AttemptStarted struct {
 	ID      string
 	Attempt int
 }
 
-// HealthCheckDone ends a HealthCheck.
+// HealthCheckDone reports the result of a HealthCheck.
 type HealthCheckDone struct {
 	Worker  string
 	Outcome Outcome
 	Report  []float64
 }
 
-// TimerFired is a SetTimer that is due.
+// TimerFired reports that the time of a SetTimer has passed.
 type TimerFired struct{}
 
-// Shutdown reports that this dispatcher ends now: every job that is owed an answer gets its final one,
-// even while attempts are in flight.
+// Shutdown reports that this dispatcher stops now: every unanswered job gets its final answer, even while
+// attempts are in flight.
 type Shutdown struct{}
 
-// QuotaUpdate is what the other dispatchers report of a tenant: the part of its reservation that this
-// one may use from now on, and what the others have sent for it since the last update. Without any
-// update the part is one of Config.Dispatchers.
+// QuotaUpdate is what the other dispatchers report about a tenant: the fraction of its reservation that
+// this dispatcher may use from now on, and what the others have sent for it since the last update. Before
+// the first update the fraction is 1 / Config.Dispatchers.
 type QuotaUpdate struct {
 	Tenant      string
 	Allotment   float64 // 0 to 1
-	RemoteUsage float64 // slots; negative where what was sent proved not to have run
+	RemoteUsage float64 // slots; negative if more jobs proved not to have run than were sent
 }
 
-// Cordon has a worker excluded by operators, whatever the endpoint list states, or admitted again. The
-// list need not name the worker yet. Attempts in flight continue.
+// Cordon reports that operators exclude a worker, whatever its state in the endpoint list, or admit it
+// again. The worker need not be in the list yet. Attempts in flight continue.
 type Cordon struct {
 	Worker   string
 	Cordoned bool
 }
 
-// ConfigChanged replaces the whole configuration; one that Config.Check rejects changes nothing. Jobs
-// that are here keep the class that they came with, the bound on attempts applies to them as well, and
-// tenants keep their tags. With TightenExisting, a class that may retry less than before binds the
-// jobs that are here, too.
+// ConfigChanged replaces the entire configuration; one that Config.Check rejects changes nothing. Existing
+// jobs keep the class definition with which they arrived, but the new MaxAttempts applies to them, too.
+// Tenants keep their tags. With TightenExisting, existing jobs are also bound by a class definition that
+// allows fewer retries than before.
 type ConfigChanged struct {
 	Config          Config
 	TightenExisting bool
@@ -121,22 +121,22 @@
 	Kind      string
 	Cell      int
 	State     WorkerState
-	StartedAt float64 // clock time of its last start; 0: long ago
+	StartedAt float64 // time of its last start by the caller's clock, in seconds; 0: long ago
 }
 
-// EndpointUpdateKind is how an EndpointUpdate relates to the list so far.
+// EndpointUpdateKind states how an EndpointUpdate relates to the list so far.
 type EndpointUpdateKind string
 
 // The kinds of endpoint updates.
 const (
-	EndpointsCached       EndpointUpdateKind = "saved"  // the whole list as last cached, possibly stale
-	EndpointsSnapshot     EndpointUpdateKind = "full"   // the whole list; a worker that it lacks counts as removed
+	EndpointsCached       EndpointUpdateKind = "saved"  // the complete list from a cache, possibly stale
+	EndpointsSnapshot     EndpointUpdateKind = "full"   // the complete list; workers not in it count as removed
 	EndpointsDelta        EndpointUpdateKind = "delta"  // changed entries only
 	EndpointsFailed       EndpointUpdateKind = "failed" // a poll failed or the subscription broke
-	EndpointsUnsubscribed EndpointUpdateKind = "lost"   // none yet, or a working one was ended by the other side
+	EndpointsUnsubscribed EndpointUpdateKind = "lost"   // no subscription yet, or the server ended a working one
 )
 
-// EndpointUpdate is a change of the endpoint list, or of the subscription to it.
+// EndpointUpdate reports a change of the endpoint list or of the subscription to it.
 type EndpointUpdate struct {
 	Kind    EndpointUpdateKind
 	Workers []WorkerInfo
--- a/balance/jobheap.go
+++ b/balance/jobheap.go
@@ -1,9 +1,9 @@
 package balance
 
-// jobHeap is a heap of jobs in which each knows its place, for removal.
+// jobHeap is a heap of jobs, each of which stores its index so that it can be removed.
 type jobHeap struct {
 	jobs     []*job
-	position int // the heap's index in queuePosition.heapIndex
+	position int // which element of queuePosition.heapIndex stores a job's index in this heap
 	less     func(a, b *job) bool
 }
 
@@ -36,8 +36,9 @@
 	return j
 }
 
-// visitWhile visits the jobs at the top that match, in no order, and returns the first one in order
-// that does not. Matches must be closed upwards: no job after one that does not match may match.
+// visitWhile visits all jobs that match, in no particular order, and returns the least job that does not
+// match, or nil. The matching jobs must come first in the heap's order: no job that is ordered after one
+// that does not match may match. A nil visit is allowed.
 func (h *jobHeap) visitWhile(matches func(*job) bool, visit func(*job)) (next *job) {
 	if len(h.jobs) == 0 {
 		return nil
--- a/balance/promised.go
+++ b/balance/promised.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// priorityWaitShare is the part of a promised wait after which a job precedes the order of the tags.
+// priorityWaitShare is the fraction of its promised wait after which a job is sent ahead of the order of the
+// tags.
 const priorityWaitShare = 0.5
 
-// promisedQueue holds the queued jobs of all tenants that have a promised wait for their first attempt,
-// by when they precede the order of the tags.
+// promisedQueue holds the queued jobs of all tenants whose first attempt has a promised wait, ordered by the
+// time from which they are sent ahead of the order of the tags.
 type promisedQueue struct {
 	jobHeap
 	size float64
@@ -41,11 +42,11 @@
 	j.class.promisedSize -= j.size()
 	heap.Remove(q, j.heapIndex[heapPromised])
 	if len(q.jobs) == 0 {
-		q.size = 0 // no rounding error is carried on
+		q.size = 0 // drops accumulated rounding errors
 	}
 }
 
-// sortedDue returns the jobs that match, the one whose promise ends first at the front.
+// sortedDue returns the jobs that match, ordered by the end of their promised wait.
 func (q *promisedQueue) sortedDue(matches func(*job) bool) (due []*job) {
 	q.visitWhile(matches, func(j *job) { due = append(due, j) })
 	slices.SortFunc(due, func(a, b *job) int {
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// compactAbove is the length from which a group that is half empty is compacted.
+// compactAbove is the length above which a group is compacted when more than half of it is gaps.
 const compactAbove = 32
 
-// queue holds the queued jobs of a tenant in each of the orders in which the decisions need them, so
-// that no step looks through all of them. A job is in one queue at most.
+// queue holds the queued jobs of a tenant in each of the orders that decisions need, so that no step has to
+// scan all jobs. A job is in at most one queue.
 type queue struct {
 	count             int
-	size              float64 // of all jobs
+	size              float64 // total size of all jobs
 	sequence          uint64
 	groups            []*group // in no significant order
 	groupsByShape     map[jobShape]*group
 	byDeadline        jobHeap
-	newestFirst       jobHeap    // by when they joined
-	byFirstRequest    []*jobHeap // one for each class
+	newestFirst       jobHeap    // by enqueuedAt, newest first
+	byFirstRequest    []*jobHeap // one heap for each class
 	firstRequestHeaps map[*class]*jobHeap
 }
 
@@ -32,19 +32,19 @@
 	heapCount
 )
 
-// queuePosition is where a job stands in its queue.
+// queuePosition is the position of a job in its queue.
 type queuePosition struct {
 	queue     *queue
 	group     *group
-	sequence  uint64 // of its joining
-	index     int    // in its group
+	sequence  uint64 // order in which it was added
+	index     int    // index in its group
 	heapIndex [heapCount]int
 }
 
-// hasMaxWait reports whether the job is queued with a promised wait.
+// hasMaxWait reports whether the job is queued and has a promised wait.
 func (p *queuePosition) hasMaxWait() bool { return p.queue != nil && p.heapIndex[heapPromised] >= 0 }
 
-// compareArrival is the order of a queue: by arrival, then by joining.
+// compareArrival orders the jobs of a queue by arrival, then by when they were added to it.
 func compareArrival(a, b *job) int {
 	if c := cmp.Compare(a.arrivedAt, b.arrivedAt); c != 0 {
 		return c
@@ -52,12 +52,12 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// jobShape is what jobs that compete for the same capacity have in common.
+// jobShape is what jobs that need the same capacity have in common.
 type jobShape struct {
 	class  *class
 	slots  float64
 	memory float64
-	retry  bool // it has been sent before
+	retry  bool // the job has been sent before
 }
 
 func (q *queue) init() {
@@ -129,7 +129,7 @@
 	}
 	j.queuePosition = queuePosition{}
 	if q.count == 0 {
-		q.size = 0 // no rounding error is carried on
+		q.size = 0 // drops accumulated rounding errors
 	}
 }
 
@@ -147,15 +147,15 @@
 	}
 }
 
-// group holds the jobs of one shape in the queue's order, with gaps (nil).
+// group holds the jobs of one shape in the queue's order. Removed jobs leave gaps (nil).
 type group struct {
 	jobShape
 	jobs          []*job
-	count         int // of jobs, without gaps
-	firstOccupied int // there are only gaps before it
+	count         int // number of jobs, without gaps
+	firstOccupied int // index before which there are only gaps
 }
 
-// add puts a job in its place, which nearly always is the last.
+// add inserts a job at its place, which is nearly always the end.
 func (g *group) add(j *job) {
 	j.group = g
 	j.index = len(g.jobs)
@@ -169,7 +169,8 @@
 	g.reindex()
 }
 
-// moveTo moves a job on to an index of a group that was so long, where only gaps follow up to there.
+// moveTo moves a job to a higher index, if there are only gaps between, after extending the group to the
+// given length. It restores the positions of an exported group.
 func (g *group) moveTo(j *job, index, length int) {
 	for len(g.jobs) < length {
 		g.jobs = append(g.jobs, nil)
@@ -181,7 +182,7 @@
 	}
 }
 
-// lastAtOrBefore is the last job at or before an index.
+// lastAtOrBefore returns the last job at or before an index, or nil.
 func (g *group) lastAtOrBefore(i int) *job {
 	for ; i >= 0; i-- {
 		if g.jobs[i] != nil {
@@ -191,7 +192,7 @@
 	return nil
 }
 
-// compact takes the gaps out.
+// compact removes the gaps.
 func (g *group) compact() {
 	g.jobs = slices.DeleteFunc(g.jobs, func(j *job) bool { return j == nil })
 	g.firstOccupied = 0
@@ -204,8 +205,9 @@
 	}
 }
 
-// visitEnds visits the group's jobs in order: all of them if there are few, else the first ones that
-// skip does not match, and the last ones. Skip must match all jobs before one that it matches.
+// visitEnds visits the group's jobs in order: all of them if there are at most 2*most, else the first most
+// jobs that skip does not match and the last most jobs, none of them twice. If skip matches a job, it must
+// match all jobs before it, too.
 func (g *group) visitEnds(most int, skip func(*job) bool, visit func(*job)) {
 	for g.firstOccupied < len(g.jobs) && g.jobs[g.firstOccupied] == nil {
 		g.firstOccupied++
@@ -222,7 +224,7 @@
 	g.visitLast(end, most, visit)
 }
 
-// firstNotSkipped is the index before which jobs are skipped, by bisection.
+// firstNotSkipped returns the index before which skip matches all jobs. It uses binary search.
 func (g *group) firstNotSkipped(skip func(*job) bool) int {
 	low := g.firstOccupied
 	high := len(g.jobs)
@@ -237,7 +239,7 @@
 	return low
 }
 
-// visitFirst visits so many jobs from an index on and returns the index behind them.
+// visitFirst visits up to most jobs, starting at an index, and returns the index after the last of them.
 func (g *group) visitFirst(from, most int, visit func(*job)) (end int) {
 	seen := 0
 	for end = from; end < len(g.jobs) && seen < most; end++ {
@@ -249,7 +251,7 @@
 	return end
 }
 
-// visitLast visits the last so many jobs, none of them before an index.
+// visitLast visits the last most jobs, but none before index from.
 func (g *group) visitLast(from, most int, visit func(*job)) {
 	start := len(g.jobs)
 	for left := most; start > from && left > 0; {
--- a/balance/tags.go
+++ b/balance/tags.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Reservation-based fair queueing.
+// Constants of reservation-based fair queueing.
 const (
-	// idleCreditSlots is how far a tenant that returns from idle may be ahead of the others, and how far
-	// it may exceed its allotment by chance.
+	// idleCreditSlots is how far a tenant that was idle may be ahead of the others, and how far a tenant
+	// may exceed its allotment by chance, in slots.
 	idleCreditSlots = 4.0
 	quotaOvershoot  = 1.5  // multiple of its quota above which a tenant counts as surplus
-	minAllotment    = 1e-6 // part of a reservation, so that a tag stays finite
+	minAllotment    = 1e-6 // fraction of a reservation, above 0 so that tags stay finite
 	maxTokenWait    = 600.0
 )
 
@@ -17,19 +17,19 @@
 	name         string
 	quota        float64
 	weight       float64
-	quotaDivisor float64 // 1 over this dispatcher's part of the quota
-	localTag     float64 // of the next job, by reservation
-	globalTag    float64 // of the next job, by weight
-	effectiveTag float64 // localTag, but no earlier than the arrival of the job that is next
-	passRank     float64 // order in the present pass: -1 for a due tag, else the time until a token is there
-	passTieBreak float64 // among equal ranks: the tag that counts
+	quotaDivisor float64 // 1 / this dispatcher's fraction of the quota
+	localTag     float64 // tag of the next job, by reservation
+	globalTag    float64 // tag of the next job, by weight
+	effectiveTag float64 // localTag, but not before the arrival of the next job
+	passRank     float64 // order in the present pass: -1 for a due tag, else derived from the wait for a token
+	passTieBreak float64 // order among equal ranks: the effective or the global tag
 	candidates   []candidate
 	queue        queue
-	tokens       float64 // slots that it may send beyond its reservation before that is surplus
+	tokens       float64 // slots that it may send beyond its reservation before they count as surplus
 	refilledAt   float64
 }
 
-// addTenant adds a tenant without tags.
+// addTenant adds a tenant whose tags are not set yet.
 func (b *Balancer) addTenant(t Tenant) *tenant {
 	added := &tenant{
 		name:         t.Name,
@@ -45,7 +45,7 @@
 	return added
 }
 
-// tenantFor returns a tenant by name; an unknown one is added without a reservation.
+// tenantFor returns a tenant by name. It adds an unknown one, without a reservation.
 func (b *Balancer) tenantFor(name string) *tenant {
 	if t := b.tenantsByName[name]; t != nil {
 		return t
@@ -53,8 +53,8 @@
 	return b.addTenant(Tenant{Name: name, Weight: defaultTenantWeight})
 }
 
-// enqueue puts a job into its tenant's queue in the order of arrival. A tenant that was idle returns
-// with a local tag of now or later and a global tag that lags by the idle credit at most.
+// enqueue adds a job to its tenant's queue in the order of arrival. If the tenant was idle, its local tag
+// becomes at least now, and its global tag at least now minus the idle credit.
 func (b *Balancer) enqueue(j *job) {
 	t := j.tenant
 	if j.queue != nil {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// rebaseGlobalTags moves all global tags so that the smallest of the queued tenants is now.
+// rebaseGlobalTags shifts all global tags so that the smallest tag of a tenant with queued jobs equals now.
 func (b *Balancer) rebaseGlobalTags() {
 	least := math.Inf(1)
 	for _, t := range b.tenants {
@@ -102,8 +102,8 @@
 	}
 }
 
-// localTagSpacing is the distance of local tags for so many slots. The pace is this dispatcher's part
-// of the tenant's reservation, in slots per second.
+// localTagSpacing returns the distance between local tags, in seconds, for a number of slots. It is the time
+// in which this dispatcher's part of the tenant's reservation, in slots per second, yields these slots.
 func (b *Balancer) localTagSpacing(t *tenant, slots float64) float64 {
 	rate := t.quota * b.meanSlots.withPrior(1, 1) / t.quotaDivisor
 	if rate <= 0 {
@@ -112,25 +112,25 @@
 	return slots / rate
 }
 
-// updateQuota applies a new allotment and the usage of other dispatchers.
+// updateQuota applies a new allotment and the usage at other dispatchers.
 func (b *Balancer) updateQuota(e QuotaUpdate) {
 	t := b.tenantsByName[e.Tenant]
 	if t == nil || !(e.Allotment >= 0 && e.Allotment <= 1) {
 		return
 	}
 	if divisor := 1 / max(e.Allotment, minAllotment); divisor != t.quotaDivisor {
-		// A tag ahead of now is for what was sent at the old pace: it is rescaled to the new one.
+		// A tag ahead of now accounts for jobs sent at the old rate. It is rescaled to the new rate.
 		t.localTag += max(0, t.localTag-b.now) * (divisor/t.quotaDivisor - 1)
 		t.quotaDivisor = divisor
 	}
-	// As the paper's piggybacked count does. A tenant that is served elsewhere waits here until the others
-	// have caught up; its local tag, which only this dispatcher moves, still grants the allotment.
+	// As with the paper's piggybacked count, a tenant that is served elsewhere waits here until the other
+	// tenants have caught up. Its local tag, which only this dispatcher changes, still grants the allotment.
 	t.globalTag += e.RemoteUsage / t.weight
 }
 
-// chargeTags moves a tenant's tags past a job that is sent, or back (slots below 0) when it proved not
-// to have run. Service by the global tag lowers the queued local tags by the same spacing, so the tag
-// of the next job stays where it is.
+// chargeTags advances a tenant's tags for a job that is sent, or moves them back (slots below 0) for a job
+// that proved not to have run. A job that is served by the global tag lowers the local tags of the queued
+// jobs by the same spacing, so that the local tag of the next job is unchanged.
 func (b *Balancer) chargeTags(t *tenant, slots float64, toReservation bool) {
 	t.globalTag += slots / t.weight
 	t.tokens -= slots
@@ -139,14 +139,15 @@
 	}
 }
 
-// isDue reports whether the tenant's reservation entitles it to send now.
+// isDue reports whether the tenant's reservation entitles it to send a job now.
 func (b *Balancer) isDue(t *tenant) bool { return t.quota > 0 && t.effectiveTag <= b.now }
 
-// availableTokens refills a tenant's bucket and returns the slots that it may still send before chance
-// no longer explains the excess over its allotment. Surplus beyond that would take every slot that
-// comes free; so it is sent only while workers show free capacity for others, in the order in which the
-// buckets hold a token again. (By global tags alone all tenants would get the same, whatever they
-// reserved.) This is too strict where one dispatcher gets far more than its part of a tenant's traffic.
+// availableTokens refills a tenant's bucket and returns the number of slots that the tenant may still send
+// before its excess over the allotment is more than random variation. What exceeds that is surplus. It would
+// take every slot that becomes free, so it is sent only while workers have free capacity for other tenants,
+// in the order in which the buckets hold a token again. (By global tags alone all tenants would get the
+// same, whatever they reserved.) This is too strict if one dispatcher gets far more than its part of a
+// tenant's traffic.
 func (b *Balancer) availableTokens(t *tenant) float64 {
 	t.tokens = min(idleCreditSlots, t.tokens+(b.now-t.refilledAt)*quotaOvershoot/b.localTagSpacing(t, 1))
 	t.refilledAt = b.now
@@ -156,11 +157,11 @@
 	return t.tokens
 }
 
-// tokenWait is the time until a tenant's bucket holds so many slots.
+// tokenWait returns the time, in seconds, until a tenant's bucket holds the given number of slots.
 func (b *Balancer) tokenWait(t *tenant, slots float64) float64 {
 	return max(0, (slots-b.availableTokens(t))*min(b.localTagSpacing(t, 1), maxTokenWait)/quotaOvershoot)
 }
 
-// viewUncertainty is how much of the load this dispatcher does not see: 0 for a lone one, towards 1 for
-// one of many.
+// viewUncertainty returns how much of the load is unknown to this dispatcher: 0 if it is the only one,
+// approaching 1 if it is one of many.
 func (b *Balancer) viewUncertainty() float64 { return 1 - 1/math.Sqrt(float64(b.config.Dispatchers)) }
--- a/balance/transfer.go
+++ b/balance/transfer.go
@@ -6,70 +6,70 @@
 	"slices"
 )
 
-// A tenant's queue and tags can move to another Balancer. Times are exported as distances from now, as
-// two clocks need not agree. Nothing is decided here.
+// A tenant's queue and tags can move to another Balancer. Times are exported relative to now, because the
+// clocks of the two callers need not agree. This file makes no decisions.
 
-// ExportTenant has a tenant's queue, its jobs in flight and its tags removed; one TenantExported answers
-// it.
+// ExportTenant removes a tenant's queue, its jobs in flight and its tags. One TenantExported answers it.
 type ExportTenant struct{ Tenant string }
 
-// ImportTenant has this Balancer continue where another one's export ended. Jobs that are here already
-// stay as they are. After an import at the moment of the export every decision is as it would have been,
-// except that the end of an attempt at a worker that has left the endpoint list meanwhile does not count
-// for its zone.
+// ImportTenant adds the state that another Balancer exported. Jobs that this Balancer already has are left
+// unchanged. If no time passes between export and import, later decisions are the same as without the move,
+// except that the end of an attempt does not count for its worker's zone if the worker has left the endpoint
+// list in between.
 type ImportTenant struct{ State TenantState }
 
-// TenantExported answers an ExportTenant: from now on nothing of the tenant is here.
+// TenantExported answers an ExportTenant. From now on the Balancer holds nothing of the tenant.
 type TenantExported struct{ State TenantState }
 
-// SendAborted reports that a job's last Send was never carried out, by whatever is between: it is queued
-// again as if it had not been sent, nothing is learned about its worker, and its tenant is refunded.
+// SendAborted reports that a layer between the Balancer and the network did not carry out a job's last Send.
+// The job is queued again as if it had not been sent, its tenant is refunded, and nothing is learned about
+// the worker.
 type SendAborted struct {
 	ID      string
 	Attempt int
 }
 
-// TenantState is a tenant between two Balancers. Times are in seconds.
+// TenantState is the state of a tenant that moves between two Balancers. Times are in seconds.
 type TenantState struct {
 	Tenant       string
-	LocalTag     float64 // from now on; negative infinity: none yet
-	GlobalTag    float64 // from now on
-	QuotaDivisor float64 // 1 over the part of the reservation by which LocalTag was spaced
-	Tokens       float64 // slots that it may send beyond its reservation before that is surplus
-	TokensAge    float64 // since the bucket was refilled
+	LocalTag     float64 // relative to now; negative infinity: not set yet
+	GlobalTag    float64 // relative to now
+	QuotaDivisor float64 // 1 / the fraction of the reservation by which LocalTag was spaced
+	Tokens       float64 // slots that it may send beyond its reservation before they count as surplus
+	TokensAge    float64 // time since the bucket was last refilled
 	Jobs         []JobState
 }
 
-// JobState is a job between two Balancers. Times are in seconds.
+// JobState is the state of a job that moves between two Balancers. Times are in seconds.
 type JobState struct {
 	ID              string
 	Class           string
 	Slots           float64
 	Memory          float64
-	Age             float64 // since its arrival
-	FirstRequestAge float64 // since its client first sent it
-	QueuedAge       float64 // since it last joined the queue
-	TimeLeft        float64 // until its client gives up
+	Age             float64 // time since its arrival
+	FirstRequestAge float64 // time since its client first sent it
+	QueuedAge       float64 // time since it was last queued
+	TimeLeft        float64 // time until its client gives up
 	Queued          bool
-	QueueOrder      uint64 // in its tenant's queue, among those that arrived at once
-	GroupIndex      int    // among jobs of its shape, gaps included: searches in a long queue depend on it
-	GroupLength     int    // of these, gaps included
+	QueueOrder      uint64 // order in its tenant's queue among jobs that arrived at the same time
+	GroupIndex      int    // index among jobs of its shape, gaps included: searches in a long queue depend on it
+	GroupLength     int    // number of jobs of its shape, gaps included
 	FailedAttempts  int    // attempts that ended with an error
 	MayHaveRun      bool   // an attempt that ended may have run
-	Closed          bool   // it is answered, and an attempt is in flight
-	// FirstWorker is the worker of the first attempt that may have run, with StartedAt as an age; none has
-	// no ID.
+	Closed          bool   // it needs no further answer, but an attempt is in flight
+	// FirstWorker is the worker of the first attempt that may have run, with StartedAt as an age. Its ID is
+	// empty if there is none.
 	FirstWorker     WorkerInfo
 	FirstAttemptAge float64
 	Attempts        []AttemptState
 }
 
-// AttemptState is an attempt between two Balancers. Times are in seconds.
+// AttemptState is the state of an attempt that moves between two Balancers. Times are in seconds.
 type AttemptState struct {
-	Worker               WorkerInfo // StartedAt as an age, for a Balancer that does not know the worker
+	Worker               WorkerInfo // for a Balancer that does not know the worker; StartedAt is an age
 	SentAge              float64
 	StartedAge           float64 // negative: no start has been reported
-	Number               uint64  // over all attempts of its dispatcher
+	Number               uint64  // sequence number over all attempts of the exporting dispatcher
 	Done                 bool
 	ChargedToReservation bool
 	AwaitingStart        bool // it is hedged or moved if it does not start promptly
@@ -95,7 +95,7 @@
 			state.Jobs = append(state.Jobs, b.exportJob(j))
 		}
 	}
-	t.queue = queue{} // as a whole: one by one, 20,000 jobs take a tenth of a second
+	t.queue = queue{} // removing 20,000 jobs one by one would take a tenth of a second
 	slices.SortFunc(state.Jobs, func(x, y JobState) int {
 		return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.QueueOrder, y.QueueOrder), cmp.Compare(x.ID, y.ID))
 	})
@@ -106,7 +106,7 @@
 	return state
 }
 
-// exportJob removes a job and returns it. Its tenant's queue is left as it is.
+// exportJob removes a job and returns its state. It does not remove the job from its tenant's queue.
 func (b *Balancer) exportJob(j *job) JobState {
 	state := JobState{
 		ID:              j.id,
@@ -161,7 +161,7 @@
 	return state
 }
 
-// exportWorker is a worker's entry with its start as an age.
+// exportWorker returns a worker's entry with its start time as an age.
 func (b *Balancer) exportWorker(w *worker) WorkerInfo {
 	info := w.WorkerInfo
 	if info.StartedAt != 0 {
@@ -170,7 +170,7 @@
 	return info
 }
 
-// importTenant takes in a tenant's jobs and tags.
+// importTenant adds a tenant's jobs and tags.
 func (b *Balancer) importTenant(state TenantState) {
 	t := b.tenantFor(state.Tenant)
 	b.importTags(t, state)
@@ -195,7 +195,7 @@
 }
 
 func (b *Balancer) importTags(t *tenant, state TenantState) {
-	// What arrived here before the state did was charged by tags that began now.
+	// Jobs that were sent here before the import were charged to tags that started when they arrived.
 	t.localTag = max(t.localTag, b.now+state.LocalTag)
 	t.globalTag = max(t.globalTag, b.now+state.GlobalTag)
 	if state.QuotaDivisor <= 0 {
@@ -256,10 +256,10 @@
 	return a
 }
 
-// importWorker is the worker of an imported entry. One that the endpoint list here does not name, or no
-// longer, is a worker of its own.
+// importWorker returns the worker of an imported entry. If the endpoint list of this Balancer does not
+// contain the worker, or the entry states that it was removed, the result is a new, removed worker.
 func (b *Balancer) importWorker(info WorkerInfo) *worker {
-	// An entry of a removed worker may be that of a former process.
+	// The entry of a removed worker may belong to an earlier process with the same ID.
 	if w := b.workersByID[info.ID]; w != nil && info.State != Removed {
 		return w
 	}
@@ -270,7 +270,7 @@
 	return b.newWorker(info)
 }
 
-// restoreGroupIndexes moves the imported jobs to the places that they had among those of their shape.
+// restoreGroupIndexes moves the imported jobs to the indexes that they had among the jobs of their shape.
 func (b *Balancer) restoreGroupIndexes(t *tenant, states []JobState) {
 	for _, s := range slices.Backward(states) {
 		if j := b.jobs[s.ID]; s.Queued && j.tenant == t && j.queue != nil {
@@ -279,7 +279,7 @@
 	}
 }
 
-// attachAttempts books attempts in flight on their workers, in the order in which they were sent.
+// attachAttempts adds attempts in flight to their workers, in the order in which they were sent.
 func (b *Balancer) attachAttempts(inFlight []*attempt) {
 	bySending := func(x, y *attempt) int {
 		return cmp.Or(cmp.Compare(x.sentAt, y.sentAt), cmp.Compare(x.number, y.number))
@@ -305,14 +305,14 @@
 	w.attempts = append(w.attempts, a)
 }
 
-// detachAttempt takes an attempt in flight off its worker.
+// detachAttempt removes an attempt in flight from its worker.
 func (b *Balancer) detachAttempt(a *attempt) {
 	b.inFlight--
 	b.freeWorker(a)
 	b.awaitingStart = slices.DeleteFunc(b.awaitingStart, func(other *attempt) bool { return other == a })
 }
 
-// undoSend takes the last attempt of a job back.
+// undoSend removes the last attempt of a job as if it had never been sent.
 func (b *Balancer) undoSend(e SendAborted) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil || e.Attempt != len(a.job.attempts)-1 {
--- a/cmd/bellstream-simadapter/adapter.go
+++ b/cmd/bellstream-simadapter/adapter.go
@@ -10,7 +10,7 @@
 	"example.org/bellstream/internal/settings"
 )
 
-var errIncompleteBatch = errors.New("not a batch: clock or turn is missing")
+var errIncompleteBatch = errors.New("invalid batch: clock or turn is missing")
 
 // adapter holds the balancers of the simulated instances and the numbered endpoint lists.
 type adapter struct {
@@ -25,11 +25,11 @@
 	}
 }
 
-// handleBatch decodes one line, has the instances decide and encodes their actions.
+// handleBatch decodes one line, passes the messages to the instances and returns their actions as JSON.
 func (a *adapter) handleBatch(line []byte) ([]byte, error) {
 	var batch batchRequest
 	if err := json.Unmarshal(line, &batch); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("invalid batch: %w", err)
 	}
 	if batch.Now == nil || math.IsNaN(*batch.Now) || len(batch.BatchID) == 0 {
 		return nil, errIncompleteBatch
@@ -38,7 +38,7 @@
 	for _, instance := range batch.Instances {
 		actions, err := a.stepInstance(*batch.Now, instance.Name, instance.Messages)
 		if err != nil {
-			return nil, fmt.Errorf("turn %s, %s: %w", batch.BatchID, instance.Name, err)
+			return nil, fmt.Errorf("batch %s, instance %s: %w", batch.BatchID, instance.Name, err)
 		}
 		if len(actions) > 0 {
 			reply.Instances = append(reply.Instances, &instanceReply{instance.Name, actions})
@@ -47,8 +47,8 @@
 	return json.Marshal(reply)
 }
 
-// stepInstance applies one instance's messages and takes a step. A panic of the decision module becomes
-// a fault on the wire.
+// stepInstance applies one instance's messages and runs one step of its balancer. If the decision module
+// panics, the only action returned is a fault message with the panic's text.
 func (a *adapter) stepInstance(now float64, name string, messages []inbound) (actions []outbound, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -70,8 +70,8 @@
 	return actions, nil
 }
 
-// applyMessages starts and stops an instance and returns the events for its next step. What came before
-// a stop in the same batch is discarded with it.
+// applyMessages applies one instance's messages and returns the events for its next step. A start or stop of
+// the instance discards the events before it in the same batch.
 func (a *adapter) applyMessages(name string, messages []inbound) (events []balance.Event, err error) {
 	for i := range messages {
 		m := &messages[i]
@@ -99,7 +99,7 @@
 	return events, nil
 }
 
-// startBalancer makes a Balancer from an instance's first message.
+// startBalancer returns a Balancer with the settings and the seed of an instance's start message.
 func startBalancer(m *startMessage) (*balance.Balancer, error) {
 	s, err := settings.Parse(m.Settings)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return balance.New(s.Config(), m.seed())
 }
 
-// seed is the message's seed, which may be a signed number.
+// seed returns the message's seed, which may be a signed number, or 0 if it is not an integer.
 func (m *startMessage) seed() uint64 {
 	var seed uint64
 	if _, err := fmt.Sscan(m.Seed.String(), &seed); err != nil {
--- a/cmd/bellstream-simadapter/main.go
+++ b/cmd/bellstream-simadapter/main.go
@@ -1,5 +1,6 @@
-// Command bellstream-simadapter runs the decision module behind the simulator's wire protocol: a line of
-// JSON with events on standard input is answered by a line with actions on standard output.
+// Command bellstream-simadapter runs the decision module behind the simulator's wire protocol: it reads lines
+// of JSON with events from standard input and answers each with a line of JSON with actions on standard
+// output.
 package main
 
 import (
@@ -22,7 +23,8 @@
 	}
 }
 
-// serve answers each line of in with one line on out until in ends.
+// serve answers each line of in with one line on out until in ends. It returns the first error, with the
+// number of the line.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, readBufferBytes)
 	w := bufio.NewWriterSize(out, writeBufferBytes)
@@ -33,7 +35,7 @@
 			return fmt.Errorf("line %d: %w", number, readErr)
 		}
 		if len(line) > 0 {
-			if err := a.answer(line, w); err != nil {
+			if err := a.answerLine(line, w); err != nil {
 				return fmt.Errorf("line %d: %w", number, err)
 			}
 		}
@@ -43,8 +45,8 @@
 	}
 }
 
-// answer handles one line and writes its reply.
-func (a *adapter) answer(line []byte, w *bufio.Writer) error {
+// answerLine handles one line and writes its reply.
+func (a *adapter) answerLine(line []byte, w *bufio.Writer) error {
 	reply, err := a.handleBatch(line)
 	if err != nil {
 		return err
--- a/cmd/bellstream-simadapter/translate.go
+++ b/cmd/bellstream-simadapter/translate.go
@@ -30,24 +30,26 @@
 	"void":        balance.NotSent,
 }
 
-// unknownValue is a value of a message that the protocol does not define.
-type unknownValue struct {
-	Message string // by its name on the wire
+// unknownValueError reports a value in a message that the protocol does not define.
+type unknownValueError struct {
+	Message string // its name on the wire
 	Field   string
 	Value   string
 }
 
-func (e *unknownValue) Error() string {
+func (e *unknownValueError) Error() string {
 	return fmt.Sprintf("%s: unknown %s %q", e.Message, e.Field, e.Value)
 }
 
-// unknownList is a reference to an endpoint list that was never sent.
-type unknownList struct{ ID int }
+// unknownListError reports a reference to an endpoint list that was not sent before.
+type unknownListError struct{ ID int }
 
-func (e *unknownList) Error() string { return fmt.Sprintf("PEERS_KNOWN: list %d was never sent", e.ID) }
+func (e *unknownListError) Error() string {
+	return fmt.Sprintf("PEERS_KNOWN: list %d was never sent", e.ID)
+}
 
-// decodeEvent translates one message. It returns nil for those that the decision module has no use for,
-// and for those of later versions of the protocol.
+// decodeEvent translates one message into an event. It returns nil for messages that the decision module does
+// not need and for messages of later protocol versions.
 func (a *adapter) decodeEvent(m *inbound) (balance.Event, error) {
 	switch {
 	case m.JobArrived != nil:
@@ -84,7 +86,7 @@
 func (m *eventMessage) attemptDone() (balance.Event, error) {
 	outcome, ok := outcomes[m.Outcome]
 	if !ok {
-		return nil, &unknownValue{"SETTLED", "reason", m.Outcome}
+		return nil, &unknownValueError{"SETTLED", "reason", m.Outcome}
 	}
 	return balance.AttemptDone{
 		ID:          m.JobID,
@@ -99,7 +101,7 @@
 func (m *eventMessage) healthCheckDone() (balance.Event, error) {
 	outcome, ok := outcomes[m.Outcome]
 	if !ok {
-		return nil, &unknownValue{"SAMPLED", "reason", m.Outcome}
+		return nil, &unknownValueError{"SAMPLED", "reason", m.Outcome}
 	}
 	return balance.HealthCheckDone{Worker: m.Worker, Outcome: outcome, Report: m.Report}, nil
 }
@@ -107,19 +109,19 @@
 func (a *adapter) endpointUpdate(m *eventMessage) (balance.Event, error) {
 	kind, ok := updateKinds[m.UpdateKind]
 	if !ok {
-		return nil, &unknownValue{"PEERS_KNOWN", "kind", m.UpdateKind}
+		return nil, &unknownValueError{"PEERS_KNOWN", "kind", m.UpdateKind}
 	}
 	if kind == balance.EndpointsFailed {
 		return balance.EndpointUpdate{Kind: kind}, nil
 	}
 	list, ok := a.endpointLists[m.ListID]
 	if !ok {
-		return nil, &unknownList{m.ListID}
+		return nil, &unknownListError{m.ListID}
 	}
 	return balance.EndpointUpdate{Kind: kind, Workers: list}, nil
 }
 
-// encodeAction translates one action.
+// encodeAction translates one action into a message. It panics for an action without a message.
 func encodeAction(a balance.Action) outbound {
 	switch a := a.(type) {
 	case balance.Send:
@@ -139,5 +141,5 @@
 	case balance.Log:
 		return outbound{Log: &textMessage{Text: a.Text}}
 	}
-	panic(fmt.Sprintf("no wire form for %T", a))
+	panic(fmt.Sprintf("no protocol message for action %T", a))
 }
--- a/cmd/bellstream-simadapter/wire.go
+++ b/cmd/bellstream-simadapter/wire.go
@@ -2,10 +2,10 @@
 
 import "encoding/json"
 
-// The messages of the simulator's protocol. Their names and keys on the wire are the protocol's; in Go
-// they have the names of the decision module's events and actions.
+// This file defines the messages of the simulator's protocol. The JSON keys are the protocol's; the Go names
+// are those of the decision module's events and actions.
 
-// batchRequest is one line of input: the messages of some instances at one time.
+// batchRequest is one line of input: messages to one or more instances at one time.
 type batchRequest struct {
 	Now       *float64          `json:"clock"`
 	BatchID   json.RawMessage   `json:"turn"`
@@ -17,7 +17,7 @@
 	Messages []inbound `json:"news"`
 }
 
-// batchReply answers a batchRequest.
+// batchReply is the line of output that answers a batchRequest.
 type batchReply struct {
 	BatchID   json.RawMessage  `json:"turn"`
 	Instances []*instanceReply `json:"parts"`
@@ -28,7 +28,7 @@
 	Actions []outbound `json:"decisions"`
 }
 
-// inbound is one message: the field of its kind is set, or none for an unknown kind.
+// inbound is one message. Only the field of its kind is set, and none if the kind is unknown.
 type inbound struct {
 	Start              *startMessage `json:"POWER_ON"`
 	EndpointList       *endpointList `json:"SHEET"`
@@ -42,13 +42,13 @@
 	EndpointUpdate     *eventMessage `json:"PEERS_KNOWN"`
 }
 
-// startMessage is an instance's first message.
+// startMessage starts an instance, or restarts it.
 type startMessage struct {
 	Seed     json.Number     `json:"salt"`
 	Settings json.RawMessage `json:"options"`
 }
 
-// endpointList is a numbered endpoint list, to which later messages refer.
+// endpointList is an endpoint list with a number by which later messages refer to it.
 type endpointList struct {
 	ID        int        `json:"table"`
 	Endpoints []endpoint `json:"lines"`
@@ -63,10 +63,10 @@
 	StartedAt float64 `json:"last_start"`
 }
 
-// heartbeatStarted is the HeartbeatKind of a job that has started.
+// heartbeatStarted is the HeartbeatKind that reports the start of a job.
 const heartbeatStarted = 1
 
-// eventMessage holds the fields of all other messages.
+// eventMessage holds the fields of all other inbound messages.
 type eventMessage struct {
 	JobID         string    `json:"msg_id"`
 	Class         string    `json:"priority"`
@@ -85,7 +85,7 @@
 	ListID        int       `json:"table"`
 }
 
-// outbound is one action: the field of its kind is set.
+// outbound is one action. Only the field of its kind is set.
 type outbound struct {
 	Send        *workerMessage    `json:"HAND_OFF,omitempty"`
 	Reject      *answerMessage    `json:"PUSH_BACK,omitempty"`
@@ -113,7 +113,7 @@
 	Attempt int    `json:"go"`
 }
 
-// timerName names the only timer of an instance.
+// timerName is the name of an instance's only timer.
 const timerName = "t"
 
 type timerMessage struct {
