--- a/cmd/bellstream-simadapter/translate.go
+++ b/cmd/bellstream-simadapter/translate.go
@@ -41,12 +41,10 @@
 	return fmt.Sprintf("%s: unknown %s %q", e.Message, e.Field, e.Value)
 }
 
-// unknownListError reports a reference to an endpoint list that was not sent before.
-type unknownListError struct{ ID int }
+// listError reports a reference to an endpoint list that was not sent before.
+type listError struct{ ID int }
 
-func (e *unknownListError) Error() string {
-	return fmt.Sprintf("PEERS_KNOWN: list %d was never sent", e.ID)
-}
+func (e *listError) Error() string { return fmt.Sprintf("PEERS_KNOWN: list %d was never sent", e.ID) }
 
 // decodeEvent translates one message into an event. It returns nil for messages that the decision module does
 // not need and for messages of later protocol versions.
@@ -116,7 +114,7 @@
 	}
 	list, ok := a.endpointLists[m.ListID]
 	if !ok {
-		return nil, &unknownListError{m.ListID}
+		return nil, &listError{m.ListID}
 	}
 	return balance.EndpointUpdate{Kind: kind, Workers: list}, nil
 }
