--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// testConfig is a small made-up deployment: one worker report holds the free slots.
+// testConfig returns a small configuration with three classes and two tenants, in which the only value of a
+// load report is the free slots.
 func testConfig() Config {
 	return Config{
 		Dispatchers: 1, Zone: "here", MaxAttempts: 3, HealthChecks: true, StartNotifications: true,
@@ -23,7 +24,7 @@
 	}
 }
 
-// rig drives one balancer and keeps what it did.
+// rig drives one balancer by a simulated clock and records its actions.
 type rig struct {
 	t        *testing.T
 	b        *Balancer
@@ -81,8 +82,8 @@
 	return AttemptDone{ID: s.ID, Attempt: attempt, Worker: s.Worker, Outcome: o, JobFinished: o == Served}
 }
 
-// The paper's example in section 3.1: capacity 100/s, M = 20 and 40, w = 3 and
-// 1, both backlogged: 60 and 40 of each 100 served.
+// The paper's example in section 3.1: with a capacity of 100/s, reservations M = 20 and 40, weights w = 3
+// and 1, and both tenants backlogged, 60 and 40 of each 100 jobs are served.
 func TestPaperExample(t *testing.T) {
 	r := newRig(t, testConfig(), runningWorkers("w")...)
 	var jobs []Event
@@ -94,18 +95,18 @@
 	last := actionsOf[Send](r.step(r.report("w", 1)))
 	for i := range 50 {
 		if len(last) != 1 {
-			t.Fatalf("turn %d: %d sends, want one at a time", i, len(last))
+			t.Fatalf("round %d: got %d sends, want 1", i, len(last))
 		}
 		served[last[0].ID[0]]++
 		r.now += 0.01
 		last = actionsOf[Send](r.step(done(last[0], 0, Served)))
 	}
 	if d := served['a'] - 30; d < -2 || d > 2 {
-		t.Errorf("a got %d of 50, want about 30", served['a'])
+		t.Errorf("tenant a got %d of 50 sends, want about 30", served['a'])
 	}
 }
 
-// With capacity below the sum of claims by weight, the reservation comes first.
+// If capacity is too low for both, reservations take precedence over weights.
 func TestReservationFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 1, Weight: 100}, {Name: "b", Quota: 40, Weight: 1}}
@@ -123,17 +124,17 @@
 		last = actionsOf[Send](r.step(done(last[0], 0, Served)))
 	}
 	if served['b'] < 38 {
-		t.Errorf("b got %d of 50, want its reservation of 40", served['b'])
+		t.Errorf("tenant b got %d of 50 sends, want its reservation of 40", served['b'])
 	}
 }
 
 func TestGlobalServiceLeavesLocalTag(t *testing.T) {
 	r := newRig(t, testConfig(), runningWorkers("w")...)
 	r.step(r.job("read", "a"), r.job("read", "a"), r.job("read", "a"))
-	r.step(r.report("w", 2)) // one by the local tag, one by the global one
+	r.step(r.report("w", 2)) // one job is sent by the local tag, one by the global tag
 	a := r.b.tenantsByName["a"]
 	if got, want := a.localTag-r.now, 1.0/20; math.Abs(got-want) > 1e-9 {
-		t.Errorf("local tag %v from now, want %v", got, want)
+		t.Errorf("got local tag %v from now, want %v", got, want)
 	}
 }
 
@@ -143,7 +144,7 @@
 	r.stepAt(5000, r.job("read", "b"), r.job("read", "a"))
 	for _, n := range r.b.tenants {
 		if lag := r.now - n.globalTag; lag > idleCreditSlots/n.weight+1e-9 {
-			t.Errorf("%s lags %v, more than the credit", n.name, lag)
+			t.Errorf("global tag of tenant %s lags by %v, which is more than the idle credit", n.name, lag)
 		}
 	}
 }
@@ -152,7 +153,7 @@
 	r := newRig(t, testConfig(), runningWorkers("w")...)
 	r.step(r.job("read", "a"), r.job("read", "a"), r.report("w", 1))
 	if n := len(actionsOf[Send](r.actions)); n != 1 {
-		t.Fatalf("%d sends into one free slot", n)
+		t.Fatalf("got %d sends with one free slot, want 1", n)
 	}
 }
 
@@ -160,10 +161,10 @@
 	r := newRig(t, testConfig(), runningWorkers("w")...)
 	s := actionsOf[Send](r.step(r.job("write", "a"), r.report("w", 3)))[0]
 	if got := r.step(done(s, 0, Overloaded)); len(actionsOf[Send](got))+len(actionsOf[Fail](got))+len(actionsOf[Reject](got)) != 0 {
-		t.Fatalf("after full: %v, want it to wait", got)
+		t.Fatalf("got %v after the worker was overloaded, want the job to stay queued", got)
 	}
 	if got := actionsOf[Send](r.stepAt(101.5, r.report("w", 2))); len(got) != 1 {
-		t.Fatalf("%d sends after room was reported", len(got))
+		t.Fatalf("got %d sends after free slots were reported, want 1", len(got))
 	}
 }
 
@@ -176,7 +177,8 @@
 		{"write", Failed, "fail"}, {"write", ConnectionLost, "fail"}, {"write", TimedOut, "fail"},
 		{"write", Unreachable, "wait"}, {"write", Overloaded, "wait"},
 		{"read", Failed, "send"}, {"put", Failed, "send"},
-		{"write", StaleConnection, "fail"}, {"read", StaleConnection, "send"}, {"put", StaleConnection, "send"}, // it may have run
+		// A job that was sent on a lost reused connection may have run.
+		{"write", StaleConnection, "fail"}, {"read", StaleConnection, "send"}, {"put", StaleConnection, "send"},
 		{"write", Blocked, "send"},
 	} {
 		r := newRig(t, testConfig(), append(runningWorkers("v", "w"), WorkerInfo{ID: "far", Zone: "there", State: Running})...)
@@ -190,21 +192,21 @@
 		if again := actionsOf[Send](got); len(again) > 0 {
 			is = "send"
 			if c.class == "put" && again[0].Worker == "far" {
-				t.Errorf("keyed job repeated outside its scope")
+				t.Errorf("job with an idempotency key sent again outside its deduplication scope")
 			}
 		} else if len(actionsOf[Fail](got)) > 0 {
 			is = "fail"
 		} else if len(actionsOf[Reject](got)) > 0 {
-			is = "refuse"
+			is = "reject"
 		}
 		if is != c.want {
-			t.Errorf("%s after %s: %s, want %s", c.class, c.outcome, is, c.want)
+			t.Errorf("class %s after outcome %s: got %s, want %s", c.class, c.outcome, is, c.want)
 		}
 	}
 }
 
-// An attempt that was stopped before its first byte proves that the job never ran, by any settings:
-// it goes out again, to the same worker too, or is rejected once its attempts are used up.
+// An attempt that was stopped before its first byte was sent proves that the job never ran, with any settings.
+// The job is sent again, possibly to the same worker, or rejected once its attempts are used up.
 func TestBlockedAttemptNeverRan(t *testing.T) {
 	cfg := testConfig()
 	cfg.OverloadedMayHaveRun = true
@@ -214,15 +216,16 @@
 	local, global := ta.localTag, ta.globalTag
 	for n := range cfg.MaxAttempts {
 		if len(s) != 1 || s[0].Worker != "w" {
-			t.Fatalf("%d attempts were barred: sent %v", n, s)
+			t.Fatalf("after %d blocked attempts: got sends %v, want one to w", n, s)
 		}
 		if math.Abs(ta.localTag-local) > 1e-9 || math.Abs(ta.globalTag-global) > 1e-9 {
-			t.Errorf("tags %v and %v, were %v and %v", ta.localTag, ta.globalTag, local, global)
+			t.Errorf("got local and global tags %v and %v, want %v and %v", ta.localTag, ta.globalTag, local, global)
 		}
 		s = actionsOf[Send](r.step(done(s[0], n, Blocked)))
 	}
 	if len(s) > 0 || len(actionsOf[Reject](r.actions)) != 1 || len(actionsOf[HealthCheck](r.actions)) > 1 || r.b.workersByID["w"].unreachable {
-		t.Errorf("sent %v, all %v", s, r.actions)
+		t.Errorf("after all attempts were blocked: got sends %v and actions %v, want one Reject and no unreachable worker",
+			s, r.actions)
 	}
 }
 
@@ -231,12 +234,12 @@
 	s := actionsOf[Send](r.step(r.job("put", "a"), r.report("v", 1)))[0]
 	got := r.stepAt(105, r.report("w", 1), done(s, 0, Failed))
 	if len(actionsOf[Send](got)) != 0 || len(actionsOf[Fail](got)) != 1 {
-		t.Errorf("after the window: %v, want a failure", got)
+		t.Errorf("after the deduplication window: got %v, want one Fail", got)
 	}
 }
 
-// Found by a simulation: a timer that fires a hair before the time it was set for
-// must not leave the dispatcher without a timer.
+// A timer that fires slightly early, by a rounding error, must not leave the dispatcher without a timer:
+// the queued job would never be answered.
 func TestQueuedJobIsAnsweredBeforeDeadline(t *testing.T) {
 	r := newRig(t, testConfig())
 	j := r.job("write", "a")
@@ -244,18 +247,18 @@
 	for r.now < 131 {
 		set := actionsOf[SetTimer](got)
 		if len(set) == 0 {
-			t.Fatalf("no timer ahead at %v", r.now)
+			t.Fatalf("no timer set at %v", r.now)
 		}
 		r.now = math.Nextafter(r.now+set[0].After, 0)
 		got = r.step(TimerFired{})
 		if a := actionsOf[Reject](got); len(a) > 0 {
 			if r.now > 130 {
-				t.Errorf("refused at %v, after the client left", r.now)
+				t.Errorf("rejected at %v, after the client gave up", r.now)
 			}
 			return
 		}
 	}
-	t.Error("never answered")
+	t.Error("queued job was never answered")
 }
 
 func TestNoSendToDrainingOrRemovedWorker(t *testing.T) {
@@ -267,7 +270,7 @@
 		r := newRig(t, testConfig(), runningWorkers("w")...)
 		r.step(r.report("w", 5))
 		if got := actionsOf[Send](r.step(u, r.job("read", "a"))); len(got) != 0 {
-			t.Errorf("%v: sent %v", u, got)
+			t.Errorf("after update %v: got sends %v, want none", u, got)
 		}
 	}
 }
@@ -278,14 +281,14 @@
 	w := runningWorkers("w")
 	w[0].StartedAt = 99
 	r := newRig(t, cfg, w...)
-	r.b.startedAt = 90 // no earlier process has sent to it
+	r.b.startedAt = 90 // no earlier process of the dispatcher has sent to the worker
 	for range 10 {     // each job is expected to take 5 s
 		r.step(r.job("read", "a"))
 	}
 	got := actionsOf[Send](r.step(r.report("w", 40)))
 	spent := 5 * float64(len(got))
 	if limit := 3 * 0.15 * 40 * 2 / 2.0; len(got) == 0 || spent > limit {
-		t.Errorf("sent work of %v within the span, the slice is %v", spent, limit)
+		t.Errorf("sent %v slot-seconds within OverloadSeconds, want above 0 and at most %v", spent, limit)
 	}
 }
 
@@ -294,18 +297,18 @@
 	cfg.PollEndpoints, cfg.PollInterval = true, 6
 	r := newRig(t, cfg)
 	if len(actionsOf[Subscribe](r.actions)) != 1 {
-		t.Fatal("no subscription at the start")
+		t.Fatal("got no Subscribe in the first step")
 	}
-	asks := 0
+	polls := 0
 	for range 40 {
 		r.now += 0.5
 		for range actionsOf[Subscribe](r.step(TimerFired{})) {
-			asks++
+			polls++
 			r.step(EndpointUpdate{Kind: EndpointsFailed})
 		}
 	}
-	if asks < 5 || asks > 30 {
-		t.Errorf("asked %d times in 20 s of failures", asks)
+	if polls < 5 || polls > 30 {
+		t.Errorf("got %d polls in 20 s of failures, want 5 to 30", polls)
 	}
 }
 
@@ -317,10 +320,10 @@
 		AttemptStarted{"x", 0}, r.report("nowhere", 3), HealthCheckDone{Worker: "w", Outcome: Served, Report: []float64{math.NaN()}},
 		HealthCheckDone{Worker: "w", Outcome: Served, Report: []float64{1, 2}})
 	if n := len(actionsOf[Send](got)) + len(actionsOf[Reject](got)) + len(actionsOf[Fail](got)); n != 0 {
-		t.Errorf("acted on them: %v", got)
+		t.Errorf("got %v, want no answer and no send for invalid events", got)
 	}
 	if len(r.b.jobs) != 0 {
-		t.Errorf("%d jobs kept after all ended", len(r.b.jobs))
+		t.Errorf("%d jobs still stored after all ended", len(r.b.jobs))
 	}
 }
 
@@ -328,10 +331,10 @@
 	r := newRig(t, testConfig(), runningWorkers("w")...)
 	s := actionsOf[Send](r.step(r.job("odd", "who"), r.report("w", 1)))
 	if len(s) != 1 {
-		t.Fatal("not served")
+		t.Fatal("job of an unknown class and tenant was not sent")
 	}
 	if got := r.step(done(s[0], 0, Failed)); len(actionsOf[Fail](got)) != 1 {
-		t.Errorf("%v, want a failure without promise", got)
+		t.Errorf("got %v, want one Fail", got)
 	}
 }
 
@@ -351,12 +354,12 @@
 		return r.actions
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs of the same events differ")
+		t.Error("two runs with the same events returned different actions")
 	}
 }
 
 func TestInvalidConfig(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
 		"Classes[1].Idempotence":      func(c *Config) { c.Classes[1].Idempotence = "often" },
 		"Tenants[0].Quota":            func(c *Config) { c.Tenants[0].Quota = -1 },
@@ -364,47 +367,47 @@
 		"Classes[0].ObjectiveStretch": func(c *Config) { c.Classes[0].ObjectiveStretch = math.Inf(1) },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want+":") {
-			t.Errorf("%s: got error %v", want, err)
+			t.Errorf("invalid %s: got error %v, want one that names the field", want, err)
 		}
 	}
 }
 
-// Found on a standard day with a cut zone: idempotent jobs behind the cut hung
-// until their clients left.
+// Guards against idempotent jobs that hang until their clients give up, because their worker became
+// unreachable in a network partition.
 func TestIdempotentJobIsHedgedFromUnreachableWorker(t *testing.T) {
 	for _, c := range []struct {
-		class    string
-		parallel bool
-		want     int
+		class   string
+		hedging bool
+		want    int
 	}{{"read", true, 1}, {"read", false, 0}, {"write", true, 0}} {
 		cfg := testConfig()
-		cfg.Hedging = c.parallel
+		cfg.Hedging = c.hedging
 		r := newRig(t, cfg, runningWorkers("v", "w")...)
 		s := actionsOf[Send](r.step(r.job(c.class, "a"), r.report("v", 1)))[0]
 		got := actionsOf[Send](r.step(r.report("w", 3), HealthCheckDone{Worker: "v", Outcome: Unreachable}))
 		if len(got) != c.want {
-			t.Errorf("%s, parallel %v: %d copies, want %d", c.class, c.parallel, len(got), c.want)
+			t.Errorf("class %s, hedging %v: got %d copies, want %d", c.class, c.hedging, len(got), c.want)
 		}
 		if c.want == 1 && (got[0].Worker != "w" || len(actionsOf[Reject](r.step(done(s, 0, Served), done(got[0], 1, Failed)))) != 0) {
-			t.Error("the copy went to the lost worker or was answered twice")
+			t.Error("the copy was sent to the unreachable worker, or the job was answered twice")
 		}
 	}
 }
 
-// Found on calm days: most late jobs had been sent at once and then stood in a
-// worker's queue while others had capacity. What may run twice is cancelled and
-// sent there, once it is clear that it waits; nothing new follows it.
+// Guards against jobs that are late because they were sent at once and then waited in a worker's queue while
+// other workers had capacity. Once it is clear that such a job waits, it is cancelled and sent to another
+// worker if it may run twice, and no further job is sent to the first worker.
 func TestQueuedJobIsRebalanced(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
-		free        float64 // at the other worker
+		free        float64 // free slots of the other worker
 		started     bool
 		want        int
 	}{
 		{"moved", "read", 2, false, 1}, {"keyed", "put", 2, false, 1}, {"unsafe", "write", 2, false, 0},
-		{"no room elsewhere", "read", 0, false, 0}, {"started", "read", 2, true, 0},
+		{"no capacity elsewhere", "read", 0, false, 0}, {"started", "read", 2, true, 0},
 	} {
 		cfg := testConfig()
 		cfg.Cancellation = true
@@ -415,27 +418,27 @@
 			r.step(AttemptStarted{s.ID, 0})
 		}
 		if got := actionsOf[Cancel](r.stepAt(100.04, TimerFired{})); len(got) > 0 {
-			t.Errorf("%s: called off too soon", c.name)
+			t.Errorf("%s: cancelled too early", c.name)
 		}
 		got := actionsOf[Cancel](r.stepAt(100.06, TimerFired{}))
 		if len(got) != c.want {
-			t.Errorf("%s: %d called off, want %d", c.name, len(got), c.want)
+			t.Errorf("%s: got %d cancellations, want %d", c.name, len(got), c.want)
 		}
 		if !c.started {
 			if more := actionsOf[Send](r.step(r.job("read", "b"))); len(more) == 1 && more[0].Worker == "v" {
-				t.Errorf("%s: another job follows into the queue", c.name)
+				t.Errorf("%s: another job was sent to the worker with a queue", c.name)
 			}
 		}
 		if c.want == 0 {
 			continue
 		}
 		if again := actionsOf[Send](r.step(done(s, 0, Cancelled))); len(again) != 1 || again[0] != (Send{s.ID, "w"}) {
-			t.Errorf("%s: %v after it was called off", c.name, again)
+			t.Errorf("%s: got sends %v after the cancellation, want one to w", c.name, again)
 		}
 		r.stepAt(100.2, r.report("v", 3))
 		r.step(done(Send{s.ID, "w"}, 1, Cancelled))
 		if got := actionsOf[Cancel](r.stepAt(100.3, TimerFired{})); len(got) > 0 {
-			t.Errorf("%s: the last attempt was called off", c.name)
+			t.Errorf("%s: the last attempt was cancelled", c.name)
 		}
 	}
 }
@@ -444,24 +447,23 @@
 	cfg := testConfig()
 	cfg.ReportFields = []string{FieldFreeSlots, FieldFreeMemory}
 	r := newRig(t, cfg, runningWorkers("w")...)
-	heavy := r.job("read", "a")
-	heavy.Memory = 3
+	largeMemoryJob := r.job("read", "a")
+	largeMemoryJob.Memory = 3
 	before := r.b.tenantsByName["a"].globalTag
-	r.step(heavy, HealthCheckDone{Worker: "w", Outcome: Served, Report: []float64{4, 2}})
+	r.step(largeMemoryJob, HealthCheckDone{Worker: "w", Outcome: Served, Report: []float64{4, 2}})
 	if n := len(actionsOf[Send](r.actions)); n != 0 {
-		t.Fatalf("%d sends where memory is short", n)
+		t.Fatalf("got %d sends with too little free memory, want 0", n)
 	}
 	r.stepAt(101, HealthCheckDone{Worker: "w", Outcome: Served, Report: []float64{4, 4}})
 	if n := len(actionsOf[Send](r.actions)); n != 1 {
-		t.Fatalf("%d sends where memory suffices", n)
+		t.Fatalf("got %d sends with enough free memory, want 1", n)
 	}
 	if a := r.b.tenantsByName["a"]; a.globalTag == before || math.Abs(a.globalTag-(100+3.0/3)) > 1e-9 {
-		t.Errorf("global tag moved to %v, want 3 units by weight 3 on from 100", a.globalTag)
+		t.Errorf("got global tag %v, want 100 plus 3 units divided by weight 3", a.globalTag)
 	}
 }
 
-// A dispatcher that ends leaves no job without its answer, and rejects only
-// what may be tried again without harm.
+// A dispatcher that shuts down answers every job, and rejects only jobs that may safely be retried.
 func TestShutdownAnswersAll(t *testing.T) {
 	b, err := New(Config{MaxAttempts: 2, HealthChecks: true, ReportFields: []string{FieldFreeSlots}, Classes: []Class{
 		{Name: "safe", LatencyObjective: 1, Deadline: 30, Idempotence: Idempotent}, {Name: "unsafe", LatencyObjective: 1, Deadline: 30, Idempotence: NonIdempotent}}}, 1)
@@ -481,12 +483,12 @@
 	for _, a := range b.Step(1.3, []Event{Shutdown{}}) {
 		switch a := a.(type) {
 		case Reject:
-			got[a.ID] += "refused"
+			got[a.ID] += "rejected"
 		case Fail:
 			got[a.ID] += "failed"
 		}
 	}
-	if sent != 2 || len(got) != 3 || got["s"] != "refused" || got["u"] != "failed" || got["v"] != "refused" {
-		t.Errorf("%d sent, answers %v", sent, got)
+	if sent != 2 || len(got) != 3 || got["s"] != "rejected" || got["u"] != "failed" || got["v"] != "rejected" {
+		t.Errorf("got %d sends and answers %v, want 2 sends, s and v rejected, u failed", sent, got)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,8 +6,8 @@
 	"example.org/bellstream/balance"
 )
 
-// A dispatcher with one worker that has one free slot: the first job is sent
-// and served, the second waits and is rejected before its client leaves.
+// A dispatcher has one worker with one free slot. The first job is sent and served; the second one waits and
+// is rejected before its client gives up.
 func Example() {
 	b, err := balance.New(balance.Config{
 		MaxAttempts:  2,
@@ -20,26 +20,26 @@
 		fmt.Println(err)
 		return
 	}
-	show := func(now float64, events ...balance.Event) {
+	step := func(now float64, events ...balance.Event) {
 		for _, a := range b.Step(now, events) {
 			switch a := a.(type) {
 			case balance.HealthCheck:
-				fmt.Printf("%.1f probe %s\n", now, a.Worker)
+				fmt.Printf("%.1f check %s\n", now, a.Worker)
 			case balance.Send:
 				fmt.Printf("%.1f send %s to %s\n", now, a.ID, a.Worker)
 			case balance.Reject:
-				fmt.Printf("%.1f refuse %s\n", now, a.ID)
+				fmt.Printf("%.1f reject %s\n", now, a.ID)
 			}
 		}
 	}
-	show(10, balance.EndpointUpdate{Kind: balance.EndpointsCached,
+	step(10, balance.EndpointUpdate{Kind: balance.EndpointsCached,
 		Workers: []balance.WorkerInfo{{ID: "w1", State: balance.Running}}})
-	show(10.1, balance.HealthCheckDone{Worker: "w1", Outcome: balance.Served, Report: []float64{1}})
-	show(10.2, balance.JobArrived{ID: "a", Class: "render", Tenant: "acme", Timeout: 3},
+	step(10.1, balance.HealthCheckDone{Worker: "w1", Outcome: balance.Served, Report: []float64{1}})
+	step(10.2, balance.JobArrived{ID: "a", Class: "render", Tenant: "acme", Timeout: 3},
 		balance.JobArrived{ID: "b", Class: "render", Tenant: "acme", Timeout: 3})
-	show(13.25, balance.TimerFired{})
-	show(13.3, balance.AttemptDone{ID: "a", Worker: "w1", Outcome: balance.Served, JobFinished: true})
+	step(13.25, balance.TimerFired{})
+	step(13.3, balance.AttemptDone{ID: "a", Worker: "w1", Outcome: balance.Served, JobFinished: true})
 	// Output:
 	// 10.2 send a to w1
-	// 13.2 refuse b
+	// 13.2 reject b
 }
--- a/balance/large_test.go
+++ b/balance/large_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleet lists n workers.
+// fleet returns the endpoint list entries of n running workers.
 func fleet(n int) []WorkerInfo {
 	ids := make([]string, n)
 	for i := range ids {
@@ -15,8 +15,8 @@
 	return runningWorkers(ids...)
 }
 
-// Found at full size: each event ranked all workers, and each job went to another
-// worker on a new connection.
+// Guards against dispatchers that consider all workers of a large fleet: each event would rank all of them,
+// and each job would go to a different worker on a new connection.
 func TestDispatcherUsesSmallPool(t *testing.T) {
 	seen := map[string]int{}
 	for index := range 60 {
@@ -32,23 +32,24 @@
 			}
 		}
 		if len(own) < 2 || len(own) > 2*minPoolSize+poolPerAttempt {
-			t.Errorf("dispatcher %d used %d of 100 workers", index, len(own))
+			t.Errorf("dispatcher %d used %d of 100 workers, want a small pool", index, len(own))
 		}
 		for w := range own {
 			seen[w]++
 		}
 	}
 	if len(seen) < 95 {
-		t.Errorf("all dispatchers together use %d of 100 workers", len(seen))
+		t.Errorf("all dispatchers together used %d of 100 workers, want at least 95", len(seen))
 	}
 	for w, n := range seen {
 		if n > 20 {
-			t.Errorf("%s serves %d of 60 dispatchers", w, n)
+			t.Errorf("worker %s served %d of 60 dispatchers, want at most 20", w, n)
 		}
 	}
 }
 
-// Found at full size: what a report showed seconds ago had long been taken.
+// With many dispatchers, the free slots in a report that is seconds old have been taken by others, so the
+// estimate must approach what recent reports from the zone show.
 func TestOldReportDecaysToZoneEstimate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.HealthChecks = 100, false
@@ -58,7 +59,7 @@
 		r.stepAt(101+float64(i), r.report("v", float64(i%2)*0.1), r.report("w", float64(i%2)*0.1))
 	}
 	if slots, _ := r.b.estimateFree(r.b.workersByID["old"]); slots > 1 {
-		t.Errorf("a report of 4 slots still counts for %.1f after 12 s", slots)
+		t.Errorf("a report of 4 free slots counts for %.1f after 12 s, want at most 1", slots)
 	}
 	cfg.Dispatchers = 1
 	r = newRig(t, cfg, runningWorkers("old")...)
@@ -66,21 +67,22 @@
 	r.now += 12
 	r.step(TimerFired{})
 	if slots, _ := r.b.estimateFree(r.b.workersByID["old"]); slots != 4 {
-		t.Errorf("a lone dispatcher counts %.1f slots, want the 4 that nobody else takes", slots)
+		t.Errorf("a single dispatcher estimates %.1f free slots, want 4", slots)
 	}
 }
 
-// Found at full size: among hundreds a slice of the slow-start budget is below a job, so
-// none sent. Whole jobs in turn must keep the budget in any span, and use some of it.
+// Among hundreds of dispatchers, each one's share of a worker's slow-start budget is less than a job, so that
+// none would send. They must send whole jobs in turns instead, which together use some of the budget and
+// never exceed it in any period of OverloadSeconds.
 func TestSlowStartBudgetAcrossDispatchers(t *testing.T) {
 	const n, slots = 150, 4.0
-	cold := WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: 100}
+	warming := WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: 100}
 	var all []*rig
 	for index := range n {
 		cfg := testConfig()
 		cfg.Dispatchers, cfg.Index, cfg.HealthChecks = n, index, false
 		cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = 0.3, 20, 3, 2
-		r := newRig(t, cfg, cold)
+		r := newRig(t, cfg, warming)
 		r.b.maxSlotsByKind[""] = slots
 		for range 20 {
 			r.b.meanRunTime.observe(2)
@@ -110,15 +112,16 @@
 			}
 		}
 		if limit := 3 * (0.3 + 0.7*(from+2-100)/20) * slots * 2; work > limit {
-			t.Fatalf("%.0f slot-seconds sent from %.1f on, at most %.0f", work, from, limit)
+			t.Fatalf("sent %.0f slot-seconds in the 2 s from %.1f on, want at most %.0f", work, from, limit)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("nothing was sent to the cold worker")
+		t.Error("no job was sent to the worker that warms up")
 	}
 }
 
-// Found at full size: a third of the sends met a queue while slots stood free.
+// Guards against jobs that wait in a worker's queue while other workers have free slots, as a third of all
+// sends did in a large fleet.
 func TestUnstartedJobIsHedged(t *testing.T) {
 	for _, c := range []struct {
 		class  string
@@ -133,48 +136,49 @@
 		}
 		first := actionsOf[Send](r.step(r.job(c.class, "a")))
 		if len(first) != 1 {
-			t.Fatalf("%d sends, want 1", len(first))
+			t.Fatalf("got %d sends, want 1", len(first))
 		}
 		again := actionsOf[Send](r.stepAt(104, TimerFired{}))
 		if len(again) != c.copies || c.copies == 1 && again[0].Worker == first[0].Worker {
-			t.Errorf("%s, %v of sends prompt: copies %v after %v", c.class, c.prompt, again, first)
+			t.Errorf("class %s, fraction %v of starts prompt: got copies %v after sends %v", c.class, c.prompt, again, first)
 		}
 		if c.copies == 1 {
-			off := actionsOf[Cancel](r.step(AttemptStarted{first[0].ID, 1}))
-			if len(off) != 1 || off[0].Attempt != 0 {
-				t.Errorf("called off %v, want the attempt that has not started", off)
+			cancelled := actionsOf[Cancel](r.step(AttemptStarted{first[0].ID, 1}))
+			if len(cancelled) != 1 || cancelled[0].Attempt != 0 {
+				t.Errorf("got cancellations %v, want one of the attempt that has not started", cancelled)
 			}
 		}
 	}
 }
 
-// Found at full size: no report is fresh when a job comes to a quiet dispatcher.
+// When a job arrives at a dispatcher that was idle for long, no report is fresh. The job waits for health checks.
 func TestJobWaitsForHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 100
 	r := newRig(t, cfg, fleet(healthChecksPerJob)...)
 	acts := r.step(r.job("write", "a"))
-	asked := actionsOf[HealthCheck](acts)
-	if len(actionsOf[Send](acts)) != 0 || len(asked) != healthChecksPerJob {
-		t.Fatalf("%d sends and %d probes at once, want none and %d", len(actionsOf[Send](acts)), len(asked), healthChecksPerJob)
+	checks := actionsOf[HealthCheck](acts)
+	if len(actionsOf[Send](acts)) != 0 || len(checks) != healthChecksPerJob {
+		t.Fatalf("got %d sends and %d health checks at once, want 0 and %d",
+			len(actionsOf[Send](acts)), len(checks), healthChecksPerJob)
 	}
-	if more := actionsOf[HealthCheck](r.stepAt(100.01, r.report(asked[0].Worker, 0))); len(more) > 0 {
-		t.Errorf("%d more probes while an answer is still out", len(more))
+	if more := actionsOf[HealthCheck](r.stepAt(100.01, r.report(checks[0].Worker, 0))); len(more) > 0 {
+		t.Errorf("got %d more health checks while one is pending, want 0", len(more))
 	}
-	got := actionsOf[Send](r.stepAt(100.02, r.report(asked[1].Worker, 4)))
-	if len(got) != 1 || got[0].Worker != asked[1].Worker {
-		t.Errorf("sent %v, want to %s which shows room", got, asked[1].Worker)
+	got := actionsOf[Send](r.stepAt(100.02, r.report(checks[1].Worker, 4)))
+	if len(got) != 1 || got[0].Worker != checks[1].Worker {
+		t.Errorf("got sends %v, want one to %s, which reported free slots", got, checks[1].Worker)
 	}
 }
 
-// Found at full size: at a job in ten seconds chance looked like surplus.
+// At a rate of one job in ten seconds, the random variation of arrivals must not be taken for surplus.
 func TestRandomArrivalsAreNotSurplus(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants = 100, []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
 	r := newRig(t, cfg, runningWorkers("w")...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	over := map[string]int{}
-	for range 500 { // a sends nine tenths of its allotment, b three times it
+	for range 500 { // tenant a sends nine tenths of its allotment, tenant b more than three times its allotment
 		r.now += 10 * rng.ExpFloat64() / 0.9
 		for range 1 {
 			r.b.chargeTags(r.b.tenantsByName["a"], 1, true)
@@ -191,11 +195,11 @@
 		}
 	}
 	if over["a"] > 50 || over["b"] < 400 {
-		t.Errorf("taken for surplus in 500 looks: %v; want a seldom, b nearly always", over)
+		t.Errorf("times taken for surplus in 500 rounds: got %v, want at most 50 for a and at least 400 for b", over)
 	}
 }
 
-// BenchmarkStep shows the cost of one event at a few hundred workers.
+// BenchmarkStep measures the cost of one job with 20, 200 and 2000 workers.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -211,7 +215,7 @@
 				now += 0.1
 				id := fmt.Sprint("j", i)
 				events := []Event{JobArrived{ID: id, Class: "read", Tenant: "a", Timeout: 30}}
-				for len(events) > 0 { // each answer may bring more to do
+				for len(events) > 0 { // handling an event may return further actions
 					acts := bal.Step(now, events)
 					events = events[:0]
 					for _, a := range acts {
@@ -228,17 +232,18 @@
 	}
 }
 
-// Found where few dispatchers share busy workers: sends rejected used up attempts.
+// Where few dispatchers share busy workers, jobs would use up their attempts on workers that reject them. So
+// a high rate of rejections raises the number of free slots that a send requires.
 func TestRejectionsRaiseRequiredFreeSlots(t *testing.T) {
-	for _, c := range []struct{ miss, want float64 }{{0, 1}, {1, 0}} {
+	for _, c := range []struct{ rejectionRate, want float64 }{{0, 1}, {1, 0}} {
 		cfg := testConfig()
 		cfg.Dispatchers = 4
 		r := newRig(t, cfg, runningWorkers("w")...)
 		for range 20 {
-			r.b.rejectionRate.observe(c.miss)
+			r.b.rejectionRate.observe(c.rejectionRate)
 		}
 		if got := actionsOf[Send](r.step(r.report("w", 1), r.job("write", "a"))); float64(len(got)) != c.want {
-			t.Errorf("%d sends after refusals in %v of the sends, want %v", len(got), c.miss, c.want)
+			t.Errorf("got %d sends after a fraction %v of sends was rejected, want %v", len(got), c.rejectionRate, c.want)
 		}
 	}
 }
--- a/balance/promised_test.go
+++ b/balance/promised_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// fleetSim plays workers of some slots against one balancer in virtual time.
+// fleetSim simulates workers with a number of slots that are used by one balancer, in virtual time.
 type fleetSim struct {
 	t            *testing.T
 	b            *Balancer
@@ -19,7 +19,7 @@
 	attempts     map[string]int
 	jobSlots     map[string]float64
 	arrivedAt    map[string]float64
-	firstSentAt  map[string]float64 // when a job was first sent
+	firstSentAt  map[string]float64 // time at which a job was first sent
 	rejectedAt   map[string]float64
 	failed       map[string]bool
 	unresponsive map[string]bool
@@ -76,7 +76,7 @@
 	return id
 }
 
-// addArrivals has jobs of tenant a arrive evenly at a rate.
+// addArrivals lets jobs of tenant a arrive at a constant rate, in jobs per second.
 func (s *fleetSim) addArrivals(class string, slots, rate, left float64) {
 	var next func()
 	next = func() {
@@ -131,27 +131,27 @@
 	s.now = until
 }
 
-// waitStats are the promised wait for a first attempt of admitted jobs of a class, how
-// many were sent, refused as they came, and not sent at all in the end.
-func (s *fleetSim) waitStats(class string) (worst float64, sent, refused, starved int) {
-	for id, came := range s.arrivedAt {
+// waitStats returns the longest wait of an admitted job of a class for its first attempt, in seconds, and how
+// many of its jobs were sent, were rejected on arrival, and were admitted but never sent.
+func (s *fleetSim) waitStats(class string) (longest float64, sent, rejected, starved int) {
+	for id, arrived := range s.arrivedAt {
 		if !strings.HasPrefix(id, class) {
 			continue
 		}
 		at, ok := s.firstSentAt[id]
-		r, no := s.rejectedAt[id]
+		r, wasRejected := s.rejectedAt[id]
 		switch {
 		case ok:
 			sent++
-			worst = max(worst, at-came)
-		case no && r-came < 0.05:
-			refused++
-		case no:
+			longest = max(longest, at-arrived)
+		case wasRejected && r-arrived < 0.05:
+			rejected++
+		case wasRejected:
 			starved++
-			worst = max(worst, r-came)
+			longest = max(longest, r-arrived)
 		default:
 			starved++
-			worst = max(worst, s.now-came)
+			longest = max(longest, s.now-arrived)
 		}
 	}
 	return
@@ -169,18 +169,18 @@
 	return cfg
 }
 
-// Under a sustained stream of dearer jobs at 120% of the fleet, cheap ones and
-// wide ones are sent within their promised wait or rejected on arrival; the
-// stream loses little. Without the promise they starve.
+// Under a sustained load of jobs with a higher PriorityWeight at 120% of the fleet's capacity, jobs of a low
+// weight and jobs of many slots are sent within their promised wait or rejected on arrival. At least 95% as
+// many of the other jobs are sent as without the promise. Without it, jobs wait longer than that.
 func TestPromisedWaitUnderOverload(t *testing.T) {
 	play := func(maxWait float64) *fleetSim {
-		s := newFleetSim(t, promisedWaitConfig(maxWait), 8, 4) // 160 slots a second
+		s := newFleetSim(t, promisedWaitConfig(maxWait), 8, 4) // capacity: 160 slots per second
 		s.addArrivals("hi", 1, 1.2*160, 3)
 		s.addArrivals("lo", 1, 6, 12)
 		s.addArrivals("wide", 4, 0.5, 12)
 		s.runUntil(140)
-		for id, came := range s.arrivedAt { // those that came last have not had their time
-			if came > 140-4 {
+		for id, arrived := range s.arrivedAt { // jobs that arrived less than 4 s ago may still be waiting
+			if arrived > 140-4 {
 				delete(s.arrivedAt, id)
 			}
 		}
@@ -189,44 +189,47 @@
 	const most = 4.0
 	with, without := play(most), play(0)
 	for _, class := range []string{"lo", "wide"} {
-		worst, sent, refused, starved := with.waitStats(class)
-		was, wasSent, _, wasStarved := without.waitStats(class)
-		t.Logf("%s: worst %.2f s, %d sent, %d refused, %d starved; without: worst %.2f s, %d sent, %d starved", class, worst, sent, refused, starved, was, wasSent, wasStarved)
-		if worst > most || starved > 0 || sent == 0 {
-			t.Errorf("%s: worst wait %.2f s, %d sent, %d starved", class, worst, sent, starved)
+		longest, sent, rejected, starved := with.waitStats(class)
+		longestWithout, sentWithout, _, starvedWithout := without.waitStats(class)
+		t.Logf("%s: longest wait %.2f s, %d sent, %d rejected, %d starved; without a promise: longest wait %.2f s, %d sent, %d starved",
+			class, longest, sent, rejected, starved, longestWithout, sentWithout, starvedWithout)
+		if longest > most || starved > 0 || sent == 0 {
+			t.Errorf("%s: longest wait %.2f s, %d sent, %d starved; want at most 4 s, some sent, none starved",
+				class, longest, sent, starved)
 		}
-		if was <= most {
-			t.Errorf("%s: waits at most %.2f s without the promise: the test shows nothing", class, was)
+		if longestWithout <= most {
+			t.Errorf("%s: longest wait %.2f s without the promise, want a longer one than with it", class, longestWithout)
 		}
 	}
 	_, hi, _, _ := with.waitStats("hi")
 	_, all, _, _ := without.waitStats("hi")
 	if float64(hi) < 0.95*float64(all) {
-		t.Errorf("the stream has %d jobs sent, %d without the promise", hi, all)
+		t.Errorf("class hi: got %d sends, %d without the promise; want nearly as many", hi, all)
 	}
-	t.Logf("hi: %d sent, %d without", hi, all)
+	t.Logf("hi: %d sent, %d without the promise", hi, all)
 }
 
-// More than a small part of what is started is not promised: the rest is
-// rejected on arrival, with a Retry-After, and what is admitted is sent in time.
+// Jobs with a promised wait may take up only a small part of the work in flight. Jobs beyond that are rejected
+// on arrival with a Retry-After, and the admitted ones are sent in time.
 func TestPromisedWaitRejectsExcess(t *testing.T) {
 	s := newFleetSim(t, promisedWaitConfig(4), 8, 4)
 	s.addArrivals("hi", 1, 1.2*160, 3)
 	s.addArrivals("lo", 1, 100, 12)
 	s.runUntil(130)
-	for id, came := range s.arrivedAt {
-		if came > 126 {
+	for id, arrived := range s.arrivedAt {
+		if arrived > 126 {
 			delete(s.arrivedAt, id)
 		}
 	}
-	worst, sent, refused, starved := s.waitStats("lo")
-	if worst > 4 || starved > 0 || refused < sent || sent < 50 {
-		t.Errorf("worst %.2f s, %d sent, %d refused, %d starved", worst, sent, refused, starved)
+	longest, sent, rejected, starved := s.waitStats("lo")
+	if longest > 4 || starved > 0 || rejected < sent || sent < 50 {
+		t.Errorf("longest wait %.2f s, %d sent, %d rejected, %d starved; want at most 4 s, 50 or more sent, no fewer rejected, none starved",
+			longest, sent, rejected, starved)
 	}
 }
 
-// Where classes are promised different waits, a job that is due to go before the
-// tags is not hidden by one that has to go sooner and is not due yet.
+// With different promised waits, a job that has reached the time of its priority must be found even if another
+// job, which has not reached it yet, has the earlier end of its promised wait.
 func TestDifferentPromisedWaits(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].MaxWait, cfg.Classes[1].MaxWait = 10, 3
@@ -243,12 +246,12 @@
 			got = append(got, j.id)
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("at %v s: %v, want %s", at, got, want)
+			t.Errorf("at %v s: got %v, want %s", at, got, want)
 		}
 	}
 }
 
-// A promised wait can be set and removed while jobs are queued: theirs stays.
+// A promised wait can be set and removed while jobs are queued. Queued jobs keep the one that they have.
 func TestPromisedWaitChanges(t *testing.T) {
 	cfg := testConfig()
 	class := cfg.Classes[0].Name
@@ -256,24 +259,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := func(id string, more ...Event) bool {
+	rejected := func(id string, more ...Event) bool {
 		return len(actionsOf[Reject](b.Step(100, append(more, JobArrived{ID: id, Class: class, Tenant: "a", Timeout: 60})))) > 0
 	}
-	if refused("a") || refused("b") || len(b.promised.jobs) > 0 {
-		t.Fatal("promised without a promise")
+	if rejected("a") || rejected("b") || len(b.promised.jobs) > 0 {
+		t.Fatal("job rejected or given a promised wait in a class without MaxWait")
 	}
 	promise := func(of int, wait float64) ConfigChanged {
 		next := testConfig()
 		next.Classes[of].MaxWait = wait
 		return ConfigChanged{Config: next}
 	}
-	if refused("c", promise(0, 1e-6)) || !refused("d") || len(b.promised.jobs) != 1 {
-		t.Error("the first of a class gets its turn, the second can't within a microsecond")
+	if rejected("c", promise(0, 1e-6)) || !rejected("d") || len(b.promised.jobs) != 1 {
+		t.Error("want the first job of the class admitted with a promised wait of a microsecond, and the second rejected")
 	}
-	if refused("e", promise(0, 0)) || len(b.promised.jobs) != 1 || b.promised.jobs[0].promisedBy != 100+1e-6 {
-		t.Error("the end of the promise refuses a job, or forgets one that has it")
+	if rejected("e", promise(0, 0)) || len(b.promised.jobs) != 1 || b.promised.jobs[0].promisedBy != 100+1e-6 {
+		t.Error("removing MaxWait rejected a new job or changed the promise of a queued one")
 	}
-	if refused("f", promise(1, 1e-6), promise(0, -1)) {
-		t.Error("a promise of another class, or one below 0, counts")
+	if rejected("f", promise(1, 1e-6), promise(0, -1)) {
+		t.Error("a MaxWait of another class, or one below 0, rejected a job")
 	}
 }
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// newBacklog is a balancer at which so many jobs wait, and at which workers have no
-// capacity: half of the jobs of each of two tenants, of all classes and sizes.
-func newBacklog(tb testing.TB, waiting, workers int) (*Balancer, float64, map[string]int) {
+// newBacklog returns a balancer with the given number of queued jobs and of workers without free capacity, its
+// current time, and the number of attempts of each job. Half of the jobs belong to each of two tenants; they
+// are of all classes and of 1 to 4 slots.
+func newBacklog(tb testing.TB, queued, workers int) (*Balancer, float64, map[string]int) {
 	cfg := testConfig()
 	cfg.HealthChecks, cfg.HealthCheckCost, cfg.Dispatchers = true, 0.01, 4
 	for i := range cfg.Classes {
@@ -17,46 +18,46 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	now, tries := 100.0, map[string]int{}
+	now, attempts := 100.0, map[string]int{}
 	list := fleet(workers)
-	full := func(events ...Event) { // no worker has capacity
+	stepOverloaded := func(events ...Event) { // lets every send be rejected and every health check report 0 free slots
 		for len(events) > 0 {
 			acts := b.Step(now, events)
 			events = nil
 			for _, a := range acts {
 				if s, ok := a.(Send); ok {
-					events = append(events, AttemptDone{ID: s.ID, Attempt: tries[s.ID], Worker: s.Worker, Outcome: Overloaded})
-					tries[s.ID]++
+					events = append(events, AttemptDone{ID: s.ID, Attempt: attempts[s.ID], Worker: s.Worker, Outcome: Overloaded})
+					attempts[s.ID]++
 				} else if p, ok := a.(HealthCheck); ok {
 					events = append(events, HealthCheckDone{Worker: p.Worker, Outcome: Served, Report: []float64{0}})
 				}
 			}
 		}
 	}
-	full(EndpointUpdate{Kind: EndpointsCached, Workers: list})
-	for i := 0; i < waiting; {
+	stepOverloaded(EndpointUpdate{Kind: EndpointsCached, Workers: list})
+	for i := 0; i < queued; {
 		var events []Event
-		for range min(waiting, 500) {
+		for range min(queued, 500) {
 			events = append(events, JobArrived{ID: fmt.Sprint("j", i), Class: cfg.Classes[i%3].Name, Tenant: []string{"a", "b"}[i%2],
 				Timeout: 1000, Slots: float64(1 + i%4)})
 			i++
 		}
 		now += 0.01
-		full(events...)
+		stepOverloaded(events...)
 	}
 	for _, w := range list {
-		full(HealthCheckDone{Worker: w.ID, Outcome: Served, Report: []float64{0}})
+		stepOverloaded(HealthCheckDone{Worker: w.ID, Outcome: Served, Report: []float64{0}})
 	}
-	return b, now, tries
+	return b, now, attempts
 }
 
-var backlogSizes = []struct{ waiting, workers int }{{100, 12}, {10_000, 12}, {100_000, 12}, {100, 1000}, {100_000, 1000}, {100, 5000}, {100_000, 5000}}
+var backlogSizes = []struct{ queued, workers int }{{100, 12}, {10_000, 12}, {100_000, 12}, {100, 1000}, {100_000, 1000}, {100, 5000}, {100_000, 5000}}
 
-// One step while nothing has capacity.
+// BenchmarkBacklogStep measures a step while no worker has free capacity.
 func BenchmarkBacklogStep(b *testing.B) {
 	for _, c := range backlogSizes {
-		b.Run(fmt.Sprint(c.waiting, "waiting-", c.workers, "workers"), func(b *testing.B) {
-			r, now, _ := newBacklog(b, c.waiting, c.workers)
+		b.Run(fmt.Sprint(c.queued, "waiting-", c.workers, "workers"), func(b *testing.B) {
+			r, now, _ := newBacklog(b, c.queued, c.workers)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -67,13 +68,14 @@
 	}
 }
 
-// A worker reports a slot, a job goes there and ends, another comes; the client of
-// one leaves where none was sent, so that as many wait as before.
+// BenchmarkBacklogRelease measures the steps in which a worker reports free slots, a job arrives, and a queued
+// job is sent and ends. If no job was sent, the client of one disconnects, so that the number of queued jobs
+// stays about the same.
 func BenchmarkBacklogRelease(b *testing.B) {
 	for _, c := range backlogSizes {
-		b.Run(fmt.Sprint(c.waiting, "waiting-", c.workers, "workers"), func(b *testing.B) {
-			r, now, tries := newBacklog(b, c.waiting, c.workers)
-			sent, extra, gone := 0, 0, 0
+		b.Run(fmt.Sprint(c.queued, "waiting-", c.workers, "workers"), func(b *testing.B) {
+			r, now, attempts := newBacklog(b, c.queued, c.workers)
+			sent, extra, nextToDisconnect := 0, 0, 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -81,21 +83,21 @@
 				r.scanWorkers()
 				events := []Event{JobArrived{ID: fmt.Sprint("n", i), Class: "read", Tenant: "a", Timeout: 1000},
 					HealthCheckDone{Worker: r.eligible[i%len(r.eligible)].ID, Outcome: Served, Report: []float64{1 + float64(i%2)}}}
-				for extra++; extra > 0 && gone <= i; gone++ {
-					if id := fmt.Sprint("n", gone); tries[id] == 0 {
+				for extra++; extra > 0 && nextToDisconnect <= i; nextToDisconnect++ {
+					if id := fmt.Sprint("n", nextToDisconnect); attempts[id] == 0 {
 						events, extra = append(events, ClientDisconnected{id}), extra-1
 					}
 				}
 				acts := r.Step(now, events)
-				for o := Served; len(actionsOf[Send](acts)) > 0; o = Overloaded { // what the end lets go finds no capacity
+				for o := Served; len(actionsOf[Send](acts)) > 0; o = Overloaded { // later sends are rejected
 					var ended []Event
 					for _, s := range actionsOf[Send](acts) {
 						sent++
 						if o == Served {
 							extra--
 						}
-						n := tries[s.ID]
-						tries[s.ID]++
+						n := attempts[s.ID]
+						attempts[s.ID]++
 						ended = append(ended, AttemptStarted{ID: s.ID, Attempt: n}, AttemptDone{ID: s.ID, Attempt: n, Worker: s.Worker, Outcome: o,
 							JobFinished: o == Served, Report: []float64{0}})
 					}
@@ -113,14 +115,14 @@
 	}
 }
 
-// The bookkeeping of a queue against the plainest one: a list in order.
+// Compares a queue with a plain list of its jobs while random jobs are added and removed.
 func TestQueueMatchesPlainList(t *testing.T) {
 	c := &class{Class: Class{Name: "c", LatencyObjective: 1}}
 	d := &class{Class: Class{Name: "d", LatencyObjective: 1}}
 	var q queue
 	var all []*job
-	rnd := uint64(1)
-	next := func(n int) int { rnd = rnd*6364136223846793005 + 1442695040888963407; return int(rnd>>33) % n }
+	state := uint64(1)
+	next := func(n int) int { state = state*6364136223846793005 + 1442695040888963407; return int(state>>33) % n }
 	for step := range 20_000 {
 		if next(5) < 3 && len(all) < 600 || len(all) == 0 {
 			j := &job{id: fmt.Sprint(step), class: []*class{c, d}[next(2)], arrivedAt: float64(step - next(2)*next(50)), firstRequestedAt: float64(step - next(100)),
@@ -135,42 +137,42 @@
 			q.remove(all[i])
 			all = append(all[:i], all[i+1:]...)
 		}
-		size, again := 0.0, 0
+		size, retries := 0.0, 0
 		for _, j := range all {
 			size += j.size()
 			if len(j.attempts) > 0 {
-				again++
+				retries++
 			}
 		}
 		if q.count != len(all) || q.size != size {
-			t.Fatalf("%d jobs of size %v, want %d of %v", q.count, q.size, len(all), size)
+			t.Fatalf("got %d jobs of total size %v, want %d of total size %v", q.count, q.size, len(all), size)
 		}
-		q.visitRetries(func(*job) { again-- })
-		if again != 0 {
-			t.Fatalf("%d sent before are not listed", again)
+		q.visitRetries(func(*job) { retries-- })
+		if retries != 0 {
+			t.Fatalf("visitRetries missed %d jobs, want 0", retries)
 		}
-		seen := 0
+		total := 0
 		for _, g := range q.groups {
 			var last *job
 			g.visitEnds(1<<20, nil, func(j *job) {
 				if last != nil && compareArrival(last, j) >= 0 {
-					t.Fatalf("out of order: %+v, %+v", last, j)
+					t.Fatalf("jobs visited out of order: %+v before %+v", last, j)
 				}
 				last = j
-				seen++
+				total++
 			})
-			few := 0
-			g.visitEnds(5, func(j *job) bool { return j.arrivedAt < float64(step-20) }, func(*job) { few++ })
-			if g.count > 10 && few > 10 || g.count <= 10 && few != g.count {
-				t.Fatalf("%d of %d looked at", few, g.count)
+			visited := 0
+			g.visitEnds(5, func(j *job) bool { return j.arrivedAt < float64(step-20) }, func(*job) { visited++ })
+			if g.count > 10 && visited > 10 || g.count <= 10 && visited != g.count {
+				t.Fatalf("visited %d of %d jobs, want at most 10 or, if there are no more than 10, all", visited, g.count)
 			}
 		}
-		if seen != len(all) {
-			t.Fatalf("%d seen of %d", seen, len(all))
+		if total != len(all) {
+			t.Fatalf("visited %d of %d jobs", total, len(all))
 		}
 		limit := float64(step + 200)
 		n := 0
-		left := q.byDeadline.visitWhile(func(j *job) bool { return j.deadline < limit }, func(*job) { n++ })
+		nextJob := q.byDeadline.visitWhile(func(j *job) bool { return j.deadline < limit }, func(*job) { n++ })
 		var want *job
 		for _, j := range all {
 			if j.deadline < limit {
@@ -179,8 +181,8 @@
 				want = j
 			}
 		}
-		if n != 0 || (want == nil) != (left == nil) || want != nil && want.deadline != left.deadline {
-			t.Fatalf("%d too many below %v, then %v, want %v", n, limit, left, want)
+		if n != 0 || (want == nil) != (nextJob == nil) || want != nil && want.deadline != nextJob.deadline {
+			t.Fatalf("visited %d jobs too many with a deadline before %v, then returned %v, want %v", n, limit, nextJob, want)
 		}
 	}
 }
--- a/balance/recorded_test.go
+++ b/balance/recorded_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// actionDigest drives a balancer through a day of every kind of event, drawn by a
-// seed, and returns a digest of all its actions in order. The stream does not
-// depend on anything but the seed and the actions themselves.
+// actionDigest drives a balancer by random events of many kinds and returns a digest of all its actions, in
+// order. The events depend only on the seed, on the actions, and on extra, which may add some.
 func actionDigest(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event) string {
 	t.Helper()
 	return renamedActionDigest(t, cfg, seed, extra, func(name string) string { return name })
 }
 
-// renamedActionDigest is stream with other names for the classes, tenants, zones and kinds of its events; cfg is taken as it is.
+// renamedActionDigest is actionDigest with the names of classes, tenants, zones and kinds in its events replaced
+// by as. It does not change the names in cfg.
 func renamedActionDigest(t *testing.T, cfg Config, seed uint64, extra func(b *Balancer, now float64) []Event, as func(string) string) string {
 	t.Helper()
 	b, err := New(cfg, seed)
@@ -94,15 +94,15 @@
 	return fmt.Sprintf("%x", digest.Sum(nil))[:16]
 }
 
-// recordedLogWording gives log lines the words with which they were recorded.
+// recordedLogWording restores the wording that log lines had when the digests were recorded.
 var recordedLogWording = strings.NewReplacer(
 	"checking its health until it answers", "probing it",
 	"endpoint poll failed", "roster call failed",
 	"next poll in", "asking again in",
 )
 
-// recordedForm writes an action as it was written when the digests were recorded: type and fields by the names
-// that they had then, so that a rename changes no digest and every other change does.
+// recordedForm formats an action as it was formatted when the digests were recorded, with the names that its
+// type and fields had then. So a rename changes no digest, and every other change does.
 func recordedForm(a Action) string {
 	switch a := a.(type) {
 	case Reject:
@@ -125,9 +125,9 @@
 	return map[string]Config{"one": one, "four": four, "seven": seven}
 }
 
-// recordedDigests are the digests of the scheduler's actions without a QuotaUpdate. They were taken anew when
-// surplus past the buckets began to leave in proportion to reservations, and when the waits between calls to the
-// endpoint list were held to 6 s: where it is not asked nothing but the line in the log changed then.
+// recordedDigests are digests of the scheduler's actions without a QuotaUpdate. They were recorded again when
+// surplus beyond the buckets was first sent in proportion to reservations, and when the waits between polls of
+// the endpoint list were limited to 6 s. The latter changed only the log line where the list is not polled.
 var recordedDigests = map[string]string{
 	"four-0":  "1cda9972f39c290d",
 	"four-1":  "b3babe5e8b12b8d1",
@@ -140,22 +140,22 @@
 	"seven-2": "625eaff204f9186f",
 }
 
-// With no peers the decisions are, action by action, those that were recorded
-// before there were any; and a QuotaUpdate that says what holds anyhow changes none.
+// Without updates from other dispatchers, all actions are the same as those recorded before dispatchers
+// exchanged updates.
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	for name, cfg := range recordedConfigs() {
 		for seed := range uint64(3) {
 			key := fmt.Sprint(name, "-", seed)
 			if got := actionDigest(t, cfg, seed, nil); got != recordedDigests[key] {
-				t.Errorf("%q: %q, recorded %q", key, got, recordedDigests[key])
+				t.Errorf("%q: got digest %q, want the recorded %q", key, got, recordedDigests[key])
 			}
 		}
 	}
 }
 
-// The allotment that a QuotaUpdate grants is what a tenant gets of due tags.
+// A QuotaUpdate's allotment determines the rate at which a tenant's tags become due.
 func TestAllotmentSetsRate(t *testing.T) {
-	served := func(slice float64) int {
+	served := func(allotment float64) int {
 		cfg := testConfig()
 		cfg.Dispatchers = 5
 		cfg.Classes[0].LatencyObjective, cfg.Classes[0].Deadline = 90, 200
@@ -165,8 +165,8 @@
 		for range 300 {
 			first = append(first, r.job("read", "a"), r.job("read", "b"))
 		}
-		if slice >= 0 {
-			first = append([]Event{QuotaUpdate{Tenant: "a", Allotment: slice}}, first...)
+		if allotment >= 0 {
+			first = append([]Event{QuotaUpdate{Tenant: "a", Allotment: allotment}}, first...)
 		}
 		r.step(first...)
 		n, total := 0, 0
@@ -177,26 +177,27 @@
 					n++
 				}
 			}
-			r.now += 0.02 // 50 a second
+			r.now += 0.02 // capacity: 50 jobs per second
 			var ended []Event
 			for _, s := range last {
 				end := done(s, 0, Served)
-				end.Report = []float64{1 + float64(n%2)} // a changed report is a fresh one
+				end.Report = []float64{1 + float64(n%2)} // only a changed report counts as fresh
 				ended = append(ended, end)
 			}
 			total += len(last)
 			last = actionsOf[Send](r.step(ended...))
 		}
-		t.Log(slice, n, total)
+		t.Log(allotment, n, total)
 		return n
 	}
-	fixed, whole, none := served(-1), served(1), served(0)
-	if fixed < 30 || fixed > 45 || whole < 150 || none > 10 {
-		t.Errorf("of 200 in 4 s: %d with a fifth of 40 a second, %d with all of it, %d with none", fixed, whole, none)
+	fixed, full, none := served(-1), served(1), served(0)
+	if fixed < 30 || fixed > 45 || full < 150 || none > 10 {
+		t.Errorf("of 200 jobs in 4 s tenant a got %d with 1/5 of 40 per second, %d with all of it, %d with none",
+			fixed, full, none)
 	}
 }
 
-// What others have sent for a tenant counts as sent here.
+// Jobs that other dispatchers sent for a tenant count like jobs that were sent here.
 func TestRemoteUsageMovesTheGlobalTag(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
@@ -218,6 +219,6 @@
 		last = actionsOf[Send](r.step(done(last[0], 0, Served)))
 	}
 	if n < 8 || n > 12 {
-		t.Errorf("%d of 30 for a, want some 10: it had 10 elsewhere", n)
+		t.Errorf("tenant a got %d of 30 sends, want 8 to 12 after 10 by other dispatchers", n)
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// randomRun plays random but lawful events and checks the rules: one final answer for each job, no send after it, no
-// non-idempotent retry, no send to a worker that drains, attempts within the limit, nothing kept.
+// randomRun generates random but valid events and checks these rules: each job gets one final answer and no
+// send after it, a non-idempotent job that may have run is not sent again, no job is sent to a draining worker,
+// attempts stay within the limit, and no job remains stored after its end.
 type randomRun struct {
 	*rig
 	seed     uint64
@@ -36,7 +37,7 @@
 	Served, Served, Served, Failed, Overloaded, Unreachable, ConnectionLost, StaleConnection, Blocked,
 }
 
-// runRandomEvents plays some steps and has all end.
+// runRandomEvents runs a number of random steps and then lets all jobs end.
 func runRandomEvents(t *testing.T, seed uint64, steps int) {
 	cfg := testConfig()
 	cfg.Hedging = seed%2 == 0
@@ -56,7 +57,7 @@
 	d.finish()
 }
 
-// runUntil plays one step, in which a job may arrive.
+// play generates the events of one step, in which a job may arrive if mayArrive is set.
 func (d *randomRun) play(mayArrive bool) {
 	var events []Event
 	if d.rng.IntN(3) > 0 && mayArrive {
@@ -90,7 +91,7 @@
 	return j
 }
 
-// toggle has a worker drain, or run again.
+// toggle makes a running worker drain, or a draining one run again.
 func (d *randomRun) toggle(w string) Event {
 	d.draining[w] = !d.draining[w]
 	state := Running
@@ -100,7 +101,7 @@
 	return EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: w, Zone: "here", State: state}}}
 }
 
-// end draws how an attempt ends.
+// end chooses the outcome of an attempt.
 func (d *randomRun) end(a trackedAttempt, late bool) Event {
 	o := randomOutcomes[d.rng.IntN(len(randomOutcomes))]
 	switch {
@@ -118,7 +119,7 @@
 	return AttemptDone{ID: a.ID, Attempt: a.number, Worker: a.Worker, Outcome: o, JobFinished: j.answered}
 }
 
-// finish has time pass until all that is in flight has timed out.
+// finish advances time until all attempts in flight have timed out, and checks that all jobs are answered.
 func (d *randomRun) finish() {
 	for range 400 {
 		d.now += 0.1
@@ -137,15 +138,15 @@
 	}
 	for id, j := range d.jobs {
 		if !j.answered {
-			d.t.Fatalf("seed %d: %s never answered", d.seed, id)
+			d.t.Fatalf("seed %d: job %s was never answered", d.seed, id)
 		}
 	}
 	if len(d.b.jobs) != 0 {
-		d.t.Fatalf("seed %d: %d jobs kept after all ended", d.seed, len(d.b.jobs))
+		d.t.Fatalf("seed %d: %d jobs still stored after all ended", d.seed, len(d.b.jobs))
 	}
 }
 
-// check checks actions against the rules and carries them out.
+// check checks the actions against the rules and carries them out.
 func (d *randomRun) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -153,7 +154,7 @@
 			d.checkSend(a)
 		case Cancel:
 			if d.jobs[a.ID].class == "write" {
-				d.t.Fatalf("seed %d: non-idempotent job %s cancelled", d.seed, a.ID)
+				d.t.Fatalf("seed %d: non-idempotent job %s was cancelled", d.seed, a.ID)
 			}
 			for k := range d.inFlight {
 				if x := &d.inFlight[k]; x.ID == a.ID && x.number == a.Attempt {
@@ -163,12 +164,13 @@
 		case Reject:
 			j := d.jobs[a.ID]
 			if j.answered || j.class != "read" && j.mayHaveRun {
-				d.t.Fatalf("seed %d: rejected %s: answered %v, class %s", d.seed, a.ID, j.answered, j.class)
+				d.t.Fatalf("seed %d: job %s must not be rejected: already answered %v, class %s",
+					d.seed, a.ID, j.answered, j.class)
 			}
 			j.answered = true
 		case Fail:
 			if d.jobs[a.ID].answered {
-				d.t.Fatalf("seed %d: %s answered twice", d.seed, a.ID)
+				d.t.Fatalf("seed %d: job %s was answered twice", d.seed, a.ID)
 			}
 			d.jobs[a.ID].answered = true
 		}
@@ -178,14 +180,15 @@
 func (d *randomRun) checkSend(a Send) {
 	j := d.jobs[a.ID]
 	if j.answered || d.draining[a.Worker] || j.attempts >= d.cfg.MaxAttempts {
-		d.t.Fatalf("seed %d: send %v: answered %v, drains %v, attempt %d", d.seed, a, j.answered, d.draining[a.Worker], j.attempts)
+		d.t.Fatalf("seed %d: send %v is not allowed: job answered %v, worker draining %v, earlier attempts %d",
+			d.seed, a, j.answered, d.draining[a.Worker], j.attempts)
 	}
 	if j.class == "write" && j.mayHaveRun {
-		d.t.Fatalf("seed %d: non-idempotent job %s sent again", d.seed, a.ID)
+		d.t.Fatalf("seed %d: non-idempotent job %s was sent again", d.seed, a.ID)
 	}
 	for _, x := range d.inFlight {
 		if !d.cfg.Hedging && x.ID == a.ID {
-			d.t.Fatalf("seed %d: two attempts of %s in flight at once", d.seed, a.ID)
+			d.t.Fatalf("seed %d: two attempts of job %s in flight without hedging", d.seed, a.ID)
 		}
 	}
 	d.inFlight = append(d.inFlight, trackedAttempt{Send: a, number: j.attempts})
--- a/cmd/bellstream-simadapter/adapter_test.go
+++ b/cmd/bellstream-simadapter/adapter_test.go
@@ -16,7 +16,7 @@
 const jobJSON = `{"ACCEPT":{"msg_id":"t/1","priority":"c","expires_in":5}}`
 const healthCheckJSON = `{"SAMPLED":{"reason":"success","spent":0.1,"executor":"e/1","load":[2]}}`
 
-// batchLine builds a batch with one instance's events.
+// batchLine returns a batch with the messages of one instance.
 func batchLine(turn, messages string) string {
 	return `{"clock":5,"turn":` + turn + `,"parts":[{"who":"node/0","news":[` + messages + `]}]}` + "\n"
 }
@@ -35,16 +35,16 @@
 		{"unknown event", batchLine("1", startJSON+`,{"NOVEL":{"a":1}},`+endpointListJSON+","+cachedUpdateJSON+","+jobJSON), `"TOUCH":{"executor":"e/1"}`},
 		{"restart in a batch", batchLine("1", startJSON+","+endpointListJSON+","+cachedUpdateJSON+","+jobJSON+`,{"SHUTDOWN":{}},`+startJSON+","+cachedUpdateJSON+","+healthCheckJSON+
 			`,{"ACCEPT":{"msg_id":"t/2","priority":"c","expires_in":5}}`), `"msg_id":"t/2"`},
-		{"list number used again", batchLine("1", startJSON+","+endpointListJSON+","+
+		{"endpoint list replaced", batchLine("1", startJSON+","+endpointListJSON+","+
 			`{"SHEET":{"table":3,"lines":[{"executor":"e/2","availability":"Running"}]}},`+cachedUpdateJSON+","+jobJSON), `"TOUCH":{"executor":"e/2"}`},
-		{"events after a stop", batchLine("1", `{"SHUTDOWN":{}},`+jobJSON), `{"turn":1,"parts":[]}`},
+		{"events after a shutdown", batchLine("1", `{"SHUTDOWN":{}},`+jobJSON), `{"turn":1,"parts":[]}`},
 	} {
 		got, err := serveString(t, c.in)
 		if err != nil || !strings.Contains(got, c.want) {
-			t.Errorf("%s: got %q and %v, want %s in it", c.name, got, err, c.want)
+			t.Errorf("%s: got reply %q and error %v, want a reply that contains %s", c.name, got, err, c.want)
 		}
 		if c.name == "restart in a batch" && strings.Contains(got, "t/1") {
-			t.Errorf("a job from before the stop was revived: %s", got)
+			t.Errorf("a job from before the shutdown is in the reply: %s", got)
 		}
 	}
 }
@@ -55,17 +55,17 @@
 		batchLine("2", startJSON+`,{"PEERS_KNOWN":{"kind":"FULL","table":9}}`)} {
 		out, err := serveString(t, in)
 		if err == nil || out != "" || !strings.Contains(err.Error(), "line 1") {
-			t.Errorf("%q: got %q and error %v", in, out, err)
+			t.Errorf("line %q: got reply %q and error %v, want no reply and an error for line 1", in, out, err)
 		}
 	}
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	h := newAdapter()
-	h.balancers["node/0"] = new(balance.Balancer) // never set up: it cannot take a job
-	out, err := h.handleBatch([]byte(batchLine("3", jobJSON)))
+	a := newAdapter()
+	a.balancers["node/0"] = new(balance.Balancer) // not set up, so that handling a job panics
+	out, err := a.handleBatch([]byte(batchLine("3", jobJSON)))
 	if err != nil || !strings.Contains(string(out), `"GIVE_IN":{"body_text":`) {
-		t.Errorf("got %s and error %v, want a fault", out, err)
+		t.Errorf("got reply %s and error %v, want a fault", out, err)
 	}
 }
 
@@ -75,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
 		if err := serve(strings.NewReader(in), &out); err == nil && strings.Contains(out.String(), "GIVE_IN") {
-			t.Errorf("fault on %q: %s", in, out.String())
+			t.Errorf("got a fault for input %q: %s", in, out.String())
 		}
 	})
 }
--- a/cmd/bellstream-simadapter/golden_test.go
+++ b/cmd/bellstream-simadapter/golden_test.go
@@ -12,9 +12,9 @@
 	"example.org/bellstream/balance"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Every message of the simulator means what it always meant.
+// Each message of the simulator is translated into the same event as before.
 func TestGoldenEvents(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/events.jsonl")
 	if err != nil {
@@ -33,7 +33,7 @@
 		balance.AttemptDone{ID: "t/4", Outcome: balance.Cancelled},
 		balance.AttemptDone{ID: "t/4", Outcome: balance.NotSent},
 		balance.AttemptStarted{ID: "t/5", Attempt: 2},
-		nil, // a heartbeat of another sort
+		nil, // a heartbeat of another kind
 		balance.HealthCheckDone{Worker: "e/2", Outcome: balance.Served, Report: []float64{3}},
 		balance.HealthCheckDone{Worker: "e/2", Outcome: balance.Unreachable},
 		balance.TimerFired{},
@@ -42,13 +42,13 @@
 		balance.EndpointUpdate{Kind: balance.EndpointsSnapshot, Workers: goldenList},
 		balance.EndpointUpdate{Kind: balance.EndpointsDelta, Workers: goldenList},
 		balance.EndpointUpdate{Kind: balance.EndpointsFailed},
-		nil, // one that is not known
-		nil, // an empty one
+		nil, // a message of an unknown kind
+		nil, // an empty message
 	}
 	h := newAdapter()
 	lines := bytes.Split(bytes.TrimSuffix(raw, []byte("\n")), []byte("\n"))
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("got %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		var n inbound
@@ -60,7 +60,7 @@
 		}
 		got, err := h.decodeEvent(&n)
 		if err != nil || !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%s: got %+v, %v, want %+v", line, got, err, want[i])
+			t.Errorf("message %s: got event %+v and error %v, want %+v", line, got, err, want[i])
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	{ID: "e/4"},
 }
 
-// Every decision has the form on the wire that it always had.
+// Each action is encoded in the same way as before.
 func TestGoldenDecisions(t *testing.T) {
 	var got bytes.Buffer
 	e := json.NewEncoder(&got)
@@ -95,14 +95,14 @@
 	compareWithGolden(t, "decisions.jsonl", got.Bytes())
 }
 
-// recordedLogWording gives log lines the words with which they were recorded.
+// recordedLogWording restores the wording that log lines had when the golden files were recorded.
 var recordedLogWording = strings.NewReplacer(
 	"checking its health until it answers", "probing it",
 	"endpoint poll failed", "roster call failed",
 	"next poll in", "asking again in",
 )
 
-// A whole conversation, with two instances and each message: the replies are the same to the last digit.
+// In a conversation with two instances and every kind of message, the replies are the same to the last digit.
 func TestGoldenConversation(t *testing.T) {
 	in, err := os.ReadFile("testdata/golden/conversation-in.jsonl")
 	if err != nil {
