--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// touches are the sends and health checks that name a worker.
-func touches(acts []Action, w string) (n int) {
+// countUses are the sends and health checks that name a worker.
+func countUses(acts []Action, w string) (n int) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
@@ -31,24 +31,24 @@
 		t.Fatalf("sent %v", s)
 	}
 	r.step(Cordon{"w", true}, Cordon{"w", true})
-	if acts := r.at(101, r.report("w", 5), r.job("read", "a")); touches(acts, "w") > 0 || len(of[Cancel](acts)) > 0 {
+	if acts := r.at(101, r.report("w", 5), r.job("read", "a")); countUses(acts, "w") > 0 || len(of[Cancel](acts)) > 0 {
 		t.Errorf("%v though w is cordoned", acts)
 	}
 	restarted := up("w")
 	restarted[0].StartedAt = 101
 	acts := r.at(102, EndpointUpdate{Kind: EndpointsDelta, Workers: restarted}, done(s[0], 0, ConnectionLost), r.report("v", 2))
-	if touches(acts, "w") > 0 || len(of[Send](acts)) == 0 {
+	if countUses(acts, "w") > 0 || len(of[Send](acts)) == 0 {
 		t.Errorf("%v: the list says active, but it is cordoned; its job goes elsewhere", acts)
 	}
 	// Gone and back in the list, also under a whole one, it is still cordoned.
 	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
 	acts = r.at(103, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.job("read", "a"))
-	if touches(acts, "w") > 0 {
+	if countUses(acts, "w") > 0 {
 		t.Errorf("%v after it left the list and came back", acts)
 	}
 	// One that no list has named yet is cordoned when one does.
 	r.step(Cordon{"x", true})
-	if acts := r.at(104, EndpointUpdate{Kind: EndpointsDelta, Workers: up("x")}, r.job("read", "a")); touches(acts, "x") > 0 {
+	if acts := r.at(104, EndpointUpdate{Kind: EndpointsDelta, Workers: up("x")}, r.job("read", "a")); countUses(acts, "x") > 0 {
 		t.Errorf("%v: named first by operators, then by the list", acts)
 	}
 }
@@ -89,14 +89,14 @@
 	}
 	// One that the list calls draining is not used when operators take it back.
 	r.at(300, Cordon{"w", true}, EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: "w", Zone: "here", Kind: "k", State: Draining}}})
-	if acts := r.at(301, Cordon{"w", false}, r.job("read", "a"), r.report("w", 3)); touches(acts, "w") > 0 {
+	if acts := r.at(301, Cordon{"w", false}, r.job("read", "a"), r.report("w", 3)); countUses(acts, "w") > 0 {
 		t.Errorf("%v to one that drains", acts)
 	}
 }
 
 // While another has far more capacity, the next job goes to one that was uncordoned,
 // nearly always, and only that one.
-func TestUncordonedIsNext(t *testing.T) {
+func TestUncordonedWorkerGetsNextJob(t *testing.T) {
 	first := 0
 	for seed := range uint64(40) {
 		b, err := New(base(), seed)
@@ -125,11 +125,11 @@
 func TestUncordonedWhileRemoved(t *testing.T) {
 	r := newRig(t, base(), up("w", "v")...)
 	r.step(Cordon{"w", true}, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
-	if acts := r.at(110, Cordon{"w", false}, r.job("read", "a"), r.report("v", 0)); touches(acts, "w") > 0 {
+	if acts := r.at(110, Cordon{"w", false}, r.job("read", "a"), r.report("v", 0)); countUses(acts, "w") > 0 {
 		t.Errorf("%v to one that is gone", acts)
 	}
 	acts := r.at(120, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.report("w", 2))
-	if touches(acts, "w") == 0 {
+	if countUses(acts, "w") == 0 {
 		t.Errorf("%v: back in the list and in use, it gets nothing", acts)
 	}
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -85,14 +85,14 @@
 	s.pruneAt = b.now + pruneIntervalSeconds
 	for _, w := range slices.Clone(b.workers) {
 		missing := kind != EndpointsDelta && w.lastListed < s.updateCount
-		if missing || b.isForgotten(w) {
+		if missing || b.isRetentionExpired(w) {
 			b.dropEndpoint(w)
 		}
 	}
 }
 
-// isForgotten reports whether a worker has been unlisted for long.
-func (b *Balancer) isForgotten(w *worker) bool {
+// isRetentionExpired reports whether a worker has been unlisted for long.
+func (b *Balancer) isRetentionExpired(w *worker) bool {
 	return w.removedAt > 0 && b.now > w.removedAt+endpointRetentionSeconds
 }
 
@@ -150,7 +150,7 @@
 // dropEndpoint removes a worker. Where removed workers stay usable a list may be wrong: one that drained
 // remains closed, and any other is used as far as it still answers.
 func (b *Balancer) dropEndpoint(w *worker) {
-	if !b.config.RemovedStayUsable || w.unverified || b.isForgotten(w) {
+	if !b.config.RemovedStayUsable || w.unverified || b.isRetentionExpired(w) {
 		b.removeWorker(w)
 	} else if w.removedAt == 0 {
 		w.removedAt = b.now
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -4,7 +4,7 @@
 
 // Where Overloaded is no proof, a non-idempotent job fails at once, one with an idempotency key stays in its
 // scope and an idempotent one is retried anywhere. A connection that was never made still proves that it did not run.
-func TestOverloadedIsNoProof(t *testing.T) {
+func TestOverloadedMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
@@ -40,7 +40,7 @@
 
 // Where removed workers stay usable, one that was listed as draining still gets nothing until a newer start of
 // it is listed.
-func TestOnlyDrainingBinds(t *testing.T) {
+func TestDrainedWorkerNeedsNewerStart(t *testing.T) {
 	gone := func(w WorkerInfo) EndpointUpdate {
 		w.State = Removed
 		return EndpointUpdate{EndpointsDelta, []WorkerInfo{w}}
@@ -100,7 +100,7 @@
 
 // Found on shymkent-giving: jobs that fail wherever they go had every worker rest, and
 // when they ceased, half of the fleet stayed under suspicion.
-func TestBadJobsAreNotTheWorkersFault(t *testing.T) {
+func TestFailingJobsEjectNoWorker(t *testing.T) {
 	r := newRig(t, base(), up("u", "v", "w", "x")...)
 	fail := func(s Send, n int) []Send { return of[Send](r.step(done(s, n, Failed))) }
 	var last []Send
@@ -130,7 +130,7 @@
 }
 
 // Found on i35577a: clients in a hurry were taken for late repeats and rejected on arrival.
-func TestImpatientClientIsNoOldJob(t *testing.T) {
+func TestShortTimeoutIsNotTakenForRetry(t *testing.T) {
 	for _, c := range []struct {
 		marks, retry bool
 		sends        int
@@ -153,7 +153,7 @@
 
 // Found on pos-alumni-link: a list added workers that do not exist, and jobs that must not
 // run twice were lost on them. One job at a time, idempotent, until something is heard.
-func TestUnverifiedWorkersEarnTrust(t *testing.T) {
+func TestUnverifiedWorkerGetsOnlyTrials(t *testing.T) {
 	cfg := base()
 	cfg.RemovedStayUsable, cfg.HealthChecks = true, false
 	r := newRig(t, cfg)
@@ -177,7 +177,7 @@
 }
 
 // Unusual lists and a long pause neither break the scheduler nor make it act for nothing.
-func TestOddListsAreBorne(t *testing.T) {
+func TestUnusualListsAreTolerated(t *testing.T) {
 	for _, only := range []bool{false, true} {
 		cfg := base()
 		cfg.RemovedStayUsable = only
--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -28,7 +28,7 @@
 }
 
 // Found on recorded days: one tenant's surplus took each slot as it came free.
-func TestSurplusLeavesRoom(t *testing.T) {
+func TestSurplusLeavesFreeSlots(t *testing.T) {
 	cfg := base()
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 1}, {Name: "b", Quota: 1}}
 	cfg.Dispatchers = 2
@@ -47,7 +47,7 @@
 }
 
 // Found on a recorded day: completions kept a queue inside the worker alive.
-func TestQueuedJobIsNoSlot(t *testing.T) {
+func TestCompletionWithQueuedJobFreesNoSlot(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	s := of[Send](r.step(r.job("read", "a"), r.job("read", "a"), r.report("w", 2)))
 	r.step(AttemptStarted{s[0].ID, 0}) // the second queues there
@@ -72,7 +72,7 @@
 }
 
 // Found on a recorded day: health checks alone cost more than two points.
-func TestHealthChecksKeepTheirBudget(t *testing.T) {
+func TestHealthChecksStayWithinBudget(t *testing.T) {
 	cfg := base()
 	cfg.HealthCheckCost = 0.01
 	ids := []string{}
@@ -96,7 +96,7 @@
 }
 
 // Found at a site with unlike cores: slow workers got as much as fast ones.
-func TestSelectionLeansToQuickWorkers(t *testing.T) {
+func TestSelectionPrefersFastWorkers(t *testing.T) {
 	r := newRig(t, base(), up("quick", "slow")...)
 	count := map[string]int{}
 	for i := range 300 {
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestNobodyIsEjectedForACommonCause(t *testing.T) {
+func TestCommonCauseEjectsNoWorker(t *testing.T) {
 	r := newRig(t, base(), up("u", "v", "w")...)
 	r.b.failureRate = mean{count: 20, value: 0.5}
 	for _, w := range []string{"u", "v", "w"} {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -46,7 +46,7 @@
 }
 
 // Found in a fleet of 80: a wide job asked three workers, and as full ones counted as known, no more.
-func TestChecksUntilOneHasRoom(t *testing.T) {
+func TestHealthChecksGoOnUntilWorkerHasCapacity(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.HealthCheckCost, cfg.Classes[2].WorkerKind = 80, 4000, 0.001, "k"
 	r := newRig(t, cfg, fleet(30)...)
@@ -79,7 +79,7 @@
 
 // Found in a fleet of 80: a dispatcher with more than its allotment of the traffic held jobs back until
 // the fleet had more than a free slot for each worker, which it hardly ever has.
-func TestSurplusGoesWhereThereIsRoom(t *testing.T) {
+func TestSurplusUsesOneFreeSlotPerWorker(t *testing.T) {
 	for _, c := range []struct {
 		free float64
 		want int
@@ -106,7 +106,7 @@
 // left at half of the free capacity it left by global tags, so that tenants with reservations of 30
 // and 40 got the same. Each has to get what is there in proportion, and who was there alone
 // must not pay for it when another comes.
-func TestSurplusKeepsProportion(t *testing.T) {
+func TestSurplusKeepsReservationProportion(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers = 5
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 20, Weight: 1}, {Name: "b", Quota: 40, Weight: 1}}
@@ -176,7 +176,7 @@
 
 // Most of a fleet starts at once on an old cached list while discovery rejects callers. All serve from
 // the list, and their calls spread: they don't come again in step.
-func TestManyDispatchersSpreadTheirPolls(t *testing.T) {
+func TestManyDispatchersSpreadPolls(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval, cfg.Tenants[0].Quota = 80, true, 10, 4000
 	var rigs []*rig
@@ -252,7 +252,7 @@
 // A crowd spreads its calls, also behind a reset under all at once, as far as what binds 6 s after leaves time; a lone
 // dispatcher asks at once. Who waited in vain for its turn leaves the endpoint list time, so that a call which waits as long again is
 // answered 6 s after the last one ended.
-func TestPollsOfManyAreSpread(t *testing.T) {
+func TestPollDelay(t *testing.T) {
 	for _, c := range []struct {
 		last             EndpointUpdateKind
 		ago              float64
@@ -292,7 +292,7 @@
 // Whenever the endpoint list can be reached again after calls that failed, each as late as it liked, the next call
 // is made so soon that one of 3.1 s is answered 6 s after; so too at a start on an old cached list. However long
 // the settings allow between calls. One that was rejected after a wait for its turn is let wait no longer the next time.
-func TestPollsFollowInTime(t *testing.T) {
+func TestNextPollIsInTime(t *testing.T) {
 	for _, every := range []float64{1, 6, 10, 300} {
 		for seed := range uint64(1000) {
 			cfg := base()
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -82,7 +82,7 @@
 	if b.scannedAt != b.now {
 		b.scanWorkers()
 	}
-	if !b.anyFreeFor(a) {
+	if !b.anyWorkerFreeFor(a) {
 		return false
 	}
 	b.markOverloaded(a.worker)
@@ -90,8 +90,8 @@
 	return true
 }
 
-// anyFreeFor reports whether a worker has free capacity for a job whose attempt would be cancelled.
-func (b *Balancer) anyFreeFor(a *attempt) bool {
+// anyWorkerFreeFor reports whether a worker has free capacity for a job whose attempt would be cancelled.
+func (b *Balancer) anyWorkerFreeFor(a *attempt) bool {
 	j := a.job
 	mayHaveRun := j.mayHaveRun
 	j.mayHaveRun = true // as it will be
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -34,7 +34,7 @@
 
 // A worker that turned jobs away is tried again, by wide jobs and by such that need memory too. More
 // caution than an estimate can ever show would be for good: nothing but a job that starts lessens it.
-func TestOverloadedIsNotForGoodWithoutReports(t *testing.T) {
+func TestOverloadedWorkerIsRetriedWithoutReports(t *testing.T) {
 	for _, dispatchers := range []int{2, 3, 30} {
 		for _, j := range []JobArrived{{}, {Slots: 4}, {Slots: 2, Memory: 8}} {
 			t.Run(fmt.Sprintf("%d dispatchers, %v slots, memory %v", dispatchers, j.Slots, j.Memory), func(t *testing.T) {
@@ -59,7 +59,7 @@
 
 // Width makes no difference where none is ever shown: not to what surplus leaves free, nor to what is
 // moved from a worker that has not started it.
-func TestWidthIsNothingWithoutReports(t *testing.T) {
+func TestWidthIsIgnoredWithoutReports(t *testing.T) {
 	cfg := base()
 	cfg.ReportFields, cfg.HealthChecks, cfg.Dispatchers, cfg.Cancellation = nil, false, 4, true
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 1}, {Name: "b", Quota: 1}}
--- a/balance/reconfigure_test.go
+++ b/balance/reconfigure_test.go
@@ -50,7 +50,7 @@
 }
 
 // A configuration that can't be used changes nothing, and the same one again neither.
-func TestConfigChangeKeepsWhatItCan(t *testing.T) {
+func TestConfigChangeKeepsState(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	s := of[Send](r.step(r.job("read", "a"), r.report("w", 1)))
 	r.step(AttemptStarted{s[0].ID, 0})
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -79,16 +79,16 @@
 		if wanted <= 0 && !b.anyWorkerKind {
 			break
 		}
-		if w.State == Running && (b.capacityShare(w) == 1 || !w.takesTurns) && b.consider(w) {
+		if w.State == Running && (b.capacityShare(w) == 1 || !w.takesTurns) && b.addToScan(w) {
 			wanted--
 		}
 	}
 	b.scanWarmingUp()
 }
 
-// consider adds a worker to this step's pool if it may be used, and reports whether it counts as one of
+// addToScan adds a worker to this step's pool if it may be used, and reports whether it counts as one of
 // those wanted.
-func (b *Balancer) consider(w *worker) bool {
+func (b *Balancer) addToScan(w *worker) bool {
 	w.lastScan = b.scanCount
 	b.scanned = append(b.scanned, w)
 	if w.unreachable {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -60,7 +60,7 @@
 	}
 	for _, w := range b.openForWarmUp {
 		if w.State == Running && w.lastScan != b.scanCount {
-			b.consider(w)
+			b.addToScan(w)
 		}
 	}
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -11,34 +11,34 @@
 // requests of mean work, and no more than chance explains beyond. Times are seconds.
 
 // In whatever goes wrong, with few or many dispatchers, no warming worker gets more than it bears.
-func TestSlowStartBearsTheSum(t *testing.T) {
-	for name, set := range map[string]func(f *coldFleet){
-		"plain":            func(f *coldFleet) {},
-		"unlike work":      func(f *coldFleet) { f.spread = 1.5 },
-		"wide jobs":        func(f *coldFleet) { f.wide = true },
-		"unlike traffic":   func(f *coldFleet) { f.heavy = 5 },
-		"quick jobs":       func(f *coldFleet) { f.mean = 0.25 },
-		"small workers":    func(f *coldFleet) { f.slots, f.mean = 2, 2 },
-		"one slot each":    func(f *coldFleet) { f.slots, f.mean, f.load = 1, 3, 1.5 },
-		"no reports":       func(f *coldFleet) { f.silent = true },
-		"reports ride":     func(f *coldFleet) { f.rides = true },
-		"costs not known":  func(f *coldFleet) { f.hasty, f.restarts = true, 1 },
-		"late lists":       func(f *coldFleet) { f.late = 6 },
-		"started in place": func(f *coldFleet) { f.late, f.inPlace = 6, true },
-		"restarts":         func(f *coldFleet) { f.restarts = 0.7 },
-		"one hangs":        func(f *coldFleet) { f.hangs = true },
-		"copies":           func(f *coldFleet) { f.hangs, f.copies = true, true },
-		"noisy reports":    func(f *coldFleet) { f.noise, f.rides = 0.2, true },
-		"one turns away":   func(f *coldFleet) { f.turnsAway = true },
-		"numbered anew":    func(f *coldFleet) { f.renumbered = true },
-		"taken back":       func(f *coldFleet) { f.late, f.inPlace, f.takenBack = 6, true, true },
+func TestSlowStartLimitsTotalLoad(t *testing.T) {
+	for name, set := range map[string]func(f *warmUpFleet){
+		"plain":            func(f *warmUpFleet) {},
+		"unlike work":      func(f *warmUpFleet) { f.workDeviation = 1.5 },
+		"wide jobs":        func(f *warmUpFleet) { f.wideJobs = true },
+		"unlike traffic":   func(f *warmUpFleet) { f.firstDispatcherLoad = 5 },
+		"quick jobs":       func(f *warmUpFleet) { f.work = 0.25 },
+		"small workers":    func(f *warmUpFleet) { f.slots, f.work = 2, 2 },
+		"one slot each":    func(f *warmUpFleet) { f.slots, f.work, f.load = 1, 3, 1.5 },
+		"no reports":       func(f *warmUpFleet) { f.noReports = true },
+		"reports ride":     func(f *warmUpFleet) { f.reportsWithAnswers = true },
+		"costs not known":  func(f *warmUpFleet) { f.shortObjectives, f.dispatcherRestarts = true, 1 },
+		"late lists":       func(f *warmUpFleet) { f.listDelay = 6 },
+		"started in place": func(f *warmUpFleet) { f.listDelay, f.restartInPlace = 6, true },
+		"restarts":         func(f *warmUpFleet) { f.dispatcherRestarts = 0.7 },
+		"one hangs":        func(f *warmUpFleet) { f.oneHangs = true },
+		"copies":           func(f *warmUpFleet) { f.oneHangs, f.hedging = true, true },
+		"noisy reports":    func(f *warmUpFleet) { f.reportNoise, f.reportsWithAnswers = 0.2, true },
+		"one turns away":   func(f *warmUpFleet) { f.oneRejects = true },
+		"numbered anew":    func(f *warmUpFleet) { f.indexChanges = true },
+		"taken back":       func(f *warmUpFleet) { f.listDelay, f.restartInPlace, f.uncordon = 6, true, true },
 	} {
 		for _, n := range []int{3, 30, 300} {
 			t.Run(fmt.Sprint(name, "/", n), func(t *testing.T) {
 				t.Parallel()
-				f := coldFleet{dispatchers: n, warm: 12, cold: 4, slots: 5, mean: 0.5, load: 1.1, spread: 0.8}
+				f := warmUpFleet{dispatchers: n, warm: 12, cold: 4, slots: 5, work: 0.5, load: 1.1, workDeviation: 0.8}
 				set(&f)
-				worst, calls := f.play(t, uint64(n+len(name)), true)
+				worst, calls := f.run(t, uint64(n+len(name)), true)
 				if worst > 1 || calls == 0 && n < 300 {
 					t.Errorf("a cold worker got %.2f times what it bears; %d calls in all", worst, calls)
 				}
@@ -48,12 +48,12 @@
 }
 
 // The same with nothing that spares warming workers: each number of dispatchers would push one over.
-func TestWithoutSlowStartWorkersFall(t *testing.T) {
+func TestWithoutSlowStartWorkersAreOverloaded(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
-		f := coldFleet{dispatchers: n, warm: 12, cold: 4, slots: 1, mean: 3, load: 1.5, spread: 0.8}
+		f := warmUpFleet{dispatchers: n, warm: 12, cold: 4, slots: 1, work: 3, load: 1.5, workDeviation: 0.8}
 		worst := 0.0
 		for seed := uint64(0); seed < 12 && worst <= 1; seed++ {
-			x, _ := f.play(t, seed, false)
+			x, _ := f.run(t, seed, false)
 			worst = max(worst, x)
 		}
 		if worst <= 1 {
@@ -62,65 +62,66 @@
 	}
 }
 
-// coldPress is dispatchers that send as much as they may to one warming worker, which takes all; jobs are alike.
-type coldPress struct {
-	t          *testing.T
-	job, slots float64 // work of the mean job, and slots of a worker
-	own        float64 // work of those that come
-	all        []*rig
-	due        []map[int][]Event // by step
-	step       int
-	cold       WorkerInfo
-	sent       []float64
-	worst      float64
+// greedyDispatchers is dispatchers that send as much as they may to one warming worker, which takes all; jobs are alike.
+type greedyDispatchers struct {
+	t               *testing.T
+	meanWork, slots float64 // work of the mean job, and slots of a worker
+	jobWork         float64 // work of those that come
+	rigs            []*rig
+	scheduled       []map[int][]Event // by step
+	step            int
+	cold            WorkerInfo
+	sentAt          []float64
+	worst           float64
 }
 
-const pressTick, pressBegin, pressWarm = 0.05, 100.0, 30.0
+const greedyTick, greedyBegin, greedyRampSeconds = 0.05, 100.0, 30.0
 
-// press has n dispatchers that know of a warm worker's size and how long jobs run.
-func press(t *testing.T, n int, slots, started float64) *coldPress {
-	p := &coldPress{t: t, job: 1, own: 1, slots: slots, cold: WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: started}}
-	p.all, p.due = make([]*rig, n), make([]map[int][]Event, n)
+// newGreedyDispatchers has n dispatchers that know of a warm worker's size and how long jobs run.
+func newGreedyDispatchers(t *testing.T, n int, slots, started float64) *greedyDispatchers {
+	p := &greedyDispatchers{t: t, meanWork: 1, jobWork: 1, slots: slots,
+		cold: WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: started}}
+	p.rigs, p.scheduled = make([]*rig, n), make([]map[int][]Event, n)
 	for i := range n {
-		p.begin(i)
+		p.startDispatcher(i)
 	}
 	return p
 }
 
-func (p *coldPress) now() float64 { return pressBegin + float64(p.step)*pressTick }
+func (p *greedyDispatchers) now() float64 { return greedyBegin + float64(p.step)*greedyTick }
 
-func (p *coldPress) begin(i int, list ...WorkerInfo) {
+func (p *greedyDispatchers) startDispatcher(i int, list ...WorkerInfo) {
 	cfg := base()
-	cfg.Dispatchers, cfg.Index, cfg.HealthChecks, cfg.Tenants[0].Quota = len(p.all), i, false, 1e5
-	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = coldFrom, pressWarm, coldMultiple, coldSpan
-	cfg.Classes[0].LatencyObjective = p.own // what it is taken to need while that is not known
+	cfg.Dispatchers, cfg.Index, cfg.HealthChecks, cfg.Tenants[0].Quota = len(p.rigs), i, false, 1e5
+	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = rampFloor, greedyRampSeconds, simOverloadMultiple, simOverloadSeconds
+	cfg.Classes[0].LatencyObjective = p.jobWork // what it is taken to need while that is not known
 	b, err := New(cfg, uint64(i))
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	b.maxSlotsByKind[""] = p.slots
 	for range 20 {
-		b.meanRunTime.observe(p.job)
-		b.classes["read"].runTime.observe(p.own)
+		b.meanRunTime.observe(p.meanWork)
+		b.classes["read"].runTime.observe(p.jobWork)
 	}
-	p.all[i], p.due[i] = &rig{t: p.t, b: b, n: 1e6 * p.step}, map[int][]Event{}
-	p.all[i].at(p.now(), EndpointUpdate{Kind: EndpointsCached, Workers: list})
+	p.rigs[i], p.scheduled[i] = &rig{t: p.t, b: b, n: 1e6 * p.step}, map[int][]Event{}
+	p.rigs[i].at(p.now(), EndpointUpdate{Kind: EndpointsCached, Workers: list})
 }
 
 // list sends all dispatchers a list of these workers.
-func (p *coldPress) list(workers ...WorkerInfo) {
-	for i := range p.all {
-		p.due[i][p.step] = append(p.due[i][p.step], EndpointUpdate{Kind: EndpointsSnapshot, Workers: workers})
+func (p *greedyDispatchers) list(workers ...WorkerInfo) {
+	for i := range p.rigs {
+		p.scheduled[i][p.step] = append(p.scheduled[i][p.step], EndpointUpdate{Kind: EndpointsSnapshot, Workers: workers})
 	}
 }
 
-// play goes on to a time; more are the events of each step, and waiting keeps so many jobs at each dispatcher.
-func (p *coldPress) play(until float64, waiting int, more func(i int, r *rig) []Event) {
+// run goes on to a time; more are the events of each step, and waiting keeps so many jobs at each dispatcher.
+func (p *greedyDispatchers) run(until float64, waiting int, more func(i int, r *rig) []Event) {
 	for ; p.now() < until; p.step++ {
 		now := p.now()
-		for i, r := range p.all {
-			ev := append(p.due[i][p.step], TimerFired{})
-			delete(p.due[i], p.step)
+		for i, r := range p.rigs {
+			ev := append(p.scheduled[i][p.step], TimerFired{})
+			delete(p.scheduled[i], p.step)
 			if more != nil {
 				ev = append(ev, more(i, r)...)
 			}
@@ -129,50 +130,51 @@
 			}
 			for _, s := range of[Send](r.at(now, ev...)) {
 				if s.Worker == p.cold.ID {
-					p.sent = append(p.sent, now)
+					p.sentAt = append(p.sentAt, now)
 				}
-				begin, end := p.step+1, p.step+1+int(math.Round(p.own/pressTick))
-				p.due[i][begin] = append(p.due[i][begin], AttemptStarted{s.ID, 0})
-				p.due[i][end] = append(p.due[i][end], done(s, 0, Served))
+				begin, end := p.step+1, p.step+1+int(math.Round(p.jobWork/greedyTick))
+				p.scheduled[i][begin] = append(p.scheduled[i][begin], AttemptStarted{s.ID, 0})
+				p.scheduled[i][end] = append(p.scheduled[i][end], done(s, 0, Served))
 			}
 		}
-		for len(p.sent) > 0 && p.sent[0] <= now-coldSpan+1e-9 {
-			p.sent = p.sent[1:]
+		for len(p.sentAt) > 0 && p.sentAt[0] <= now-simOverloadSeconds+1e-9 {
+			p.sentAt = p.sentAt[1:]
 		}
 		if age := now - p.cold.StartedAt; age > 0 {
-			part := min(1, coldFrom+(1-coldFrom)*age/pressWarm)
-			p.worst = max(p.worst, beyond(float64(len(p.sent))*p.own/p.job, coldMultiple*part*p.slots*coldSpan/p.job))
+			part := min(1, rampFloor+(1-rampFloor)*age/greedyRampSeconds)
+			p.worst = max(p.worst, overloadRatio(float64(len(p.sentAt))*p.jobWork/p.meanWork,
+				simOverloadMultiple*part*p.slots*simOverloadSeconds/p.meanWork))
 		}
 	}
 }
 
-func (p *coldPress) check() {
+func (p *greedyDispatchers) check() {
 	p.t.Helper()
 	if p.worst > 1 || p.worst < 0.05 {
-		p.t.Errorf("%d dispatchers, %v slots: the cold worker got %.2f times what it bears", len(p.all), p.slots, p.worst)
+		p.t.Errorf("%d dispatchers, %v slots: the cold worker got %.2f times what it bears", len(p.rigs), p.slots, p.worst)
 	}
 }
 
 // After a time in which most turns went by unused, as each had one job for many, all have jobs and
 // come to use theirs at once.
-func TestTurnsUsedAtOnce(t *testing.T) {
+func TestTurnsUsedAtOnceAfterIdleTime(t *testing.T) {
 	var before []WorkerInfo
 	for i := range 120 {
-		before = append(before, WorkerInfo{ID: fmt.Sprint("before", i), Zone: "here", State: Running, StartedAt: pressBegin})
+		before = append(before, WorkerInfo{ID: fmt.Sprint("before", i), Zone: "here", State: Running, StartedAt: greedyBegin})
 	}
 	for _, n := range []int{3, 30, 300} {
 		for _, slots := range []float64{2, 5, 16} {
-			p := press(t, n, slots, 117)
+			p := newGreedyDispatchers(t, n, slots, 117)
 			p.list(before...)
-			p.play(116, 0, func(i int, r *rig) []Event {
+			p.run(116, 0, func(i int, r *rig) []Event {
 				if (p.step+i)%40 == 0 {
 					return []Event{r.job("read", "a")}
 				}
 				return nil
 			})
-			p.play(p.cold.StartedAt, 0, nil)
+			p.run(p.cold.StartedAt, 0, nil)
 			p.list(p.cold)
-			p.play(126, 2, nil)
+			p.run(126, 2, nil)
 			p.check()
 		}
 	}
@@ -182,14 +184,14 @@
 func TestTurnsOfLongJobs(t *testing.T) {
 	for _, n := range []int{30, 300} {
 		for _, slots := range []float64{2, 5, 16} {
-			p := press(t, n, slots, 101)
-			p.own = 1.9
-			for i := range p.all {
-				p.begin(i)
+			p := newGreedyDispatchers(t, n, slots, 101)
+			p.jobWork = 1.9
+			for i := range p.rigs {
+				p.startDispatcher(i)
 			}
-			p.play(p.cold.StartedAt, 0, nil)
+			p.run(p.cold.StartedAt, 0, nil)
 			p.list(p.cold)
-			p.play(110, 2, nil)
+			p.run(110, 2, nil)
 			p.check()
 		}
 	}
@@ -199,31 +201,31 @@
 // workers, whoever has the first turn.
 func TestTinySlowStartBudgetSendsNothing(t *testing.T) {
 	for _, n := range []int{1, 3, 30} {
-		p := press(t, n, 5, 101)
-		for _, r := range p.all {
+		p := newGreedyDispatchers(t, n, 5, 101)
+		for _, r := range p.rigs {
 			cfg := r.b.config
 			cfg.OverloadMultiple *= 1e-9
 			r.step(ConfigChanged{Config: cfg})
 		}
-		p.play(p.cold.StartedAt, 0, nil)
+		p.run(p.cold.StartedAt, 0, nil)
 		p.list(p.cold)
-		if p.play(108, 2, nil); p.worst > 0 {
+		if p.run(108, 2, nil); p.worst > 0 {
 			t.Errorf("%d dispatchers: %.2f of what the cold worker bears, want none", n, p.worst)
 		}
 	}
 }
 
 // A process that starts anew does not know what the one before it sent.
-func TestNewProcessesSpareWarmingWorkers(t *testing.T) {
+func TestNewProcessesLimitLoadOnWarmingWorkers(t *testing.T) {
 	for _, n := range []int{3, 30} {
-		p := press(t, n, 24, 101)
-		p.play(p.cold.StartedAt, 0, nil)
+		p := newGreedyDispatchers(t, n, 24, 101)
+		p.run(p.cold.StartedAt, 0, nil)
 		p.list(p.cold)
-		p.play(p.cold.StartedAt+1, 12, nil)
-		for i := range p.all {
-			p.begin(i, p.cold)
+		p.run(p.cold.StartedAt+1, 12, nil)
+		for i := range p.rigs {
+			p.startDispatcher(i, p.cold)
 		}
-		p.play(110, 12, nil)
+		p.run(110, 12, nil)
 		p.check()
 	}
 }
