--- a/balance/dispatch.go
+++ b/balance/dispatch.go
@@ -53,7 +53,7 @@
 			b.sendJob(j, w, b.isDue(t))
 		} else if b.reservedWorker == nil && j.slots > 1 {
 			b.reservedFor = j
-			b.reservedWorker = b.roomiestWorker(j)
+			b.reservedWorker = b.mostFreeWorker(j)
 		}
 	}
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -4,13 +4,13 @@
 
 // The endpoint list and its polling.
 const (
-	pollSoonSeconds                = 0.15  // longest wait for the next poll if the last was long ago
-	pollPauseSeconds               = 2.8   // the same if the last failed at once
-	pollSpreadPerDispatcherSeconds = 0.018 // by which many dispatchers spread their polls
-	maxPollSpreadSeconds           = 1.4   // longer would be late for those that can be served at once
-	queuedPollSeconds              = 1.5   // a poll that lasted longer was queued: connections are accepted sooner
-	maxPollGapSeconds              = 5.9   // from one poll to the end of the next: a change binds 6 s after its listing
-	endpointRetentionSeconds       = 600.0 // after which an unlisted worker is forgotten: no list is wrong for so long
+	pollSoonSeconds                = 0.15  // longest delay of the next poll if the last one started long ago
+	pollPauseSeconds               = 2.8   // longest delay of the next poll if the last one failed at once
+	pollSpreadPerDispatcherSeconds = 0.018 // polls are spread over this time for each other dispatcher
+	maxPollSpreadSeconds           = 1.4   // a longer spread would delay polls that could be served at once
+	queuedPollSeconds              = 1.5   // a poll that lasted longer was queued, as connecting takes less
+	maxPollGapSeconds              = 5.9   // from one poll to the end of the next: changes must apply within 6 s
+	endpointRetentionSeconds       = 600.0 // an unlisted worker is removed after this: no list is wrong for so long
 	pruneIntervalSeconds           = endpointRetentionSeconds / 10
 )
 
@@ -19,23 +19,23 @@
 	subscribed  bool
 	nextPollAt  float64
 	polledAt    float64
-	failures    int // in a row
-	sortedCount int // workers when they were last sorted
+	failures    int // consecutive failed polls
+	sortedCount int // number of workers when they were last sorted
 	updateCount int
-	pruneAt     float64 // when unlisted workers are looked for again
+	pruneAt     float64 // from then on even a delta update removes workers past their retention
 }
 
-// listing is what the endpoint list says of a worker.
+// listing is what the endpoint list and operators say about a worker.
 type listing struct {
-	listedState WorkerState // whatever operators say
-	uncordoned  bool        // admitted again by operators, and nothing sent since
+	listedState WorkerState // by the endpoint list, regardless of cordons
+	uncordoned  bool        // uncordoned by operators, and nothing sent to it since
 	drained     bool        // listed as draining since its last start
-	lastListed  int         // the last update that named it
-	removedAt   float64     // since when it is listed as removed, or not at all; 0 while it is listed
+	lastListed  int         // number of the last update that named it
+	removedAt   float64     // since when it has been listed as removed or missing from the list; 0 while it is listed
 }
 
-// updateEndpoints applies an update of the endpoint list. Nothing new is sent to a worker from the
-// moment at which it is listed as draining or removed.
+// updateEndpoints applies an update of the endpoint list. No further job is sent to a worker once it is
+// listed as draining, or as removed unless removed workers stay usable.
 func (b *Balancer) updateEndpoints(e EndpointUpdate) {
 	switch e.Kind {
 	case EndpointsFailed, EndpointsUnsubscribed:
@@ -43,7 +43,7 @@
 		return
 	case EndpointsCached:
 		b.endpoints.subscribed = false
-		// Dispatchers that start together do not poll in the same second.
+		// Spread the first polls of dispatchers that start together.
 		spread := min(b.viewUncertainty()*b.config.PollInterval/2, pollPauseSeconds)
 		b.endpoints.nextPollAt = b.now + b.rng.Float64()*spread
 	default:
@@ -71,7 +71,7 @@
 	}
 }
 
-// sortWorkers brings new workers in this dispatcher's order.
+// sortWorkers sorts the workers into this dispatcher's order after some were added.
 func (b *Balancer) sortWorkers() {
 	if len(b.workersByID) > b.endpoints.sortedCount {
 		slices.SortStableFunc(b.workers, compareRank)
@@ -79,7 +79,7 @@
 	b.endpoints.sortedCount = len(b.workersByID)
 }
 
-// pruneEndpoints drops the workers that a whole list does not name, and those that are unlisted for long.
+// pruneEndpoints drops the workers that a complete list does not name, and those past their retention.
 func (b *Balancer) pruneEndpoints(kind EndpointUpdateKind) {
 	s := &b.endpoints
 	s.pruneAt = b.now + pruneIntervalSeconds
@@ -91,7 +91,7 @@
 	}
 }
 
-// isRetentionExpired reports whether a worker has been unlisted for long.
+// isRetentionExpired reports whether a worker has been unlisted for more than endpointRetentionSeconds.
 func (b *Balancer) isRetentionExpired(w *worker) bool {
 	return w.removedAt > 0 && b.now > w.removedAt+endpointRetentionSeconds
 }
@@ -129,7 +129,7 @@
 	return w
 }
 
-// update applies a newer entry. A later start is a new process.
+// update applies a new entry of the endpoint list. A later start time means a new worker process.
 func (w *worker) update(info WorkerInfo) {
 	if info.StartedAt > w.StartedAt {
 		w.resetProcess()
@@ -147,8 +147,9 @@
 	}
 }
 
-// dropEndpoint removes a worker. Where removed workers stay usable a list may be wrong: one that drained
-// remains closed, and any other is used as far as it still answers.
+// dropEndpoint removes a worker. Where removed workers stay usable, the list may be wrong: the worker is
+// kept until its retention expires and may still get jobs while it answers, unless it was listed as
+// draining. An unverified worker is removed at once.
 func (b *Balancer) dropEndpoint(w *worker) {
 	if !b.config.RemovedStayUsable || w.unverified || b.isRetentionExpired(w) {
 		b.removeWorker(w)
@@ -163,10 +164,10 @@
 	b.workers = slices.DeleteFunc(b.workers, func(other *worker) bool { return other == w })
 }
 
-// applyCordon cordons a worker, whatever the endpoint list says, or admits it again as one that has just
-// started, though the list may not say so yet. A report from before would fill a worker that warms up,
-// and while others have free capacity it would get nothing. So it is checked first, and is next to get
-// a job.
+// applyCordon cordons a worker whatever the endpoint list says, or uncordons it. An uncordoned worker is
+// treated as one that has just started, though the list may not show the new start yet: a report from
+// before the cordon would have a warming worker filled, so its health is checked first. It is preferred
+// for the next job, as it would get none while other workers have free capacity.
 func (b *Balancer) applyCordon(e Cordon) {
 	since := b.recordCordon(e)
 	w := b.workersByID[e.Worker]
@@ -187,7 +188,8 @@
 	b.trackWarmUp(w)
 }
 
-// recordCordon records whether a worker is cordoned, and returns since when it was before.
+// recordCordon records whether a worker is cordoned. It returns the time since which the worker was
+// cordoned before, or 0.
 func (b *Balancer) recordCordon(e Cordon) (since float64) {
 	since = b.cordonedAt[e.Worker]
 	switch {
@@ -206,24 +208,25 @@
 		return
 	}
 	s.polledAt = b.now
-	s.nextPollAt = b.now + b.config.PollInterval/2 + pollPauseSeconds // the answer has come by then
+	s.nextPollAt = b.now + b.config.PollInterval/2 + pollPauseSeconds // it is answered or has failed by then
 	b.emit(Subscribe{})
 }
 
-// PollDelay is the backoff before the next poll of the endpoint list, in seconds: the last one was made
-// so long ago, behind so many failures in a row. Jitter is drawn evenly from 0 to 1.
+// PollDelay returns the backoff before the next poll of the endpoint list, in seconds. Last is how the
+// last poll ended, sinceLast the seconds since it was made, and failures the number of consecutive
+// failures before it. Jitter is a uniform random number from 0 to 1.
 //
-// All dispatchers lose the list at once, and the list serves callers in turn, even those that have given
-// up; so many callers together would get nothing in time, for ever. Therefore polls are spread, and a
-// dispatcher whose poll was queued in vain leaves the list more time.
+// All dispatchers lose the subscription at once, and discovery serves callers in turn, including those
+// that have timed out. If many polled together repeatedly, none would ever be answered in time. So polls
+// are spread, and a dispatcher whose poll was queued and then failed waits longer.
 func PollDelay(last EndpointUpdateKind, sinceLast float64, failures, dispatchers int, jitter float64) float64 {
 	delay := jitter * pollSoonSeconds
 	wasQueued := failures > 0 && sinceLast > queuedPollSeconds
 	switch {
 	case last == EndpointsUnsubscribed:
 		delay = jitter * min(pollSpreadPerDispatcherSeconds*float64(dispatchers-1), maxPollSpreadSeconds)
-	case wasQueued && sinceLast < maxPollGapSeconds/2: // after a longer one the link may be broken
-		delay = (1 + 2*jitter) / 3 * (maxPollGapSeconds - sinceLast) // the next may be queued as long again
+	case wasQueued && sinceLast < maxPollGapSeconds/2: // after a longer poll the link may be broken
+		delay = (1 + 2*jitter) / 3 * (maxPollGapSeconds - sinceLast) // the next poll may be queued for as long
 	}
 	return max(delay, pollPauseSeconds-jitter-2*sinceLast)
 }
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -2,28 +2,29 @@
 
 // Health checks.
 const (
-	healthCheckBudgetShare     = 0.004 // part of the jobs' priority weight that checks may cost
+	healthCheckBudgetShare     = 0.004 // part of the jobs' priority weight that health checks may cost
 	healthChecksPerJob         = 2     // workers checked for each queued job
-	healthCheckWaitSeconds     = 0.05  // an answer that takes longer is not waited for, and shows no capacity
-	healthCheckIntervalSeconds = 0.5   // a report younger than this is not requested again
-	minCheckSlots              = 0.2   // so that a worker without free slots may be checked as well
+	healthCheckWaitSeconds     = 0.05  // after this, jobs no longer wait for the answer and the worker counts as full
+	healthCheckIntervalSeconds = 0.5   // a worker with a younger report is not checked; also the pause after a check
+	minCheckSlots              = 0.2   // added to the weight, so that a worker without free slots may be checked
 )
 
-// healthCheckState is a worker's part in health checks.
+// healthCheckState is the state of a worker's health checks.
 type healthCheckState struct {
-	unreachable bool // gets health checks only, until one is answered
-	checking    bool
+	unreachable bool    // gets health checks only, until one is answered
+	checking    bool    // a check was sent and is unanswered
 	checkedAt   float64 // when the last check was sent
-	nextCheckAt float64
+	nextCheckAt float64 // earliest time of the next check
 }
 
-// addHealthCheckBudget adds a job's part to the budget, which is bounded by a check of each worker.
+// addHealthCheckBudget adds a job's contribution to the budget, which is limited to one check of each
+// worker in the scan.
 func (b *Balancer) addHealthCheckBudget(j *job) {
 	limit := b.config.HealthCheckCost * float64(len(b.scanned))
 	b.healthCheckBudget = min(b.healthCheckBudget+healthCheckBudgetShare*j.class.PriorityWeight, limit)
 }
 
-// hasUnreachable reports whether a worker waits for its health check.
+// hasUnreachable reports whether any worker in the scan is unreachable.
 func (b *Balancer) hasUnreachable() bool {
 	for _, w := range b.scanned {
 		if w.unreachable {
@@ -33,9 +34,9 @@
 	return false
 }
 
-// sendHealthChecks checks the unreachable workers, and a few for each queued job within its tenant's
-// allotment, likely ones first, within a budget. Where jobs are few every report is old, so that jobs
-// wait for the answers; this costs time where answers are slow.
+// sendHealthChecks checks, within the budget, the unreachable workers and a few workers that probably have
+// capacity for each queued job within its tenant's allotment and for each queued hedged request. Where
+// jobs are few every report is old, so jobs wait for the answers; this costs time where answers are slow.
 func (b *Balancer) sendHealthChecks() {
 	if !b.config.HealthChecks {
 		return
@@ -59,13 +60,15 @@
 	}
 }
 
-// hasRecentReport reports whether a worker need not be checked. To a lone dispatcher no report is old.
+// hasRecentReport reports whether a worker's report is recent enough that it need not be checked. For a
+// single dispatcher no report is too old.
 func (b *Balancer) hasRecentReport(w *worker) bool {
 	maxAge := healthCheckIntervalSeconds / (1 - 1/float64(b.config.Dispatchers))
 	return w.report.valid && b.now-w.report.receivedAt < maxAge
 }
 
-// checkUntilFree sends checks until so many workers have capacity for a shape or are being checked.
+// checkUntilFree sends health checks until the wanted number of workers have capacity for a shape or are
+// being checked, or the budget is used up.
 func (b *Balancer) checkUntilFree(s jobShape, wanted int) {
 	for _, w := range b.eligible {
 		if s.class.runsOn(w) && (w.checking || b.hasRecentReport(w) && w.hasCapacity(s)) {
@@ -85,7 +88,7 @@
 	return w.freeSlots >= s.slots-estimateSlackSlots && w.freeMemory >= s.memory
 }
 
-// checkWeight is how likely a worker is checked for a shape.
+// checkWeight returns a worker's weight in the draw of workers to check for a shape; 0 excludes it.
 func (b *Balancer) checkWeight(w *worker, s jobShape) float64 {
 	if !s.class.runsOn(w) || w.checking || b.now < max(w.ejectedUntil, w.nextCheckAt) || b.hasRecentReport(w) {
 		return 0
@@ -121,7 +124,7 @@
 		b.applyLoadReport(w, e.Report, true)
 	case Unreachable:
 		b.markUnreachable(w)
-	default: // overloaded or silent: no capacity in either case
+	default: // overloaded or no answer: no capacity in either case
 		b.markOverloaded(w)
 	}
 }
--- a/balance/hedging.go
+++ b/balance/hedging.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Hedged requests, and jobs that are moved out of a worker's queue.
+// Hedged requests, and jobs that are moved away from a worker's queue.
 const (
-	hedgeObjectiveShare = 0.65 // part of its objective before whose end a job that has not started is hedged
-	minPromptStartRate  = 0.5  // of sends that start promptly, below which nothing is hedged
+	hedgeObjectiveShare = 0.65 // part of the objective, times viewUncertainty(), that remains when a job is hedged
+	minPromptStartRate  = 0.5  // no job is hedged while a smaller part of the sends starts promptly
 )
 
-// watchesStart reports whether a job that does not start promptly is hedged or moved.
+// watchesStart reports whether a job is hedged or moved if it does not start promptly.
 func (b *Balancer) watchesStart(j *job) bool {
 	if !b.config.StartNotifications {
 		return false
@@ -22,13 +22,13 @@
 	return false
 }
 
-// movesQueued reports whether jobs are moved rather than hedged.
+// movesQueued reports whether jobs in a worker's queue are moved rather than hedged.
 func (b *Balancer) movesQueued() bool { return b.config.Cancellation && !b.config.Hedging }
 
-// rebalanceQueued hedges or moves the jobs that wait in a worker's queue. With old reports many sends
-// meet a queue while slots are free elsewhere. When most sends meet a queue there is no free capacity
-// elsewhere, and hedged requests would only add load. They cost more than they gain where workers keep
-// what is cancelled.
+// rebalanceQueued hedges or moves jobs that wait in a worker's queue. With old reports many sends meet a
+// queue while slots are free on other workers. When most sends meet a queue, no worker has free capacity
+// and hedged requests would only add load. Hedging costs more than it gains where workers keep cancelled
+// jobs in their queues.
 func (b *Balancer) rebalanceQueued() {
 	if b.movesQueued() {
 		b.awaitingStart = slices.DeleteFunc(b.awaitingStart, b.moveIfFree)
@@ -37,12 +37,12 @@
 	}
 }
 
-// hedgeIfLate hedges a job that has not started for long, and reports whether the attempt need not be
-// watched any more.
+// hedgeIfLate hedges a job whose attempt has not started within the hedging delay. It reports whether the
+// attempt need not be watched any longer.
 func (b *Balancer) hedgeIfLate(a *attempt) (settled bool) {
 	j := a.job
-	patience := (1 - hedgeObjectiveShare*b.viewUncertainty()) * j.class.LatencyObjective
-	if b.now-a.sentAt < patience {
+	hedgeDelay := (1 - hedgeObjectiveShare*b.viewUncertainty()) * j.class.LatencyObjective
+	if b.now-a.sentAt < hedgeDelay {
 		if a.started() {
 			b.promptStartRate.observe(1)
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-// moveIfFree cancels an attempt that waits in a worker's queue if another worker has free capacity, and
-// reports whether the attempt need not be watched any more. The job loses its place in that queue and
-// one of its attempts, and what seems free may have a queue as well.
+// moveIfFree cancels an attempt that waits in a worker's queue if another worker has free capacity. It
+// reports whether the attempt need not be watched any longer. The job loses its place in that queue and
+// one of its attempts, and a worker that seems free may have a queue as well.
 func (b *Balancer) moveIfFree(a *attempt) (settled bool) {
 	j := a.job
 	if a.done || a.started() || j.closed || len(j.attempts) >= b.config.MaxAttempts || j.cannotMeetObjective(b.now) {
@@ -90,11 +90,12 @@
 	return true
 }
 
-// anyWorkerFreeFor reports whether a worker has free capacity for a job whose attempt would be cancelled.
+// anyWorkerFreeFor reports whether another worker has free capacity for the job of an attempt, provided
+// that the attempt is cancelled.
 func (b *Balancer) anyWorkerFreeFor(a *attempt) bool {
 	j := a.job
 	mayHaveRun := j.mayHaveRun
-	j.mayHaveRun = true // as it will be
+	j.mayHaveRun = true // a cancelled attempt may have run
 	j.inFlight--
 	slots := min(j.slots, b.maxVisibleSlots)
 	found := slices.ContainsFunc(b.eligible, func(w *worker) bool {
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Load reports and the estimates that follow from them.
+// Load reports and the estimates derived from them.
 const (
-	estimateSlackSlots   = 0.5  // of a slot that an estimate may lack
-	freeSlotsPriorWeight = 2.0  // reports that the prior of one free slot for each worker counts for
+	estimateSlackSlots   = 0.5  // slots by which an estimate may fall short of what a job needs
+	freeSlotsPriorWeight = 2.0  // weight of the prior of one free slot for each worker, in reports
 	reportAgeSeconds     = 0.3  // assumed age of a report that comes with an answer
-	promptStartSeconds   = 0.05 // a job that has not started by then is in the worker's queue
-	// requestedReportAgeSeconds is the assumed age of a health check's report: workers renew it every few ms.
+	promptStartSeconds   = 0.05 // a job that has not started by then is assumed to be in the worker's queue
+	// requestedReportAgeSeconds is the assumed age of a health check's report: workers renew theirs every few ms.
 	requestedReportAgeSeconds = 0.05
 )
 
@@ -25,9 +25,10 @@
 	values     []float64 // as received
 }
 
-// applyLoadReport takes in a load report. An unchanged one that came without a health check is the same
-// one again and keeps its age. (If reports were taken for older than they are, one of just enough
-// capacity for a wide job would show too little, and the job would find no worker.)
+// applyLoadReport records a load report. Requested means that it answers a health check. An unrequested
+// report with the same values is assumed to be the last one repeated, and its age is kept. (If a report
+// were assumed to be older than it is, one that shows just enough capacity for a wide job would be
+// estimated as too little, and the job would find no worker.)
 func (b *Balancer) applyLoadReport(w *worker, values []float64, requested bool) {
 	if !b.isUsableReport(values) {
 		return
@@ -39,7 +40,7 @@
 		measuredAt = b.now - requestedReportAgeSeconds
 	}
 	r.receivedAt = b.now
-	olderThanKnown := measuredAt < r.measuredAt // an Overloaded outcome has shown otherwise since
+	olderThanKnown := measuredAt < r.measuredAt // for example, an Overloaded outcome came after it
 	if olderThanKnown || !requested && r.valid && slices.Equal(r.values, values) {
 		return
 	}
@@ -49,7 +50,7 @@
 	b.storeReport(w, values, measuredAt)
 }
 
-// isUsableReport reports whether a report has one finite number for each of the configured fields.
+// isUsableReport reports whether a report has one finite number of 0 or more for each configured field.
 func (b *Balancer) isUsableReport(values []float64) bool {
 	if len(values) == 0 || len(values) != len(b.config.ReportFields) {
 		return false
@@ -83,7 +84,7 @@
 	w.zoneFreeSlots.observe(r.slots)
 }
 
-// markOverloaded records that a worker has no capacity now.
+// markOverloaded records that a worker has no free capacity at present.
 func (b *Balancer) markOverloaded(w *worker) {
 	w.report = loadReport{
 		valid:      true,
@@ -91,20 +92,20 @@
 		measuredAt: b.now,
 		receivedAt: b.now,
 	}
-	if b.maxVisibleSlots > 1 { // without reports only zeros would be observed, and exclude it for good
+	if b.maxVisibleSlots > 1 { // without reports only zeros would be observed, which would exclude the worker forever
 		w.zoneFreeSlots.observe(0)
 		w.report.memory = 0
 	}
 }
 
-// estimateFree estimates a worker's free slots and memory: its report, less what was sent and plus what
-// was completed since. A job that has not started promptly shows that there is none. A worker without a
-// report counts for one slot (for one job, however wide, where there are no reports at all), and for
-// one more whenever a job has started there.
+// estimateFree estimates a worker's free slots and memory: its last report, less what this dispatcher has
+// sent and plus what it has seen end since. A job that has not started promptly shows that nothing is
+// free. A worker without a report is assumed to have one free slot (or room for one job of any width,
+// where there are no reports at all) whenever all of the jobs sent to it have started.
 //
-// What an old report shows has been taken or freed by other dispatchers since. So the estimate decays
-// to the mean of recent reports from the worker's zone, faster the larger the part of the load that is
-// not this dispatcher's. It is wrong where a single worker stays full for long.
+// Other dispatchers have taken or freed slots since an old report. So the estimate decays to the mean of
+// recent reports from the worker's zone, faster the larger the other dispatchers' part of the load is. It
+// is wrong for a single worker that stays full for long.
 func (b *Balancer) estimateFree(w *worker) (slots, memory float64) {
 	notStarted := false
 	for _, a := range w.attempts {
@@ -128,13 +129,13 @@
 	usual := w.zoneFreeSlots.withPrior(1, freeSlotsPriorWeight)
 	slots = usual + (r.slots+max(0, usedSlots-w.busySlots)-usual)*freshness - max(0, w.busySlots-usedSlots)
 	if w.takesTurns && b.capacityShare(w) < 1 && w.busySlots == 0 {
-		slots = max(slots, 1) // no other dispatcher has the turn there
+		slots = max(slots, 1) // no other dispatcher sends to this worker now
 	}
 	return slots, usedMemory + r.memory - w.busyMemory
 }
 
-// freshness is how much of an observation still holds: 1 at first, towards 0 some run times later,
-// unless there is no other dispatcher.
+// freshness returns the weight of an observation by its age: 1 at first, near 0 several mean run times
+// later. With a single dispatcher it stays 1.
 func (b *Balancer) freshness(observedAt float64) float64 {
 	others := 1 - 1/float64(b.config.Dispatchers)
 	return math.Exp(-max(0, b.now-observedAt) * others / b.meanRunTime.withPrior(1, 1))
--- a/balance/mean.go
+++ b/balance/mean.go
@@ -1,6 +1,6 @@
 package balance
 
-// learningRate is the weight of one more observation in a running mean that has seen many.
+// learningRate is the weight of a new observation in a running mean of many observations.
 const learningRate = 0.1
 
 // mean is an exponentially weighted running mean.
@@ -14,7 +14,7 @@
 	m.value += (x - m.value) * max(learningRate, 1/m.count)
 }
 
-// withPrior returns the mean, pulled towards a prior that has the weight of some observations.
+// withPrior returns the mean, combined with a prior value that counts for the given number of observations.
 func (m *mean) withPrior(prior, weight float64) float64 {
 	n := min(m.count, 1/learningRate)
 	return (n*m.value + weight*prior) / (n + weight)
@@ -23,7 +23,7 @@
 // meansByName holds a mean for each name.
 type meansByName map[string]*mean
 
-// forName returns the mean of a name, which is shared by all who ask for it.
+// forName returns the mean of a name. All callers with the same name share it.
 func (m meansByName) forName(name string) *mean {
 	if m[name] == nil {
 		m[name] = &mean{}
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -4,33 +4,33 @@
 
 // Outlier ejection.
 const (
-	baseEjectionSeconds = 1.0 // of the first ejection; doubles with each
-	maxEjectionDoubling = 3
+	baseEjectionSeconds = 1.0 // length of the first ejection; doubles with each further one
+	maxEjectionDoubling = 3   // number of times that the length doubles
 	probationSuccesses  = 3   // successes that end a probation
-	failureDeviations   = 3.0 // standard deviations above the fleet's failure rate
+	failureDeviations   = 3.0 // standard deviations above the fleet's failure rate at which a worker is ejected
 )
 
-// outlierState is what a worker's outcomes say about its health.
+// outlierState is the state of a worker's outlier detection, from the outcomes of its attempts.
 type outlierState struct {
 	failureRate   mean // 1 for each failed attempt, 0 for each served one
 	ejections     int
 	ejectedUntil  float64
-	probationLeft int  // successes still needed
-	unverified    bool // from a list that may be wrong, and not confirmed by any report or start
+	probationLeft int  // successes needed to end the probation
+	unverified    bool // added by a list that may be wrong, and not confirmed by a report or start since
 }
 
-// eject excludes a worker for a time that doubles with each ejection.
+// eject excludes a worker for a time that doubles with each ejection, up to maxEjectionDoubling times.
 func (b *Balancer) eject(w *worker) {
 	doubling := float64(min(w.ejections, maxEjectionDoubling))
 	w.ejectedUntil = b.now + baseEjectionSeconds*math.Exp2(doubling)
 	w.ejections++
 }
 
-// outlierAllows reports whether a job may go to a worker with regard to its failures. A worker that
-// fails fast always seems free and would attract the traffic. It is ejected, and then gets one
-// idempotent job at a time until it has served a few. So does a running worker that was added by a list
-// that may be wrong. Where no class is idempotent any job serves as a trial, or such a worker would be
-// excluded for ever.
+// outlierAllows reports whether outlier ejection allows a job on a worker. A worker that fails fast always
+// seems free and would attract the traffic. So it is ejected, and then gets one idempotent job at a time
+// until it has served probationSuccesses. An unverified worker also gets one idempotent job at a time.
+// Where no class is idempotent, any job serves as a trial; otherwise such a worker would never be used
+// again.
 func (b *Balancer) outlierAllows(j *job, w *worker) bool {
 	if b.now < w.ejectedUntil {
 		return false
@@ -42,7 +42,7 @@
 	return w.busySlots == 0 && (j.class.Idempotence == Idempotent || !b.anyIdempotent)
 }
 
-// observeOutcome learns about a worker from the end of an attempt.
+// observeOutcome updates a worker's statistics and health from the outcome of an attempt.
 func (b *Balancer) observeOutcome(w *worker, a *attempt, o Outcome) {
 	switch o {
 	case Served:
@@ -76,10 +76,10 @@
 	}
 }
 
-// observeFailure ejects a worker that fails more than the fleet does and chance explains. Otherwise jobs
-// that fail on any worker, or a fault that all share, would have healthy workers ejected; for the same
-// reason a job counts against one worker at most. It fails to find the outliers where more than half of
-// the workers are.
+// observeFailure records a failure and ejects the worker if its failure rate exceeds the fleet's by more
+// than chance explains. With a fixed limit, jobs that fail on any worker or a fault that all workers share
+// would have healthy workers ejected; for the same reason an error of a job counts against one worker at
+// most. Outliers are not found where more than half of the workers are outliers.
 func (b *Balancer) observeFailure(w *worker, a *attempt, o Outcome) {
 	a.job.failedAttempts++
 	if o == Failed && a.job.failedAttempts > 1 {
@@ -97,9 +97,9 @@
 	}
 }
 
-// markUnreachable has a worker get health checks only until one is answered. (Without health checks it
-// is ejected.) Behind a broken link, or in a dead machine whose connections stay open, a job neither ends
-// nor fails until its client leaves, so the idempotent ones there are hedged.
+// markUnreachable excludes a worker from jobs until a health check is answered; without health checks it
+// is ejected instead. Behind a broken link, or on a dead machine whose connections stay open, a job
+// neither ends nor fails until its client gives up, so the worker's idempotent jobs are hedged.
 func (b *Balancer) markUnreachable(w *worker) {
 	b.markOverloaded(w)
 	if !b.config.HealthChecks {
--- a/balance/reconfigure.go
+++ b/balance/reconfigure.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// changeConfig puts another configuration in force. One that cannot be used changes nothing.
+// changeConfig replaces the configuration. An invalid one changes nothing.
 func (b *Balancer) changeConfig(e ConfigChanged) {
 	next, err := e.Config.normalize()
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// tightenJobs binds the jobs that are here to what their classes allow now.
+// tightenJobs restricts the retries of existing jobs to what the present classes of their names allow.
 func (b *Balancer) tightenJobs() {
 	for _, j := range b.jobs {
 		if c := b.classes[j.class.Name]; c != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// applyConfig derives classes and tenants from the configuration. What was learned of them stays, and so
-// do tags.
+// applyConfig derives classes and tenants from the configuration. Their statistics and the tenants' tags
+// are kept.
 func (b *Balancer) applyConfig() {
 	b.maxVisibleSlots = math.Inf(1)
 	if len(b.config.ReportFields) == 0 {
@@ -50,9 +50,9 @@
 	b.applyTenants()
 }
 
-// applyClasses replaces the classes. One that changes by more than its promised wait becomes a new one:
-// jobs keep the class that they came with. One that is no longer named stays known, as jobs of it may be
-// under way.
+// applyClasses replaces the classes. A class that changes in more than MaxWait gets a new entry, as
+// existing jobs keep the class with which they arrived. A class that is no longer configured is kept, as
+// some of its jobs may still exist.
 func (b *Balancer) applyClasses() {
 	b.anyWorkerKind = false
 	b.anyIdempotent = false
@@ -78,7 +78,8 @@
 	return replaced
 }
 
-// applyTenants updates the tenants. One that is not named has no reservation.
+// applyTenants updates the tenants. A tenant that is not configured has no reservation and the default
+// weight.
 func (b *Balancer) applyTenants() {
 	for _, t := range b.tenants {
 		t.quota = 0
@@ -94,7 +95,7 @@
 	}
 }
 
-// tighten restricts retries of the class to those that another of its name allows as well.
+// tighten restricts the class's retries to those that another version of the class allows as well.
 func (c *Class) tighten(other Class) {
 	if other.Idempotence.restrictiveness() > c.Idempotence.restrictiveness() {
 		c.Idempotence = other.Idempotence
@@ -114,7 +115,7 @@
 	}
 }
 
-// restrictiveness orders the degrees: the higher, the fewer retries are allowed.
+// restrictiveness returns a rank of the value: the higher, the fewer retries are allowed.
 func (i Idempotence) restrictiveness() int {
 	switch i {
 	case IdempotentWithKey:
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// mayAttempt reports whether a job may be sent to a worker: a first attempt always, a retry as the class
-// allows.
+// mayAttempt reports whether the retry rules allow another attempt of a job on a worker. A job that has
+// nothing in flight and cannot have run may go anywhere; otherwise its class decides. MaxAttempts limits
+// all jobs.
 func (b *Balancer) mayAttempt(j *job, w *worker) bool {
 	if len(j.attempts) >= b.config.MaxAttempts {
 		return false
@@ -19,7 +20,8 @@
 	return false
 }
 
-// isDeduplicated reports whether a worker recognises a job with an idempotency key that may have run.
+// isDeduplicated reports whether a worker would recognise a job with an idempotency key as a duplicate of
+// its first attempt that may have run.
 func (b *Balancer) isDeduplicated(j *job, w *worker) bool {
 	first := j.firstWorker
 	if first == nil || b.now >= j.firstAttemptAt+j.class.DedupWindow {
@@ -36,8 +38,8 @@
 	return false
 }
 
-// cannotBeServed reports that no decision can serve a job any more: its attempts are used up, or it may
-// have run and no worker is left that may run it again.
+// cannotBeServed reports whether no further attempt of a job without attempts in flight is possible: its
+// attempts are used up, or it may have run and no running worker may run it again.
 func (b *Balancer) cannotBeServed(j *job) bool {
 	if j.inFlight > 0 || len(j.attempts) == 0 {
 		return false
@@ -50,8 +52,9 @@
 	})
 }
 
-// shouldRetry reports whether a job is sent again after such an outcome: after an error as often as that
-// has helped. Jobs that fail fast on any worker would use up attempts and slots.
+// shouldRetry reports whether a job is sent again after an attempt with the given outcome. After an error
+// it is retried with a probability slightly above the success rate of such retries. Otherwise jobs that
+// fail fast on any worker would use up attempts and slots.
 func (b *Balancer) shouldRetry(o Outcome) bool {
 	switch o {
 	case NotSent, TimedOut:
@@ -71,7 +74,8 @@
 	return j.attempts[number]
 }
 
-// startAttempt records that a worker has started a job. Other attempts of it are called off.
+// startAttempt records that a worker has started a job. If the job is idempotent, its other attempts that
+// have not started are cancelled.
 func (b *Balancer) startAttempt(e AttemptStarted) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if !b.config.StartNotifications || a == nil || a.started() {
@@ -92,7 +96,8 @@
 	}
 }
 
-// finishAttempt takes in the end of an attempt and decides what becomes of its job.
+// finishAttempt records the end of an attempt and then closes its job, queues it for a retry or rejects
+// it.
 func (b *Balancer) finishAttempt(e AttemptDone) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil {
@@ -118,7 +123,7 @@
 	}
 }
 
-// freeWorker frees what an attempt occupies of its worker.
+// freeWorker releases the slots and memory that an attempt occupies on its worker.
 func (b *Balancer) freeWorker(a *attempt) {
 	j := a.job
 	w := a.worker
@@ -129,7 +134,7 @@
 	w.attempts = slices.DeleteFunc(w.attempts, func(other *attempt) bool { return other == a })
 }
 
-// observeRetry learns whether retries after an error help.
+// observeRetry records whether a retry after an error succeeded.
 func (b *Balancer) observeRetry(j *job, o Outcome) {
 	if j.failedAttempts == 0 {
 		return
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -9,41 +9,42 @@
 
 // Selection of workers.
 const (
-	minPoolSize             = 5    // workers considered with nothing in flight, twice as many without health checks
-	poolPerAttempt          = 3    // more for each attempt in flight
-	zoneAffinityFactor      = 8.0  // preference of a worker in this dispatcher's zone, all else equal
-	minFreshness            = 0.05 // preference of a worker without a recent report
-	rejectionCautionSlots   = 3.0  // more free slots demanded, times the rate of rejections, times what is known here
-	checkWaitObjectiveShare = 0.25 // part of its objective that a job waits for health checks
-	maxJobsWaitingForChecks = 128  // with more queued, some check is always pending and none would ever be sent
-	slowdownPriorWeight     = 4.0  // observations that the prior of a worker's slowdown counts for
+	minPoolSize             = 5    // workers considered when nothing is in flight; doubled without health checks
+	poolPerAttempt          = 3    // additional workers considered for each attempt in flight
+	zoneAffinityFactor      = 8.0  // preference factor of a worker in this dispatcher's zone
+	minFreshness            = 0.05 // least weight factor of an estimate from an old report
+	rejectionCautionSlots   = 3.0  // further free slots required, times the rejection rate and 1 - viewUncertainty()
+	checkWaitObjectiveShare = 0.25 // part of its objective, times viewUncertainty(), that a job waits for checks
+	maxJobsWaitingForChecks = 128  // in one queue: with more, a check is always pending and no job would ever be sent
+	slowdownPriorWeight     = 4.0  // weight of the prior of a worker's slowdown, in observations
 	minSlowdown             = 0.1
-	probabilityFloor        = 0.1  // so that no worker is excluded by a low probability alone
-	wideWorkPrior           = 0.3  // part of the workers left to wide jobs until their part of the work is known
-	wideWorkPriorWeight     = 20.0 // slots times seconds that this counts for
-	wideJobMismatchFactor   = 0.06 // preference of a worker that is left to jobs of other widths
+	probabilityFloor        = 0.1  // added, so that a low probability alone excludes no worker
+	wideWorkPrior           = 0.3  // part of the workers reserved for wide jobs until their part of the work is known
+	wideWorkPriorWeight     = 20.0 // weight of that prior, in slots times seconds
+	wideJobMismatchFactor   = 0.06 // preference factor of a worker that is reserved for jobs of other widths
 )
 
-// placement is a worker's place in this dispatcher's order, drawn from hashes of its id.
+// placement determines where a worker comes in this dispatcher's order. It is drawn from hashes of the
+// worker's id.
 type placement struct {
 	rank         float64
 	zoneAffinity float64
-	wideJobRank  float64 // from 0 to 1, the same at all dispatchers: the lowest are left to wide jobs
-	turnOffset   float64 // the same at all dispatchers: whose turn it is while it warms up
+	wideJobRank  float64 // from 0 to 1, the same at all dispatchers: the lowest are reserved for wide jobs
+	turnOffset   float64 // the same at all dispatchers: determines whose turn it is while the worker warms up
 }
 
-// scan is what the present step considers.
+// scan holds the workers that the present step considers.
 type scan struct {
-	eligible       []*worker // that jobs may be sent to
-	scanned        []*worker // the same with those that are unreachable
+	eligible       []*worker // workers that jobs may be sent to
+	scanned        []*worker // the eligible workers and the unreachable ones
 	scannedAt      float64
 	scanCount      int
-	totalFreeSlots float64 // of the eligible workers, as estimated
-	mostFreeSlots  float64 // of one of them
-	awaitingCheck  bool    // the answer to a health check may come at any moment
+	totalFreeSlots float64 // sum of the eligible workers' estimated free slots
+	mostFreeSlots  float64 // most estimated free slots of any eligible worker
+	awaitingCheck  bool    // a health check was sent less than healthCheckWaitSeconds ago and is unanswered
 }
 
-// rankWorker places a worker in this dispatcher's order.
+// rankWorker draws a worker's placement in this dispatcher's order.
 func (b *Balancer) rankWorker(w *worker) {
 	h := fnv.New64a()
 	h.Write([]byte(w.ID)) //nolint:errcheck // a hash never fails
@@ -61,9 +62,9 @@
 }
 
 // scanWorkers selects the workers that this step considers: the first usable ones in the dispatcher's
-// own order, more of them the more is in flight. With hundreds of workers in the choice each job would
-// need a new connection, reports would always be old, and a step would cost too much. The pool is too
-// small where few dispatchers have most of the traffic.
+// own order. Their number grows with the number of attempts in flight. If all of several hundred workers
+// were considered, each job would need a new connection, reports would always be old, and a step would
+// cost too much. The pool is too small where a few dispatchers have most of the traffic.
 func (b *Balancer) scanWorkers() {
 	b.scan = scan{
 		eligible:  b.eligible[:0],
@@ -73,7 +74,7 @@
 	}
 	wanted := minPoolSize + poolPerAttempt*b.inFlight
 	if !b.config.HealthChecks {
-		wanted += minPoolSize // only this dispatcher's jobs tell of a worker
+		wanted += minPoolSize // a worker's load is known only from this dispatcher's own jobs
 	}
 	for _, w := range b.workers {
 		if wanted <= 0 && !b.anyWorkerKind {
@@ -86,8 +87,8 @@
 	b.scanWarmingUp()
 }
 
-// addToScan adds a worker to this step's pool if it may be used, and reports whether it counts as one of
-// those wanted.
+// addToScan adds a worker to this step's scan, and to the eligible workers unless it is unreachable. It
+// reports whether the worker counts towards the wanted number, as a fully usable one does.
 func (b *Balancer) addToScan(w *worker) bool {
 	w.lastScan = b.scanCount
 	b.scanned = append(b.scanned, w)
@@ -104,8 +105,9 @@
 	return b.now >= w.ejectedUntil && b.capacityShare(w) == 1 && !w.unverified
 }
 
-// selectWorker draws a worker for a job from those that fit, weighted by free slots, by how fresh that
-// estimate is (else many guesses would outweigh the few fresh reports) and by what was observed.
+// selectWorker draws a worker for a job from those that fit, or returns nil if there is none or the job
+// waits for health checks. Workers are weighted by free slots, by the freshness of that estimate
+// (otherwise many old estimates would outweigh the few fresh reports) and by preference.
 func (b *Balancer) selectWorker(j *job) *worker {
 	slots := min(j.slots, b.maxVisibleSlots)
 	if b.mostFreeSlots < slots-estimateSlackSlots || b.waitsForChecks(j) {
@@ -121,7 +123,7 @@
 	})
 }
 
-// waitsForChecks reports whether a job waits for the answers to health checks.
+// waitsForChecks reports whether a job is held back until health checks are answered.
 func (b *Balancer) waitsForChecks(j *job) bool {
 	if !b.awaitingCheck || j.queue.count > maxJobsWaitingForChecks {
 		return false
@@ -129,7 +131,7 @@
 	return b.now < j.enqueuedAt+checkWaitObjectiveShare*b.viewUncertainty()*j.class.LatencyObjective
 }
 
-// mayRunOn reports whether nothing but a lack of slots keeps a queued job from a worker.
+// mayRunOn reports whether a queued job may be sent to a worker, apart from the worker's free slots.
 func (b *Balancer) mayRunOn(j *job, w *worker) bool {
 	switch {
 	case j.inFlight > 0 && w.hasAttemptOf(j):
@@ -145,7 +147,8 @@
 	return slices.ContainsFunc(w.attempts, func(a *attempt) bool { return a.job == j })
 }
 
-// drawWeighted draws one of the eligible workers in proportion to their weights.
+// drawWeighted draws one of the eligible workers in proportion to their weights. It returns nil if no
+// weight is above 0.
 func (b *Balancer) drawWeighted(weigh func(*worker) float64) (drawn *worker) {
 	total := 0.0
 	for _, w := range b.eligible {
@@ -161,8 +164,9 @@
 	return drawn
 }
 
-// roomiestWorker is the eligible worker that lacks the least of what a job needs.
-func (b *Balancer) roomiestWorker(j *job) (found *worker) {
+// mostFreeWorker returns the worker with the most free slots among the eligible workers that a job may
+// use, or nil.
+func (b *Balancer) mostFreeWorker(j *job) (found *worker) {
 	for _, w := range b.eligible {
 		if j.class.runsOn(w) && b.outlierAllows(j, w) && (found == nil || w.freeSlots > found.freeSlots) {
 			found = w
@@ -171,8 +175,8 @@
 	return found
 }
 
-// preference favours workers on which the job likely meets its objective, and fast, near and healthy
-// ones. It scales the weight by free slots and excludes no worker.
+// preference returns a factor for a worker's weight. It is higher for workers on which the job probably
+// meets its objective, and for fast, near and healthy workers. It alone excludes no worker.
 func (b *Balancer) preference(w *worker, j *job) float64 {
 	slowdown := b.expectedSlowdown(w) / b.capacityShare(w)
 	probability := j.objectiveProbability(b.now, slowdown) + probabilityFloor
@@ -184,21 +188,22 @@
 	return preference * healthy * healthy
 }
 
-// expectedSlowdown is a worker's run time relative to the fleet's, learned from its own jobs and, while
-// those are few, from others of its kind.
+// expectedSlowdown returns a worker's run time relative to the fleet's. It is learned from the worker's
+// own jobs and, while those are few, from other workers of its kind.
 func (b *Balancer) expectedSlowdown(w *worker) float64 {
 	kind := w.kindSlowdown.withPrior(1, slowdownPriorWeight)
 	return max(w.slowdown.withPrior(kind, slowdownPriorWeight), minSlowdown)
 }
 
-// wideJobFactor is how much a worker is preferred for jobs of so many slots. Where narrow jobs are
-// spread evenly, no worker has capacity for a job of more than half a worker, though there is enough in
-// all. So all dispatchers leave the same workers, by their ids, to wide jobs: as large a part as these
-// have of the work. Narrow jobs suffer while that part changes.
+// wideJobFactor returns a preference factor for a worker and a job of the given slots. If narrow jobs
+// were spread evenly over all workers, none would have capacity for a wide job (one that takes more than
+// half of a worker) although the total would suffice. So all dispatchers reserve the same workers, by
+// their ids, for wide jobs, in proportion to the wide jobs' part of the work. Narrow jobs wait longer
+// while that part changes.
 func (b *Balancer) wideJobFactor(w *worker, slots float64) float64 {
 	wideShare := (b.wideWork + wideWorkPrior*wideWorkPriorWeight) / (b.totalWork + wideWorkPriorWeight)
-	leftToWide := w.wideJobRank < wideShare
-	if w.uncordoned || leftToWide == (2*slots > b.maxSlots) {
+	reservedForWide := w.wideJobRank < wideShare
+	if w.uncordoned || reservedForWide == (2*slots > b.maxSlots) {
 		return 1
 	}
 	return wideJobMismatchFactor
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,44 +7,44 @@
 
 // Slow start of workers.
 const (
-	slowStartSafety = 0.8 // part of the budget that allotments use: job sizes are only expected values
-	// slowStartRestartShare is the part of its allotment that a new process of this dispatcher uses for
-	// OverloadSeconds: its predecessor may have sent, too.
+	slowStartSafety = 0.8 // part of the budget that is allotted, as the work of a job is only estimated
+	// slowStartRestartShare is the part of its allotment that a restarted dispatcher uses during the first
+	// OverloadSeconds, as its former process may have sent jobs as well.
 	slowStartRestartShare = 0.25
-	slowStartTurnFactor   = 30.0 // preference of a worker by whoever has the turn: nobody else sends there
-	warmUpScansPerSpan    = 8
-	turnsPerSpan          = 2 // that a span of OverloadSeconds can overlap
+	slowStartTurnFactor   = 30.0 // preference factor of a worker for the dispatcher whose turn it is, the only sender
+	warmUpScansPerSpan    = 8    // scans of the warming workers in OverloadSeconds
+	turnsPerSpan          = 2    // turns that a span of OverloadSeconds can overlap
 )
 
-// slowStartState is what a worker may get while it warms up.
+// slowStartState is the state of a worker's budget while it warms up.
 type slowStartState struct {
-	takesTurns      bool         // its budget is below a job for each dispatcher, so whole jobs are sent in turns
-	slowStartWork   []workSample // sent while it warmed up
-	slowStartSentAt float64      // when the last of it was sent
+	takesTurns      bool         // its budget is below one job for each dispatcher, so they take turns
+	slowStartWork   []workSample // sent by this dispatcher while the worker warmed up
+	slowStartSentAt float64      // when the last of that work was sent
 }
 
-// workSample is work that was sent, in slots times seconds.
+// workSample is work that was sent at some time, in slots times seconds.
 type workSample struct {
 	at   float64
 	work float64
 }
 
-// warmUp is the workers that started recently.
+// warmUp holds the workers that started recently.
 type warmUp struct {
 	warmingUp      []*worker
-	openForWarmUp  []*worker // those that this dispatcher may send to now
+	openForWarmUp  []*worker // those that have a budget for this dispatcher, by the last scan
 	nextWarmUpScan float64
 }
 
-// trackWarmUp records a worker as one of those that started recently, if it is.
+// trackWarmUp adds a worker to the warming ones if it started recently.
 func (b *Balancer) trackWarmUp(w *worker) {
 	if b.capacityShare(w) < 1 && !slices.Contains(b.warmingUp, w) {
 		b.warmingUp = append(b.warmingUp, w)
 	}
 }
 
-// scanWarmingUp adds the workers that warm up and have a budget for this dispatcher. With hundreds of
-// them the budgets are too much work for each step.
+// scanWarmingUp adds the warming workers that have a budget for this dispatcher to the step's scan. Their
+// budgets are not computed in each step, as that costs too much with hundreds of warming workers.
 func (b *Balancer) scanWarmingUp() {
 	if b.now >= b.nextWarmUpScan {
 		b.nextWarmUpScan = b.now + max(busyTimerSeconds, b.config.OverloadSeconds/warmUpScansPerSpan)
@@ -65,7 +65,7 @@
 	}
 }
 
-// capacityShare is the least part of its capacity that a worker has at its age.
+// capacityShare returns the least part of its full capacity that a worker has at its present age, up to 1.
 func (b *Balancer) capacityShare(w *worker) float64 {
 	c := &b.config
 	age := b.now - w.StartedAt
@@ -75,15 +75,17 @@
 	return c.SlowStartFloor + (1-c.SlowStartFloor)*max(age, 0)/c.SlowStartSeconds
 }
 
-// slowStartBudget is the work that this dispatcher may send to a worker that warms up, and since when
-// sent work counts. It is an equal part of the multiple of the worker's least capacity, and little while
-// a former process of this dispatcher may have sent as well.
+// slowStartBudget returns the work, in slots times seconds, that this dispatcher may send to a warming
+// worker, and the time since which sent work counts towards it. All dispatchers get an equal part of
+// OverloadMultiple times the worker's least capacity, and a smaller one while a former process of this
+// dispatcher may have sent jobs as well.
 //
-// Among hundreds of dispatchers such a part is below one job, and none would send. Then whole jobs are
-// sent in turns, one for each dispatcher. Any span of OverloadSeconds overlaps two turns, and after an
-// idle time all dispatchers use theirs at once, possibly with long jobs only. So a turn has half of the
-// budget (or one job, if the budget holds that), and a dispatcher later in the turn sends less. The
-// budget is not used up where few dispatchers have jobs to send.
+// Among hundreds of dispatchers such a part is less than one job, so none would send. Then the
+// dispatchers take turns at sending whole jobs. Any span of OverloadSeconds overlaps two turns, and after
+// an idle time all dispatchers may use theirs at once, possibly with long jobs only. So a turn has half
+// of the budget (or one job, if the budget is that large), and a dispatcher with a later place in the
+// turn sends less. Part of the budget is unused where few dispatchers have jobs to send. The budget is
+// infinite where no limit applies.
 func (b *Balancer) slowStartBudget(w *worker) (work, since float64) {
 	c := &b.config
 	if b.capacityShare(w) == 1 || c.OverloadMultiple == 0 || c.OverloadSeconds == 0 {
@@ -99,14 +101,15 @@
 	turn := math.Floor((b.now - w.StartedAt) / c.OverloadSeconds)
 	place := math.Mod(float64(c.Index)+w.turnOffset+turn*math.Floor(dispatchers/math.Phi), dispatchers)
 	since = w.StartedAt + turn*c.OverloadSeconds
-	tooLate := place > 0 && turnsPerSpan*(place+1)*meanJob > budget
-	if budget < meanJob || tooLate || w.slowStartSentAt >= since {
+	overBudget := place > 0 && turnsPerSpan*(place+1)*meanJob > budget
+	if budget < meanJob || overBudget || w.slowStartSentAt >= since {
 		return 0, b.now
 	}
 	return min(2*meanJob, max(2*meanJob, budget/turnsPerSpan)/(place+1)), since
 }
 
-// overloadBudget is the work within OverloadSeconds that all dispatchers may send to a worker.
+// overloadBudget returns the work, in slots times seconds, that all dispatchers together may send to a
+// warming worker within OverloadSeconds.
 func (b *Balancer) overloadBudget(w *worker) float64 {
 	c := &b.config
 	size := max(b.maxSlotsByKind[w.Kind], 1) / b.expectedSlowdown(w) // in slots of an average worker
@@ -117,13 +120,13 @@
 	return budget
 }
 
-// slowStartAllows reports whether a job fits what is left of a worker's budget.
+// slowStartAllows reports whether a job fits into the remaining budget of a worker.
 func (b *Balancer) slowStartAllows(w *worker, j *job) bool {
-	left, since := b.slowStartBudget(w)
+	remaining, since := b.slowStartBudget(w)
 	for _, s := range w.slowStartWork {
 		if s.at >= since {
-			left -= s.work
+			remaining -= s.work
 		}
 	}
-	return j.work() <= left
+	return j.work() <= remaining
 }
--- a/balance/timer.go
+++ b/balance/timer.go
@@ -4,12 +4,13 @@
 
 // Wake-ups.
 const (
-	busyTimerSeconds = 0.05 // between steps while jobs are queued
-	idleTimerSeconds = 0.25 // between steps while none is
-	waitedShare      = 5    // a job that has waited for long is looked at again after 1 / waitedShare of that
+	busyTimerSeconds = 0.05 // least interval between steps while jobs are queued
+	idleTimerSeconds = 0.25 // interval between steps while only health checks of unreachable workers are due
+	waitedShare      = 5    // a queue is considered again after 1/waitedShare of its newest job's waiting time
 )
 
-// armTimer keeps one timer set for the next step that may have something to decide.
+// armTimer sets a timer for the next step that may have something to decide, unless one is set that fires
+// early enough.
 func (b *Balancer) armTimer() {
 	next := b.nextWakeUp()
 	for _, t := range b.tenants {
@@ -17,7 +18,7 @@
 			next = min(next, b.nextForTenant(t))
 		}
 	}
-	// A timer may fire early by a rounding error: within half a tick it counts as fired.
+	// A timer may fire early by a rounding error, so one due within half a tick counts as fired.
 	stillSet := b.timerAt > b.now+b.config.Tick/2
 	if stillSet && b.timerAt <= next || math.IsInf(next, 1) {
 		return
@@ -26,7 +27,8 @@
 	b.emit(SetTimer{After: b.timerAt - b.now})
 }
 
-// nextWakeUp is the next step for all but the queues of tenants.
+// nextWakeUp returns the time of the next step for everything but the tenants' queues, or +Inf if none is
+// needed.
 func (b *Balancer) nextWakeUp() float64 {
 	next := math.Inf(1)
 	if b.config.PollEndpoints && !b.endpoints.subscribed {
@@ -47,7 +49,7 @@
 	return next
 }
 
-// nextForTenant is the next step for a tenant's queue, which is not empty.
+// nextForTenant returns the time of the next step for a tenant's queue, which must not be empty.
 func (b *Balancer) nextForTenant(t *tenant) float64 {
 	newest := t.queue.newestFirst.jobs[0]
 	next := b.now + max(busyTimerSeconds, (b.now-newest.enqueuedAt)/waitedShare)
--- a/balance/worker.go
+++ b/balance/worker.go
@@ -2,10 +2,10 @@
 
 import "cmp"
 
-// usageHistorySeconds is how far back the use of a worker is kept. No report is that old.
+// usageHistorySeconds is how far back the usage of a worker is kept. No load report is that old.
 const usageHistorySeconds = 8.0
 
-// worker is a worker as this dispatcher knows it, from the endpoint list, load reports and the outcomes
+// worker is what this dispatcher knows of a worker from the endpoint list, load reports and the outcomes
 // of its own attempts.
 type worker struct {
 	WorkerInfo
@@ -21,30 +21,30 @@
 
 	freeSlots  float64 // as estimated in the present step
 	freeMemory float64
-	lastScan   int // the last scan that considered it
+	lastScan   int // number of the last scan that included the worker
 
 	slowdown      mean  // run time relative to the class's mean
-	kindSlowdown  *mean // the same over all workers of its kind
-	zoneFreeSlots *mean // free slots recently reported in its zone
+	kindSlowdown  *mean // the same over all workers of this kind, shared by them
+	zoneFreeSlots *mean // free slots recently reported in this zone, shared by its workers
 }
 
-// workerUsage is what this dispatcher's own attempts occupy of a worker.
+// workerUsage is the slots and memory that this dispatcher's own attempts occupy on a worker.
 type workerUsage struct {
 	busySlots     float64 // of attempts in flight
 	busyMemory    float64
-	runningSlots  float64 // of attempts that run, as far as that is known
+	runningSlots  float64 // of attempts known to run; of all in flight without start notifications
 	runningMemory float64
-	usageHistory  []usageSample // what runs, over time, oldest first
+	usageHistory  []usageSample // the running slots and memory over time, oldest first
 }
 
-// usageSample is what own attempts occupied from a moment on.
+// usageSample is what this dispatcher's running attempts occupied from a time on.
 type usageSample struct {
 	at     float64
 	slots  float64
 	memory float64
 }
 
-// usageAt is what own attempts occupied at some time.
+// usageAt returns what this dispatcher's running attempts occupied at a time; zeros before the history.
 func (u *workerUsage) usageAt(at float64) (slots, memory float64) {
 	for i := len(u.usageHistory) - 1; i >= 0; i-- { //nolint:modernize // slices.Backward copies each sample here
 		sample := &u.usageHistory[i]
@@ -62,7 +62,7 @@
 	u.usageHistory = append(u.usageHistory, usageSample{now, u.runningSlots, u.runningMemory})
 }
 
-// newWorker is a worker of which nothing is known but its entry.
+// newWorker returns a worker of which only the entry in the endpoint list is known.
 func (b *Balancer) newWorker(info WorkerInfo) *worker {
 	return &worker{
 		WorkerInfo:    info,
@@ -71,7 +71,7 @@
 	}
 }
 
-// resetProcess discards what was known of the worker's former process.
+// resetProcess discards what is known about the worker's former process.
 func (w *worker) resetProcess() {
 	w.report.valid = false
 	w.report.measuredAt = 0
@@ -81,7 +81,7 @@
 	w.slowStartWork = nil
 }
 
-// addBusy books slots of an attempt on a worker, or frees them again (below 0).
+// addBusy adds slots and memory of an attempt to a worker's usage. Values below 0 free them.
 func (b *Balancer) addBusy(w *worker, slots, memory float64) {
 	w.busySlots += slots
 	w.busyMemory += memory
@@ -91,14 +91,14 @@
 	w.record(b.now)
 }
 
-// addRunning books that slots came into use or ceased to be, as start notifications report. (If a job
-// that queues inside a worker counted for a slot, each completion would invite one more, and the queue
-// would never drain.)
+// addRunning adds slots and memory of a started attempt to a worker's usage. Values below 0 free them.
+// (If a job in the worker's queue counted as running, each completion would seem to free a slot and cause
+// another send, so the queue would never drain.)
 func (b *Balancer) addRunning(w *worker, slots, memory float64) {
 	w.runningSlots += slots
 	w.runningMemory += memory
 	w.record(b.now)
 }
 
-// compareRank is this dispatcher's order of workers.
+// compareRank compares workers by this dispatcher's order.
 func compareRank(x, y *worker) int { return cmp.Compare(x.rank, y.rank) }
