--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -2,46 +2,47 @@
 
 import "testing"
 
-// Where Overloaded is no proof, a non-idempotent job fails at once, one with an idempotency key stays in its
-// scope and an idempotent one is retried anywhere. A connection that was never made still proves that it did not run.
+// With OverloadedMayHaveRun, after an Overloaded outcome a non-idempotent job fails at once, one with an idempotency
+// key is retried in its scope only, and an idempotent one anywhere. Unreachable still proves that the job never ran.
 func TestOverloadedMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
 		want    string
 	}{
-		{"write", Overloaded, "fail"}, {"write", Unreachable, "send"}, {"put", Overloaded, "hold"}, {"put", Unreachable, "send"},
+		{"write", Overloaded, "fail"}, {"write", Unreachable, "send"},
+		{"put", Overloaded, "hold"}, {"put", Unreachable, "send"},
 		{"read", Overloaded, "send"},
 	} {
 		cfg := base()
 		cfg.OverloadedMayHaveRun = true
 		r := newRig(t, cfg, append(up("v"), WorkerInfo{ID: "far", Zone: "there", State: Running})...)
 		s := of[Send](r.step(r.job(c.class, "a"), r.report("v", 1)))[0]
-		got := r.step(r.report("far", 5), done(s, 0, c.outcome))
-		is := "hold"
-		if again := of[Send](got); len(again) > 0 {
-			is = "send"
-		} else if len(of[Fail](got)) > 0 {
-			is = "fail"
-		} else if len(of[Reject](got)) > 0 {
-			is = "refuse"
+		actions := r.step(r.report("far", 5), done(s, 0, c.outcome))
+		got := "hold"
+		if again := of[Send](actions); len(again) > 0 {
+			got = "send"
+		} else if len(of[Fail](actions)) > 0 {
+			got = "fail"
+		} else if len(of[Reject](actions)) > 0 {
+			got = "reject"
 		}
-		if is != c.want {
-			t.Errorf("%s after %s: %s, want %s", c.class, c.outcome, is, c.want)
+		if got != c.want {
+			t.Errorf("%s job after %s: got %s, want %s", c.class, c.outcome, got, c.want)
 		}
 		if c.want != "hold" {
 			continue
 		}
 		if got := r.at(r.now+4.1, TimerFired{}); len(of[Fail](got)) != 1 {
-			t.Errorf("%s past its window: %v, want a failure at once", c.class, got)
+			t.Errorf("%s job past its deduplication window: got %v, want one Fail", c.class, got)
 		}
 	}
 }
 
-// Where removed workers stay usable, one that was listed as draining still gets nothing until a newer start of
-// it is listed.
+// With RemovedStayUsable, a worker that was listed as draining gets no job until a newer start of it is listed, and
+// any other worker that was removed or left out is still used.
 func TestDrainedWorkerNeedsNewerStart(t *testing.T) {
-	gone := func(w WorkerInfo) EndpointUpdate {
+	remove := func(w WorkerInfo) EndpointUpdate {
 		w.State = Removed
 		return EndpointUpdate{EndpointsDelta, []WorkerInfo{w}}
 	}
@@ -53,33 +54,34 @@
 	w, newer := up("w")[0], up("w")[0]
 	newer.StartedAt = 99
 	for name, c := range map[string]struct {
-		news []EndpointUpdate
-		open bool
+		updates []EndpointUpdate
+		used    bool
 	}{
-		"gone":                    {[]EndpointUpdate{gone(w)}, true},
-		"left out":                {[]EndpointUpdate{empty}, true},
-		"drained":                 {[]EndpointUpdate{drain(w)}, false},
-		"drained, gone":           {[]EndpointUpdate{drain(w), gone(w)}, false},
-		"drained, left out":       {[]EndpointUpdate{drain(w), empty}, false},
-		"drained, an older list":  {[]EndpointUpdate{drain(w), empty, {EndpointsSnapshot, []WorkerInfo{w}}}, false},
-		"drained, started anew":   {[]EndpointUpdate{drain(w), empty, {EndpointsSnapshot, []WorkerInfo{newer}}}, true},
-		"started anew, old entry": {[]EndpointUpdate{{EndpointsSnapshot, []WorkerInfo{newer}}, drain(w), {EndpointsSnapshot, []WorkerInfo{w}}}, false},
+		"removed":               {[]EndpointUpdate{remove(w)}, true},
+		"left out":              {[]EndpointUpdate{empty}, true},
+		"drained":               {[]EndpointUpdate{drain(w)}, false},
+		"drained, removed":      {[]EndpointUpdate{drain(w), remove(w)}, false},
+		"drained, left out":     {[]EndpointUpdate{drain(w), empty}, false},
+		"drained, old snapshot": {[]EndpointUpdate{drain(w), empty, {EndpointsSnapshot, []WorkerInfo{w}}}, false},
+		"drained, restarted":    {[]EndpointUpdate{drain(w), empty, {EndpointsSnapshot, []WorkerInfo{newer}}}, true},
+		"restarted, drained, old snapshot": {[]EndpointUpdate{{EndpointsSnapshot, []WorkerInfo{newer}}, drain(w),
+			{EndpointsSnapshot, []WorkerInfo{w}}}, false},
 	} {
 		cfg := base()
 		cfg.RemovedStayUsable = true
 		r := newRig(t, cfg, w)
 		r.step(r.report("w", 3))
-		for _, n := range c.news {
-			r.step(n)
+		for _, update := range c.updates {
+			r.step(update)
 		}
 		got := of[Send](r.at(r.now+1, r.job("read", "a"), r.report("w", 3)))
-		if open := len(got) == 1; open != c.open {
-			t.Errorf("%s: sent to is %v, want %v", name, open, c.open)
+		if used := len(got) == 1; used != c.used {
+			t.Errorf("%s: job sent to the worker: got %v, want %v", name, used, c.used)
 		}
 	}
 }
 
-// A rejected client gets a Retry-After, within what clients heed.
+// A rejected client gets a Retry-After within MaxRetryAfter, or none if that is 0.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	for _, c := range []struct{ limit, min, max float64 }{{0, 0, 0}, {2, 0.1, 2}, {1e6, 2, 1e5}} {
 		cfg := base()
@@ -92,14 +94,14 @@
 		}
 		for _, f := range of[Reject](r.at(112, TimerFired{})) {
 			if f.RetryAfter < c.min || f.RetryAfter > c.max {
-				t.Errorf("limit %v: told to come back after %v, want %v to %v", c.limit, f.RetryAfter, c.min, c.max)
+				t.Errorf("MaxRetryAfter %v: got RetryAfter %v, want %v to %v", c.limit, f.RetryAfter, c.min, c.max)
 			}
 		}
 	}
 }
 
-// Found on shymkent-giving: jobs that fail wherever they go had every worker rest, and
-// when they ceased, half of the fleet stayed under suspicion.
+// Jobs that fail on any worker must not have workers ejected. If each failure counted against the worker that ran the
+// attempt, all workers would be ejected, and half of the fleet would stay on probation after such jobs cease.
 func TestFailingJobsEjectNoWorker(t *testing.T) {
 	r := newRig(t, base(), up("u", "v", "w", "x")...)
 	fail := func(s Send, n int) []Send { return of[Send](r.step(done(s, n, Failed))) }
@@ -108,28 +110,29 @@
 		r.now += 0.5
 		last = of[Send](r.step(r.job("read", "a"), r.report("u", 4), r.report("v", 4), r.report("w", 4), r.report("x", 4)))
 		for n := 0; len(last) > 0; n++ {
-			if i%2 == 0 { // a healthy one
+			if i%2 == 0 { // a job that succeeds
 				r.step(done(last[0], n, Served))
 				break
 			}
 			last = fail(last[0], n)
 		}
 	}
-	resting := 0
+	excluded := 0
 	for _, w := range r.b.workers {
 		if w.probationLeft > 0 || r.now < w.ejectedUntil {
-			resting++
+			excluded++
 		}
 	}
-	if resting > 0 {
-		t.Errorf("%d of 4 workers rest for the faults of jobs", resting)
+	if excluded > 0 {
+		t.Errorf("%d of 4 workers ejected or on probation because of failing jobs, want 0", excluded)
 	}
-	if tries := len(of[Send](r.acts)); tries > 330 { // 100 healthy ones, 100 bad ones of up to 3 attempts
-		t.Errorf("%d attempts for 200 jobs, half of which fail wherever they go", tries)
+	if attempts := len(of[Send](r.acts)); attempts > 330 { // 100 jobs that succeed, 100 failing ones of up to 3 attempts
+		t.Errorf("got %d attempts for 200 jobs, half of which fail on any worker, want 330 at most", attempts)
 	}
 }
 
-// Found on i35577a: clients in a hurry were taken for late repeats and rejected on arrival.
+// Where clients mark their retries, a job's timeout says nothing about its age. If a short timeout were taken for a
+// late retry, the job would be rejected on arrival.
 func TestShortTimeoutIsNotTakenForRetry(t *testing.T) {
 	for _, c := range []struct {
 		marks, retry bool
@@ -146,41 +149,41 @@
 		j := r.job("read", "a")
 		j.Timeout, j.Retry = 4, c.retry
 		if got := of[Send](r.at(102, j, r.report("w", 3))); len(got) != c.sends {
-			t.Errorf("clients mark repeats %v, marked %v: %d sends, want %d", c.marks, c.retry, len(got), c.sends)
+			t.Errorf("ClientsMarkRetries %v, job marked as retry %v: got %d sends, want %d", c.marks, c.retry, len(got), c.sends)
 		}
 	}
 }
 
-// Found on pos-alumni-link: a list added workers that do not exist, and jobs that must not
-// run twice were lost on them. One job at a time, idempotent, until something is heard.
+// A wrong list may add workers that do not exist, and non-idempotent jobs sent to them are lost. So an unverified
+// worker gets one idempotent job at a time until it reports or starts a job.
 func TestUnverifiedWorkerGetsOnlyTrials(t *testing.T) {
 	cfg := base()
 	cfg.RemovedStayUsable, cfg.HealthChecks = true, false
 	r := newRig(t, cfg)
 	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("ghost")})
 	if got := of[Send](r.step(r.job("write", "a"))); len(got) != 0 {
-		t.Fatalf("unsafe job sent to a stranger: %v", got)
+		t.Fatalf("non-idempotent job sent to an unverified worker: %v", got)
 	}
 	got := of[Send](r.step(r.job("read", "a"), r.job("read", "a")))
 	if len(got) != 1 {
-		t.Fatalf("%d repeatable jobs sent to a stranger, want 1", len(got))
+		t.Fatalf("got %d idempotent jobs sent to an unverified worker, want 1", len(got))
 	}
 	if got := of[Send](r.step(AttemptStarted{got[0].ID, 0})); len(got) == 0 {
-		t.Error("nothing sent to a worker that has started a job")
+		t.Error("no job sent to a worker that has started one")
 	}
 	r = newRig(t, cfg)
 	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("ghost")})
 	r.step(EndpointUpdate{Kind: EndpointsSnapshot})
 	if len(r.b.workers) != 0 {
-		t.Error("a worker that was never heard of is kept when the list drops it")
+		t.Error("an unverified worker is kept when the list drops it")
 	}
 }
 
-// Unusual lists and a long pause neither break the scheduler nor make it act for nothing.
+// With unusual lists, invalid reports, repeated outcomes and a long pause, jobs are still sent and every job ends.
 func TestUnusualListsAreTolerated(t *testing.T) {
-	for _, only := range []bool{false, true} {
+	for _, usable := range []bool{false, true} {
 		cfg := base()
-		cfg.RemovedStayUsable = only
+		cfg.RemovedStayUsable = usable
 		r := newRig(t, cfg)
 		sent := 0
 		for i := range 200 {
@@ -204,7 +207,8 @@
 			r.step(done(s, 0, TimedOut))
 		}
 		if len(r.b.jobs) != 0 || sent == 0 {
-			t.Errorf("only draining binds %v: %d jobs kept, %d sent", only, len(r.b.jobs), sent)
+			t.Errorf("RemovedStayUsable %v: got %d unfinished jobs and %d sends, want no unfinished job and some sends",
+				usable, len(r.b.jobs), sent)
 		}
 	}
 }
--- a/balance/failures_test.go
+++ b/balance/failures_test.go
@@ -5,73 +5,78 @@
 	"testing"
 )
 
-// Found on overloaded days: a backlog made every job late in its turn.
+// A late job must not delay a fresh one. Under overload, a backlog that is sent in order of arrival makes each job
+// late in turn.
 func TestLateJobDoesNotBlock(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	r.step(r.job("read", "a"), r.report("w", 0))
 	r.at(115, r.job("read", "a"))
 	got := of[Send](r.at(115.1, r.report("w", 1)))
 	if len(got) != 1 || got[0].ID != "a2" {
-		t.Errorf("sent %v, want the fresh job only", got)
+		t.Errorf("got sends %v, want the fresh job a2 only", got)
 	}
 }
 
-// Found on overloaded days: long jobs took the slots of many short ones.
+// A tenant's narrow jobs are sent before its wide ones. Under overload, long jobs would take the slots of many short
+// ones.
 func TestSmallJobsFirstWithinTenant(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	wide := r.job("read", "a")
 	wide.Slots = 3
 	r.step(wide, r.job("read", "a"))
 	if got := of[Send](r.step(r.report("w", 3))); len(got) != 1 || got[0].ID != "a2" {
-		t.Errorf("sent %v, want the narrow job and no room for the wide one", got)
+		t.Errorf("got sends %v, want only the narrow job a2, as the wide one no longer fits", got)
 	}
 }
 
-// Found on recorded days: one tenant's surplus took each slot as it came free.
+// A tenant's surplus must leave free slots for tenants within their quotas. Otherwise it would take each slot that
+// becomes free.
 func TestSurplusLeavesFreeSlots(t *testing.T) {
 	cfg := base()
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 1}, {Name: "b", Quota: 1}}
 	cfg.Dispatchers = 2
 	r := newRig(t, cfg, up("w")...)
-	var flood []Event
+	var surplus []Event
 	for range 60 {
-		flood = append(flood, r.job("read", "a"))
+		surplus = append(surplus, r.job("read", "a"))
 	}
-	got := of[Send](r.step(append(flood, r.report("w", 10))...))
+	got := of[Send](r.step(append(surplus, r.report("w", 10))...))
 	if len(got) >= 10 || len(got) < 5 {
-		t.Errorf("surplus took %d of 10 slots", len(got))
+		t.Errorf("surplus got %d of 10 slots, want 5 to 9", len(got))
 	}
 	if got := of[Send](r.step(r.job("read", "b"))); len(got) != 1 || got[0].ID[0] != 'b' {
-		t.Errorf("%v for the tenant within its quota", got)
+		t.Errorf("got sends %v, want one job of tenant b, which is within its quota", got)
 	}
 }
 
-// Found on a recorded day: completions kept a queue inside the worker alive.
+// A completion whose slot a job in the worker's queue takes must not cause another send. Otherwise that queue never
+// drains.
 func TestCompletionWithQueuedJobFreesNoSlot(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	s := of[Send](r.step(r.job("read", "a"), r.job("read", "a"), r.report("w", 2)))
-	r.step(AttemptStarted{s[0].ID, 0}) // the second queues there
+	r.step(AttemptStarted{s[0].ID, 0}) // the second job waits in the worker's queue
 	r.at(101, r.report("w", 0))
 	got := of[Send](r.at(102, done(s[0], 0, Served), r.job("read", "a")))
 	if len(got) != 0 {
-		t.Errorf("sent %v after a completion whose slot the queued job takes", got)
+		t.Errorf("got sends %v after a completion whose slot the queued job takes, want none", got)
 	}
 }
 
-// Found on every day's first seconds: no report exists yet.
+// A worker without a report, as after a start, gets one job at a time until that job has started.
 func TestUnreportedWorkerGetsOneAtATime(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
-	blank := HealthCheckDone{Worker: "w", Outcome: Served}
-	got := of[Send](r.step(blank, r.job("read", "a"), r.job("read", "a"), r.job("read", "a")))
+	noReport := HealthCheckDone{Worker: "w", Outcome: Served}
+	got := of[Send](r.step(noReport, r.job("read", "a"), r.job("read", "a"), r.job("read", "a")))
 	if len(got) != 1 {
-		t.Fatalf("%d sends into the unknown, want 1", len(got))
+		t.Fatalf("got %d sends to a worker without a report, want 1", len(got))
 	}
 	if got := of[Send](r.step(AttemptStarted{got[0].ID, 0})); len(got) != 1 {
-		t.Errorf("%d sends after the first has started, want 1", len(got))
+		t.Errorf("got %d sends after the first job has started, want 1", len(got))
 	}
 }
 
-// Found on a recorded day: health checks alone cost more than two points.
+// Health checks must stay within their budget. Without one, they alone cost more than two points of
+// the simulator's score.
 func TestHealthChecksStayWithinBudget(t *testing.T) {
 	cfg := base()
 	cfg.HealthCheckCost = 0.01
@@ -85,17 +90,17 @@
 		r.now += 0.3
 		ev := []Event{r.job("read", "a")}
 		jobs++
-		for _, p := range of[HealthCheck](r.acts) {
-			ev = append(ev, HealthCheckDone{Worker: p.Worker, Outcome: Served, Report: []float64{0}})
+		for _, check := range of[HealthCheck](r.acts) {
+			ev = append(ev, HealthCheckDone{Worker: check.Worker, Outcome: Served, Report: []float64{0}})
 		}
 		r.step(ev...)
 	}
 	if n := len(of[HealthCheck](r.acts)); float64(n-20)*0.01 > healthCheckBudgetShare*float64(jobs)+0.01 {
-		t.Errorf("%d probes for %d jobs", n, jobs)
+		t.Errorf("got %d health checks for %d jobs, which exceeds the budget", n, jobs)
 	}
 }
 
-// Found at a site with unlike cores: slow workers got as much as fast ones.
+// Where workers differ in speed, slow ones must get fewer jobs than fast ones, but still some.
 func TestSelectionPrefersFastWorkers(t *testing.T) {
 	r := newRig(t, base(), up("quick", "slow")...)
 	count := map[string]int{}
@@ -113,7 +118,7 @@
 		r.step(done(s[0], 0, Served))
 	}
 	if count["quick"] < 2*count["slow"] || count["slow"] == 0 {
-		t.Errorf("picked %v: want the quick one more, the slow one still", count)
+		t.Errorf("got jobs by worker %v, want quick at least twice slow and slow above 0", count)
 	}
 }
 
@@ -123,7 +128,7 @@
 	r.step(done(s, 0, Failed))
 	for range 20 {
 		for _, s := range of[Send](r.step(r.job("write", "a"), r.report("bad", 50))) {
-			t.Fatalf("unsafe job sent to %s right after it failed one", s.Worker)
+			t.Fatalf("non-idempotent job sent to %s right after it failed one", s.Worker)
 		}
 	}
 }
@@ -134,21 +139,21 @@
 	for _, w := range []string{"u", "v", "w"} {
 		s := of[Send](r.step(r.job("write", "a"), r.report(w, 3)))
 		if len(s) != 1 {
-			t.Fatalf("%d sends while half of all fail, want 1", len(s))
+			t.Fatalf("got %d sends while half of all attempts fail, want 1", len(s))
 		}
 		r.step(done(s[0], 0, ConnectionLost), r.report(w, 0))
 	}
 }
 
-// Found on recorded days with many dispatchers: a tenant with an old backlog
-// kept the oldest local tag and passed all others wherever slots were short.
+// A tenant with an old backlog must not precede fresh due jobs of other tenants. It would wherever slots are short,
+// above all with many dispatchers, if a local tag could be older than the job that it is used for.
 func TestOldBacklogDoesNotPassFreshDueJobs(t *testing.T) {
 	cfg := base()
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 5}}
 	cfg.Classes[0].LatencyObjective = 0.3
 	r := newRig(t, cfg, up("w")...)
 	r.step(r.report("w", 0))
-	for range 80 { // a floods for 8 s; nothing leaves
+	for range 80 { // 8 s of jobs of tenant a, none of which is sent
 		r.now += 0.1
 		r.step(r.job("read", "a"))
 	}
@@ -158,12 +163,12 @@
 		served[s.ID[0]]++
 	}
 	if served['b'] != 1 {
-		t.Errorf("served %v: the fresh job of the other tenant had to wait", served)
+		t.Errorf("got sends by tenant %v, want one of the fresh job of b", served)
 	}
 }
 
-// Found on overloaded days: late surplus waited for its deadline and cost
-// the price of late failures; within the quota a late answer still earns.
+// Under overload, surplus jobs that cannot meet their objective are rejected at once; waiting for their deadline would
+// end in a costlier late failure. Within the quota such jobs are kept, as a late answer still has some value.
 func TestLateSurplusIsRejectedAtOnce(t *testing.T) {
 	for _, c := range []struct{ jobs, want int }{{3, 0}, {120, 120 - idleCreditSlots}} {
 		cfg := base()
@@ -174,17 +179,17 @@
 			r.step(r.job("read", "a"))
 		}
 		if got := of[Reject](r.at(112, TimerFired{})); len(got) != c.want {
-			t.Errorf("%d of %d hopeless jobs refused, want %d", len(got), c.jobs, c.want)
+			t.Errorf("%d of %d jobs that cannot meet their objective rejected, want %d", len(got), c.jobs, c.want)
 		}
 	}
 }
 
-// Found by a long run of jobs that must not run twice: workers that had failed some
-// waited for a trial that no job could give them, until none was left.
+// Where no class is idempotent, a non-idempotent job serves as a trial of a worker on probation. Otherwise workers
+// that have failed a few jobs would never leave their probation, until none is usable.
 func TestProbationWhereNothingIsIdempotent(t *testing.T) {
-	for _, harmless := range []bool{true, false} {
+	for _, anyIdempotent := range []bool{true, false} {
 		cfg := base()
-		if !harmless {
+		if !anyIdempotent {
 			cfg.Classes = cfg.Classes[1:2]
 		}
 		r := newRig(t, cfg, up("w")...)
@@ -192,22 +197,23 @@
 		w := r.b.workersByID["w"]
 		w.probationLeft = probationSuccesses
 		got := of[Send](r.at(110, r.job("write", "a"), r.job("write", "a")))
-		if want := map[bool]int{true: 0, false: 1}[harmless]; len(got) != want {
-			t.Errorf("a class that may be repeated %v: %d sent to a worker on trial, want %d", harmless, len(got), want)
+		if want := map[bool]int{true: 0, false: 1}[anyIdempotent]; len(got) != want {
+			t.Errorf("an idempotent class exists %v: got %d sends to a worker on probation, want %d",
+				anyIdempotent, len(got), want)
 		}
 	}
 }
 
-// Found by random steps: a worker that was full once and then stands idle gives
-// the same report as before. Taken for the old one, it kept the worker out for good.
+// A worker that was overloaded once and is idle now may send the same report as before. If that were taken for the old
+// report, the worker would never be used again.
 func TestSameReportAfterOverloadCounts(t *testing.T) {
 	r := newRig(t, base(), up("w")...)
 	s := of[Send](r.step(r.job("read", "a"), r.report("w", 3)))
 	r.at(101, done(s[0], 0, Overloaded))
 	if got := of[Send](r.at(101.04, r.report("w", 3))); len(got) > 0 {
-		t.Errorf("sent %v upon a report that may be older than the end as full", got)
+		t.Errorf("got sends %v on a report that may be older than the Overloaded outcome, want none", got)
 	}
 	if got := of[Send](r.at(102, r.report("w", 3))); len(got) != 1 {
-		t.Errorf("sent %v though it has stood idle since", got)
+		t.Errorf("got sends %v to a worker that reports free slots again, want one", got)
 	}
 }
