--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -6,48 +6,51 @@
 	"testing"
 )
 
-// What all dispatchers together send to a worker that has just started, whatever befalls them, and
-// they know nothing of each other. It may get what the settings allow in any span, counted in
-// requests of mean work, and no more than chance explains beyond. Times are seconds.
+// These tests check the total load that dispatchers, none of which knows what the others send, put on a worker that
+// has just started. Within any span it may get what the settings allow, counted in jobs of mean work, plus what chance
+// explains. Times are in seconds.
 
-// In whatever goes wrong, with few or many dispatchers, no warming worker gets more than it bears.
+// TestSlowStartLimitsTotalLoad checks that no warming worker is overloaded, with few or many dispatchers and under
+// various faults.
 func TestSlowStartLimitsTotalLoad(t *testing.T) {
 	for name, set := range map[string]func(f *warmUpFleet){
 		"plain":            func(f *warmUpFleet) {},
-		"unlike work":      func(f *warmUpFleet) { f.workDeviation = 1.5 },
+		"varied work":      func(f *warmUpFleet) { f.workDeviation = 1.5 },
 		"wide jobs":        func(f *warmUpFleet) { f.wideJobs = true },
-		"unlike traffic":   func(f *warmUpFleet) { f.firstDispatcherLoad = 5 },
-		"quick jobs":       func(f *warmUpFleet) { f.work = 0.25 },
+		"uneven traffic":   func(f *warmUpFleet) { f.firstDispatcherLoad = 5 },
+		"short jobs":       func(f *warmUpFleet) { f.work = 0.25 },
 		"small workers":    func(f *warmUpFleet) { f.slots, f.work = 2, 2 },
 		"one slot each":    func(f *warmUpFleet) { f.slots, f.work, f.load = 1, 3, 1.5 },
 		"no reports":       func(f *warmUpFleet) { f.noReports = true },
-		"reports ride":     func(f *warmUpFleet) { f.reportsWithAnswers = true },
-		"costs not known":  func(f *warmUpFleet) { f.shortObjectives, f.dispatcherRestarts = true, 1 },
+		"with answers":     func(f *warmUpFleet) { f.reportsWithAnswers = true },
+		"short objective":  func(f *warmUpFleet) { f.shortObjectives, f.dispatcherRestarts = true, 1 },
 		"late lists":       func(f *warmUpFleet) { f.listDelay = 6 },
-		"started in place": func(f *warmUpFleet) { f.listDelay, f.restartInPlace = 6, true },
+		"restart in place": func(f *warmUpFleet) { f.listDelay, f.restartInPlace = 6, true },
 		"restarts":         func(f *warmUpFleet) { f.dispatcherRestarts = 0.7 },
 		"one hangs":        func(f *warmUpFleet) { f.oneHangs = true },
-		"copies":           func(f *warmUpFleet) { f.oneHangs, f.hedging = true, true },
+		"hedges":           func(f *warmUpFleet) { f.oneHangs, f.hedging = true, true },
 		"noisy reports":    func(f *warmUpFleet) { f.reportNoise, f.reportsWithAnswers = 0.2, true },
-		"one turns away":   func(f *warmUpFleet) { f.oneRejects = true },
-		"numbered anew":    func(f *warmUpFleet) { f.indexChanges = true },
-		"taken back":       func(f *warmUpFleet) { f.listDelay, f.restartInPlace, f.uncordon = 6, true, true },
+		"one overloaded":   func(f *warmUpFleet) { f.oneRejects = true },
+		"index changes":    func(f *warmUpFleet) { f.indexChanges = true },
+		"uncordoned":       func(f *warmUpFleet) { f.listDelay, f.restartInPlace, f.uncordon = 6, true, true },
 	} {
 		for _, n := range []int{3, 30, 300} {
 			t.Run(fmt.Sprint(name, "/", n), func(t *testing.T) {
 				t.Parallel()
 				f := warmUpFleet{dispatchers: n, warm: 12, cold: 4, slots: 5, work: 0.5, load: 1.1, workDeviation: 0.8}
 				set(&f)
-				worst, calls := f.run(t, uint64(n+len(name)), true)
-				if worst > 1 || calls == 0 && n < 300 {
-					t.Errorf("a cold worker got %.2f times what it bears; %d calls in all", worst, calls)
+				worst, sends := f.run(t, uint64(n+len(name)), true) // the length of the name selects the seed
+				if worst > 1 || sends == 0 && n < 300 {
+					t.Errorf("a warming worker got %.2f times its allowed load, want 1 at most; %d sends to warming workers",
+						worst, sends)
 				}
 			})
 		}
 	}
 }
 
-// The same with nothing that spares warming workers: each number of dispatchers would push one over.
+// TestWithoutSlowStartWorkersAreOverloaded checks that, without a limit, some warming worker is overloaded with any
+// number of dispatchers, so that TestSlowStartLimitsTotalLoad can detect an overload.
 func TestWithoutSlowStartWorkersAreOverloaded(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		f := warmUpFleet{dispatchers: n, warm: 12, cold: 4, slots: 1, work: 3, load: 1.5, workDeviation: 0.8}
@@ -57,18 +60,20 @@
 			worst = max(worst, x)
 		}
 		if worst <= 1 {
-			t.Errorf("%d dispatchers send %.2f times what a cold worker bears: the fleet shows nothing", n, worst)
+			t.Errorf("%d dispatchers without slow start: a warming worker got %.2f times its allowed load, want more than 1",
+				n, worst)
 		}
 	}
 }
 
-// greedyDispatchers is dispatchers that send as much as they may to one warming worker, which takes all; jobs are alike.
+// greedyDispatchers simulates dispatchers that send as much as they may to one warming worker, which accepts all. Jobs
+// are alike.
 type greedyDispatchers struct {
 	t               *testing.T
-	meanWork, slots float64 // work of the mean job, and slots of a worker
-	jobWork         float64 // work of those that come
+	meanWork, slots float64 // assumed mean work of a job, and slots of a worker
+	jobWork         float64 // actual work of each job
 	rigs            []*rig
-	scheduled       []map[int][]Event // by step
+	scheduled       []map[int][]Event // by dispatcher and step
 	step            int
 	cold            WorkerInfo
 	sentAt          []float64
@@ -77,10 +82,10 @@
 
 const greedyTick, greedyBegin, greedyRampSeconds = 0.05, 100.0, 30.0
 
-// newGreedyDispatchers has n dispatchers that know of a warm worker's size and how long jobs run.
-func newGreedyDispatchers(t *testing.T, n int, slots, started float64) *greedyDispatchers {
+// newGreedyDispatchers returns n dispatchers that know the slots of a worker and how long jobs run.
+func newGreedyDispatchers(t *testing.T, n int, slots, startedAt float64) *greedyDispatchers {
 	p := &greedyDispatchers{t: t, meanWork: 1, jobWork: 1, slots: slots,
-		cold: WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: started}}
+		cold: WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: startedAt}}
 	p.rigs, p.scheduled = make([]*rig, n), make([]map[int][]Event, n)
 	for i := range n {
 		p.startDispatcher(i)
@@ -93,8 +98,9 @@
 func (p *greedyDispatchers) startDispatcher(i int, list ...WorkerInfo) {
 	cfg := base()
 	cfg.Dispatchers, cfg.Index, cfg.HealthChecks, cfg.Tenants[0].Quota = len(p.rigs), i, false, 1e5
-	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = rampFloor, greedyRampSeconds, simOverloadMultiple, simOverloadSeconds
-	cfg.Classes[0].LatencyObjective = p.jobWork // what it is taken to need while that is not known
+	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds =
+		rampFloor, greedyRampSeconds, simOverloadMultiple, simOverloadSeconds
+	cfg.Classes[0].LatencyObjective = p.jobWork // the assumed run time while none has been observed
 	b, err := New(cfg, uint64(i))
 	if err != nil {
 		p.t.Fatal(err)
@@ -108,14 +114,15 @@
 	p.rigs[i].at(p.now(), EndpointUpdate{Kind: EndpointsCached, Workers: list})
 }
 
-// list sends all dispatchers a list of these workers.
+// list sends an endpoint list of the given workers to all dispatchers.
 func (p *greedyDispatchers) list(workers ...WorkerInfo) {
 	for i := range p.rigs {
 		p.scheduled[i][p.step] = append(p.scheduled[i][p.step], EndpointUpdate{Kind: EndpointsSnapshot, Workers: workers})
 	}
 }
 
-// run goes on to a time; more are the events of each step, and waiting keeps so many jobs at each dispatcher.
+// run simulates until a time. More returns further events of each step, or is nil. Each dispatcher is kept at the
+// given number of queued jobs.
 func (p *greedyDispatchers) run(until float64, waiting int, more func(i int, r *rig) []Event) {
 	for ; p.now() < until; p.step++ {
 		now := p.now()
@@ -141,9 +148,9 @@
 			p.sentAt = p.sentAt[1:]
 		}
 		if age := now - p.cold.StartedAt; age > 0 {
-			part := min(1, rampFloor+(1-rampFloor)*age/greedyRampSeconds)
+			capacity := min(1, rampFloor+(1-rampFloor)*age/greedyRampSeconds)
 			p.worst = max(p.worst, overloadRatio(float64(len(p.sentAt))*p.jobWork/p.meanWork,
-				simOverloadMultiple*part*p.slots*simOverloadSeconds/p.meanWork))
+				simOverloadMultiple*capacity*p.slots*simOverloadSeconds/p.meanWork))
 		}
 	}
 }
@@ -151,12 +158,13 @@
 func (p *greedyDispatchers) check() {
 	p.t.Helper()
 	if p.worst > 1 || p.worst < 0.05 {
-		p.t.Errorf("%d dispatchers, %v slots: the cold worker got %.2f times what it bears", len(p.rigs), p.slots, p.worst)
+		p.t.Errorf("%d dispatchers, %v slots: the warming worker got %.2f times its allowed load, want 0.05 to 1",
+			len(p.rigs), p.slots, p.worst)
 	}
 }
 
-// After a time in which most turns went by unused, as each had one job for many, all have jobs and
-// come to use theirs at once.
+// After a time in which most turns were unused, as each dispatcher had few jobs for many warming workers, all
+// dispatchers have jobs and use their turns at once.
 func TestTurnsUsedAtOnceAfterIdleTime(t *testing.T) {
 	var before []WorkerInfo
 	for i := range 120 {
@@ -180,7 +188,7 @@
 	}
 }
 
-// After a mix of jobs only long ones wait: they count for what they need.
+// After a mix of jobs only long ones are queued. Each must be charged to the budget by its own work, not by the mean.
 func TestTurnsOfLongJobs(t *testing.T) {
 	for _, n := range []int{30, 300} {
 		for _, slots := range []float64{2, 5, 16} {
@@ -197,8 +205,8 @@
 	}
 }
 
-// A process that yields to a newer one of its dispatcher gets next to no budget: it sends nothing to warming
-// workers, whoever has the first turn.
+// With a budget near 0, as a process has that is being replaced by a newer one of the same dispatcher, nothing is sent
+// to warming workers, whichever dispatcher has the first turn.
 func TestTinySlowStartBudgetSendsNothing(t *testing.T) {
 	for _, n := range []int{1, 3, 30} {
 		p := newGreedyDispatchers(t, n, 5, 101)
@@ -210,12 +218,13 @@
 		p.run(p.cold.StartedAt, 0, nil)
 		p.list(p.cold)
 		if p.run(108, 2, nil); p.worst > 0 {
-			t.Errorf("%d dispatchers: %.2f of what the cold worker bears, want none", n, p.worst)
+			t.Errorf("%d dispatchers: the warming worker got %.2f times its allowed load, want 0", n, p.worst)
 		}
 	}
 }
 
-// A process that starts anew does not know what the one before it sent.
+// A restarted dispatcher does not know what its former process sent to a warming worker, so it must send less at
+// first.
 func TestNewProcessesLimitLoadOnWarmingWorkers(t *testing.T) {
 	for _, n := range []int{3, 30} {
 		p := newGreedyDispatchers(t, n, 24, 101)
--- a/balance/slowstartsim_test.go
+++ b/balance/slowstartsim_test.go
@@ -7,37 +7,38 @@
 	"testing"
 )
 
-// overloadRatio is how much of what may go to a warming worker in a span has gone there: at most 1.
+// overloadRatio returns the load of a warming worker relative to the allowed load plus what chance explains. More
+// than 1 is an overload.
 func overloadRatio(got, allowed float64) float64 { return got / (allowed + 2*math.Sqrt(allowed) + 2) }
 
-// warmUpFleet is many dispatchers before workers of which some are away at first and come back warming up,
-// while all others are full.
+// warmUpFleet describes a simulation of dispatchers and workers. Some workers are missing at first and then start
+// warming up while all others are full.
 type warmUpFleet struct {
 	dispatchers         int
 	warm, cold          int     // workers
-	slots               float64 // of each
-	work                float64 // work of a job
-	load                float64 // part of what all can do
-	workDeviation       float64 // of a job's own work in its class: standard deviation over mean
-	wideJobs            bool    // some jobs take two slots, some four
-	shortObjectives     bool    // classes aim at less than they take
-	noReports           bool    // no report of load comes, and nobody may ask
-	reportsWithAnswers  bool    // reports come with answers, too
-	firstDispatcherLoad float64 // the first dispatcher has so many times the mean traffic; 0: as all
-	listDelay           float64 // lists come up to so much later
-	restartInPlace      bool    // the warming ones were there, warm, and started anew
-	dispatcherRestarts  float64 // part of the dispatchers that start anew after the warming ones did
-	oneHangs            bool    // one of the warming ones hangs
-	hedging             bool    // a second attempt of a job may be out at once
-	oneRejects          bool    // one of the warming ones rejects all
-	indexChanges        bool    // the dispatchers get other numbers after the warming ones start
-	reportNoise         float64 // of the reports' figures: standard deviation over value
-	uncordon            bool    // operators cordon the warming ones, and take them back when they start
+	slots               float64 // of each worker
+	work                float64 // mean work of a job, in slots times seconds
+	load                float64 // offered load relative to the capacity of all workers
+	workDeviation       float64 // standard deviation over mean of a job's work within its class
+	wideJobs            bool    // some jobs take 2 slots, some 4
+	shortObjectives     bool    // latency objectives are shorter than run times
+	noReports           bool    // there are neither load reports nor health checks
+	reportsWithAnswers  bool    // load reports also come with answers
+	firstDispatcherLoad float64 // additional traffic of the first dispatcher, relative to the mean; 0: none
+	listDelay           float64 // longest additional delay of the endpoint list, in seconds
+	restartInPlace      bool    // the warming workers existed before and restart
+	dispatcherRestarts  float64 // part of the dispatchers that restart after the warming workers started
+	oneHangs            bool    // one of the warming workers hangs
+	hedging             bool    // two attempts of a job may be in flight at once
+	oneRejects          bool    // one of the warming workers rejects all jobs
+	indexChanges        bool    // the dispatchers get other indexes after the warming workers start
+	reportNoise         float64 // standard deviation over value of the reported free slots
+	uncordon            bool    // operators cordon the warming workers and uncordon them when they start
 }
 
 const (
-	simBegin, simWarmUpStart                = 102.0, 106.0 // when the dispatchers begin, and when the warming ones start
-	rampFloor, rampSeconds                  = 0.3, 6.0     // the worst growth that the settings allow
+	simBegin, simWarmUpStart                = 102.0, 106.0 // start of the dispatchers and of the warming workers
+	rampFloor, rampSeconds                  = 0.3, 6.0     // least capacity at the start, and time until full capacity
 	simOverloadMultiple, simOverloadSeconds = 3.0, 3.0
 	simTick                                 = 0.02
 )
@@ -67,8 +68,9 @@
 	id                      string
 }
 
-// run returns how far the worst of the warming workers went, and how many calls they got.
-func (f warmUpFleet) run(t *testing.T, seed uint64, ramp bool) (worst float64, calls int) {
+// run simulates the fleet. It returns the highest overload ratio of a warming worker and the number of sends to warming
+// workers.
+func (f warmUpFleet) run(t *testing.T, seed uint64, ramp bool) (worst float64, sends int) {
 	s := newSlowStartSim(t, f, seed, ramp)
 	s.schedule()
 	for ; s.step < len(s.scheduled); s.step++ {
@@ -80,13 +82,13 @@
 		s.stepDispatchers()
 	}
 	for _, w := range s.workers[f.warm:] {
-		calls += len(w.received)
+		sends += len(w.received)
 		worst = max(worst, s.worstLoad(w))
 	}
-	return worst, calls
+	return worst, sends
 }
 
-// size is the slots of the mean job.
+// size returns the mean slots of a job.
 func (f warmUpFleet) size() float64 {
 	if f.wideJobs {
 		return 0.6*1 + 0.25*2 + 0.15*4
@@ -94,10 +96,10 @@
 	return 1
 }
 
-// rate is the jobs per second that all workers together can do.
+// rate returns the jobs per second that all workers together can serve.
 func (f warmUpFleet) rate() float64 { return f.slots * float64(f.warm+f.cold) / (f.work * f.size()) }
 
-// classWork is the mean work of each class; they have half, three and two tenths of the jobs.
+// classWork returns the mean work of each class. The classes have 0.5, 0.3 and 0.2 of the jobs.
 func (f warmUpFleet) classWork() []float64 { return []float64{0.4 * f.work, 2 * f.work, f.work} }
 
 func (f warmUpFleet) config(ramp bool) Config {
@@ -130,7 +132,7 @@
 	return cfg
 }
 
-// slowStartSim is one run of a warmUpFleet.
+// slowStartSim is the state of one run of a warmUpFleet.
 type slowStartSim struct {
 	warmUpFleet
 	t    *testing.T
@@ -140,14 +142,14 @@
 
 	now       float64
 	step      int
-	scheduled [][]func() // by step
-	nextJob   float64    // when the next one arrives
+	scheduled [][]func() // actions by step
+	nextJob   float64    // when the next job arrives
 
 	workers   []*simWorker
 	byID      map[string]*simWorker
 	balancers []*Balancer
 	events    [][]Event // by dispatcher
-	informed  []bool    // by dispatcher: it has the list with the warming workers
+	informed  []bool    // by dispatcher: whether it knows the start of the warming workers
 	jobs      map[string]*simAttempt
 	attempts  map[string][]*simAttempt
 }
@@ -178,14 +180,14 @@
 	return s
 }
 
-// after has something done after a time, in a later step.
+// after schedules a call after a time, in a later step. Calls after the end of the run are dropped.
 func (s *slowStartSim) after(wait float64, do func()) {
 	if i := s.step + max(1, int(math.Ceil(wait/simTick))); i < len(s.scheduled) {
 		s.scheduled[i] = append(s.scheduled[i], do)
 	}
 }
 
-// schedule starts the dispatchers and schedules what befalls them and the workers.
+// schedule starts the dispatchers and schedules the events of dispatchers and workers.
 func (s *slowStartSim) schedule() {
 	untilStart := simWarmUpStart - simBegin
 	for d := range s.balancers {
@@ -222,12 +224,12 @@
 	}
 }
 
-// startDispatcher starts a process of a dispatcher.
-func (s *slowStartSim) startDispatcher(d int, life uint64) {
+// startDispatcher starts a process of a dispatcher. The process number is part of its seed.
+func (s *slowStartSim) startDispatcher(d int, process uint64) {
 	c := s.cfg
 	c.Index = d
 	c.Zone = fmt.Sprint("z", d%3)
-	b, err := New(c, s.seed<<20+life<<10+uint64(d))
+	b, err := New(c, s.seed<<20+process<<10+uint64(d))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -237,7 +239,7 @@
 
 func (s *slowStartSim) post(d int, e Event) { s.events[d] = append(s.events[d], e) }
 
-// list is the endpoint list, with the warming workers or without them.
+// list returns an update with the endpoint list, including the warming workers if all is set.
 func (s *slowStartSim) list(kind EndpointUpdateKind, all bool) EndpointUpdate {
 	u := EndpointUpdate{Kind: kind}
 	for i, w := range s.workers {
@@ -248,7 +250,7 @@
 	return u
 }
 
-// startWorkers starts the warming workers; what they had ends.
+// startWorkers starts the warming workers. Their former attempts end with ConnectionLost.
 func (s *slowStartSim) startWorkers() {
 	for i, w := range s.workers[s.warm:] {
 		for _, c := range w.queue {
@@ -263,7 +265,7 @@
 	}
 }
 
-// report is a worker's load report.
+// report returns a worker's load report.
 func (s *slowStartSim) report(w *simWorker) []float64 {
 	queued := 0.0
 	for _, c := range w.queue {
@@ -272,7 +274,7 @@
 	return []float64{max(0, w.usableSlots(s.now)-w.usedSlots) * math.Exp(s.reportNoise*s.rng.NormFloat64()), queued}
 }
 
-// reportWithAnswer is the report that comes with an answer, if any does.
+// reportWithAnswer returns the load report that comes with an answer, or nil if none does.
 func (s *slowStartSim) reportWithAnswer(w *simWorker) []float64 {
 	if s.reportsWithAnswers {
 		return s.report(w)
@@ -280,7 +282,7 @@
 	return nil
 }
 
-// serve starts what a worker has slots for.
+// serve starts queued attempts as long as the worker has free slots.
 func (s *slowStartSim) serve(w *simWorker) {
 	for len(w.queue) > 0 && !w.hangs && (w.usedSlots == 0 || w.usedSlots+w.queue[0].slots <= w.usableSlots(s.now)) {
 		c := w.queue[0]
@@ -296,7 +298,7 @@
 	c.reply(0, AttemptStarted{c.id, c.attempt})
 	started := w.StartedAt
 	s.after(c.work, func() {
-		if w.StartedAt != started { // it ended with its process
+		if w.StartedAt != started { // the attempt ended with its process
 			return
 		}
 		w.usedSlots -= c.slots
@@ -312,7 +314,7 @@
 	})
 }
 
-// replyTo posts events to a dispatcher as long as its process lives.
+// replyTo returns a function that posts an event to a dispatcher after a wait, unless the dispatcher has restarted.
 func (s *slowStartSim) replyTo(d int) func(wait float64, e Event) {
 	b := s.balancers[d]
 	return func(wait float64, e Event) {
@@ -324,7 +326,7 @@
 	}
 }
 
-// carryOut carries out an action of a dispatcher.
+// carryOut executes an action of a dispatcher.
 func (s *slowStartSim) carryOut(d int, a Action) {
 	back := s.replyTo(d)
 	switch a := a.(type) {
@@ -362,16 +364,16 @@
 	s.serve(w)
 }
 
-// addArrivals has the jobs of a step arrive at dispatchers.
+// addArrivals posts the jobs that arrive in a step to dispatchers.
 func (s *slowStartSim) addArrivals() {
 	sigma := math.Sqrt(math.Log(1 + s.workDeviation*s.workDeviation))
 	for ; s.nextJob < s.now; s.nextJob += s.rng.ExpFloat64() / (s.load * s.rate()) {
 		d := s.drawDispatcher()
 		class := s.drawClass()
 		slots := s.drawSlots()
-		own := min(8, math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2)) // nobody could expect a longer one
+		factor := min(8, math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2)) // no estimate could allow for longer jobs
 		id := fmt.Sprint("j", len(s.jobs))
-		s.jobs[id] = &simAttempt{id: id, slots: slots, work: own * s.classWork()[class]}
+		s.jobs[id] = &simAttempt{id: id, slots: slots, work: factor * s.classWork()[class]}
 		s.post(d, JobArrived{
 			ID:      id,
 			Class:   s.cfg.Classes[class].Name,
@@ -410,7 +412,7 @@
 	return 1
 }
 
-// stepDispatchers has each dispatcher take a step on what has happened.
+// stepDispatchers runs a step of each dispatcher that has events.
 func (s *slowStartSim) stepDispatchers() {
 	for d, b := range s.balancers {
 		events := s.events[d]
@@ -424,7 +426,7 @@
 	}
 }
 
-// worstLoad is how much of what may go to a worker within any span went there, at most, where most of it came from
+// worstLoad returns the highest overload ratio of a worker over all spans in which more than 2/3 of its load came from
 // dispatchers that knew of its start.
 func (s *slowStartSim) worstLoad(w *simWorker) (worst float64) {
 	first := 0
