--- a/balance/cordon_test.go
+++ b/balance/cordon_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// countUses are the sends and health checks that name a worker.
+// countUses returns the number of sends and health checks that name a worker.
 func countUses(acts []Action, w string) (n int) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -22,39 +22,41 @@
 	return n
 }
 
-// A worker that operators leave out gets nothing, whatever the list says, and
-// what runs there goes on. Its jobs that have to go again go elsewhere.
+// A cordoned worker gets no sends and no health checks, whatever the endpoint list says. Its running attempts are not
+// cancelled, and jobs that need a retry are sent to other workers.
 func TestCordonedGetsNothing(t *testing.T) {
 	r := newRig(t, base(), up("w", "v")...)
 	s := of[Send](r.step(r.job("read", "a"), r.report("w", 1)))
 	if len(s) != 1 || s[0].Worker != "w" {
-		t.Fatalf("sent %v", s)
+		t.Fatalf("got sends %v, want one to w", s)
 	}
 	r.step(Cordon{"w", true}, Cordon{"w", true})
 	if acts := r.at(101, r.report("w", 5), r.job("read", "a")); countUses(acts, "w") > 0 || len(of[Cancel](acts)) > 0 {
-		t.Errorf("%v though w is cordoned", acts)
+		t.Errorf("got actions %v, want no use of cordoned w and no Cancel", acts)
 	}
 	restarted := up("w")
 	restarted[0].StartedAt = 101
-	acts := r.at(102, EndpointUpdate{Kind: EndpointsDelta, Workers: restarted}, done(s[0], 0, ConnectionLost), r.report("v", 2))
+	acts := r.at(102, EndpointUpdate{Kind: EndpointsDelta, Workers: restarted}, done(s[0], 0, ConnectionLost),
+		r.report("v", 2))
 	if countUses(acts, "w") > 0 || len(of[Send](acts)) == 0 {
-		t.Errorf("%v: the list says active, but it is cordoned; its job goes elsewhere", acts)
+		t.Errorf("got actions %v, want no use of w, which is listed as running but cordoned, and its job sent to v", acts)
 	}
-	// Gone and back in the list, also under a whole one, it is still cordoned.
+	// After snapshots without it and with it again, the worker is still cordoned.
 	r.step(EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
 	acts = r.at(103, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.job("read", "a"))
 	if countUses(acts, "w") > 0 {
-		t.Errorf("%v after it left the list and came back", acts)
+		t.Errorf("got actions %v, want no use of cordoned w after it left the list and was listed again", acts)
 	}
-	// One that no list has named yet is cordoned when one does.
+	// A worker that is cordoned before any list names it is cordoned once it is listed.
 	r.step(Cordon{"x", true})
-	if acts := r.at(104, EndpointUpdate{Kind: EndpointsDelta, Workers: up("x")}, r.job("read", "a")); countUses(acts, "x") > 0 {
-		t.Errorf("%v: named first by operators, then by the list", acts)
+	if acts := r.at(104, EndpointUpdate{Kind: EndpointsDelta, Workers: up("x")},
+		r.job("read", "a")); countUses(acts, "x") > 0 {
+		t.Errorf("got actions %v, want no use of x, which was cordoned before it was listed", acts)
 	}
 }
 
-// Uncordoned once, however often it was cordoned, a worker warms up from then on, is checked before it is used,
-// and is the next to get a job, within its budget.
+// A worker that is uncordoned once, however often it was cordoned, warms up from then on and is checked before it is
+// used. A later start in the endpoint list counts as the start of its warm-up, and its listed state still applies.
 func TestUncordoned(t *testing.T) {
 	cfg := base()
 	cfg.SlowStartFloor, cfg.SlowStartSeconds, cfg.OverloadMultiple, cfg.OverloadSeconds = 0.5, 20, 3, 3
@@ -63,39 +65,40 @@
 	r.at(150, Cordon{"w", false})
 	w := r.b.workersByID["w"]
 	if r.b.capacityShare(w) != 0.5 {
-		t.Errorf("warm to %v right after it was called back", r.b.capacityShare(w))
+		t.Errorf("got capacity share %v right after the uncordon, want 0.5", r.b.capacityShare(w))
 	}
 	acts := r.at(150.1, r.job("read", "a"), r.report("v", 9))
-	probed := false
-	for _, p := range of[HealthCheck](acts) {
-		probed = probed || p.Worker == "w"
+	checked := false
+	for _, check := range of[HealthCheck](acts) {
+		checked = checked || check.Worker == "w"
 	}
 	for _, s := range of[Send](acts) {
 		if s.Worker == "w" {
-			t.Error("used before it was asked")
+			t.Error("job sent to w before its health check")
 		}
 	}
-	if !probed {
-		t.Errorf("%v: not asked for its report", acts)
+	if !checked {
+		t.Errorf("got actions %v, want a health check of w", acts)
 	}
-	// Where the list knows a start since the cordon, that one counts.
+	// If the list has a start after the cordon, that start counts.
 	r.at(200, Cordon{"v", true})
 	late := up("v")
 	late[0].StartedAt = 201
 	r.at(205, EndpointUpdate{Kind: EndpointsDelta, Workers: late})
 	r.at(210, Cordon{"v", false})
 	if got := r.b.capacityShare(r.b.workersByID["v"]); got < 0.7 || got > 0.75 {
-		t.Errorf("warm to %v, 9 of 20 s after its start", got)
+		t.Errorf("got capacity share %v 9 s after the start, with a warm-up of 20 s, want 0.7 to 0.75", got)
 	}
-	// One that the list calls draining is not used when operators take it back.
-	r.at(300, Cordon{"w", true}, EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: "w", Zone: "here", Kind: "k", State: Draining}}})
+	// A worker that is listed as draining is not used after an uncordon.
+	r.at(300, Cordon{"w", true}, EndpointUpdate{Kind: EndpointsDelta,
+		Workers: []WorkerInfo{{ID: "w", Zone: "here", Kind: "k", State: Draining}}})
 	if acts := r.at(301, Cordon{"w", false}, r.job("read", "a"), r.report("w", 3)); countUses(acts, "w") > 0 {
-		t.Errorf("%v to one that drains", acts)
+		t.Errorf("got actions %v, want no use of draining w", acts)
 	}
 }
 
-// While another has far more capacity, the next job goes to one that was uncordoned,
-// nearly always, and only that one.
+// The next job goes nearly always to a worker that was uncordoned, though another one has far more capacity. After
+// that job the worker is no longer preferred.
 func TestUncordonedWorkerGetsNextJob(t *testing.T) {
 	first := 0
 	for seed := range uint64(40) {
@@ -113,45 +116,45 @@
 			}
 		}
 		if first > 0 && r.b.workersByID["w"].uncordoned && r.b.workersByID["w"].busySlots > 0 {
-			t.Fatal("it stays preferred")
+			t.Fatal("uncordoned worker is still preferred after it got a job")
 		}
 	}
 	if first < 32 {
-		t.Errorf("next in %d of 40", first)
+		t.Errorf("uncordoned worker got the next job in %d of 40 runs, want 32 or more", first)
 	}
 }
 
-// One that the list has removed can be uncordoned: it is used when a list names it again.
+// A worker that was removed from the list can be uncordoned and is used once it is listed again.
 func TestUncordonedWhileRemoved(t *testing.T) {
 	r := newRig(t, base(), up("w", "v")...)
 	r.step(Cordon{"w", true}, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v")})
 	if acts := r.at(110, Cordon{"w", false}, r.job("read", "a"), r.report("v", 0)); countUses(acts, "w") > 0 {
-		t.Errorf("%v to one that is gone", acts)
+		t.Errorf("got actions %v, want no use of removed w", acts)
 	}
 	acts := r.at(120, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up("v", "w")}, r.job("read", "a"), r.report("w", 2))
 	if countUses(acts, "w") == 0 {
-		t.Errorf("%v: back in the list and in use, it gets nothing", acts)
+		t.Errorf("got actions %v, want a use of w, which is listed again and not cordoned", acts)
 	}
 }
 
-// Random operators, lists, jobs and ends: nothing is ever decided for a worker
-// that is cordoned, and one that is not in use for another reason is used again.
+// With random cordons, endpoint updates, jobs and outcomes, a cordoned worker never gets a send or a health check. Once
+// all workers are listed, uncordoned and answer again, all are used.
 func TestCordonAtRandom(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		ids := []string{"u", "v", "w"}
 		r := newRig(t, base(), up(ids...)...)
-		out, live := map[string]bool{}, []Send{}
-		tries := map[string]int{}
+		cordoned, live := map[string]bool{}, []Send{}
+		attempts := map[string]int{}
 		for range 400 {
 			var ev []Event
 			id := ids[rng.IntN(3)]
 			switch rng.IntN(8) {
 			case 0:
-				out[id] = true
+				cordoned[id] = true
 				ev = append(ev, Cordon{id, true})
 			case 1:
-				out[id] = false
+				cordoned[id] = false
 				ev = append(ev, Cordon{id, false})
 			case 2:
 				i := up(id)
@@ -164,27 +167,28 @@
 				if len(live) > 0 {
 					s := live[0]
 					live = live[1:]
-					ev = append(ev, done(s, tries[s.ID]-1, []Outcome{Served, Failed, ConnectionLost, Unreachable, Overloaded}[rng.IntN(5)]))
+					ev = append(ev, done(s, attempts[s.ID]-1,
+						[]Outcome{Served, Failed, ConnectionLost, Unreachable, Overloaded}[rng.IntN(5)]))
 				}
 			}
 			r.now += rng.Float64() * 0.2
 			for _, a := range r.step(ev...) {
 				switch a := a.(type) {
 				case Send:
-					if tries[a.ID]++; out[a.Worker] {
-						t.Fatalf("seed %d: sent to %s, which is cordoned", seed, a.Worker)
+					if attempts[a.ID]++; cordoned[a.Worker] {
+						t.Fatalf("seed %d: job sent to cordoned worker %s", seed, a.Worker)
 					}
 					live = append(live, a)
 				case HealthCheck:
-					if out[a.Worker] {
-						t.Fatalf("seed %d: %s was checked, which is cordoned", seed, a.Worker)
+					if cordoned[a.Worker] {
+						t.Fatalf("seed %d: health check sent to cordoned worker %s", seed, a.Worker)
 					}
 				}
 			}
 		}
-		// All is well again: every job that is out ends, and every health check is answered.
+		// From here on, every attempt is served and every health check is answered.
 		used := map[string]bool{}
-		play := func(acts []Action) {
+		answer := func(acts []Action) {
 			for len(acts) > 0 {
 				a := acts[0]
 				acts = acts[1:]
@@ -193,23 +197,23 @@
 					acts = append(acts, r.step(r.report(a.Worker, 3))...)
 				case Send:
 					used[a.Worker] = true
-					acts = append(acts, r.step(AttemptStarted{a.ID, tries[a.ID]}, done(a, tries[a.ID], Served))...)
-					tries[a.ID]++
+					acts = append(acts, r.step(AttemptStarted{a.ID, attempts[a.ID]}, done(a, attempts[a.ID], Served))...)
+					attempts[a.ID]++
 				}
 			}
 		}
 		for _, s := range live {
-			play(r.step(done(s, tries[s.ID]-1, Served)))
+			answer(r.step(done(s, attempts[s.ID]-1, Served)))
 		}
-		play(r.at(r.now+60, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up(ids...)}, Cordon{"u", false}, Cordon{"v", false},
-			Cordon{"w", false}, r.report("u", 3), r.report("v", 3), r.report("w", 3)))
+		answer(r.at(r.now+60, EndpointUpdate{Kind: EndpointsSnapshot, Workers: up(ids...)},
+			Cordon{"u", false}, Cordon{"v", false}, Cordon{"w", false}, r.report("u", 3), r.report("v", 3), r.report("w", 3)))
 		clear(used)
 		for range 400 {
 			r.now += 0.2
-			play(r.step(r.job("read", "b")))
+			answer(r.step(r.job("read", "b")))
 		}
 		if len(used) != 3 {
-			t.Fatalf("seed %d: only %v are used when all are back", seed, used)
+			t.Fatalf("seed %d: got jobs on workers %v only, want all three used", seed, used)
 		}
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// Found in a fleet of 80: nine in ten non-idempotent jobs of four slots were rejected unsent, though
-// a quarter of all workers had four slots free. A report of just enough capacity, asked for a
-// moment ago, was taken for older than it was, and counted for less.
+// A requested report of just enough capacity must suffice for a wide job. If it is assumed to be older than it is, the
+// estimate decays below the capacity that the job needs. With 80 dispatchers, nine in ten non-idempotent jobs of four
+// slots were then rejected unsent, though a quarter of all workers had four slots free.
 func TestRequestedReportHoldsForAWideJob(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.Tenants[0].Quota = 80, 4000
 	r := newRig(t, cfg, up("full", "room")...)
-	for range 8 { // jobs are short, and its zone has little capacity as a rule
+	for range 8 { // jobs are short, and the zone usually has little capacity
 		r.at(r.now+1, r.report("full", 1), r.report("room", 0))
 		for _, s := range of[Send](r.step(r.job("read", "a"))) {
 			r.step(AttemptStarted{s.ID, 0})
@@ -25,11 +25,12 @@
 	r.at(r.now+1, wide)
 	sent := of[Send](r.at(r.now+0.01, r.report("full", 1), r.report("room", 4)))
 	if len(sent) != 1 || sent[0].Worker != "room" {
-		t.Errorf("a worker that has just told of four free slots gets %v, want the job of four", sent)
+		t.Errorf("got sends %v to a worker that has just reported four free slots, want the job of four slots", sent)
 	}
 }
 
-// A report that comes unasked, with an answer, is as old as before.
+// An unrequested report, which comes with an answer, is assumed to be reportAgeSeconds old or more; a requested one
+// requestedReportAgeSeconds.
 func TestUnrequestedReportIsOlder(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers = 80
@@ -37,48 +38,50 @@
 	s := of[Send](r.step(r.report("w", 1), r.job("read", "a")))[0]
 	r.at(r.now+1, AttemptDone{ID: s.ID, Outcome: Served, Report: []float64{4}})
 	if age := r.now - r.b.workersByID["w"].report.measuredAt; age < reportAgeSeconds {
-		t.Errorf("it is taken to be %.2f s old, want %.2f or more", age, reportAgeSeconds)
+		t.Errorf("unrequested report is assumed to be %.2f s old, want %.2f or more", age, reportAgeSeconds)
 	}
 	r.at(r.now+1, r.report("w", 3))
 	if age := r.now - r.b.workersByID["w"].report.measuredAt; age > requestedReportAgeSeconds+1e-9 {
-		t.Errorf("one that was asked for is taken to be %.2f s old, want %.2f", age, requestedReportAgeSeconds)
+		t.Errorf("requested report is assumed to be %.2f s old, want %.2f at most", age, requestedReportAgeSeconds)
 	}
 }
 
-// Found in a fleet of 80: a wide job asked three workers, and as full ones counted as known, no more.
+// Further workers are checked for a wide job until one has capacity. If full workers with a recent report counted as
+// found, a wide job among 80 dispatchers would have three workers checked and then no more.
 func TestHealthChecksGoOnUntilWorkerHasCapacity(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.HealthCheckCost, cfg.Classes[2].WorkerKind = 80, 4000, 0.001, "k"
 	r := newRig(t, cfg, fleet(30)...)
 	j := r.job("write", "a")
 	j.Slots = 4
-	asked, last := 0, ""
+	checks, free := 0, ""
 	r.step(j)
 	r.b.healthCheckBudget = 1
 	ev := []Event{TimerFired{}}
 	for range 30 {
 		acts := r.at(r.now+0.005, ev...)
 		if sent := of[Send](acts); len(sent) > 0 {
-			if sent[0].Worker != last {
-				t.Errorf("sent to %s, want %s, which alone has room", sent[0].Worker, last)
+			if sent[0].Worker != free {
+				t.Errorf("job sent to %s, want %s, the only worker with capacity", sent[0].Worker, free)
 			}
 			return
 		}
 		ev = nil
-		for _, p := range of[HealthCheck](acts) {
-			free := 1.0
-			if asked++; asked == 12 {
-				free, last = 5, p.Worker
+		for _, check := range of[HealthCheck](acts) {
+			slots := 1.0
+			if checks++; checks == 12 {
+				slots, free = 5, check.Worker
 			}
-			ev = append(ev, r.report(p.Worker, free))
+			ev = append(ev, r.report(check.Worker, slots))
 		}
 		ev = append(ev, TimerFired{})
 	}
-	t.Errorf("not sent after %d questions, though the twelfth worker has room", asked)
+	t.Errorf("job not sent after %d health checks, though the twelfth worker has capacity", checks)
 }
 
-// Found in a fleet of 80: a dispatcher with more than its allotment of the traffic held jobs back until
-// the fleet had more than a free slot for each worker, which it hardly ever has.
+// Surplus is sent where workers have one free slot each on average. If a dispatcher with more than its allotment of the
+// traffic kept its jobs until there is more than one free slot for each worker, surplus would hardly ever be sent; this
+// was so with 80 dispatchers.
 func TestSurplusUsesOneFreeSlotPerWorker(t *testing.T) {
 	for _, c := range []struct {
 		free float64
@@ -95,31 +98,30 @@
 			}
 		}
 		tenant := r.b.tenantsByName["a"]
-		tenant.tokens, tenant.refilledAt, tenant.localTag = 0, r.now, r.now+100 // it had its allotment
+		tenant.tokens, tenant.refilledAt, tenant.localTag = 0, r.now, r.now+100 // the allotment is used up
 		if got := of[Send](r.step(append(ev, r.job("read", "a"))...)); len(got) != c.want {
-			t.Errorf("%v free slots a worker: %d surplus jobs sent, want %d", c.free, len(got), c.want)
+			t.Errorf("%v free slots for each worker: got %d surplus jobs sent, want %d", c.free, len(got), c.want)
 		}
 	}
 }
 
-// Found by an experiment on usage counters, five dispatchers before a fleet that is short: once surplus
-// left at half of the free capacity it left by global tags, so that tenants with reservations of 30
-// and 40 got the same. Each has to get what is there in proportion, and who was there alone
-// must not pay for it when another comes.
+// Under overload, tenants get capacity in proportion to their reservations, and a tenant that was alone for a time is
+// not at a disadvantage when another one returns. If surplus is sent by global tags as soon as half of the capacity is
+// free, tenants with reservations of 30 and 40 get the same (measured with five dispatchers on too few workers).
 func TestSurplusKeepsReservationProportion(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers = 5
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 20, Weight: 1}, {Name: "b", Quota: 40, Weight: 1}}
 	r := newRig(t, cfg, fleet(8)...)
-	tries, out := map[string]int{}, []Send{}
-	// play has these tenants ask for more than there is and returns how many of each were sent.
-	play := func(seconds float64, tenants ...string) map[string]float64 {
+	attempts, inFlight := map[string]int{}, []Send{}
+	// run has the given tenants offer more jobs than there is capacity for and returns the number of sends of each.
+	run := func(seconds float64, tenants ...string) map[string]float64 {
 		sent := map[string]float64{}
 		for end := r.now + seconds; r.now < end; r.now += 0.16 {
 			var ev []Event
-			for _, s := range out {
-				ev = append(ev, done(s, tries[s.ID], Served))
-				tries[s.ID]++
+			for _, s := range inFlight {
+				ev = append(ev, done(s, attempts[s.ID], Served))
+				attempts[s.ID]++
 			}
 			for _, w := range r.b.workers {
 				ev = append(ev, r.report(w.ID, 1))
@@ -129,30 +131,32 @@
 					ev = append(ev, r.job("write", name))
 				}
 			}
-			out = of[Send](r.step(ev...))
-			for _, s := range out {
+			inFlight = of[Send](r.step(ev...))
+			for _, s := range inFlight {
 				sent[s.ID[:1]]++
 			}
 		}
 		return sent
 	}
-	play(10, "a", "b")
-	long := play(40, "a", "b")
+	run(10, "a", "b")
+	long := run(40, "a", "b")
 	if x := long["b"] / long["a"]; long["a"]+long["b"] < 40*1.55*(4+8) || x < 1.9 || x > 2.1 {
-		t.Errorf("sent %v, more than their buckets fill: b %.2f times as many, want twice", long, x)
+		t.Errorf("got sends %v, b %.2f times as many as a, want 1.9 to 2.1 times and more in all than the buckets refill",
+			long, x)
 	}
-	play(60, "a")
-	if short := play(4, "a", "b"); short["b"] > 2.5*short["a"] {
-		t.Errorf("sent %v after a was alone: it pays for that", short)
+	run(60, "a")
+	if short := run(4, "a", "b"); short["b"] > 2.5*short["a"] {
+		t.Errorf("got sends %v after a was alone, want at most 2.5 times as many of b as of a", short)
 	}
 }
 
-// Found in a fleet of 80: sixty workers of which nothing was heard of late, each counted for its
-// zone's mean, got nine in ten jobs, though three had just reported capacity.
+// Workers that have just reported capacity must get many of the jobs. If workers without a recent report, which are
+// estimated at their zone's mean, had the same weight, sixty of them would get nine in ten jobs (with 80 dispatchers),
+// though three others have just reported capacity.
 func TestSelectionPrefersFreshReports(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.Tenants[0].Quota, cfg.Classes[2].WorkerKind = 80, 4000, "k"
-	told, n := 0, 0
+	fresh, n := 0, 0
 	for i := range 200 {
 		cfg.Index = i % 80
 		r := newRig(t, cfg, fleet(60)...)
@@ -165,17 +169,18 @@
 		}
 		for _, s := range of[Send](r.step(r.job("read", "a"))) {
 			if n++; r.b.workersByID[s.Worker].report.receivedAt == r.now {
-				told++
+				fresh++
 			}
 		}
 	}
-	if n < 100 || told < n/3 {
-		t.Errorf("%d of %d jobs went to workers that have just told of room, want a third", told, n)
+	if n < 100 || fresh < n/3 {
+		t.Errorf("%d of %d jobs sent to workers that have just reported capacity, want a third of 100 jobs or more",
+			fresh, n)
 	}
 }
 
-// Most of a fleet starts at once on an old cached list while discovery rejects callers. All serve from
-// the list, and their calls spread: they don't come again in step.
+// When many dispatchers start at once on an old cached list while discovery rejects callers, all send jobs by the
+// cached list, and their polls must be spread rather than repeated together.
 func TestManyDispatchersSpreadPolls(t *testing.T) {
 	cfg := base()
 	cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval, cfg.Tenants[0].Quota = 80, true, 10, 4000
@@ -190,9 +195,9 @@
 		r.step(EndpointUpdate{Kind: EndpointsCached, Workers: fleet(20)})
 		rigs = append(rigs, r)
 	}
-	calls, worst, later, sent := make([]int, 2000), 0, 0, 0 // by tenth of a second
+	polls, worst, later, sent := make([]int, 2000), 0, 0, 0 // polls by tenth of a second
 	slowest := 0.0
-	for tick := range len(calls) {
+	for tick := range len(polls) {
 		now := 100 + 0.1*float64(tick+1)
 		for _, r := range rigs {
 			var ev []Event
@@ -203,12 +208,12 @@
 			for len(acts) > 0 {
 				sent += len(of[Send](acts))
 				var answers []Event
-				for _, p := range of[HealthCheck](acts) {
-					answers = append(answers, r.report(p.Worker, 3))
+				for _, check := range of[HealthCheck](acts) {
+					answers = append(answers, r.report(check.Worker, 3))
 				}
 				if n := len(of[Subscribe](acts)); n > 0 {
-					calls[tick] += n
-					if now < 130 { // then discovery bears calls again
+					polls[tick] += n
+					if now < 130 { // from then on discovery accepts callers again
 						answers = append(answers, EndpointUpdate{Kind: EndpointsFailed})
 					} else {
 						answers = append(answers, EndpointUpdate{Kind: EndpointsSnapshot, Workers: fleet(20)})
@@ -226,7 +231,7 @@
 		}
 		if second := tick - 9; second >= 0 {
 			sum := 0
-			for _, n := range calls[second : tick+1] {
+			for _, n := range polls[second : tick+1] {
 				sum += n
 			}
 			if worst = max(worst, sum); now > 110 && now < 130 {
@@ -235,93 +240,96 @@
 		}
 	}
 	total := 0
-	for _, n := range calls {
+	for _, n := range polls {
 		total += n
 	}
-	t.Logf("%d calls, %d in the worst second, %d once it lasts; %d of 80 jobs sent", total, worst, later, sent)
-	// They ask each 1.8 to 2.8 s, since the list must be had again 6 s after discovery is back, and 3 of
-	// these are for the call: some 35 a second, with what chance puts together.
+	t.Logf("%d polls, %d in the worst second, %d in the worst second from 10 s on; %d of 80 jobs sent",
+		total, worst, later, sent)
+	// Each dispatcher polls every 1.8 to 2.8 s, as it must have the list 6 s after discovery is back and a poll may take
+	// 3 s. That is about 35 polls per second, and up to 50 by chance.
 	if worst > 80 || later > 50 || sent != 80 {
-		t.Errorf("%d calls in the worst second and %d once it lasts, want one a dispatcher at most and 50; %d of 80 jobs sent", worst, later, sent)
+		t.Errorf("got %d polls in the worst second and %d from 10 s on, want 80 and 50 at most; %d of 80 jobs sent",
+			worst, later, sent)
 	}
 	if slowest > 2.9 {
-		t.Errorf("a dispatcher has no list until %.1f s after discovery is back", slowest)
+		t.Errorf("a dispatcher is not subscribed until %.1f s after discovery is back, want 2.9 at most", slowest)
 	}
 }
 
-// A crowd spreads its calls, also behind a reset under all at once, as far as what binds 6 s after leaves time; a lone
-// dispatcher asks at once. Who waited in vain for its turn leaves the endpoint list time, so that a call which waits as long again is
-// answered 6 s after the last one ended.
+// Many dispatchers spread their polls, also after all subscriptions ended at once, as far as possible if a change is to
+// apply within 6 s. A single dispatcher polls at once. A dispatcher whose poll was queued and failed waits longer, but
+// a poll that is queued as long again is still answered within 6 s of the end of the last one.
 func TestPollDelay(t *testing.T) {
 	for _, c := range []struct {
 		last             EndpointUpdateKind
 		ago              float64
-		fails, crowd     int
-		least, most, sum float64 // sum: the wait and a call of 3.1 s, or as long as the one that waited in vain
+		fails, count     int
+		least, most, sum float64 // sum: most with the next poll of 3.1 s or as long as a queued one; 0: no limit
 	}{
 		{EndpointsUnsubscribed, 1e9, 0, 1, 0, 0, 3.1},
 		{EndpointsUnsubscribed, 1e9, 0, 5, 0, 0.072, 5.9},
 		{EndpointsUnsubscribed, 1e9, 0, 300, 0, 1.4, 5.9},
-		{EndpointsUnsubscribed, 0.1, 0, 300, 1.6, 2.6, 5.9}, // told something and was reset at once: not for ever again
-		{EndpointsFailed, 1e9, 0, 300, 0, 0.15, 0},          // silence has taken its time
-		{EndpointsFailed, 2, 0, 300, 0, 0.15, 0},            // so has a watch that was young
+		{EndpointsUnsubscribed, 0.1, 0, 300, 1.6, 2.6, 5.9}, // ended at once after an update: no rapid repetition
+		{EndpointsFailed, 1e9, 0, 300, 0, 0.15, 0},          // the last poll was long ago
+		{EndpointsFailed, 2, 0, 300, 0, 0.15, 0},            // the same after a short subscription
 		{EndpointsFailed, 0, 1, 300, 1.8, 2.8, 5.9},
-		{EndpointsFailed, 1.25, 3, 300, 0.04, 0.3, 0}, // a dial that hangs
+		{EndpointsFailed, 1.25, 3, 300, 0.04, 0.3, 0}, // connecting hung
 		{EndpointsFailed, 1.6, 1, 300, 1.43, 4.3, 5.9},
 		{EndpointsFailed, 2, 1, 300, 1.3, 3.9, 5.9},
 		{EndpointsFailed, 2, 9, 300, 1.3, 3.9, 5.9},
 		{EndpointsFailed, 2.8, 1, 300, 1.03, 3.1, 5.9},
 		{EndpointsFailed, 3.1, 1, 300, 0, 0.15, 0},
-		{EndpointsFailed, 3.1, 9, 300, 0, 0.15, 0}, // nobody answered: it may be a link that was cut
+		{EndpointsFailed, 3.1, 9, 300, 0, 0.15, 0}, // no answer: the link may be broken
 	} {
 		least, most := math.Inf(1), 0.0
 		for i := range 101 {
-			wait := PollDelay(c.last, c.ago, c.fails, c.crowd, float64(i)/100)
-			least, most = min(least, wait), max(most, wait)
+			delay := PollDelay(c.last, c.ago, c.fails, c.count, float64(i)/100)
+			least, most = min(least, delay), max(most, delay)
 		}
 		next := 3.1
 		if c.last == EndpointsFailed && c.ago > 1.5 {
 			next = c.ago
 		}
 		if math.Abs(least-c.least) > 0.01 || most > c.most+0.01 || most < 0.9*c.most || c.sum > 0 && most+next > c.sum+0.01 {
-			t.Errorf("%s after %.2f s, behind %d, of %d: %.2f to %.2f s, want %.2f to %.2f; %.2f s with the call", c.last, c.ago, c.fails, c.crowd, least, most, c.least, c.most, most+next)
+			t.Errorf("%s after %.2f s, %d failures, %d dispatchers: delay %.2f to %.2f s, want %.2f to %.2f; %.2f s with poll",
+				c.last, c.ago, c.fails, c.count, least, most, c.least, c.most, most+next)
 		}
 	}
 }
 
-// Whenever the endpoint list can be reached again after calls that failed, each as late as it liked, the next call
-// is made so soon that one of 3.1 s is answered 6 s after; so too at a start on an old cached list. However long
-// the settings allow between calls. One that was rejected after a wait for its turn is let wait no longer the next time.
+// After polls that failed early or late, and after a start on an old cached list, the next poll is made early enough
+// that it is answered within 6 s of the end of the last one even if it takes 3.1 s, or as long as a queued poll that
+// failed. This holds for any PollInterval.
 func TestNextPollIsInTime(t *testing.T) {
-	for _, every := range []float64{1, 6, 10, 300} {
+	for _, interval := range []float64{1, 6, 10, 300} {
 		for seed := range uint64(1000) {
 			cfg := base()
-			cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval = 300, true, every
+			cfg.Dispatchers, cfg.PollEndpoints, cfg.PollInterval = 300, true, interval
 			b, err := New(cfg, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := &rig{t: t, b: b, now: 100}
-			chance := rand.New(rand.NewPCG(seed, 3))
+			rng := rand.New(rand.NewPCG(seed, 3))
 			r.step(EndpointUpdate{Kind: EndpointsCached, Workers: up("w")})
-			free, calls, within := r.now, 0, 2.81 // since when no call is out, and how soon the next is to be
+			endedAt, polls, limit := r.now, 0, 2.81 // end of the last poll, number of polls, longest wait for the next
 			for r.now < 130 {
-				if r.now+0.01 > free+within {
-					t.Fatalf("asked every %v s, seed %d: no call %.2f s after the last one ended", every, seed, r.now-free)
+				if r.now+0.01 > endedAt+limit {
+					t.Fatalf("PollInterval %v s, seed %d: no poll %.2f s after the last one ended", interval, seed, r.now-endedAt)
 				}
 				if len(of[Subscribe](r.at(r.now+0.01, TimerFired{}))) > 0 {
-					calls++
-					took := []float64{0, 0, chance.Float64(), 3.1, 1.5 + 1.6*chance.Float64()}[chance.IntN(5)]
+					polls++
+					took := []float64{0, 0, rng.Float64(), 3.1, 1.5 + 1.6*rng.Float64()}[rng.IntN(5)]
 					r.now += took
 					r.step(EndpointUpdate{Kind: EndpointsFailed})
-					if within = 2.81; took > 1.5 {
-						within = 5.91 - took
+					if limit = 2.81; took > 1.5 {
+						limit = 5.91 - took
 					}
-					free = r.now
+					endedAt = r.now
 				}
 			}
-			if calls > 30 {
-				t.Fatalf("asked every %v s, seed %d: %d calls in 30 s that all fail", every, seed, calls)
+			if polls > 30 {
+				t.Fatalf("PollInterval %v s, seed %d: got %d polls in 30 s that all fail, want 30 at most", interval, seed, polls)
 			}
 		}
 	}
--- a/balance/loadreport.go
+++ b/balance/loadreport.go
@@ -126,8 +126,8 @@
 	}
 	usedSlots, usedMemory := w.usageAt(r.measuredAt)
 	freshness := b.freshness(r.measuredAt)
-	usual := w.zoneFreeSlots.withPrior(1, freeSlotsPriorWeight)
-	slots = usual + (r.slots+max(0, usedSlots-w.busySlots)-usual)*freshness - max(0, w.busySlots-usedSlots)
+	zoneMean := w.zoneFreeSlots.withPrior(1, freeSlotsPriorWeight)
+	slots = zoneMean + (r.slots+max(0, usedSlots-w.busySlots)-zoneMean)*freshness - max(0, w.busySlots-usedSlots)
 	if w.takesTurns && b.capacityShare(w) < 1 && w.busySlots == 0 {
 		slots = max(slots, 1) // no other dispatcher sends to this worker now
 	}
--- a/balance/loadreport_test.go
+++ b/balance/loadreport_test.go
@@ -5,22 +5,23 @@
 	"testing"
 )
 
-// Workers that report nothing, or nothing of free slots, are all that some deployments have. Jobs of
-// several slots are served there like others: each worker is tried with one job that has not started
-// yet, however wide. They were never sent, as no worker was ever seen to have capacity for one; and where
-// reports came without free slots that was so for any job.
+// In some deployments workers send no load reports, or reports without free slots. Wide jobs must be sent there like
+// narrow ones: each worker gets one job of any width at a time until the job has started. If a worker without reports
+// counted for one slot only, wide jobs would never be sent; if a report without free slots counted for none, no job
+// would be.
 func TestJobsWithoutReports(t *testing.T) {
-	for name, fields := range map[string][]string{"none": nil, "other figures": {"", ""}, "only what waits": {FieldQueueLength}} {
+	for name, fields := range map[string][]string{
+		"none": nil, "other fields": {"", ""}, "queue length only": {FieldQueueLength}} {
 		for _, slots := range []float64{1, 4} {
 			t.Run(fmt.Sprintf("%s, %v slots", name, slots), func(t *testing.T) {
 				cfg := base()
 				cfg.ReportFields, cfg.HealthChecks, cfg.Dispatchers = fields, false, 3
 				r := newRig(t, cfg, up("v", "w")...)
 				for i := range 20 {
-					arrives := JobArrived{ID: fmt.Sprint("j", i), Class: "write", Tenant: "a", Timeout: 30, Slots: slots}
-					sent := of[Send](r.at(r.now+1, arrives))
+					arrival := JobArrived{ID: fmt.Sprint("j", i), Class: "write", Tenant: "a", Timeout: 30, Slots: slots}
+					sent := of[Send](r.at(r.now+1, arrival))
 					if len(sent) != 1 {
-						t.Fatalf("job %d: %d sends, want one", i, len(sent))
+						t.Fatalf("job %d: got %d sends, want 1", i, len(sent))
 					}
 					r.step(AttemptStarted{sent[0].ID, 0})
 					end := done(sent[0], 0, Served)
@@ -32,8 +33,9 @@
 	}
 }
 
-// A worker that turned jobs away is tried again, by wide jobs and by such that need memory too. More
-// caution than an estimate can ever show would be for good: nothing but a job that starts lessens it.
+// A worker that was overloaded is tried again, also with wide jobs and jobs that need memory. If more free slots were
+// required than an estimate can show, the worker would be excluded forever, as only a started job lowers the rejection
+// rate.
 func TestOverloadedWorkerIsRetriedWithoutReports(t *testing.T) {
 	for _, dispatchers := range []int{2, 3, 30} {
 		for _, j := range []JobArrived{{}, {Slots: 4}, {Slots: 2, Memory: 8}} {
@@ -45,7 +47,7 @@
 				sent := of[Send](r.step(j))
 				for k := range 3 {
 					if len(sent) != 1 {
-						t.Fatalf("send %d: %d, want one", k, len(sent))
+						t.Fatalf("attempt %d: got %d sends, want 1", k, len(sent))
 					}
 					sent = of[Send](r.step(done(sent[0], k, Overloaded)))
 					for end := r.now + 9; len(sent) == 0 && r.now < end; {
@@ -57,24 +59,25 @@
 	}
 }
 
-// Width makes no difference where none is ever shown: not to what surplus leaves free, nor to what is
-// moved from a worker that has not started it.
+// Without load reports the width of a job makes no difference to the free slots that surplus leaves, nor to the jobs
+// that are moved away from a worker because they have not started.
 func TestWidthIsIgnoredWithoutReports(t *testing.T) {
 	cfg := base()
 	cfg.ReportFields, cfg.HealthChecks, cfg.Dispatchers, cfg.Cancellation = nil, false, 4, true
 	cfg.Tenants = []Tenant{{Name: "a", Quota: 1}, {Name: "b", Quota: 1}}
 	surplus := func(slots float64) (sent int) {
 		r := newRig(t, cfg, up("q", "r", "s", "t", "u", "v", "w", "x")...)
-		var flood []Event
+		var arrivals []Event
 		for range 30 {
 			j := r.job("write", "a")
 			j.Slots = slots
-			flood = append(flood, j)
+			arrivals = append(arrivals, j)
 		}
-		return len(of[Send](r.step(flood...)))
+		return len(of[Send](r.step(arrivals...)))
 	}
 	if narrow, wide := surplus(1), surplus(4); narrow != wide || narrow == 0 || narrow == 8 {
-		t.Errorf("to eight workers %d surplus jobs of one slot and %d of four, want the same, and some room left", narrow, wide)
+		t.Errorf("got %d surplus jobs of one slot and %d of four slots sent to 8 workers, want the same number, 1 to 7",
+			narrow, wide)
 	}
 	moved := func(slots float64) int {
 		r := newRig(t, cfg, up("v", "w")...)
@@ -84,6 +87,6 @@
 		return len(of[Cancel](r.at(100.06, TimerFired{})))
 	}
 	if narrow, wide := moved(1), moved(4); narrow != 1 || wide != 1 {
-		t.Errorf("called off where they had not started: %d of one slot, %d of four, want one each", narrow, wide)
+		t.Errorf("got %d unstarted jobs of one slot and %d of four slots cancelled, want 1 each", narrow, wide)
 	}
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -85,13 +85,13 @@
 	if o == Failed && a.job.failedAttempts > 1 {
 		return
 	}
-	usual := b.failureRate.withPrior(0, 5)
+	fleetRate := b.failureRate.withPrior(0, 5)
 	w.failureRate.observe(1)
 	if !w.unverified {
 		b.failureRate.observe(1)
 	}
-	threshold := usual + failureDeviations*math.Sqrt(usual*(1-usual)*learningRate)
-	if w.unverified || w.failureRate.withPrior(usual, 2) > threshold {
+	threshold := fleetRate + failureDeviations*math.Sqrt(fleetRate*(1-fleetRate)*learningRate)
+	if w.unverified || w.failureRate.withPrior(fleetRate, 2) > threshold {
 		b.eject(w)
 		w.probationLeft = probationSuccesses
 	}
