--- a/balance/retry.go
+++ b/balance/retry.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// finishAttempt records the end of an attempt and then closes its job, queues it for a retry or rejects
-// it.
+// finishAttempt records the end of an attempt. A finished job is closed. An unfinished one without another
+// attempt in flight is queued for a retry, rejected or failed.
 func (b *Balancer) finishAttempt(e AttemptDone) {
 	a := b.findAttempt(e.ID, e.Attempt)
 	if a == nil {
--- a/balance/slowstartsim_test.go
+++ b/balance/slowstartsim_test.go
@@ -15,7 +15,7 @@
 // warming up while all others are full.
 type warmUpFleet struct {
 	dispatchers         int
-	warm, cold          int     // workers
+	warm, cold          int     // numbers of workers that are warm, and that start warming up
 	slots               float64 // of each worker
 	work                float64 // mean work of a job, in slots times seconds
 	load                float64 // offered load relative to the capacity of all workers
@@ -63,7 +63,7 @@
 type simAttempt struct {
 	sentAt, slots, work     float64
 	attempt                 int
-	fromInformed, cancelled bool
+	fromInformed, cancelled bool // fromInformed: the sender knew of the start of the warming workers
 	reply                   func(after float64, e Event)
 	id                      string
 }
