--- a/cmd/bellstream/errors_test.go
+++ b/cmd/bellstream/errors_test.go
@@ -30,7 +30,7 @@
 // said has each error type of the agreed parts, with a text.
 var said = map[string][]error{
 	"internal/cluster/config": {config.ValidationError{Key: `tenant "a".reservation`, Message: "why"}, config.ValidationErrors{{Key: "based_on", Message: "why"}},
-		&config.OutdatedError{Base: 3, Newest: 5, ForgottenUpTo: 4, Changes: []config.VersionChange{{Version: 5, ProposedBy: "n1", Keys: []string{"out"}}}},
+		&config.OutdatedError{Base: 3, Newest: 5, UnknownUpTo: 4, Changes: []config.VersionChange{{Version: 5, ProposedBy: "n1", Keys: []string{"out"}}}},
 		&config.MalformedError{Err: errWhy}, &config.UnsupportedFormatError{Version: 4, Err: errWhy}},
 	"internal/cluster/lease": {&lease.InvalidSettingError{Key: "accord.period", Reason: "why"}, &lease.ExpiredError{}, &lease.ExpiredError{ExpiredSeconds: 3},
 		&lease.StaleProposalError{Base: 3, Newest: 4, Changes: []lease.Change{{Version: 4, Proposer: "n1", Keys: []string{"out"}}}}, &lease.ProposalInProgressError{Proposer: "n1"},
--- a/internal/cluster/config/history.go
+++ b/internal/cluster/config/history.go
@@ -14,9 +14,9 @@
 
 // OutdatedError is returned for a proposal on a version that is not the newest.
 type OutdatedError struct {
-	Base, Newest  uint64
-	ForgottenUpTo uint64          // the last version whose changes are not known any more, 0 if all are
-	Changes       []VersionChange // since Base, as far as they are known
+	Base, Newest uint64
+	UnknownUpTo  uint64          // the last version whose changes are not known any more, 0 if all are
+	Changes      []VersionChange // since Base, as far as they are known
 }
 
 func (e *OutdatedError) Error() string {
@@ -27,8 +27,8 @@
 			"wait until it has received a later one, or correct rules.based_on")
 		return text.String()
 	}
-	if e.ForgottenUpTo > 0 {
-		fmt.Fprintf(&text, "; up to version %d it is not remembered who changed what", e.ForgottenUpTo)
+	if e.UnknownUpTo > 0 {
+		fmt.Fprintf(&text, "; up to version %d it is not remembered who changed what", e.UnknownUpTo)
 	}
 	for _, change := range e.Changes {
 		fmt.Fprintf(&text, "; version %d by %q changed %s", change.Version, change.ProposedBy, abbreviate(change.Keys))
@@ -49,7 +49,7 @@
 	}
 	outdated := &OutdatedError{Base: base, Newest: newest.Version}
 	if history[0].Version > base {
-		outdated.ForgottenUpTo = history[0].Version
+		outdated.UnknownUpTo = history[0].Version
 	}
 	for i, t := range history[1:] {
 		if t.Version <= base {
@@ -60,7 +60,7 @@
 			outdated.Changes = append(outdated.Changes, change)
 		}
 	}
-	if base < newest.Version && outdated.ForgottenUpTo == 0 && outdated.Changes == nil {
+	if base < newest.Version && outdated.UnknownUpTo == 0 && outdated.Changes == nil {
 		return nil
 	}
 	return outdated
