--- a/internal/cluster/lease/agent/agent.go
+++ b/internal/cluster/lease/agent/agent.go
@@ -1,13 +1,13 @@
 // Package agent runs an instance's part in the replicated configuration. It
-// holds the instance's lease, persists what a later process must know, proposes
-// the configuration of the operator's file and, on a voter, answers requests as
-// the leader. Package lease makes the decisions; this package adds sockets,
-// files and clocks.
+// renews the instance's lease, persists the state that a restarted process needs,
+// proposes the configuration of the operator's file and, on a voter, answers the
+// other instances' requests while it leads. Package lease makes the decisions;
+// this package adds sockets, files and clocks.
 //
-// There are two main goroutines. That of the consensus node owns the replicated
-// state and the leader's leases (voter.go). The agent's own owns the instance's
-// lease. The dispatcher's event loop reads what they publish and waits for
-// neither.
+// There are two main goroutines. The consensus node's goroutine owns the
+// replicated state and the leader's record of leases (voter.go). The agent's
+// goroutine owns the instance's lease. The dispatcher's event loop reads the state
+// that they publish and never waits for either of them.
 package agent
 
 import (
@@ -33,38 +33,38 @@
 	Name        string
 	Incarnation uint64 // unique to each process of the instance
 	Cluster     string
-	StateDir    string // directory of the files that later processes read
+	StateDir    string // directory of the files that a restarted process reads
 	// ListenAddress is where a voter listens. Connections are dialled from its IP address.
 	ListenAddress  string
-	Voters         map[string]string // addresses by name
+	Voters         map[string]string // addresses of the initial voters, by name
 	LeaseSettings  lease.Settings
 	ShardPlacement ShardPlacement
-	Migration      *Migration // nil if services do not change clusters
+	Migration      *Migration // nil if services do not migrate between clusters
 	// IgnoreLeases keeps the last configuration in effect without a lease, and advances stages
-	// without waiting. It is for experiments alone.
+	// without waiting. It is for experiments only.
 	IgnoreLeases bool
-	JournalPath  string // file that records what is in effect; empty for none
+	JournalPath  string // file that records the configuration in effect; empty: no journal
 	Log          zerolog.Logger
 	Now          func() time.Time // a monotonic clock
-	OnChange     func()           // called when another configuration is in effect; must not block
+	OnChange     func()           // called when another configuration has been leased; must not block
 }
 
-// Timing of proposals.
+// Intervals and timeouts of the consensus node and of proposals.
 const (
 	// TickInterval is the tick of the consensus node and of the leader's periodic work.
 	TickInterval = 50 * time.Millisecond
 	// ProposeTimeout is the timeout of a proposal.
 	ProposeTimeout = 5 * time.Second
-	// ProposalRetryDelay is the time before a proposal without an outcome is retried.
+	// ProposalRetryDelay is the time after which a proposal without an outcome is retried.
 	ProposalRetryDelay = time.Second
 )
 
 const (
 	inboxCapacity  = 64
-	logInterval    = 10 * time.Second // of warnings of one kind
+	logInterval    = 10 * time.Second // minimum time between two warnings of one kind
 	unlimitedLease = 1000 * time.Hour
-	// releaseTimeoutDelays is the timeout of a release in network delays: 100 ms by default, as SIGKILL may follow
-	// 150 ms after the longest drain.
+	// releaseTimeoutDelays is the timeout of a release, in multiples of the network delay. The result is 100 ms with
+	// the default settings, because SIGKILL may follow 150 ms after the longest drain.
 	releaseTimeoutDelays = 2.0
 	minTimerSeconds      = 0.001
 )
@@ -81,7 +81,7 @@
 
 	// Shared between goroutines.
 	effective    atomic.Pointer[effectiveState]
-	appliedTable atomic.Pointer[config.Table] // the one that the event loop applied last
+	appliedTable atomic.Pointer[config.Table] // the table that the event loop applied last
 	voters       atomic.Pointer[[]config.Voter]
 	lastVoter    atomic.Int32 // index of the voter that answered last
 	status       atomic.Pointer[Status]
@@ -96,8 +96,8 @@
 	holder           *lease.Holder
 	requestInFlight  bool
 	rejectedRequests uint64
-	fault            string          // of the latest lease request
-	history          []*config.Table // the latest versions, without gaps
+	fault            string          // error of the latest lease request; empty if none
+	history          []*config.Table // the newest versions, ascending and without gaps
 	proposal         proposalState
 	release          releaseState
 }
@@ -107,9 +107,9 @@
 	handle(a *Agent)
 }
 
-// New starts an agent. It does not wait for other instances. Its errors are
-// those of the lease settings, of the file in the state directory and of the
-// consensus node.
+// New starts an agent. It does not wait for other instances. It returns an error
+// if the lease settings are invalid, the lease file can't be read, the journal
+// can't be opened or the consensus node does not start.
 func New(o Options) (*Agent, error) {
 	if err := o.LeaseSettings.Validate(); err != nil {
 		return nil, err
@@ -173,8 +173,8 @@
 	return err
 }
 
-// setInitialVoters sets the voters of the options. Which one is asked first
-// depends on the process.
+// setInitialVoters stores the voters of the options. The incarnation selects the
+// voter that gets the first request, so that processes differ in their choice.
 func (a *Agent) setInitialVoters() {
 	voters := make([]config.Voter, 0, len(a.Voters))
 	for name, address := range a.Voters {
@@ -185,7 +185,7 @@
 	a.lastVoter.Store(int32(a.Incarnation % uint64(max(len(voters), 1))))
 }
 
-// elapsed returns the monotonic clock in seconds since the start.
+// elapsed returns the time since the start in seconds, by the monotonic clock.
 func (a *Agent) elapsed() float64 {
 	return a.Now().Sub(a.startTime).Seconds()
 }
@@ -201,7 +201,7 @@
 	}
 }
 
-// run is the agent's goroutine.
+// run is the loop of the agent's goroutine.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -222,8 +222,9 @@
 	}
 }
 
-// sendDue sends the lease request or the release that is due, and returns when
-// to look again. There is one request at a time.
+// sendDue sends the lease request or the release that is due, and returns the
+// time of the next check in seconds since the start. At most one lease request is
+// in flight.
 func (a *Agent) sendDue() (wakeAt float64) {
 	now := a.elapsed()
 	if a.requestInFlight {
@@ -241,7 +242,8 @@
 	return nextAt
 }
 
-// requestLease sends a request to one voter after the other.
+// requestLease sends a lease request to the leader and posts the outcome to the
+// agent's goroutine.
 func (a *Agent) requestLease(request lease.Request) {
 	response, err := a.callLeader(payloadLeaseRequest, request.Marshal(), a.LeaseSettings.RequestTimeoutSeconds())
 	if err != nil {
@@ -275,7 +277,7 @@
 	a.persistAndPublish()
 }
 
-// reportFault shows an error in the status, and logs it once in a while.
+// reportFault shows an error in the status, and logs it at most once per logInterval.
 func (a *Agent) reportFault(err error) {
 	a.fault = err.Error()
 	a.logLimiter.Do("lease", func(suppressed int) {
--- a/internal/cluster/lease/agent/client.go
+++ b/internal/cluster/lease/agent/client.go
@@ -9,11 +9,11 @@
 	"example.org/bellstream/internal/cluster/consensus"
 )
 
-// votersPerAttempt divides the rest of a timeout between the voter that is
-// asked and all that follow.
-const votersPerAttempt = 2
+// maxTimeoutDivisor is the largest divisor of the time that remains: an attempt
+// gets half of it, and the last attempt gets all of it.
+const maxTimeoutDivisor = 2
 
-// RejectedError is the leader's refusal of a request.
+// RejectedError is returned for a request that the leader rejected.
 type RejectedError struct {
 	Reason    string
 	Permanent bool // a retry would be rejected as well
@@ -33,7 +33,7 @@
 }
 
 // newDialer returns a function that dials from the IP address of listenAddress,
-// by which packet traces tell instances apart.
+// so that packet traces show which instance sent what.
 func newDialer(listenAddress string) func(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	if host, _, err := net.SplitHostPort(listenAddress); err == nil {
@@ -46,8 +46,9 @@
 	}
 }
 
-// callLeader sends a request to the leader, by way of any voter, and returns
-// the response's body.
+// callLeader sends a request to the leader, directly or through another voter,
+// and returns the body of the response. If the leader rejects the request, the
+// error is a *RejectedError.
 func (a *Agent) callLeader(kind payloadKind, body []byte, timeoutSeconds float64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, secondsToDuration(timeoutSeconds))
 	defer cancel()
@@ -63,16 +64,17 @@
 		return a.callVoters(ctx, payload)
 	}
 	response, err := a.voter.node.Request(ctx, payload)
-	// A voter without a leader may be partitioned from that alone: the others forward its requests.
+	// A voter that reaches no leader may be partitioned from the leader only. Other voters can still forward the
+	// request.
 	if _, noQuorum := errors.AsType[*consensus.NoQuorumError](err); noQuorum && ctx.Err() == nil {
 		return a.callVoters(ctx, payload)
 	}
 	return response, err
 }
 
-// isVoter reports whether this instance is a voter, or may become one by
-// itself. One that was removed or lost its file knows only the voters of that
-// time, and sends requests as a follower does.
+// isVoter reports whether this instance is a voter, or may become one without an
+// operator. A voter that was removed or lost its file only knows the voters of
+// that time, so it sends requests as a follower does.
 func (a *Agent) isVoter() bool {
 	if a.voter == nil || a.voter.retired.Load() {
 		return false
@@ -85,7 +87,8 @@
 }
 
 // callVoters sends a request to the other voters in turn until one answers. The
-// next request begins with that one, or with the second one if none answered.
+// next request starts with the voter that answered. If none did, it starts one
+// voter later in the list.
 func (a *Agent) callVoters(ctx context.Context, payload []byte) ([]byte, error) {
 	var addresses []string
 	for _, v := range *a.voters.Load() {
@@ -99,22 +102,23 @@
 	case err == nil:
 		a.lastVoter.Store(int32(answered))
 	case len(addresses) > 0 && a.ctx.Err() == nil:
-		// One that does not answer uses up the time that the others need where the network delay is long.
+		// With a long network delay, a first voter that does not answer uses up the time that the others need.
 		a.lastVoter.Store(int32((first + 1) % len(addresses)))
 	}
 	return response, err
 }
 
-// callAnyVoter sends a request to the voters in turn, from the index first on,
-// each for a part of the time, and returns the index of the one that answered.
+// callAnyVoter sends a request to the voters in turn, starting at index first,
+// until one answers, and returns that voter's index. Each attempt gets a part of
+// the time that remains until the deadline of ctx.
 func callAnyVoter(ctx context.Context, client *consensus.Client, addresses []string, first int,
 	payload []byte) (response []byte, answered int, err error) {
 	deadline, _ := ctx.Deadline()
 	err = &consensus.NoQuorumError{}
 	for n := range addresses {
 		answered = (first + n) % len(addresses)
-		remaining := min(len(addresses)-n, votersPerAttempt)
-		attempt, cancel := context.WithTimeout(ctx, time.Until(deadline)/time.Duration(remaining))
+		divisor := min(len(addresses)-n, maxTimeoutDivisor)
+		attempt, cancel := context.WithTimeout(ctx, time.Until(deadline)/time.Duration(divisor))
 		response, err = client.Request(attempt, addresses[answered], payload)
 		cancel()
 		if err == nil || ctx.Err() != nil {
--- a/internal/cluster/lease/agent/effective.go
+++ b/internal/cluster/lease/agent/effective.go
@@ -7,25 +7,25 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// effectiveState is what the event loop acts on. It is published as a whole and
-// immutable, but for the pointer to its predecessor, which is cut off when the
-// next one is published.
+// effectiveState holds the tables that the event loop acts on. It is immutable
+// once it is published. Its predecessor is a copy that has no predecessor itself,
+// so that older states are not kept.
 type effectiveState struct {
 	leasedTable    *config.Table // in effect until expiresAt; nil before the first lease
-	fallbackTable  *config.Table // in effect from then on
+	fallbackTable  *config.Table // in effect from expiresAt on
 	expiresAt      time.Time
 	revision       lease.Revision
 	inForceVersion uint64
 	previous       *effectiveState
 }
 
-// has reports whether a table is one of the state's.
+// has reports whether a table is the leased or the fallback table of the state.
 func (s *effectiveState) has(t *config.Table) bool {
 	return t == s.leasedTable || t == s.fallbackTable
 }
 
-// publishedWith returns the state in which a table was published, this one or
-// its predecessor: the event loop may have read that right before this one.
+// publishedWith returns the state that a table was published with: s or its
+// predecessor, which the event loop may have read right before s was published.
 func (s *effectiveState) publishedWith(t *config.Table) *effectiveState {
 	if s.previous != nil && !s.has(t) && s.previous.has(t) {
 		return s.previous
@@ -33,9 +33,10 @@
 	return s
 }
 
-// EffectiveConfig returns the configuration that is in effect at a time: by the
-// lease, or without one. It may be called from any goroutine, and is right
-// after the process was suspended as well.
+// EffectiveConfig returns the configuration in effect at a time: the leased one
+// until the lease expires, and the fallback from then on. Any goroutine may call
+// it. It compares times, so its result is also right after the process was
+// suspended.
 func (a *Agent) EffectiveConfig(at time.Time) *config.Table {
 	s := a.effective.Load()
 	if at.Before(s.expiresAt) {
@@ -44,8 +45,9 @@
 	return s.fallbackTable
 }
 
-// Acknowledge records that nothing of this instance acts on an earlier
-// configuration than t any more. It never blocks: the event loop calls it.
+// Acknowledge records that no part of this instance acts on a configuration
+// before t any more. It never waits for the agent's goroutine, as the event loop
+// calls it.
 func (a *Agent) Acknowledge(t *config.Table) {
 	a.journal.recordApplied(a.Now(), &a.effective, t)
 	a.appliedTable.Store(t)
@@ -55,8 +57,9 @@
 	}
 }
 
-// acknowledgeApplied passes the applied table on to the holder. An announced
-// version has the same table as the one before it, so it may be applied already.
+// acknowledgeApplied acknowledges the current revision to the holder if the event
+// loop has applied its table. While a version is only announced, the previous
+// table stays in effect, so the table may be applied already.
 func (a *Agent) acknowledgeApplied() {
 	s := a.effective.Load()
 	if s.leasedTable != nil && a.appliedTable.Load() == s.leasedTable {
@@ -64,12 +67,12 @@
 	}
 }
 
-// persistAndPublish makes the newest revision durable before the event loop
-// sees it.
+// persistAndPublish writes the newest revision to the lease file, then publishes
+// its configuration to the event loop.
 func (a *Agent) persistAndPublish() {
 	cluster, revision := a.holder.DurableState()
 	if err := a.leaseFile.save(cluster, revision); err != nil {
-		// The revision is not published, so nothing acts on it and the lease expires.
+		// Without publication nothing acts on the revision, and the published lease expires.
 		a.reportFault(err)
 		return
 	}
@@ -107,7 +110,7 @@
 	return s
 }
 
-// recordRevision follows the voters and versions of a new revision.
+// recordRevision stores the voters and versions of a new revision.
 func (a *Agent) recordRevision(effective lease.EffectiveConfig) {
 	a.recordVersions()
 	if len(effective.Table.Voters) > 0 {
@@ -116,7 +119,7 @@
 	a.Log.Info().
 		Uint64("version", effective.Revision.Version).
 		Stringer("stage", effective.Revision.Stage).
-		Msg("accord: the rules have advanced")
+		Msg("accord: rules advanced to a new stage")
 }
 
 // recordVersions appends the versions of a new view to the history.
@@ -136,7 +139,7 @@
 		return
 	}
 	if v.Number > a.newestKnown()+1 {
-		a.history = nil // the versions between are not known
+		a.history = nil // the versions in between are unknown
 	}
 	a.history = append(a.history, table)
 }
--- a/internal/cluster/lease/agent/journal.go
+++ b/internal/cluster/lease/agent/journal.go
@@ -15,8 +15,8 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// journal records what is in effect, and since when, for checkers outside the
-// process: a line for each change. A nil journal records nothing.
+// journal records which configuration is in effect and since when, one line per
+// change, for checkers outside the process. A nil journal records nothing.
 type journal struct {
 	mu             sync.Mutex
 	file           *os.File
@@ -29,8 +29,8 @@
 }
 
 // journalEntry is a line of the journal. Times are CLOCK_MONOTONIC in
-// nanoseconds. In the stage "narrow" the intersection of Version and the next
-// one is in effect.
+// nanoseconds. In the stage "narrow" the intersection of Version and the version
+// after it is in effect.
 type journalEntry struct {
 	At          int64  `json:"at"`
 	Name        string `json:"name"`
@@ -41,7 +41,8 @@
 	ExpiresAt   int64  `json:"until"`
 	TableDigest string `json:"table"`
 	Shards      []int  `json:"seats,omitempty"` // owned by the instance
-	// StartRates are the job starts per second that the capacity ledger and the reservations allow each placed service.
+	// StartRates has the job starts per second that the capacity ledger and the reservations allow each placed
+	// service.
 	StartRates map[string]float64 `json:"uses,omitempty"`
 }
 
@@ -61,7 +62,7 @@
 
 func monotonicNanos() int64 {
 	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // fails for unknown clocks alone
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // fails only for unknown clocks
 	return t.Nano()
 }
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// append writes a line. A write that fails is missing in the journal and stops nothing.
+// append writes a line. If the write fails, the line is missing from the journal and the agent continues.
 func (j *journal) append(at time.Time, state *effectiveState) {
 	encoded, err := json.Marshal(j.entry(at, state))
 	if err == nil {
@@ -145,7 +146,7 @@
 	return rates
 }
 
-// close ends the journal. Its lines are in the file already.
+// close closes the file, to which all lines have been written already.
 func (j *journal) close() {
 	if j != nil {
 		_ = j.file.Close()
--- a/internal/cluster/lease/agent/leasefile.go
+++ b/internal/cluster/lease/agent/leasefile.go
@@ -12,7 +12,7 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// Permissions of what the agent creates.
+// Permissions of the directories and files that the agent creates.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
@@ -37,7 +37,7 @@
 	return crc32.ChecksumIEEE(fmt.Appendf(nil, "%q %d %d", c.Cluster, c.Version, c.Stage))
 }
 
-var errChecksum = errors.New("its checksum is wrong")
+var errChecksum = errors.New("checksum mismatch")
 
 // CorruptFileError reports a lease file that can't be read.
 type CorruptFileError struct {
@@ -46,14 +46,15 @@
 }
 
 func (e *CorruptFileError) Error() string {
-	return fmt.Sprintf("accord: %s can't be read (%v): take it away while no version is on its way, "+
-		"and start again (docs/operators/accord.md)", e.Path, e.Err)
+	return fmt.Sprintf("accord: %s can't be read (%v): remove it while no version is being rolled out, "+
+		"then start again (docs/operators/accord.md)", e.Path, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *CorruptFileError) Unwrap() error { return e.Err }
 
-// openLeaseFile reads the file at path, if there is one, and creates its directory.
+// openLeaseFile reads the file at path, if there is one, and creates its directory. A file that can't be read is a
+// *CorruptFileError.
 func openLeaseFile(path string) (*leaseFile, error) {
 	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return nil, fmt.Errorf("accord: %w", err)
@@ -103,8 +104,8 @@
 		return err
 	}
 	if err := replaceFile(f.path, raw); err != nil {
-		return fmt.Errorf("accord: new rules are not acted on, as %s can't be written: "+
-			"make room on its disk, it goes on by itself then: %w", f.path, err)
+		return fmt.Errorf("accord: new rules are not applied, because %s can't be written: "+
+			"free space on its disk, the write is retried automatically: %w", f.path, err)
 	}
 	f.cluster = cluster
 	f.revision = r
@@ -113,7 +114,7 @@
 
 // replaceFile replaces a file atomically and syncs it and its directory.
 func replaceFile(path string, content []byte) error {
-	// During an upgrade two processes use the directory.
+	// The name has the process ID because two processes use the directory during an upgrade.
 	temporary := fmt.Sprintf("%s.new%d", path, os.Getpid())
 	if err := writeSynced(temporary, content); err != nil {
 		return err
--- a/internal/cluster/lease/agent/migration.go
+++ b/internal/cluster/lease/agent/migration.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// migrationCallTimeout is the timeout of one packet to another cluster and its response.
+	// migrationCallTimeout is the timeout of one packet to another cluster, including the response.
 	migrationCallTimeout = 2 * time.Second
-	// migrationRetrySeconds is the time before a rejected version of the capacity ledger is proposed again.
+	// migrationRetrySeconds is the time after which a failed proposal of the capacity ledger is repeated.
 	migrationRetrySeconds = 1
 )
 
 // Migration configures how services migrate between clusters. The Peers of the
-// embedded options are ignored: they are the names of PeerClusters.
+// embedded options are ignored; the names of PeerClusters replace them.
 type Migration struct {
 	coordinator.Options
 	PeerClusters map[string]PeerCluster // by name
-	// OnConfig is called for every version in force that this voter learns of, in order, on the
-	// consensus node's goroutine. It may be nil.
+	// OnConfig is called on the consensus node's goroutine for each new version in force, in ascending
+	// order. It may be nil.
 	OnConfig func(*config.Table)
 }
 
@@ -43,8 +43,9 @@
 	return options
 }
 
-// MigrationStatus returns the capacity ledger of the configuration that was
-// leased last, or nil if services do not change clusters.
+// MigrationStatus returns the status of the capacity ledger in the configuration
+// that was leased last, or in the fallback before the first lease. It returns nil
+// if services do not migrate between clusters.
 func (a *Agent) MigrationStatus() *coordinator.Status {
 	if a.Migration == nil {
 		return nil
@@ -58,14 +59,14 @@
 }
 
 // migrationRunner connects the migration coordinator to the voter and to other
-// clusters. All but its links is owned by the node's goroutine. A nil one does
-// nothing.
+// clusters. The node's goroutine owns it, except for the links. On a nil runner
+// receive returns an error and the other methods do nothing.
 type migrationRunner struct {
 	voter       *voter
 	coordinator *coordinator.Coordinator
-	version     uint64 // that the coordinator has applied
+	version     uint64 // the version that the coordinator has applied
 	proposing   bool
-	failedAt    float64 // when a proposal failed last
+	failedAt    float64 // time of the last failed proposal
 	links       map[string]*peerLink
 }
 
@@ -87,7 +88,7 @@
 	return m
 }
 
-// start runs the links. The node has to be set.
+// start starts the links. The voter's node must be set.
 func (m *migrationRunner) start() {
 	if m == nil {
 		return
@@ -114,8 +115,8 @@
 	m.coordinator.SetLeader(leads)
 }
 
-// yield pauses the leader's own proposals after they got in the way of an operator's.
-func (m *migrationRunner) yield(err error) {
+// backOff pauses the coordinator's proposals if err shows that one of them made an operator's proposal fail.
+func (m *migrationRunner) backOff(err error) {
 	if m == nil {
 		return
 	}
@@ -124,8 +125,8 @@
 	}
 }
 
-// applyInForce passes a new version in force on to the coordinator. Nobody acts
-// on one that can't be decoded.
+// applyInForce passes a new version in force to the coordinator. It skips a
+// version that can't be decoded, as no instance acts on it.
 func (m *migrationRunner) applyInForce() {
 	if m == nil {
 		return
@@ -146,7 +147,7 @@
 }
 
 // tick proposes the next version of the capacity ledger, if one is due, and
-// sends what is in force to the other clusters.
+// queues the messages that are due for the other clusters.
 func (m *migrationRunner) tick(now float64) {
 	if m == nil {
 		return
@@ -158,7 +159,7 @@
 		}
 	}
 	for name, messages := range m.coordinator.Outbox(now) {
-		// A migration to a cluster that is not configured any more makes no progress.
+		// Messages to a cluster that is no longer configured are dropped, so a migration to it makes no progress.
 		if link := m.links[name]; link != nil {
 			link.send(messages)
 		}
@@ -193,7 +194,7 @@
 	})
 }
 
-// receive handles a packet of another cluster and returns the answer's packet.
+// receive handles a packet from another cluster and returns the packet with the answers, or nil if there are none.
 func (m *migrationRunner) receive(packet []byte) ([]byte, error) {
 	if m == nil {
 		return nil, &lease.UnsupportedFormatError{Subject: subjectRequest}
@@ -206,7 +207,7 @@
 	if len(answers) == 0 {
 		return nil, nil
 	}
-	return answers[0], nil // there are no more answers than messages, so they fit into one packet
+	return answers[0], nil // there are at most as many answers as messages, so they fit into one packet
 }
 
 // peerLink sends messages to one other cluster. Later messages replace those
@@ -220,7 +221,7 @@
 	lastVoter int // index of the voter that answered last
 }
 
-// send queues messages. The node's goroutine alone calls it, so it never blocks.
+// send queues messages, replacing those in the queue. Only the node's goroutine calls it, so it never blocks.
 func (l *peerLink) send(messages []migration.Message) {
 	select {
 	case <-l.outbox:
@@ -229,7 +230,7 @@
 	l.outbox <- messages
 }
 
-// run sends the link's messages until the agent ends.
+// run sends the link's messages until the agent is closed.
 func (l *peerLink) run() {
 	for {
 		select {
@@ -241,14 +242,14 @@
 	}
 }
 
-// exchange sends messages and passes the answers on to the coordinator.
+// exchange sends messages and passes the answers to the coordinator.
 func (l *peerLink) exchange(messages []migration.Message) {
 	v := l.runner.voter
 	for _, packet := range wire.MarshalMessages(messages) {
 		response, err := l.call(packet)
 		if err != nil {
 			v.agent.logLimiter.Do("peer "+l.name, func(int) {
-				v.agent.Log.Warn().Msgf("clusters: %q: %v", l.name, err)
+				v.agent.Log.Warn().Msgf("clusters: sending messages to %q failed: %v", l.name, err)
 			})
 			return
 		}
@@ -268,7 +269,7 @@
 	m.voter.tick()
 }
 
-// call sends a packet to the other cluster's voters, one after the other.
+// call sends a packet to the other cluster's voters in turn until one answers, and returns the body of the response.
 func (l *peerLink) call(packet []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(l.runner.voter.agent.ctx, migrationCallTimeout)
 	defer cancel()
--- a/internal/cluster/lease/agent/proposal.go
+++ b/internal/cluster/lease/agent/proposal.go
@@ -7,22 +7,23 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// Proposal makes a table from an operator's file: the one to propose after the
-// last of a history of versions, or that last one if the file agrees with it.
+// Proposal returns the table to propose for an operator's file. The last table of
+// history is the newest version. If the file changes nothing, Proposal returns
+// that table itself.
 type Proposal func(history []*config.Table, by string) (*config.Table, error)
 
 // proposalState is the progress of the proposal of the operator's file.
 type proposalState struct {
-	pending   Proposal // nil if there is nothing to propose
-	number    uint64   // counts the files, to tell the outcome of an earlier one
-	notBefore time.Time
-	base      uint64 // version on which it was proposed last
-	rejected  bool   // permanently, unless another version comes first
-	rejection string // reason for which the file is not in force
+	pending    Proposal // nil if there is nothing to propose
+	generation uint64   // counts the files, so that outcomes of earlier ones are ignored
+	notBefore  time.Time
+	base       uint64 // version that the last proposal was based on
+	rejected   bool   // permanently, as long as base is the newest version
+	rejection  string // why the file is not in force; empty if it was not rejected
 }
 
-// Propose has the configuration of the operator's file proposed, in place of an
-// earlier one; nil ends that.
+// Propose sets the operator's file whose configuration the agent proposes. It
+// replaces an earlier one. With nil the agent stops proposing.
 func (a *Agent) Propose(p Proposal) {
 	a.post(proposeRequest{proposal: p})
 }
@@ -33,9 +34,9 @@
 
 func (r proposeRequest) handle(a *Agent) {
 	a.proposal = proposalState{
-		pending: r.proposal,
-		number:  a.proposal.number + 1,
-		base:    a.proposal.base,
+		pending:    r.proposal,
+		generation: a.proposal.generation + 1,
+		base:       a.proposal.base,
 	}
 }
 
@@ -49,7 +50,7 @@
 	history := a.history
 	if !known {
 		if a.leaseFile.revision.Version > 0 {
-			return // there is a configuration, which has not been received yet
+			return // a configuration exists, but has not been received yet
 		}
 		history = []*config.Table{{}}
 	}
@@ -64,13 +65,14 @@
 	case a.proposal.rejected && newest.Version <= a.proposal.base:
 		a.abandonProposal()
 	default:
-		// A version that came first, such as one that moves shards, does not outdate the file.
+		// A newer version, such as one that only moves shards, need not outdate the file: propose it again.
 		a.proposal.rejected = false
 		a.sendProposal(table, err, newest.Version)
 	}
 }
 
-// sendProposal proposes a table, or gives up on err.
+// sendProposal proposes a table that is based on a version. If err is set or the
+// table can't be encoded, it abandons the proposal instead.
 func (a *Agent) sendProposal(table *config.Table, err error, base uint64) {
 	var encoded []byte
 	if err == nil {
@@ -83,10 +85,10 @@
 	}
 	a.proposal.notBefore = a.Now().Add(2 * ProposeTimeout)
 	a.proposal.base = base
-	number := a.proposal.number
+	generation := a.proposal.generation
 	a.goroutines.Go(func() {
 		_, err := a.callLeader(payloadProposal, encoded, ProposeTimeout.Seconds())
-		a.post(proposalResult{number: number, err: err})
+		a.post(proposalResult{generation: generation, err: err})
 	})
 }
 
@@ -99,14 +101,14 @@
 
 // proposalResult is the outcome of a proposal.
 type proposalResult struct {
-	number uint64
-	err    error
+	generation uint64
+	err        error
 }
 
-// handle retries a proposal without an outcome. That is idempotent, as a
-// proposal names its base.
+// handle ends a proposal that was accepted and schedules a retry of one that
+// failed. A retry is idempotent, because a proposal names its base version.
 func (r proposalResult) handle(a *Agent) {
-	if a.proposal.pending == nil || a.proposal.number != r.number {
+	if a.proposal.pending == nil || a.proposal.generation != r.generation {
 		return // it was replaced
 	}
 	if r.err == nil {
@@ -117,7 +119,7 @@
 	}
 	a.proposal.rejection = r.err.Error()
 	if rejected, ok := errors.AsType[*RejectedError](r.err); ok && rejected.Permanent {
-		// Another instance may have proposed the same file before, which the next lease shows.
+		// Another instance may have proposed the same file earlier. If so, the next lease shows that.
 		a.proposal.rejected = true
 		a.proposal.notBefore = a.Now().Add(secondsToDuration(a.LeaseSettings.LeaseSeconds))
 		return
--- a/internal/cluster/lease/agent/requests.go
+++ b/internal/cluster/lease/agent/requests.go
@@ -16,7 +16,7 @@
 	payloadLeaseRelease payloadKind = 'b'
 	payloadProposal     payloadKind = 'p'
 	payloadShardReport  payloadKind = 's'
-	payloadMigration    payloadKind = 'w' // messages of another cluster
+	payloadMigration    payloadKind = 'w' // messages from another cluster
 )
 
 // responseKind is the first byte of the leader's response.
@@ -58,7 +58,7 @@
 	return nil, &lease.UnsupportedFormatError{Subject: subjectResponse}
 }
 
-// responder answers one request, once.
+// responder sends the response to one request. It must be called once.
 type responder func(raw []byte)
 
 func (r responder) accept(body []byte) {
@@ -110,7 +110,7 @@
 		return
 	}
 	if v.applyError != nil {
-		// Not permanently: this voter leaves, and another one will lead.
+		// The rejection is not permanent: this voter retires, and another one will lead.
 		r.reject(&RejectedError{Reason: v.applyError.Error()})
 		return
 	}
@@ -196,8 +196,8 @@
 	})
 }
 
-// checkProposal returns the entry of a proposal. The leader validates it as
-// well, in case that the proposing instance is of another build.
+// checkProposal returns the entry for a proposal. The leader validates the table
+// again, because the proposing instance may run another build.
 func (v *voter) checkProposal(body []byte) (lease.Entry, error) {
 	table, err := config.Decode(body)
 	if err != nil {
@@ -206,7 +206,7 @@
 	view := v.state.View()
 	if view.Cluster == "" || table.BaseVersion > view.NewestNumber() {
 		return lease.Entry{}, &RejectedError{
-			Reason: "the voters are only beginning, or their new leader does not have all yet",
+			Reason: "the voters have only just started, or their new leader has not applied all versions yet",
 		}
 	}
 	if table.BaseVersion != view.NewestNumber() {
@@ -215,7 +215,7 @@
 			Newest:  view.NewestNumber(),
 			Changes: v.state.ChangesSince(table.BaseVersion),
 		}
-		v.migration.yield(err)
+		v.migration.backOff(err)
 		return lease.Entry{}, err
 	}
 	if err := v.validateProposal(table); err != nil {
@@ -223,7 +223,7 @@
 	}
 	entry, err := view.Proposal(table, table.ProposedBy, table.BaseVersion)
 	if err != nil {
-		v.migration.yield(err)
+		v.migration.backOff(err)
 	}
 	return entry, err
 }
--- a/internal/cluster/lease/agent/shards.go
+++ b/internal/cluster/lease/agent/shards.go
@@ -18,22 +18,23 @@
 }
 
 const (
-	// maxMoveSeconds is how long a move may take before it is planned again.
+	// maxMoveSeconds is the time after which a move that has not ended is planned again.
 	maxMoveSeconds = 30.0
 	// maxShardReportBytes is the largest report that the leader reads.
 	maxShardReportBytes = 1 << 16
-	// electionGraceLeases is how many leases a new leader waits, so that every live instance has requested one.
+	// electionGraceLeases is the time that a new leader waits before it places shards, in lease durations. By then
+	// every live instance has requested a lease.
 	electionGraceLeases = 2.0
 )
 
-// shardPlacer is the leader's part in moving shards. It is owned by the node's
-// goroutine.
+// shardPlacer assigns and moves shards while this instance leads. The node's
+// goroutine owns it.
 type shardPlacer struct {
 	voter           *voter
 	leadingSince    float64
 	absent          map[string]bool // instances without a lease at the last review
 	moves           map[int]shardMove
-	reportedChanges map[int]shard.OwnerChange // of instances that have received all of a shard
+	reportedChanges map[int]shard.OwnerChange // reports of completely received shards, by shard
 }
 
 type shardMove struct {
@@ -42,7 +43,7 @@
 	startedAt float64
 }
 
-// reset begins or ends a term as leader.
+// reset clears the state at the beginning and at the end of a term as leader.
 func (p *shardPlacer) reset(now float64) {
 	*p = shardPlacer{
 		voter:           p.voter,
@@ -53,7 +54,7 @@
 	}
 }
 
-// tick plans moves and proposes all owners that change, in one version.
+// tick plans moves and proposes all changes of owners in one version.
 func (p *shardPlacer) tick(now float64) {
 	table := p.voter.tableInForce()
 	if table == nil || len(table.ShardInstances) == 0 || !p.mayPlace(now) {
@@ -90,7 +91,7 @@
 	return now >= p.leadingSince+electionGraceLeases*p.voter.agent.LeaseSettings.LeaseSeconds
 }
 
-// currentOwners returns the shard map of a table. The number of shards is fixed by the first one.
+// currentOwners returns the shard map of a table. The first shard map of the cluster fixes the number of shards.
 func (p *shardPlacer) currentOwners(table *config.Table) shard.Map {
 	if len(table.ShardOwners) == 0 {
 		return make(shard.Map, p.voter.agent.ShardPlacement.Shards)
@@ -130,13 +131,13 @@
 			agent.Log.Info().
 				Uint64("version", entry.Base+1).
 				Int("seats", assigned).
-				Msg("accord: shards have other owners")
+				Msg("accord: shard owners changed")
 		}
 	})
 }
 
-// eligibleMembers returns the instances that may own shards and that hold a
-// lease, or did at the last review.
+// eligibleMembers returns the instances that may own shards, without those that
+// had no lease at this review and at the last one.
 func (p *shardPlacer) eligibleMembers(now float64, instances []string) []shard.Member {
 	leased := map[string]bool{}
 	for _, l := range p.voter.grantor.ActiveLeases(now) {
@@ -156,7 +157,7 @@
 	return members
 }
 
-// activeMoves returns the moves in progress and forgets those that have ended or taken too long.
+// activeMoves returns the moves in progress and removes those that have ended or exceeded maxMoveSeconds.
 func (p *shardPlacer) activeMoves(now float64, owners shard.Map) []shard.Transfer {
 	var active []shard.Transfer
 	for i, move := range p.moves {
@@ -175,11 +176,11 @@
 }
 
 // handleReport records the shards that an instance has received completely, and
-// returns the shards that it should give away.
+// returns the transfers of the shards that it should give away, as JSON.
 func (p *shardPlacer) handleReport(raw []byte) ([]byte, error) {
 	var report shardReport
 	if len(raw) > maxShardReportBytes || json.Unmarshal(raw, &report) != nil {
-		return nil, &lease.CorruptMessageError{Subject: subjectShardReport, Reason: "no such message"}
+		return nil, &lease.CorruptMessageError{Subject: subjectShardReport, Reason: "too large or not valid JSON"}
 	}
 	for _, change := range report.Changes {
 		if change.Shard < 0 || change.Shard >= shard.MaxShards || len(change.To) > lease.MaxNameBytes {
@@ -207,9 +208,9 @@
 }
 
 // ReportShards reports to the leader the shards that this instance has received
-// completely, and returns those that it should give away. It waits for the
-// response. A report has to be repeated until the configuration shows it, as a new
-// leader does not know of it.
+// completely, and returns the transfers of those that it should give away. It
+// blocks until the response or an error. Repeat a report until the configuration
+// shows the new owner, as a new leader does not have earlier reports.
 func (a *Agent) ReportShards(changes []shard.OwnerChange) (outgoing []shard.Transfer, err error) {
 	body, err := json.Marshal(shardReport{From: a.Name, Changes: changes})
 	if err != nil {
--- a/internal/cluster/lease/agent/shutdown.go
+++ b/internal/cluster/lease/agent/shutdown.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// releaseState is the progress of giving back the lease.
+// releaseState is the progress of releasing the lease.
 type releaseState struct {
 	requested bool
 	sent      bool
 	done      chan struct{}
 }
 
-// releaseRequest asks the agent's goroutine to give back the lease. The channel
-// is closed when the leader has been notified, or can't be.
+// releaseRequest asks the agent's goroutine to release the lease. It closes done
+// when the leader has been notified or can't be reached.
 type releaseRequest struct {
 	done chan struct{}
 }
@@ -18,14 +18,14 @@
 func (r releaseRequest) handle(a *Agent) {
 	s := *a.effective.Load()
 	s.expiresAt = a.startTime
-	a.effective.Store(&s) // for attempts that are still in flight
+	a.effective.Store(&s) // so that attempts still in flight use the fallback
 	a.journal.recordApplied(a.Now(), &a.effective, s.fallbackTable)
 	a.release = releaseState{requested: true, done: r.done}
 }
 
-// sendRelease notifies the leader that nothing here acts on the configuration
-// any more. No request is in flight: one that is confirmed after the release
-// would register the lease again.
+// sendRelease notifies the leader that this instance no longer acts on any
+// configuration. No lease request may be in flight: if the leader confirmed it
+// after the release, the lease would be registered again.
 func (a *Agent) sendRelease() {
 	if a.release.sent {
 		return
@@ -35,7 +35,7 @@
 	done := a.release.done
 	a.goroutines.Go(func() {
 		defer close(done)
-		// A release that is lost costs the others the rest of the lease, nothing more.
+		// If the release is lost, the others only have to wait until the lease expires.
 		_, _ = a.callLeader(payloadLeaseRelease, message.Marshal(), a.releaseTimeoutSeconds())
 	})
 }
@@ -44,13 +44,13 @@
 	return releaseTimeoutDelays * a.LeaseSettings.NetworkDelaySeconds
 }
 
-// Close gives the lease back and ends the agent. The event loop has to have
-// ended before, so that nothing acts on any configuration.
+// Close releases the lease and stops the agent. The event loop must have stopped
+// before, so that nothing acts on a configuration after the release.
 func (a *Agent) Close() {
 	a.closeOnce.Do(func() {
 		a.requestRelease()
 		a.cancel()
-		// The node's callbacks start goroutines that are waited for, so it ends first.
+		// The node's callbacks start goroutines that Wait covers, so the node is closed first.
 		if a.voter != nil {
 			a.voter.close()
 		}
@@ -60,7 +60,7 @@
 	})
 }
 
-// requestRelease waits until the lease is given back, or for the timeout of that.
+// requestRelease releases the lease and waits for that, at most for the timeout of a release.
 func (a *Agent) requestRelease() {
 	done := make(chan struct{})
 	timeout := time.After(secondsToDuration(a.releaseTimeoutSeconds()))
--- a/internal/cluster/lease/agent/status.go
+++ b/internal/cluster/lease/agent/status.go
@@ -11,11 +11,11 @@
 // rejectedByLeader is the drop reason of requests that the leader rejected.
 const rejectedByLeader = "refused by the leader"
 
-// Status is what the admin listener shows.
+// Status is the agent's status as the admin listener shows it.
 type Status struct {
 	Name             string              `json:"name"`
 	Cluster          string              `json:"cluster"`
-	Version          uint64              `json:"version"` // in force as far as is known here
+	Version          uint64              `json:"version"` // in force, as far as this instance knows
 	Stage            string              `json:"stage"`   // of the newest version
 	Newest           uint64              `json:"newest"`
 	Leased           bool                `json:"leased"`
@@ -52,7 +52,7 @@
 	}
 }
 
-// publishStatus publishes what the agent's goroutine knows.
+// publishStatus publishes the part of the status that the agent's goroutine owns.
 func (a *Agent) publishStatus() {
 	effective := a.holder.EffectiveConfig(a.elapsed())
 	s := &Status{
--- a/internal/cluster/lease/agent/voter.go
+++ b/internal/cluster/lease/agent/voter.go
@@ -17,39 +17,40 @@
 const (
 	// voterChangeTimeout is the timeout of one change of the voters.
 	voterChangeTimeout = 10 * time.Second
-	// reviewIntervalSeconds is the time between two reviews of voters and shards by the leader.
+	// reviewIntervalSeconds is the interval at which the leader reviews voters and shards.
 	reviewIntervalSeconds = 1
 )
 
-// voter is a voter's part. All but node, activeLeases, changingVoters, retired
-// and ready is owned by the node's goroutine.
+// voter is the part of an agent that only voters have: the consensus node and the
+// leader's work. The node's goroutine owns all fields except agent, node,
+// activeLeases, changingVoters, retired and ready.
 type voter struct {
 	agent          *Agent
 	node           *consensus.Node
 	activeLeases   atomic.Pointer[[]lease.ActiveLease]
 	changingVoters atomic.Bool
-	retired        atomic.Bool   // it could not apply an entry and has left for good
-	ready          chan struct{} // closed when node is set, as its goroutine runs earlier
+	retired        atomic.Bool   // this voter could not apply an entry and has stopped for good
+	ready          chan struct{} // closed when node is set; the node's goroutine may run before
 
 	state      *lease.State
 	grantor    *lease.Grantor
-	applyError error  // of an entry that this build can't apply; ends all requests
+	applyError error  // of an entry that this build can't apply; rejects all requests
 	term       uint64 // 0 while this instance does not lead
 	outcomes   map[uint64]*proposalOutcome
 	lastReview float64
 	inForce    tableCache
 	placer     shardPlacer
-	migration  *migrationRunner // nil if services do not change clusters
+	migration  *migrationRunner // nil if services do not migrate between clusters
 }
 
-// proposalOutcome is the outcome of a proposal of this voter, by the digest of
-// its entry. Equal entries have one outcome, that of the last one.
+// proposalOutcome is the outcome of an entry that this voter proposed. Equal
+// entries share one, which has the outcome of the entry that was applied last.
 type proposalOutcome struct {
-	waiters int
-	err     error
+	waiters int   // proposals of the entry that are in flight
+	err     error // of applying the entry
 }
 
-// tableCache decodes a table once: decoding it for each use would delay the heartbeats.
+// tableCache keeps the last decoded table, because decoding it for each use would delay the heartbeats.
 type tableCache struct {
 	encoded []byte
 	table   *config.Table // nil if it can't be decoded
@@ -110,12 +111,12 @@
 }
 
 func (v *voter) close() {
-	// What the node could not write is in the other voters' files.
+	// The error is ignored: what the node could not write is in the other voters' files.
 	_ = v.node.Close()
 	v.migration.close()
 }
 
-// runTicker runs tick periodically: leases expire without any message.
+// runTicker runs tick periodically, because leases expire without any message.
 func (v *voter) runTicker() {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -129,7 +130,7 @@
 	}
 }
 
-// runOnNode runs f on the node's goroutine, unless that is overloaded or has ended.
+// runOnNode runs f on the node's goroutine. It drops f if the node is overloaded or closed.
 func (v *voter) runOnNode(f func()) {
 	_ = v.node.TryRun(f)
 }
@@ -153,7 +154,7 @@
 	}
 }
 
-// isInapplicable reports whether other builds may have applied the entry.
+// isInapplicable reports whether err shows that this build can't apply an entry, which other builds may have applied.
 func isInapplicable(err error) bool {
 	if _, unsupported := errors.AsType[*lease.UnsupportedFormatError](err); unsupported {
 		return true
@@ -162,12 +163,12 @@
 	return corrupt
 }
 
-// retire stops the node for good. If it went on to lead, nobody would get a
-// lease; so the others elect another leader.
+// retire stops the node for good, so that the others elect another leader. If this
+// voter kept leading, no instance would get a lease.
 func (v *voter) retire(err error) {
 	v.applyError = err
 	v.grantor.SetTerm(v.agent.elapsed(), 0)
-	v.agent.Log.Error().Msgf("accord: this voter stops voting for good: %v", err)
+	v.agent.Log.Error().Msgf("accord: this voter can't apply an entry and stops voting permanently: %v", err)
 	v.agent.goroutines.Go(func() {
 		<-v.ready
 		v.retired.Store(true)
@@ -176,7 +177,7 @@
 }
 
 // snapshot is the node's callback for a snapshot. After an entry that was not
-// applied there is none: it would pass for one with that entry.
+// applied it returns nil: the snapshot would be taken for one with that entry.
 func (v *voter) snapshot() []byte {
 	if v.applyError != nil {
 		return nil
@@ -184,7 +185,7 @@
 	return v.state.Snapshot()
 }
 
-// restore is the node's callback for a snapshot of this voter or another one.
+// restore is the node's callback to load a snapshot, of this voter or of another one.
 func (v *voter) restore(raw []byte) error {
 	err := v.state.Restore(raw)
 	v.migration.applyInForce()
@@ -236,7 +237,8 @@
 	return entry, ok
 }
 
-// review compares identity, voters and shard owners with what they should be.
+// review sets the cluster's identity if it is missing, refreshes the list of active leases, and reconciles voters and
+// shard owners with the table in force.
 func (v *voter) review(now float64) {
 	identity := v.node.Status().Identity
 	if v.state.View().Cluster == "" && identity != "" {
@@ -253,7 +255,7 @@
 	return v.inForce.decode(v.state.View().InForce.Table)
 }
 
-// validateProposal returns the reason for which a table may not follow the newest version.
+// validateProposal returns why a table must not follow the newest version, or nil.
 func (v *voter) validateProposal(t *config.Table) error {
 	newest := v.tableInForce()
 	if next := v.state.View().Next; next.Number > 0 {
@@ -297,10 +299,10 @@
 		})
 		return
 	}
-	v.agent.Log.Info().Int("voters", len(wanted)).Msg("accord: the voters are those of the rules")
+	v.agent.Log.Info().Int("voters", len(wanted)).Msg("accord: voters changed to those of the rules")
 }
 
-// submit proposes an entry and calls done with its outcome.
+// submit proposes an entry and calls done once with the outcome.
 func (v *voter) submit(entry lease.Entry, done func(error)) {
 	encoded, err := entry.Marshal()
 	if err != nil {
