--- a/internal/cluster/lease/agent/agent_test.go
+++ b/internal/cluster/lease/agent/agent_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/goleak"
 )
 
-// Five instances agree on versions, one of which changes a reservation while an instance has
-// crashed. A proposal on an old version is rejected with who changed what. An instance that
-// restarts never acts on an older version than before.
+// Five instances agree on versions, one of them while an instance is stopped. A proposal on an old
+// version is rejected, with the instances that proposed the later versions and the keys that these
+// changed. An instance that restarts never acts on an older version than before.
 func TestInstancesAgreeAndRevisionsNeverDecrease(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	all := newCluster(t)
@@ -26,7 +26,8 @@
 		waitFor(t, n.Name+" acts on version 1", func() bool { return n.appliesVersion(1) })
 		waitFor(t, n.Name+" finds that its file is in force", func() bool { return n.Status().Rejection == "" })
 	}
-	// Exclusive: with all instances alive it takes stages, not leases.
+	// An exclusive change: with all instances alive it advances as soon as they acknowledge, without waiting for
+	// leases to expire.
 	p := reservationProposal(1, 60)
 	all[4].Propose(p)
 	for _, n := range all {
@@ -37,20 +38,20 @@
 	}
 	old := reservationProposal(1, 90)
 	all[3].Propose(old)
-	waitFor(t, "the rejection of the old one", func() bool { return strings.Contains(all[3].Status().Rejection, "is the newest") })
+	waitFor(t, "the old proposal is rejected", func() bool { return strings.Contains(all[3].Status().Rejection, "is the newest") })
 	if reason := all[3].Status().Rejection; !strings.Contains(reason, "2 by n4 changed") || !strings.Contains(reason, "SIGHUP") {
-		t.Errorf("rejected: %s", reason)
+		t.Errorf("rejection reason %s, want the later change and what to do", reason)
 	}
-	// One stops: the next exclusive version waits for its lease at most.
+	// An instance stops: the next exclusive version waits for its lease to expire at most.
 	all[3].stop()
 	p = reservationProposal(2, 10)
 	all[0].Propose(p)
 	waitFor(t, "n0 acts on version 3", func() bool { return all[0].appliesVersion(3) })
-	// It restarts with an old file.
+	// The instance restarts with an old operator's file.
 	all[3] = startNode(t, all[3].options, 99)
 	all[3].Propose(old)
 	waitFor(t, "n3 acts on version 3", func() bool { return all[3].appliesVersion(3) })
-	// The leader stops, which costs an election.
+	// The leader stops, so another one is elected.
 	leader := 0
 	for i, n := range all[:3] {
 		if n.Status().Voter.IsLeader {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Without a majority leases expire, and the fallback is in effect: no reservation, and no
-// retry of what may have run.
+// Without a majority leases expire and the fallback is in effect: it has no reservation, and no job is
+// retried that may have run.
 func TestMinorityHasNoLease(t *testing.T) {
 	t.Parallel()
 	all := newCluster(t)
@@ -84,20 +85,21 @@
 	waitFor(t, "n4 acts on version 1", func() bool { return all[4].appliesVersion(1) })
 	all[0].stop()
 	all[1].stop()
-	defer func() { // for the deferred stops
+	defer func() { // the deferred stops need running nodes
 		all[0], all[1] = startNode(t, all[0].options, 50), startNode(t, all[1].options, 51)
 	}()
 	waitFor(t, "n4's lease has expired", func() bool { return !all[4].Status().Leased })
 	r := all[4].EffectiveConfig(time.Now())
 	if x, ok := r.Tenant("a"); !r.Strict || ok && (x.Reservation == nil || *x.Reservation != 0) {
-		t.Errorf("without a lease: %+v", r)
+		t.Errorf("without a lease the table is %+v, want a strict one without reservations", r)
 	}
 	if s := all[4].Status(); !strings.Contains(s.Fault, "majority") && !strings.Contains(s.Fault, "no response") {
-		t.Errorf("fault: %q", s.Fault)
+		t.Errorf("fault is %q, want a missing majority or response", s.Fault)
 	}
 }
 
-// A graceful shutdown releases the lease: the others do not wait for it, which would be ten minutes here.
+// A graceful shutdown releases the lease, so the others do not wait until it expires, which would take
+// ten minutes here.
 func TestLeaseRelease(t *testing.T) {
 	t.Parallel()
 	all := newCluster(t)
@@ -125,15 +127,15 @@
 	}
 	waitFor(t, "n4 is among the active leases", hasLease)
 	all[4].stop()
-	waitFor(t, "n4 is not among them any more", func() bool { return !hasLease() })
+	waitFor(t, "n4 is no longer among the active leases", func() bool { return !hasLease() })
 	raw, _ := os.ReadFile(all[4].options.JournalPath)
 	if lines := strings.Split(strings.TrimSpace(string(raw)), "\n"); !strings.Contains(lines[len(lines)-1], `"stage":"none","leased":false`) {
-		t.Errorf("the journal ends with %s", lines[len(lines)-1])
+		t.Errorf("the journal ends with %s, want an entry without a lease", lines[len(lines)-1])
 	}
 }
 
-// A leader that can't apply an entry retires: the others elect one that can, whose leases its own
-// instance uses. It writes no snapshot that lacks the entry.
+// A leader that can't apply an entry retires. The others elect a leader that can, and the instance of the
+// retired voter gets its leases from that one. The retired voter writes no snapshot that lacks the entry.
 func TestVoterRetiresOnApplyError(t *testing.T) {
 	t.Parallel()
 	all := newCluster(t)
@@ -146,7 +148,7 @@
 		waitFor(t, n.Name+" acts on version 1", func() bool { return n.appliesVersion(1) })
 	}
 	var bad *node
-	waitFor(t, "somebody leads", func() bool {
+	waitFor(t, "an instance leads", func() bool {
 		for _, n := range all[:3] {
 			if n.Status().Voter.IsLeader {
 				bad = n
@@ -160,7 +162,7 @@
 		made <- bad.voter.snapshot()
 	})
 	if raw := <-made; raw != nil {
-		t.Errorf("a snapshot of %d bytes without the entry", len(raw))
+		t.Errorf("got a snapshot of %d bytes that lacks the entry, want none", len(raw))
 	}
 	all[4].Propose(reservationProposal(1, 40))
 	for _, n := range all {
--- a/internal/cluster/lease/agent/bench_test.go
+++ b/internal/cluster/lease/agent/bench_test.go
@@ -16,8 +16,8 @@
 
 var sizes = []struct{ instances, voters int }{{3, 3}, {7, 5}, {100, 5}}
 
-// newBenchCluster starts a cluster with the default settings, all of which act on version 1. Voters
-// are reached at the addresses that route returns for theirs.
+// newBenchCluster starts a cluster with the default settings and waits until all instances act on version 1. route
+// maps the address of a voter to the address at which the others reach it.
 func newBenchCluster(b *testing.B, instances, voters int, route func(address string) string) []*node {
 	all := newClusterOf(b, instances, voters)
 	routed := map[string]string{}
@@ -36,74 +36,76 @@
 	return all
 }
 
-// inForceVersion waits until the loops of all act on a version.
+// waitInForce waits until the event loops of all instances act on a version.
 func waitInForce(b *testing.B, all []*node, version uint64) {
-	rest := slices.Clone(all)
+	pending := slices.Clone(all)
 	waitFor(b, fmt.Sprintf("all act on version %d", version), func() bool {
-		rest = slices.DeleteFunc(rest, func(n *node) bool {
-			h := n.effective.Load()
-			return h.revision == lease.Revision{Version: version, Stage: lease.StageInForce} && n.loopTable.Load() == h.leasedTable
+		pending = slices.DeleteFunc(pending, func(n *node) bool {
+			state := n.effective.Load()
+			return state.revision == lease.Revision{Version: version, Stage: lease.StageInForce} && n.loopTable.Load() == state.leasedTable
 		})
-		return len(rest) == 0
+		return len(pending) == 0
 	})
 }
 
-// BenchmarkVersion measures the time from a proposal at the last instance until the loops of all have applied it.
+// BenchmarkVersion measures the time from a proposal at the last instance until the event loops of all instances have
+// applied it.
 func BenchmarkVersion(b *testing.B) {
 	for _, s := range sizes {
 		for _, exclusive := range []bool{false, true} {
 			b.Run(fmt.Sprintf("instances=%d/exclusive=%v", s.instances, exclusive), func(b *testing.B) {
 				all := newBenchCluster(b, s.instances, s.voters, func(addr string) string { return addr })
-				version, took := uint64(1), []float64{}
+				version, durationsMillis := uint64(1), []float64{}
 				for b.Loop() {
-					began, base := time.Now(), version
+					start, base := time.Now(), version
 					all[len(all)-1].Propose(func(history []*config.Table, by string) (*config.Table, error) {
 						t := *history[len(history)-1]
 						if t.Version > base {
 							return history[len(history)-1], nil
 						}
-						x := float64(1 + base%2)
-						if t.Tenants = []config.Tenant{{Name: "a", Weight: &x}}; exclusive {
-							t.Tenants[0] = config.Tenant{Name: "a", Reservation: &x}
+						quantity := float64(1 + base%2)
+						if t.Tenants = []config.Tenant{{Name: "a", Weight: &quantity}}; exclusive {
+							t.Tenants[0] = config.Tenant{Name: "a", Reservation: &quantity}
 						}
 						t.Version, t.BaseVersion, t.ProposedBy = base+1, base, by
 						return &t, nil
 					})
 					version++
 					waitInForce(b, all, version)
-					took = append(took, time.Since(began).Seconds()*1000)
+					durationsMillis = append(durationsMillis, time.Since(start).Seconds()*1000)
 				}
-				slices.Sort(took)
-				b.ReportMetric(took[len(took)/2], "p50-ms")
-				b.ReportMetric(took[len(took)-1], "max-ms")
+				slices.Sort(durationsMillis)
+				b.ReportMetric(durationsMillis[len(durationsMillis)/2], "p50-ms")
+				b.ReportMetric(durationsMillis[len(durationsMillis)-1], "max-ms")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
 	}
 }
 
-// BenchmarkIdle measures what an instance costs a second while nothing changes. Bytes are counted between
-// it and the voters, both ways, each once; CPU is that of all instances in one process, without counting.
+// BenchmarkIdle measures the cost of an instance per second while nothing changes. Bytes are those between instances
+// and voters in both directions, each counted once. CPU time is that of the process, which runs all instances, divided
+// by their number; it is measured without the proxies that count bytes.
 func BenchmarkIdle(b *testing.B) {
-	const span = 8 * time.Second
+	const interval = 8 * time.Second
 	for _, s := range sizes {
-		for _, what := range []string{"cpu", "bytes"} {
-			b.Run(fmt.Sprintf("instances=%d/%s", s.instances, what), func(b *testing.B) {
+		for _, metric := range []string{"cpu", "bytes"} {
+			b.Run(fmt.Sprintf("instances=%d/%s", s.instances, metric), func(b *testing.B) {
 				var bytes atomic.Int64
-				by := func(addr string) string { return addr }
-				if what == "bytes" {
-					by = func(addr string) string { return countingProxy(b, addr, &bytes) }
+				route := func(addr string) string { return addr }
+				if metric == "bytes" {
+					route = func(addr string) string { return countingProxy(b, addr, &bytes) }
 				}
-				newBenchCluster(b, s.instances, s.voters, by)
+				newBenchCluster(b, s.instances, s.voters, route)
 				time.Sleep(time.Second)
 				for b.Loop() {
-					was, cpu := bytes.Load(), cpuSeconds()
-					time.Sleep(span)
-					per := span.Seconds() * float64(s.instances)
-					if what == "cpu" {
-						b.ReportMetric(1000*(cpuSeconds()-cpu)/per, "cpu-ms/instance/s")
+					bytesBefore, cpuBefore := bytes.Load(), cpuSeconds()
+					time.Sleep(interval)
+					instanceSeconds := interval.Seconds() * float64(s.instances)
+					if metric == "cpu" {
+						b.ReportMetric(1000*(cpuSeconds()-cpuBefore)/instanceSeconds, "cpu-ms/instance/s")
 					} else {
-						b.ReportMetric(float64(bytes.Load()-was)/per, "bytes/instance/s")
+						b.ReportMetric(float64(bytes.Load()-bytesBefore)/instanceSeconds, "bytes/instance/s")
 					}
 				}
 				b.ReportMetric(0, "ns/op")
@@ -114,41 +116,42 @@
 
 // cpuSeconds returns the process's CPU time.
 func cpuSeconds() float64 {
-	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// countingProxy returns an address that forwards to another one and counts bytes.
+// countingProxy returns the address of a proxy for addr that adds the bytes of both directions to n.
 func countingProxy(b *testing.B, addr string, n *atomic.Int64) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { l.Close() })
-	pass := func(to, from net.Conn) {
+	forward := func(to, from net.Conn) {
 		io.Copy(io.MultiWriter(to, byteCounter{n}), from)
 		to.Close()
 		from.Close()
 	}
 	go func() {
 		for {
-			near, err := l.Accept()
+			inbound, err := l.Accept()
 			if err != nil {
 				return
 			}
-			far, err := net.Dial("tcp", addr)
+			outbound, err := net.Dial("tcp", addr)
 			if err != nil {
-				near.Close()
+				inbound.Close()
 				continue
 			}
-			go pass(far, near)
-			go pass(near, far)
+			go forward(outbound, inbound)
+			go forward(inbound, outbound)
 		}
 	}()
 	return l.Addr().String()
 }
 
+// byteCounter is a writer that only counts bytes.
 type byteCounter struct{ n *atomic.Int64 }
 
 func (c byteCounter) Write(p []byte) (int, error) {
--- a/internal/cluster/lease/agent/cluster_test.go
+++ b/internal/cluster/lease/agent/cluster_test.go
@@ -25,17 +25,17 @@
 	PollIntervalSeconds:  0.05,
 }
 
-// node is an agent with an event loop that applies every change at once.
+// node is an agent with an event loop that applies every change immediately.
 type node struct {
 	*Agent
 	options   Options
 	wake      chan struct{}
 	stopLoop  chan struct{}
 	loopDone  chan struct{}
-	loopTable atomic.Pointer[config.Table] // the one that the loop applied last
+	loopTable atomic.Pointer[config.Table] // the table that the loop applied last
 }
 
-// runningNodes are logged when a test fails.
+// runningNodes has all started nodes. waitFor logs the status of those of its test when it fails.
 var runningNodes sync.Map
 
 func startNode(t testing.TB, o Options, incarnation uint64) *node {
@@ -88,7 +88,7 @@
 	n.Close()
 }
 
-// usedPorts are those that freeAddress has returned.
+// usedPorts has the ports that freeAddress has returned.
 var usedPorts struct {
 	sync.Mutex
 	ports map[int]bool
@@ -120,13 +120,13 @@
 	return ""
 }
 
-// newCluster returns the options of three voters and two followers.
+// newCluster returns nodes that are not started, of three voters and two followers.
 func newCluster(t testing.TB) []*node {
 	t.Helper()
 	return newClusterOf(t, 5, 3)
 }
 
-// newClusterOf returns the options of instances, of which the first ones are voters.
+// newClusterOf returns nodes that are not started, of which the first voterCount are voters.
 func newClusterOf(t testing.TB, instances, voterCount int) []*node {
 	t.Helper()
 	voters := map[string]string{}
@@ -156,22 +156,23 @@
 	return nodes
 }
 
+// waitFor polls a condition and fails the test if it does not hold within 20 s.
 func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			runningNodes.Range(func(name, n any) bool {
 				if strings.HasPrefix(name.(string), t.Name()) {
 					t.Logf("%+v", n.(*node).Status())
 				}
 				return true
 			})
-			t.Fatalf("not within 20 s: %s", what)
+			t.Fatalf("timeout after 20 s, waited for: %s", what)
 		}
 	}
 }
 
-// reservationProposal proposes one reservation, based on a version.
+// reservationProposal proposes a table with one reservation, based on version base.
 func reservationProposal(base uint64, reservation float64) Proposal {
 	return func(history []*config.Table, by string) (*config.Table, error) {
 		newest := history[len(history)-1]
@@ -187,7 +188,7 @@
 	}
 }
 
-// appliesVersion reports whether an instance acts on the version, under a lease.
+// appliesVersion reports whether the node has a lease of a version that is in force.
 func (n *node) appliesVersion(version uint64) bool {
 	s := n.Status()
 	return s.Leased && s.Version == version && s.Revision.Stage == lease.StageInForce
--- a/internal/cluster/lease/agent/effective_test.go
+++ b/internal/cluster/lease/agent/effective_test.go
@@ -8,8 +8,8 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// The event loop is not blocked by the agent's goroutine while that waits for its disk. However late the holder
-// acknowledges, it does so with the revision of the applied table.
+// Acknowledge does not block the event loop while the agent's goroutine waits for its disk. A delayed
+// acknowledgement to the holder has the revision of the table that was applied last.
 func TestAcknowledgeDoesNotBlock(t *testing.T) {
 	a := newAgent(Options{Name: "n", Incarnation: 1, LeaseSettings: testSettings, Now: time.Now})
 	old := &config.Table{Version: 1}
@@ -28,6 +28,6 @@
 	<-a.wakeup
 	a.acknowledgeApplied()
 	if a.appliedTable.Load() != table {
-		t.Error("an earlier table counts as applied")
+		t.Error("the applied table is an earlier one, want the one acknowledged last")
 	}
 }
--- a/internal/cluster/lease/agent/golden_test.go
+++ b/internal/cluster/lease/agent/golden_test.go
@@ -20,8 +20,8 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// update rewrites the files under testdata/golden. What older builds wrote has to stay readable, so that is
-// only right for a file that is new.
+// update rewrites the files under testdata/golden. Files of older builds must stay readable, so use it for new
+// golden files only.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // golden returns the content of a golden file. With -update it first writes content to it.
@@ -33,11 +33,11 @@
 			t.Fatal(err)
 		}
 	}
-	return stored(t, name)
+	return readGolden(t, name)
 }
 
-// stored returns the content of a golden file.
-func stored(t *testing.T, name string) []byte {
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
@@ -46,15 +46,15 @@
 	return raw
 }
 
-// same reports where content is not what the golden file has.
-func same(t *testing.T, name string, content []byte) {
+// compareGolden fails the test if content differs from the golden file.
+func compareGolden(t *testing.T, name string, content []byte) {
 	t.Helper()
-	if file := golden(t, name, content); !bytes.Equal(content, file) {
-		t.Errorf("%s: encoded %q, want %q", name, content, file)
+	if want := golden(t, name, content); !bytes.Equal(content, want) {
+		t.Errorf("%s: encoded %q, want %q", name, content, want)
 	}
 }
 
-// The lease file, in each stage.
+// The lease file is written and read in its stored form, in each stage. An empty file is reported as corrupt.
 func TestGoldenLeaseFile(t *testing.T) {
 	for stage, file := range map[lease.Stage]string{
 		lease.StageAnnounced:    "announced.lease",
@@ -74,19 +74,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		same(t, file, raw)
+		compareGolden(t, file, raw)
 		if f, err := openLeaseFile(filepath.Join("testdata", "golden", file)); err != nil || f.cluster != "cluster \"1\" é" || f.revision != want {
-			t.Errorf("%s: decoded %+v, %v", file, f, err)
+			t.Errorf("%s: decoded %+v with error %v, want what was encoded", file, f, err)
 		}
 	}
-	var damaged *CorruptFileError
-	same(t, "empty.lease", nil)
-	if _, err := openLeaseFile(filepath.Join("testdata", "golden", "empty.lease")); !errors.As(err, &damaged) {
-		t.Errorf("an empty file: %v", err)
+	var corrupt *CorruptFileError
+	compareGolden(t, "empty.lease", nil)
+	if _, err := openLeaseFile(filepath.Join("testdata", "golden", "empty.lease")); !errors.As(err, &corrupt) {
+		t.Errorf("opening an empty file: got error %v, want a CorruptFileError", err)
 	}
 }
 
-// The names of the files in the state directory.
+// The files in the state directory keep their names.
 func TestGoldenFileNames(t *testing.T) {
 	v := newSoleVoter(t)
 	f, err := openLeaseFile(filepath.Join(v.agent.StateDir, v.agent.Name+".lease"))
@@ -104,10 +104,10 @@
 	for _, e := range entries {
 		names = append(names, e.Name())
 	}
-	same(t, "folder.txt", []byte(strings.Join(names, "\n")+"\n"))
+	compareGolden(t, "folder.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
 
-// The journal that checkers read: a lease of an intersection, of a version, and none.
+// The journal keeps the form that checkers read, for a lease of an intersection, a lease of a version, and no lease.
 func TestGoldenJournal(t *testing.T) {
 	quota := 30.5
 	table := &config.Table{
@@ -118,26 +118,26 @@
 		LedgerEntries: []config.LedgerEntry{{Service: "a", Usable: 12.5}},
 	}
 	path := filepath.Join(t.TempDir(), "journal")
-	base := time.Now()
-	j, err := openJournal(path, "n1", 7, base)
+	startTime := time.Now()
+	j, err := openJournal(path, "n1", 7, startTime)
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.startMonotonic = 1_000_000_000
-	var now atomic.Pointer[effectiveState]
-	now.Store(&effectiveState{leasedTable: table, fallbackTable: &config.Table{}, expiresAt: base.Add(3 * time.Second),
+	var effective atomic.Pointer[effectiveState]
+	effective.Store(&effectiveState{leasedTable: table, fallbackTable: &config.Table{}, expiresAt: startTime.Add(3 * time.Second),
 		revision: lease.Revision{Version: 5, Stage: lease.StageIntersection}, inForceVersion: 4})
-	j.recordApplied(base.Add(time.Second), &now, table)
-	now.Store(&effectiveState{leasedTable: table, fallbackTable: &config.Table{}, expiresAt: base.Add(4 * time.Second),
+	j.recordApplied(startTime.Add(time.Second), &effective, table)
+	effective.Store(&effectiveState{leasedTable: table, fallbackTable: &config.Table{}, expiresAt: startTime.Add(4 * time.Second),
 		revision: lease.Revision{Version: 5, Stage: lease.StageInForce}, inForceVersion: 5})
-	j.recordRenewal(base.Add(2*time.Second), &now)
-	j.recordApplied(base.Add(5*time.Second), &now, &config.Table{Strict: true})
+	j.recordRenewal(startTime.Add(2*time.Second), &effective)
+	j.recordApplied(startTime.Add(5*time.Second), &effective, &config.Table{Strict: true})
 	j.close()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, "journal.jsonl", raw)
+	compareGolden(t, "journal.jsonl", raw)
 	encoded, err := config.Encode(table)
 	if err != nil {
 		t.Fatal(err)
@@ -145,13 +145,13 @@
 	want := journalEntry{At: 2_000_000_000, Name: "n1", Incarnation: 7, Version: 4, Stage: "narrow", Leased: true, ExpiresAt: 4_000_000_000,
 		TableDigest: fmt.Sprintf("%016x", config.Digest(encoded)), Shards: []int{0, 2}, StartRates: map[string]float64{"a": 12.5}}
 	var got journalEntry
-	first, _, _ := bytes.Cut(stored(t, "journal.jsonl"), []byte("\n"))
+	first, _, _ := bytes.Cut(readGolden(t, "journal.jsonl"), []byte("\n"))
 	if err := json.Unmarshal(first, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded %+v, %v; want %+v", got, err, want)
+		t.Errorf("decoded %+v with error %v, want %+v", got, err, want)
 	}
 }
 
-// Requests to the leader and its responses.
+// Requests to the leader and its responses keep their encoding, and a leader dispatches each request by its kind.
 func TestGoldenPayloads(t *testing.T) {
 	request := encodePayload(payloadLeaseRequest, lease.Request{Cluster: "c", Instance: "n1", Incarnation: 2, Nonce: 3,
 		AppliedRevision: lease.Revision{Version: 4, Stage: lease.StageIntersection}, ViewDigest: 5}.Marshal())
@@ -171,22 +171,22 @@
 		"response-retry-later.bin":  encodeResponse(responseRetryLater, []byte("why")),
 		"response-rejected.bin":     encodeResponse(responseRejected, []byte("why")),
 	} {
-		same(t, file, raw)
+		compareGolden(t, file, raw)
 	}
-	if body, err := decodeResponse(stored(t, "response-accepted.bin")); err != nil || string(body) != "body" {
-		t.Errorf("accepted: %q, %v", body, err)
+	if body, err := decodeResponse(readGolden(t, "response-accepted.bin")); err != nil || string(body) != "body" {
+		t.Errorf("accepted response: decoded %q with error %v, want \"body\"", body, err)
 	}
 	for file, permanent := range map[string]bool{"response-retry-later.bin": false, "response-rejected.bin": true} {
 		var rejected *RejectedError
-		if _, err := decodeResponse(stored(t, file)); !errors.As(err, &rejected) || *rejected != (RejectedError{Reason: "why", Permanent: permanent}) {
-			t.Errorf("%s: %v", file, err)
+		if _, err := decodeResponse(readGolden(t, file)); !errors.As(err, &rejected) || *rejected != (RejectedError{Reason: "why", Permanent: permanent}) {
+			t.Errorf("%s: got error %v, want a RejectedError of that kind", file, err)
 		}
 	}
-	// A leader dispatches each to its handler.
+	// A leader dispatches each request to its handler.
 	v := newSoleVoter(t)
 	answer := func(file string) []byte {
 		got := make(chan []byte, 1)
-		v.node.TryRun(func() { v.handleRequest("", stored(t, file), func(out []byte) { got <- out }) })
+		v.node.TryRun(func() { v.handleRequest("", readGolden(t, file), func(out []byte) { got <- out }) })
 		return <-got
 	}
 	for file, want := range map[string]string{
@@ -197,41 +197,41 @@
 		"payload-migration.bin":     `n`,
 	} {
 		if got := answer(file); !strings.HasPrefix(string(got), want) {
-			t.Errorf("%s: answered %q, want %q", file, got, want)
+			t.Errorf("%s: response %q, want the prefix %q", file, got, want)
 		}
 	}
 }
 
-// A shard report and its response.
+// A shard report and its response keep their encoding.
 func TestGoldenShardReport(t *testing.T) {
-	w := shardReport{From: "n1", Changes: []shard.OwnerChange{{Shard: 2, Epoch: 3, To: "n4"}, {Shard: 5, Epoch: 6, To: ""}}}
-	raw, err := json.Marshal(w)
+	report := shardReport{From: "n1", Changes: []shard.OwnerChange{{Shard: 2, Epoch: 3, To: "n4"}, {Shard: 5, Epoch: 6, To: ""}}}
+	raw, err := json.Marshal(report)
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, "shard-report.json", raw)
+	compareGolden(t, "shard-report.json", raw)
 	var got shardReport
-	if err := json.Unmarshal(stored(t, "shard-report.json"), &got); err != nil || !reflect.DeepEqual(got, w) {
-		t.Errorf("decoded %+v, %v", got, err)
+	if err := json.Unmarshal(readGolden(t, "shard-report.json"), &got); err != nil || !reflect.DeepEqual(got, report) {
+		t.Errorf("decoded report %+v with error %v, want what was encoded", got, err)
 	}
-	p := shardPlacer{reportedChanges: map[int]shard.OwnerChange{}, moves: map[int]shardMove{
+	placer := shardPlacer{reportedChanges: map[int]shard.OwnerChange{}, moves: map[int]shardMove{
 		8: {Transfer: shard.Transfer{Shard: 8, From: "n1", To: "n6"}},
 		7: {Transfer: shard.Transfer{Shard: 7, From: "n1", To: "n5"}},
 		9: {Transfer: shard.Transfer{Shard: 9, From: "n2", To: "n5"}},
 	}}
-	out, err := p.handleReport(stored(t, "shard-report.json"))
-	if err != nil || !reflect.DeepEqual(p.reportedChanges, map[int]shard.OwnerChange{2: w.Changes[0], 5: w.Changes[1]}) {
-		t.Errorf("taken as %+v, %v", p.reportedChanges, err)
+	out, err := placer.handleReport(readGolden(t, "shard-report.json"))
+	if err != nil || !reflect.DeepEqual(placer.reportedChanges, map[int]shard.OwnerChange{2: report.Changes[0], 5: report.Changes[1]}) {
+		t.Errorf("recorded changes %+v with error %v, want those of the report", placer.reportedChanges, err)
 	}
-	same(t, "shard-report-response.json", out)
-	var away []shard.Transfer
+	compareGolden(t, "shard-report-response.json", out)
+	var outgoing []shard.Transfer
 	want := []shard.Transfer{{Shard: 7, From: "n1", To: "n5"}, {Shard: 8, From: "n1", To: "n6"}}
-	if err := json.Unmarshal(stored(t, "shard-report-response.json"), &away); err != nil || !reflect.DeepEqual(away, want) {
-		t.Errorf("decoded %+v, %v", away, err)
+	if err := json.Unmarshal(readGolden(t, "shard-report-response.json"), &outgoing); err != nil || !reflect.DeepEqual(outgoing, want) {
+		t.Errorf("decoded transfers %+v with error %v, want those of n1", outgoing, err)
 	}
 }
 
-// The status that the admin listener shows.
+// The status that the admin listener shows keeps its encoding.
 func TestGoldenStatus(t *testing.T) {
 	s := Status{
 		Name: "n1", Cluster: "c", Version: 2, Stage: "narrow", Newest: 3, Leased: true, RemainingSeconds: 4.5, Fault: "trouble", Rejection: "refused",
@@ -244,25 +244,25 @@
 		Bounds:       lease.Bounds{ConflictSeconds: 1.5, PropagationSeconds: 2.5, AdvanceSeconds: 3.5, AdvanceAfterLossSeconds: 4.5, AdvanceAfterElectionSeconds: 5.5},
 		Revision:     lease.Revision{Version: 17, Stage: lease.StageInForce},
 	}
-	for file, x := range map[string]any{"status.json": s, "status-empty.json": Status{}} {
-		raw, err := json.Marshal(x)
+	for file, status := range map[string]any{"status.json": s, "status-empty.json": Status{}} {
+		raw, err := json.Marshal(status)
 		if err != nil {
 			t.Fatal(err)
 		}
-		same(t, file, raw)
+		compareGolden(t, file, raw)
 	}
 	var got Status
-	if err := json.Unmarshal(stored(t, "status.json"), &got); err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("decoded %+v, %v", got, err)
+	if err := json.Unmarshal(readGolden(t, "status.json"), &got); err != nil || !reflect.DeepEqual(got, s) {
+		t.Errorf("decoded status %+v with error %v, want what was encoded", got, err)
 	}
 }
 
-// The reasons are keys in the status and labels of a metric.
+// The drop reasons keep their texts: they are keys in the status and labels of a metric.
 func TestGoldenReasons(t *testing.T) {
 	reasons := []lease.DropReason{lease.Unsolicited, lease.NotOutstanding, lease.ExpiredOnArrival, lease.WrongCluster, lease.StaleRevision, lease.Undecodable, rejectedByLeader}
 	text := ""
 	for _, r := range reasons {
 		text += string(r) + "\n"
 	}
-	same(t, "reasons.txt", []byte(text))
+	compareGolden(t, "reasons.txt", []byte(text))
 }
--- a/internal/cluster/lease/agent/journal_test.go
+++ b/internal/cluster/lease/agent/journal_test.go
@@ -12,8 +12,8 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// The journal records a lease for the table that the event loop applied, though another one was published right
-// before, and what the capacity ledger and the reservation allow each placed service by it.
+// If a new table is published right before the event loop reports a table as applied, the journal records the lease of
+// the applied table, and the start rates that its capacity ledger and reservations allow each placed service.
 func TestJournalOfReplacedTable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := openJournal(path, "n", 1, time.Now())
@@ -53,7 +53,7 @@
 	}
 	for _, want := range []string{`"version":1,"stage":"in force","leased":true`, `"uses":{"a":12.5,"b":30}`} {
 		if !strings.Contains(string(raw), want) {
-			t.Errorf("%s: want %s", raw, want)
+			t.Errorf("journal has %s, want %s in it", raw, want)
 		}
 	}
 }
--- a/internal/cluster/lease/agent/leasefile_test.go
+++ b/internal/cluster/lease/agent/leasefile_test.go
@@ -11,7 +11,8 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// A lease file is read back, and a corrupt one does not count as missing.
+// A lease file is read back as it was saved. A flipped bit is never read as another revision, and a truncated file is
+// an error, not a missing file.
 func TestLeaseFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x", "n.lease")
 	f, err := openLeaseFile(path)
@@ -27,16 +28,17 @@
 	}
 	raw, _ := os.ReadFile(path)
 	for i := range raw {
-		bad := bytes.Clone(raw)
-		bad[i] ^= 1
-		os.WriteFile(path, bad, 0o600)
+		corrupted := bytes.Clone(raw)
+		corrupted[i] ^= 1
+		os.WriteFile(path, corrupted, 0o600)
 		if f, err := openLeaseFile(path); err == nil && (f.revision != revision || f.cluster != "id") {
-			t.Fatalf("byte %d: read as %v of %q", i, f.revision, f.cluster)
+			t.Fatalf("with a flipped bit in byte %d the file is read as %v of cluster %q, want an error or no change",
+				i, f.revision, f.cluster)
 		}
 	}
 	os.WriteFile(path, raw[:len(raw)/2], 0o600)
 	var corrupt *CorruptFileError
 	if _, err := openLeaseFile(path); !errors.As(err, &corrupt) || !strings.Contains(err.Error(), "docs/operators/accord.md") {
-		t.Errorf("truncated: %v, want %T", err, corrupt)
+		t.Errorf("opening a truncated file: got error %v, want %T", err, corrupt)
 	}
 }
--- a/internal/cluster/lease/agent/migration_pair_test.go
+++ b/internal/cluster/lease/agent/migration_pair_test.go
@@ -22,7 +22,7 @@
 	"example.org/bellstream/internal/cluster/migration/wire"
 )
 
-// relay forwards connections to an address while it is not cut.
+// relay is a TCP proxy. While it is cut, it closes all connections.
 type relay struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -51,11 +51,11 @@
 				}
 				continue
 			}
-			for _, x := range [][2]net.Conn{{in, out}, {out, in}} {
+			for _, direction := range [][2]net.Conn{{in, out}, {out, in}} {
 				r.wg.Go(func() {
-					io.Copy(x[0], x[1])
-					x[0].Close()
-					x[1].Close()
+					io.Copy(direction[0], direction[1])
+					direction[0].Close()
+					direction[1].Close()
 				})
 			}
 		}
@@ -63,6 +63,7 @@
 	return r
 }
 
+// track adds connections for setCut to close. It returns false if the relay is cut.
 func (r *relay) track(list ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,6 +73,7 @@
 	return !r.cut
 }
 
+// setCut cuts the relay, which closes all connections, or restores it.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,19 +87,19 @@
 	}
 }
 
-// pair is two clusters of three voters each, connected by relays alone.
+// pair is two clusters of three voters each, which reach each other only through relays.
 type pair struct {
 	t             *testing.T
 	rand          *rand.Rand
 	incarnation   uint64
-	mu            sync.Mutex // what follows
+	mu            sync.Mutex // guards the fields below
 	nodes         map[string][]*node
 	relays        []*relay
 	voters        map[string][]string
 	states        map[string]*migration.State
 	newest        map[string]uint64
 	expected      map[string]migration.Amount
-	sentMessages  []migration.Message // every message that was ever due
+	sentMessages  []migration.Message // every message that was ever in an outbox
 	violations    []string
 	numberChanges uint64 // changes of the number of any migration
 	faults        int
@@ -111,22 +113,22 @@
 func newPair(t *testing.T, seed uint64) *pair {
 	p := &pair{t: t, rand: rand.New(rand.NewPCG(seed, 0)), nodes: map[string][]*node{}, states: map[string]*migration.State{},
 		newest: map[string]uint64{}, expected: map[string]migration.Amount{}, voters: map[string][]string{}}
-	addrs, through, dir := map[string]map[string]string{}, map[string][]string{}, t.TempDir()
+	addrs, relayAddrs, dir := map[string]map[string]string{}, map[string][]string{}, t.TempDir()
 	for _, c := range clusterNames {
 		addrs[c] = map[string]string{}
 		for i := range 3 {
-			at := freeAddress(t)
-			r := newRelay(t, at)
+			address := freeAddress(t)
+			r := newRelay(t, address)
 			p.relays = append(p.relays, r)
-			addrs[c][fmt.Sprint(c, i)] = at
-			p.voters[c], through[c] = append(p.voters[c], at), append(through[c], r.listener.Addr().String())
+			addrs[c][fmt.Sprint(c, i)] = address
+			p.voters[c], relayAddrs[c] = append(p.voters[c], address), append(relayAddrs[c], r.listener.Addr().String())
 		}
 	}
 	for i, c := range clusterNames {
 		peer := clusterNames[1-i]
-		for name, at := range addrs[c] {
-			o := Options{Name: name, Cluster: "accord of " + c, StateDir: filepath.Join(dir, name), ListenAddress: at, Voters: addrs[c], LeaseSettings: shortLeases, Log: zerolog.Nop(), Now: time.Now,
-				Migration: &Migration{PeerClusters: map[string]PeerCluster{peer: {"accord of " + peer, through[peer]}}, OnConfig: func(t *config.Table) { p.checkInForce(c, t) },
+		for name, address := range addrs[c] {
+			o := Options{Name: name, Cluster: "accord of " + c, StateDir: filepath.Join(dir, name), ListenAddress: address, Voters: addrs[c], LeaseSettings: shortLeases, Log: zerolog.Nop(), Now: time.Now,
+				Migration: &Migration{PeerClusters: map[string]PeerCluster{peer: {"accord of " + peer, relayAddrs[peer]}}, OnConfig: func(t *config.Table) { p.checkInForce(c, t) },
 					Options: coordinator.Options{Self: c, SettledSeconds: 0.5, ResendSeconds: 0.3, Pacer: migration.Pacer{SlowStart: migration.SlowStart{SlowStartFloor: 0.2, SlowStartSeconds: 3}, MaxSteps: 8}}}}
 			p.nodes[c] = append(p.nodes[c], &node{options: o})
 		}
@@ -134,34 +136,35 @@
 	return p
 }
 
-// checkInForce checks what is in force in both clusters whenever that changes, before a message reports it.
+// checkInForce checks the invariants over the versions in force in both clusters, whenever one of them has a new
+// version and before a message reports that.
 func (p *pair) checkInForce(self string, t *config.Table) {
 	s, err := coordinator.State(self, t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was := p.states[self]
+	previous := p.states[self]
 	if err != nil || t.Version <= p.newest[self] {
 		if err != nil {
 			p.violations = append(p.violations, err.Error())
 		}
-		return // another voter was first
+		return // another voter has reported the version before
 	}
 	p.newest[self], p.states[self] = t.Version, s
-	for _, b := range t.LedgerEntries {
-		if b.Issued > 0 {
-			p.expected[b.Service] = migration.Amount(b.Issued * float64(migration.SlotStart))
+	for _, entry := range t.LedgerEntries {
+		if entry.Issued > 0 {
+			p.expected[entry.Service] = migration.Amount(entry.Issued * float64(migration.SlotStart))
 		}
 	}
 	p.sentMessages = append(p.sentMessages, s.Outbox()...)
 	for _, m := range s.Moves {
-		if was != nil {
-			if o := was.Move(m.ID.Key); o != nil && o.Number != m.Number {
+		if previous != nil {
+			if old := previous.Move(m.ID.Key); old != nil && old.Number != m.Number {
 				p.numberChanges++
 			}
 		}
 	}
 	if f := s.Ledger().Free(); f < 0 {
-		p.violations = append(p.violations, fmt.Sprintf("%s promises %v too much", self, -f))
+		p.violations = append(p.violations, fmt.Sprintf("the ledger of %s exceeds its capacity by %v", self, -f))
 	}
 	if p.states["east"] != nil && p.states["west"] != nil {
 		for _, v := range migration.CheckInvariants(p.expected, p.states["east"], p.states["west"]) {
@@ -170,42 +173,46 @@
 	}
 }
 
-// usable returns the most that an instance of a cluster acts on; the loop's table counts while its lease lasts.
+// usable returns the highest usable reservation that any instance of a cluster acts on. The table that an event loop
+// applied last counts until the instance's lease expires.
 func (p *pair) usable(c string, at time.Time) (most float64) {
 	p.mu.Lock()
-	list := append([]*node(nil), p.nodes[c]...)
+	nodes := append([]*node(nil), p.nodes[c]...)
 	p.mu.Unlock()
-	for _, n := range list {
+	for _, n := range nodes {
 		if n.Agent == nil {
 			continue
 		}
-		r := n.EffectiveConfig(at)
-		for _, t := range []*config.Table{r, n.loopTable.Load()} {
-			if t == nil || t.Strict || r.Strict {
+		effective := n.EffectiveConfig(at)
+		for _, t := range []*config.Table{effective, n.loopTable.Load()} {
+			if t == nil || t.Strict || effective.Strict {
 				continue
 			}
-			if x, ok := t.Tenant("a"); ok && x.Reservation != nil {
-				most = max(most, min(t.UsableReservations()["a"], *x.Reservation))
+			if tenant, ok := t.Tenant("a"); ok && tenant.Reservation != nil {
+				most = max(most, min(t.UsableReservations()["a"], *tenant.Reservation))
 			}
 		}
 	}
 	return most
 }
 
-// checkUsage compares all the time what instances of both clusters act on together with the reservation.
+// checkUsage checks continuously that the instances of both clusters together use at most the reservation. It ignores
+// samples that took 20 ms or more, as their two values may not belong to the same time.
 func (p *pair) checkUsage(ctx context.Context) {
 	for ; ctx.Err() == nil; time.Sleep(2 * time.Millisecond) {
 		at := time.Now()
 		east, west := p.usable("east", at), p.usable("west", at)
 		p.mu.Lock()
-		if all := p.expected["a"].SlotStarts(); east+west > all && time.Since(at) < 20*time.Millisecond {
-			p.violations = append(p.violations, fmt.Sprintf("instances use %v in the east and %v in the west, of %v", east, west, all))
+		if reservation := p.expected["a"].SlotStarts(); east+west > reservation && time.Since(at) < 20*time.Millisecond {
+			p.violations = append(p.violations, fmt.Sprintf("instances use %v in the east and %v in the west, of a reservation of %v",
+				east, west, reservation))
 		}
 		p.mu.Unlock()
 	}
 }
 
-// replayMessages sends earlier messages again, in any order: delayed, duplicated, of old migrations in new ones.
+// replayMessages sends earlier messages again in random order. To the receiver they look delayed or duplicated, also
+// those of an old migration during a new one.
 func (p *pair) replayMessages(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	clients := map[string]*consensus.Client{}
@@ -219,20 +226,21 @@
 			p.mu.Unlock()
 			continue
 		}
-		w := p.sentMessages[r.IntN(len(p.sentMessages))]
+		message := p.sentMessages[r.IntN(len(p.sentMessages))]
 		p.mu.Unlock()
-		to := w.ID.From
-		if w.Source {
-			to = w.ID.To
+		to := message.ID.From
+		if message.Source {
+			to = message.ID.To
 		}
-		w.Advice.CapacityStep = w.Amount
-		one, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
-		clients[to].Request(one, p.voters[to][r.IntN(3)], encodePayload(payloadMigration, wire.MarshalMessages([]migration.Message{w})[0]))
+		message.Advice.CapacityStep = message.Amount
+		requestCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+		clients[to].Request(requestCtx, p.voters[to][r.IntN(3)],
+			encodePayload(payloadMigration, wire.MarshalMessages([]migration.Message{message})[0]))
 		cancel()
 	}
 }
 
-// cutLinks cuts the links at the steps of a migration, for longer than all leases.
+// cutLinks cuts the links at random steps of a migration, in one or both directions, for longer than all leases.
 func (p *pair) cutLinks(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	last, next := uint64(0), uint64(0)
@@ -244,16 +252,16 @@
 			continue
 		}
 		last, next = now, now+uint64(r.IntN(3))
-		some := p.relays
-		if r.IntN(2) == 0 { // one way
-			some = p.relays[3*r.IntN(2):][:3]
+		relays := p.relays
+		if r.IntN(2) == 0 { // in one direction only
+			relays = p.relays[3*r.IntN(2):][:3]
 		}
-		for _, x := range some {
-			x.setCut(true)
+		for _, link := range relays {
+			link.setCut(true)
 		}
 		time.Sleep(time.Duration((shortLeases.LeaseSeconds*1.1 + 0.1) * float64(time.Second)))
-		for _, x := range some {
-			x.setCut(false)
+		for _, link := range relays {
+			link.setCut(false)
 		}
 		p.mu.Lock()
 		p.faults++
@@ -264,9 +272,9 @@
 func (p *pair) start(c string) {
 	for i, n := range p.nodes[c] {
 		p.incarnation++
-		x := startNode(p.t, n.options, p.incarnation)
+		started := startNode(p.t, n.options, p.incarnation)
 		p.mu.Lock()
-		p.nodes[c][i] = x
+		p.nodes[c][i] = started
 		p.mu.Unlock()
 	}
 }
@@ -277,12 +285,12 @@
 	}
 }
 
-// placementProposal places the service in a cluster.
+// placementProposal proposes a table that places the service in a cluster.
 func placementProposal(where string) Proposal {
 	return func(history []*config.Table, by string) (*config.Table, error) {
-		newest, m := history[len(history)-1], 32.0
+		newest, reservation := history[len(history)-1], 32.0
 		t := *newest
-		t.Tenants = []config.Tenant{{Name: "a", Reservation: &m}}
+		t.Tenants = []config.Tenant{{Name: "a", Reservation: &reservation}}
 		t.Clusters = []config.Cluster{{Name: "east", Capacity: 40}, {Name: "west", Capacity: 40}}
 		t.Placements = []config.Placement{{Service: "a", Cluster: where, Origin: "east"}}
 		if config.Equivalent(&t, newest) {
@@ -293,6 +301,7 @@
 	}
 }
 
+// place proposes the placement at all instances of both clusters.
 func (p *pair) place(where string) {
 	for _, cluster := range slices.Backward(clusterNames) { // the west first
 		for _, n := range p.nodes[cluster] {
@@ -301,25 +310,25 @@
 	}
 }
 
-// waitFor waits for a condition of the states of both sides.
+// waitFor polls a condition of the states of both clusters. It fails the test on a violation or after 25 s.
 func (p *pair) waitFor(what string, ok func(east, west *migration.State) bool) {
 	p.t.Helper()
-	for end := time.Now().Add(25 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(25 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		p.mu.Lock()
-		east, west, found := p.states["east"], p.states["west"], p.violations
+		east, west, violations := p.states["east"], p.states["west"], p.violations
 		p.mu.Unlock()
-		if len(found) > 0 {
-			p.t.Fatalf("%s: found %v", what, found)
+		if len(violations) > 0 {
+			p.t.Fatalf("waiting for: %s: violations %v", what, violations)
 		}
 		if east != nil && west != nil && ok(east, west) {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			runningNodes.Range(func(_, n any) bool {
 				p.t.Logf("%+v\n%+v", n.(*node).Status(), n.(*node).MigrationStatus())
 				return true
 			})
-			p.t.Fatalf("not within 25 s: %s: %+v %+v", what, east, west)
+			p.t.Fatalf("timeout after 25 s, waited for: %s: east %+v, west %+v", what, east, west)
 		}
 	}
 }
--- a/internal/cluster/lease/agent/migration_test.go
+++ b/internal/cluster/lease/agent/migration_test.go
@@ -11,8 +11,9 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// A service migrates half of its way, is reversed, returns, and migrates again. Meanwhile the links are cut at the
-// steps for longer than all leases, all instances of each cluster restart, and old messages are replayed.
+// A service migrates by half, the migration is reversed and ends where it began, and the service migrates again.
+// Meanwhile the links are cut at steps of the migration for longer than all leases, all instances of each cluster
+// restart, and old messages are replayed. Both clusters together never use more than the reservation.
 func TestServiceChangesClusters(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const seed = 20
@@ -22,10 +23,10 @@
 		p.start(c)
 		defer p.stop(c)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer func() {
-		end()
+		cancel()
 		wg.Wait()
 		for _, r := range p.relays {
 			r.listener.Close()
@@ -35,40 +36,40 @@
 	}()
 	wg.Go(func() { p.checkUsage(ctx) })
 	wg.Go(func() { p.replayMessages(ctx, seed) })
-	const all = 32 * migration.SlotStart
+	const total = 32 * migration.SlotStart
 	p.place("east")
-	p.waitFor("its reservation stands in the east", func(e, w *migration.State) bool { return e.Usable("a") == all })
+	p.waitFor("the reservation is usable in the east", func(e, w *migration.State) bool { return e.Usable("a") == total })
 	wg.Go(func() { p.cutLinks(ctx, seed) })
-	began := time.Now()
+	start := time.Now()
 	p.place("west")
-	p.waitFor("a quarter is in the west", func(e, w *migration.State) bool { return w.Usable("a") >= all/4 })
-	t.Logf("%v: the east restarts", time.Since(began))
+	p.waitFor("a quarter is usable in the west", func(e, w *migration.State) bool { return w.Usable("a") >= total/4 })
+	t.Logf("after %v: the east restarts", time.Since(start))
 	p.stop("east")
 	p.start("east")
-	p.waitFor("half is in the west", func(e, w *migration.State) bool { return w.Usable("a") >= all/2 })
+	p.waitFor("half is usable in the west", func(e, w *migration.State) bool { return w.Usable("a") >= total/2 })
 	p.place("east")
 	p.waitFor("the migration is reversed", func(e, w *migration.State) bool {
 		m := w.Move(migration.Key{From: "east", To: "west", Service: "a"})
 		return m.HasToken || m.End != migration.Open
 	})
-	t.Logf("%v: the west restarts", time.Since(began))
+	t.Logf("after %v: the west restarts", time.Since(start))
 	p.stop("west")
 	p.start("west")
-	p.waitFor("all is in the east, and both know", func(e, w *migration.State) bool {
+	p.waitFor("all is usable in the east and the migration is closed", func(e, w *migration.State) bool {
 		m := e.Move(migration.Key{From: "east", To: "west", Service: "a"})
-		return e.Usable("a") == all && m.Closed
+		return e.Usable("a") == total && m.Closed
 	})
-	t.Logf("%v: the second migration", time.Since(began))
+	t.Logf("after %v: the second migration starts", time.Since(start))
 	p.place("west")
-	p.waitFor("all is in the west, and both know", func(e, w *migration.State) bool {
+	p.waitFor("all is usable in the west and the second migration is closed", func(e, w *migration.State) bool {
 		m := e.Move(migration.Key{From: "east", To: "west", Service: "a"})
-		return w.Usable("a") == all && m.Closed && m.ID.Seq >= 2 && m.End != migration.Open
+		return w.Usable("a") == total && m.Closed && m.ID.Seq >= 2 && m.End != migration.Open
 	})
 	for _, n := range p.nodes["west"] {
-		waitFor(t, n.Name+" uses all of it", func() bool { return n.EffectiveConfig(time.Now()).UsableReservations()["a"] == all.SlotStarts() })
+		waitFor(t, n.Name+" uses all of it", func() bool { return n.EffectiveConfig(time.Now()).UsableReservations()["a"] == total.SlotStarts() })
 	}
-	p.waitFor("nothing is found", func(e, w *migration.State) bool { return true })
+	p.waitFor("no violation is found", func(e, w *migration.State) bool { return true })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t.Logf("%v, %d cuts, %d messages", time.Since(began), p.faults, len(p.sentMessages))
+	t.Logf("took %v, with %d cuts and %d messages", time.Since(start), p.faults, len(p.sentMessages))
 }
--- a/internal/cluster/lease/agent/proposal_test.go
+++ b/internal/cluster/lease/agent/proposal_test.go
@@ -8,8 +8,9 @@
 	"example.org/bellstream/internal/cluster/config"
 )
 
-// A proposal that was rejected because another version came first is proposed again once that version is known:
-// versions that move shards do not outdate a file.
+// A proposal that was rejected because another version was accepted first is evaluated again once that version is
+// known, because versions that only move shards do not outdate an operator's file. Without a newer version the agent
+// gives up.
 func TestRejectedProposalIsReevaluated(t *testing.T) {
 	a := &Agent{
 		Options:   Options{Now: time.Now},
@@ -22,7 +23,8 @@
 	}
 	a.proposePending()
 	if a.proposal.pending != nil || a.proposal.rejection != "outdated" {
-		t.Errorf("rejected permanently: %v, %q", a.proposal.pending != nil, a.proposal.rejection)
+		t.Errorf("after a permanent rejection: pending %v, rejection %q, want none pending and the rejection kept",
+			a.proposal.pending != nil, a.proposal.rejection)
 	}
 	a.proposal.pending = func([]*config.Table, string) (*config.Table, error) {
 		return nil, errors.New("evaluated again")
@@ -31,6 +33,6 @@
 	a.history = append(a.history, &config.Table{Version: 8})
 	a.proposePending()
 	if a.proposal.rejection != "evaluated again" {
-		t.Errorf("rejection: %q", a.proposal.rejection)
+		t.Errorf("rejection after a newer version: %q, want that of the second evaluation", a.proposal.rejection)
 	}
 }
--- a/internal/cluster/lease/agent/shards_test.go
+++ b/internal/cluster/lease/agent/shards_test.go
@@ -8,8 +8,8 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// The leader assigns shards to the configured instances that hold a lease. An instance that stops
-// loses its shards to the others, and one that reports that it has received a shard owns it.
+// The leader assigns shards to the configured instances that hold a lease. The shards of an instance that stops are
+// assigned to the others. An instance that reports that it has received a shard becomes its owner.
 func TestShardsFollowLiveInstances(t *testing.T) {
 	t.Parallel()
 	all := newCluster(t)
@@ -37,7 +37,7 @@
 		}
 		return count, epochs
 	}
-	waitFor(t, "each of the three owns four", func() bool {
+	waitFor(t, "each of the three instances owns four shards", func() bool {
 		for _, name := range []string{"n0", "n3", "n4"} {
 			if n, epochs := owned(all[1], name); n != 4 || epochs != 4 {
 				return false
@@ -46,14 +46,14 @@
 		return true
 	})
 	all[3].stop()
-	waitFor(t, "its shards are owned by the others", func() bool {
-		a, x := owned(all[4], "n0")
-		b, y := owned(all[4], "n4")
-		return a == 6 && b == 6 && x+y == 16
+	waitFor(t, "the shards of the stopped instance are owned by the others", func() bool {
+		count0, epochs0 := owned(all[4], "n0")
+		count4, epochs4 := owned(all[4], "n4")
+		return count0 == 6 && count4 == 6 && epochs0+epochs4 == 16
 	})
 	all[3] = startNode(t, all[3].options, 33)
 	var outgoing []shard.Transfer
-	waitFor(t, "an instance with too many is asked to give some away", func() bool {
+	waitFor(t, "an instance with too many shards is asked to give some away", func() bool {
 		outgoing, _ = all[0].ReportShards(nil)
 		return len(outgoing) > 0
 	})
--- a/internal/cluster/lease/agent/voter_test.go
+++ b/internal/cluster/lease/agent/voter_test.go
@@ -13,7 +13,7 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// newSoleVoter returns a voter that is a cluster by itself, which has an identity, and leads it.
+// newSoleVoter returns the only voter of a cluster. It leads, and the cluster has an identity.
 func newSoleVoter(t *testing.T) *voter {
 	address := freeAddress(t)
 	a := newAgent(Options{
@@ -56,32 +56,32 @@
 	return <-got
 }
 
-// A proposal that the leader can't validate yet may be retried. An invalid one is rejected permanently,
-// whoever validated it before.
+// The leader rejects a proposal that it can't validate yet so that it is retried. It rejects an invalid proposal
+// permanently, even though the proposing instance should have validated it.
 func TestProposalsAtTheLeader(t *testing.T) {
 	v := newSoleVoter(t)
 	if out := v.proposeTable(t, &config.Table{Version: 8, BaseVersion: 7, ProposedBy: "n"}); out[0] != byte(responseRetryLater) {
-		t.Errorf("on a version that it has not applied yet: %s", out)
+		t.Errorf("proposal on a version that the leader has not applied yet: response %s, want one that allows a retry", out)
 	}
-	minus := -1.0
-	bad := &config.Table{Version: 1, ProposedBy: "n", Tenants: []config.Tenant{{Name: "a", Reservation: &minus}}}
-	if out := v.proposeTable(t, bad); out[0] != byte(responseRejected) || !strings.Contains(out, "reservation") {
-		t.Errorf("a reservation of -1: %s", out)
+	negative := -1.0
+	invalid := &config.Table{Version: 1, ProposedBy: "n", Tenants: []config.Tenant{{Name: "a", Reservation: &negative}}}
+	if out := v.proposeTable(t, invalid); out[0] != byte(responseRejected) || !strings.Contains(out, "reservation") {
+		t.Errorf("reservation of -1: response %s, want a permanent rejection that names it", out)
 	}
 	if out := v.proposeTable(t, &config.Table{Version: 1, ProposedBy: "n", MaxAttempts: 2}); out[0] != byte(responseAccepted) {
-		t.Errorf("a good one: %s", out)
+		t.Errorf("valid proposal: response %s, want it accepted", out)
 	}
-	fresh := &voter{agent: v.agent, state: &lease.State{}, ready: v.ready}
+	unidentified := &voter{agent: v.agent, state: &lease.State{}, ready: v.ready}
 	raw, _ := config.Encode(&config.Table{Version: 1, ProposedBy: "n", MaxAttempts: 2})
-	fresh.handleRequest("", encodePayload(payloadProposal, raw), func(out []byte) {
+	unidentified.handleRequest("", encodePayload(payloadProposal, raw), func(out []byte) {
 		if out[0] != byte(responseRetryLater) {
-			t.Errorf("before the cluster has an identity: %s", out)
+			t.Errorf("before the cluster has an identity: response %s, want one that allows a retry", out)
 		}
 	})
 }
 
-// A voter that can't apply an entry may lead until it has retired: a proposal to it is retried, at the next leader.
-// If it were rejected permanently, an operator's file would never be in force.
+// A voter that can't apply an entry may still lead until it has retired. It rejects proposals in a way that lets them
+// be retried at the next leader. After a permanent rejection an operator's file would never be in force.
 func TestRetiredVoterRejectsNothingPermanently(t *testing.T) {
 	v := newSoleVoter(t)
 	raw, err := config.Encode(&config.Table{Version: 1, ProposedBy: "n", MaxAttempts: 2})
@@ -90,37 +90,37 @@
 	}
 	got := make(chan string, 1)
 	v.node.TryRun(func() {
-		v.apply(1, 1, []byte{0xff, 1, 2}) // it retires
+		v.apply(1, 1, []byte{0xff, 1, 2}) // makes the voter retire
 		v.handleRequest("", encodePayload(payloadProposal, raw), func(out []byte) { got <- string(out) })
 	})
 	if out := <-got; out[0] != byte(responseRetryLater) || !strings.Contains(out, "an entry") {
-		t.Errorf("answered %q", out)
+		t.Errorf("response is %q, want one that allows a retry and names the entry", out)
 	}
 }
 
-// Two equal proposals in flight are each notified of their outcome.
+// Two equal proposals in flight are both notified of the outcome, which is not kept afterwards.
 func TestEqualProposalsAreBothNotified(t *testing.T) {
 	v := newSoleVoter(t)
-	e := lease.Entry{Kind: lease.EntryPropose, Base: 9, Proposer: "n", Table: []byte("x")}
+	entry := lease.Entry{Kind: lease.EntryPropose, Base: 9, Proposer: "n", Table: []byte("x")}
 	got := make(chan error, 2)
 	v.node.TryRun(func() {
-		v.submit(e, func(err error) { got <- err })
-		v.submit(e, func(err error) { got <- err })
+		v.submit(entry, func(err error) { got <- err })
+		v.submit(entry, func(err error) { got <- err })
 	})
 	for range 2 {
-		var outdated *lease.StaleProposalError
-		if err := <-got; !errors.As(err, &outdated) {
-			t.Errorf("notified of %v", err)
+		var stale *lease.StaleProposalError
+		if err := <-got; !errors.As(err, &stale) {
+			t.Errorf("notified of %v, want a StaleProposalError", err)
 		}
 	}
-	left := make(chan int)
-	v.node.TryRun(func() { left <- len(v.outcomes) })
-	if n := <-left; n != 0 {
-		t.Errorf("%d outcomes are kept", n)
+	remaining := make(chan int)
+	v.node.TryRun(func() { remaining <- len(v.outcomes) })
+	if n := <-remaining; n != 0 {
+		t.Errorf("%d outcomes are kept, want 0", n)
 	}
 }
 
-// BenchmarkTick4096Shards measures what the leader does once a second with a large table.
+// BenchmarkTick4096Shards measures the leader's work of each review, once a second, with a large table.
 func BenchmarkTick4096Shards(b *testing.B) {
 	t := &config.Table{Version: 1, ProposedBy: "n0"}
 	for i := range 300 {
@@ -130,8 +130,8 @@
 		t.ShardOwners = append(t.ShardOwners, config.ShardOwner{Name: t.ShardInstances[i%300], Epoch: 1})
 	}
 	for i := range 1000 {
-		x := float64(i)
-		t.Tenants = append(t.Tenants, config.Tenant{Name: fmt.Sprintf("tenant-%04d", i), Reservation: &x})
+		reservation := float64(i)
+		t.Tenants = append(t.Tenants, config.Tenant{Name: fmt.Sprintf("tenant-%04d", i), Reservation: &reservation})
 	}
 	raw, err := config.Encode(t)
 	if err != nil {
