--- a/internal/cluster/config/compatible.go
+++ b/internal/cluster/config/compatible.go
@@ -1,8 +1,8 @@
 package config
 
-// Compatible reports whether one instance may act on a while another acts on b:
-// one of the two allows no more than the other, so that together they allow
-// nothing that a single table does not allow. Both are sorted.
+// Compatible reports whether one instance may act on a while another acts on b.
+// This is the case if one of the tables allows nothing exclusive that the other
+// does not allow. Both must be sorted.
 func Compatible(a, b *Table) bool { return a.isWithin(b) || b.isWithin(a) }
 
 // isWithin reports whether t allows nothing exclusive that other does not.
@@ -19,7 +19,7 @@
 		t.shardOwnersWithin(other)
 }
 
-// containsNames reports whether a sorted list has all the names.
+// containsNames reports whether a sorted list contains all the names.
 func containsNames(list, names []string) bool {
 	for _, name := range names {
 		if !containsName(list, name) {
@@ -72,7 +72,7 @@
 
 func (t *Table) shardOwnersWithin(other *Table) bool {
 	// Without shards every instance uses a part of each reservation, which is not
-	// compatible with any owner.
+	// compatible with a shard owner that uses the same reservation.
 	if len(t.ShardOwners) == 0 && len(other.ShardOwners) > 0 && !t.Strict {
 		return false
 	}
--- a/internal/cluster/config/conflicts.go
+++ b/internal/cluster/config/conflicts.go
@@ -12,7 +12,7 @@
 
 // Kinds of conflicts.
 const (
-	Tolerated ConflictKind = iota // both values may be in effect at the same time for the bound T
+	Tolerated ConflictKind = iota // both values may be in effect at the same time, for a bounded time (T)
 	Exclusive                     // both values must never be in effect at the same time
 )
 
@@ -25,7 +25,7 @@
 
 // Conflict is a key in which two tables differ.
 type Conflict struct {
-	Key  string // as in an operator's file: tenant "north".reservation
+	Key  string // as in an operator's file, such as tenant "north".reservation
 	Kind ConflictKind
 }
 
@@ -43,7 +43,7 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// nameKey makes a name an entry of a list.
+// nameKey adapts a name to the interface keyed.
 type nameKey string
 
 func (k nameKey) key() string { return string(k) }
@@ -59,7 +59,7 @@
 // unionNames returns the names of both lists in ascending order, or nil.
 func unionNames(a, b []string) []string { return unionKeys(nameKeys(a), nameKeys(b)) }
 
-// containsName reports whether a sorted list has a name.
+// containsName reports whether a sorted list contains a name.
 func containsName(list []string, name string) bool {
 	_, found := slices.BinarySearch(list, name)
 	return found
@@ -67,27 +67,30 @@
 
 func equalOptional(a, b *float64) bool { return a == b || a != nil && b != nil && *a == *b }
 
-// Conflicts returns where two sorted tables differ, and how severe that is. Who
-// proposed a table on which base does not count. Exclusive are:
+// Conflicts returns the keys in which two sorted tables differ, and the kind of
+// each conflict. It ignores versions and proposers. These keys are exclusive:
 //
-//   - a reservation: if one instance uses it by the old value and another gives it
-//     to a third tenant by the new one, it is sold twice;
+//   - a reservation: one instance could serve its tenant by the old value while
+//     another gives the same slots to another tenant by the new one;
 //   - a placement: the reservation would be used in both clusters;
-//   - a forced release: one would release what another still counts as reserved;
-//   - what the ledger lets a service use here: it is used elsewhere next;
-//   - a capacity: ledgers promise up to it;
-//   - the owner of a shard: two of them would use one reservation;
+//   - a forced release: one instance would release capacity that another still
+//     counts as reserved;
+//   - the usable amount of a service in the ledger: the amount that it loses here
+//     is used in another cluster next;
+//   - a capacity: ledgers reserve up to it;
+//   - the owner of a shard: two owners would use one reservation;
 //   - an instance that may own shards;
-//   - a cordoned worker: work in flight on it must not be disturbed, or disturb;
-//   - the idempotence of a class, with its scope and window: a job would be
-//     retried that must not be.
+//   - a cordoned worker: new jobs must not disturb the work in flight on it, or be
+//     disturbed by it;
+//   - the idempotence of a class, with its scope and window: a job could be retried
+//     that must not be.
 //
-// The rest is tolerated. Weights and latency objectives shift who is served
-// first, never beyond what is reserved. A deadline and the limit of attempts
-// concern only the one instance that holds the job. The voters are decided by
-// consensus itself, for which the table is a request. And the epoch of endpoint
-// lists decides which list is the newest, where an old list has the same effect
-// as a late one.
+// All others are tolerated. Weights and latency objectives change the order in
+// which jobs are served, within what the reservations allow. A deadline and the
+// limit of attempts concern only the one instance that holds the job. The
+// voters are changed by consensus itself; the table only requests the change. The
+// epoch of endpoint lists decides which list is the newest, and acting on an old
+// list has the same effect as receiving the new one late.
 func Conflicts(a, b *Table) []Conflict {
 	c := &comparison{a: a, b: b}
 	c.compare(Exclusive, a.Strict != b.Strict, "strict")
@@ -193,8 +196,8 @@
 	}
 }
 
-// Equivalent reports whether two tables have the same effect, whoever proposed
-// them when.
+// Equivalent reports whether two tables have the same effect. It ignores their
+// versions and proposers.
 func Equivalent(a, b *Table) bool {
 	return len(Conflicts(a.Sorted(), b.Sorted())) == 0
 }
--- a/internal/cluster/config/conflicts_test.go
+++ b/internal/cluster/config/conflicts_test.go
@@ -7,7 +7,7 @@
 	"example.org/bellstream/balance"
 )
 
-// Each key by itself, with the kind of its conflict.
+// A change of each key is reported alone and with the kind of its conflict, whatever the order of the tables.
 func TestConflicts(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Table)
@@ -44,7 +44,7 @@
 		a, b := sampleWithLedger(), sampleWithLedger()
 		c.change(b)
 		if got := fmt.Sprint(Conflicts(a, b)); got != c.want || got != fmt.Sprint(Conflicts(b, a)) || Equivalent(a, b) != (got == "[]") {
-			t.Errorf("got  %s\nwant %s", got, c.want)
+			t.Errorf("conflicts:\ngot  %s\nwant %s", got, c.want)
 		}
 	}
 }
--- a/internal/cluster/config/encoding.go
+++ b/internal/cluster/config/encoding.go
@@ -16,19 +16,19 @@
 
 // The encoding is JSON. Struct fields have a fixed order, lists are sorted and
 // there is no map, so a table has exactly one encoding, and the admin listener
-// serves the same bytes. Protobuf's deterministic encoding holds for one build
-// only, which is not enough for a digest that instances compare.
+// serves the same bytes. Protobuf's deterministic encoding is only the same within
+// one build, which is not enough for a digest that instances compare.
 //
-// Keys that this build does not know are rejected, neither skipped nor kept: an
-// instance that skips an entry acts against those that obey it. An instance that
-// has no table to act on serves as one without a lease does, until it is upgraded.
+// Keys that this build does not know are rejected, neither skipped nor kept,
+// because an instance that skips an entry would violate it while others apply it.
+// An instance that has no table serves as one without a lease, until it is upgraded.
 
-// MalformedError is returned for bytes that are no encoded table.
+// MalformedError is returned for bytes that are not the encoding of a table.
 type MalformedError struct{ Err error }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("these are no rules, nothing is taken from them: %v; "+
-		"compare what bellstream version says on all instances", e.Err)
+	return fmt.Sprintf("malformed rules, which are ignored as a whole: %v; "+
+		"compare the output of bellstream version on all instances", e.Err)
 }
 
 // Unwrap returns the cause.
@@ -42,17 +42,17 @@
 }
 
 func (e *UnsupportedFormatError) Error() string {
-	return fmt.Sprintf("version %d of the rules is of a newer build (%v): upgrade this instance "+
+	return fmt.Sprintf("version %d of the rules was written by a newer build (%v): upgrade this instance "+
 		"(docs/operators/upgrade.md); until then it serves as without a lease", e.Version, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *UnsupportedFormatError) Unwrap() error { return e.Err }
 
-// Encode returns a table's only encoding, of at most MaxTableBytes. It fails for
-// a table that has none: names that are duplicate, too long or not text, numbers
-// that are not finite, lists beyond their limits. A table that [Validate] accepts
-// has an encoding unless it is too large as a whole.
+// Encode returns the canonical encoding of a table, of at most MaxTableBytes. It
+// returns an error for names that are empty, duplicate, too long or not plain text,
+// for numbers that are not finite or are -0, for lists or a capacity ledger that
+// exceed their limits, and for an encoding that is too large.
 func Encode(t *Table) ([]byte, error) {
 	t = t.Sorted()
 	if err := t.checkEncodable(); err != nil {
@@ -66,14 +66,15 @@
 	}
 	encoded := bytes.TrimSuffix(buffer.Bytes(), []byte("\n"))
 	if len(encoded) > MaxTableBytes {
-		return nil, fmt.Errorf("%d bytes of rules, at most %d: name fewer tenants, or use shorter names",
+		return nil, fmt.Errorf("the rules have %d bytes, at most %d: name fewer tenants, or use shorter names",
 			len(encoded), MaxTableBytes)
 	}
 	return encoded, nil
 }
 
-// Decode accepts what Encode returns, and nothing else: another encoding of the
-// same table is a MalformedError, an unknown key an UnsupportedFormatError.
+// Decode returns the table of an encoding. It accepts only what Encode returns:
+// for another encoding of the same table the error is a *MalformedError, and for an
+// unknown key a *UnsupportedFormatError.
 func Decode(encoded []byte) (*Table, error) {
 	if len(encoded) > MaxTableBytes {
 		return nil, &MalformedError{fmt.Errorf("%d bytes, at most %d", len(encoded), MaxTableBytes)}
@@ -89,13 +90,14 @@
 		return nil, &MalformedError{err}
 	}
 	if !bytes.Equal(encoded, canonical) {
-		return nil, &MalformedError{errors.New("not the one form of this table")}
+		return nil, &MalformedError{errors.New("not the canonical encoding of the table")}
 	}
 	return t, nil
 }
 
-// decodeError distinguishes a newer build's table, which is complete JSON. The
-// library's error for an unknown key has no type.
+// decodeError returns an *UnsupportedFormatError for the table of a newer build,
+// which is valid JSON with an unknown key, and a *MalformedError otherwise. It
+// compares the text, as encoding/json's error for an unknown key has no type.
 func decodeError(encoded []byte, err error) error {
 	if !strings.Contains(err.Error(), "unknown field") || !json.Valid(encoded) {
 		return &MalformedError{err}
@@ -105,10 +107,12 @@
 	return &UnsupportedFormatError{known.Version, err}
 }
 
-// Digest distinguishes tables by their encoding. It protects from mistakes, not
-// from forgery.
+// Digest returns a digest by which instances compare encoded tables. It detects
+// accidental differences, but is not secure against forgery.
 func Digest(encoded []byte) uint64 { return xxhash.Sum64(encoded) }
 
+// checkName returns an error if a name is empty, longer than MaxNameBytes or not
+// plain text.
 func checkName(s string) error {
 	switch {
 	case s == "":
@@ -116,14 +120,14 @@
 	case len(s) > MaxNameBytes:
 		return fmt.Errorf("the name that begins with %.16q has %d bytes, at most %d", s, len(s), MaxNameBytes)
 	case !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl) || strings.ContainsRune(s, utf8.RuneError):
-		return fmt.Errorf("the name %.40q is no plain text", s)
+		return fmt.Errorf("the name %.40q is not plain text", s)
 	}
 	return nil
 }
 
-// nameList is a sorted list of names with its limit.
+// nameList is a sorted list of names with its maximum length.
 type nameList struct {
-	what   string
+	what   string // the entries, in errors
 	length int
 	limit  int
 	name   func(int) string
@@ -153,8 +157,9 @@
 	return nil
 }
 
-// checkEncodable returns why a sorted table has no encoding. encoding/json itself
-// rejects numbers that are not finite, but replaces text that is not UTF-8.
+// checkEncodable returns why a sorted table has no encoding, or nil. It does not
+// check for numbers that are not finite, which encoding/json rejects. It checks the
+// names, because encoding/json replaces text that is not UTF-8.
 func (t *Table) checkEncodable() error {
 	return errors.Join(t.checkLists(), t.checkNames(), t.checkSizes(), t.checkNoNegativeZero())
 }
@@ -191,7 +196,7 @@
 	return errs
 }
 
-// optionalNames yields the names that are not the keys of lists.
+// optionalNames yields the names that are not keys of lists. They may be empty.
 func (t *Table) optionalNames() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if !yield(t.ProposedBy) {
@@ -223,7 +228,7 @@
 func (t *Table) checkSizes() error {
 	var errs error
 	if size := len(t.CapacityLedger); size > MaxCapacityLedgerBytes {
-		errs = errors.Join(errs, fmt.Errorf("%d bytes of capacity ledger, at most %d: fewer services may migrate",
+		errs = errors.Join(errs, fmt.Errorf("the capacity ledger has %d bytes, at most %d: let fewer services migrate",
 			size, MaxCapacityLedgerBytes))
 	}
 	if shards := len(t.ShardOwners); shards > MaxShards {
@@ -237,13 +242,13 @@
 	var errs error
 	for quantity := range t.quantities() {
 		if quantity == 0 && math.Signbit(quantity) {
-			errs = errors.Join(errs, errors.New("a number is -0: write 0"))
+			errs = errors.Join(errs, errors.New("a number is -0: use 0"))
 		}
 	}
 	return errs
 }
 
-// quantities yields all numbers that are set.
+// quantities yields all numbers that are set. Integers are not among them.
 func (t *Table) quantities() iter.Seq[float64] {
 	return func(yield func(float64) bool) {
 		for _, tenant := range t.Tenants {
--- a/internal/cluster/config/encoding_test.go
+++ b/internal/cluster/config/encoding_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each table has one encoding, whatever the order of its lists, and decodes to
-// itself.
+// A table has the same encoding whatever the order of its lists, and the encoding
+// decodes to the sorted table.
 func TestEncodingIsCanonical(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a := tableGenerator().Draw(r, "table")
@@ -22,45 +22,46 @@
 		if err != nil {
 			r.Fatal(err)
 		}
-		back, err := Decode(raw)
-		if err != nil || !reflect.DeepEqual(a.Sorted(), back) {
-			r.Fatalf("%s: %+v, %v", raw, back, err)
+		decoded, err := Decode(raw)
+		if err != nil || !reflect.DeepEqual(a.Sorted(), decoded) {
+			r.Fatalf("%s decoded to %+v with error %v, want the sorted table", raw, decoded, err)
 		}
 		b := *a
 		b.Tenants, b.CordonedWorkers = rapid.Permutation(a.Tenants).Draw(r, "tenants"), rapid.Permutation(a.CordonedWorkers).Draw(r, "out")
 		if again, err := Encode(&b); err != nil || Digest(again) != Digest(raw) {
-			r.Fatalf("%s and %s, %v", raw, again, err)
+			r.Fatalf("a table has the encodings %s and %s, error %v", raw, again, err)
 		}
 	})
 }
 
-// What has no one form is no table, and what this build does not know is not skipped.
+// Decode rejects bytes that are not the canonical encoding of a table, and reports unknown keys instead of skipping
+// them. Encode rejects tables without an encoding.
 func TestNonCanonicalFormsAreRejected(t *testing.T) {
 	for _, text := range []string{``, `null`, `{`, `{"version":1} `, `{"version":1}{}`, `{"Version":1}`, `{"version":1,"out":[]}`, `{"version":-1}`,
 		`{"version":1,"out":["b","a"]}`, `{"version":1,"out":["a","a"]}`, `{"version":1,"out":[""]}`, `{"version":1,"out":["a\u0000"]}`,
 		`{"version":1,"out":["` + strings.Repeat("a", MaxNameBytes+1) + `"]}`, `{"version":1,"attempts":3,"base":1}`, `{"version":1,"seats":[{"epoch":1,"name":"a"}]}`,
 		`{"version":1,"tenants":[{"name":"a","weight":-0}]}`, `{"version":1,"tenants":[{"name":"a","weight":1.0}]}`, `{"version":1,"novel":`} {
-		var g *MalformedError
-		if _, err := Decode([]byte(text)); !errors.As(err, &g) {
-			t.Errorf("%s: %v", text, err)
+		var malformed *MalformedError
+		if _, err := Decode([]byte(text)); !errors.As(err, &malformed) {
+			t.Errorf("decoding %s: got error %v, want a MalformedError", text, err)
 		}
 	}
-	var n *UnsupportedFormatError
-	if _, err := Decode([]byte(`{"version":7,"tenants":[{"name":"a","shape":1}]}`)); !errors.As(err, &n) || n.Version != 7 {
-		t.Errorf("%v", err)
+	var unsupported *UnsupportedFormatError
+	if _, err := Decode([]byte(`{"version":7,"tenants":[{"name":"a","shape":1}]}`)); !errors.As(err, &unsupported) || unsupported.Version != 7 {
+		t.Errorf("decoding an unknown key: got error %v, want an UnsupportedFormatError of version 7", err)
 	}
-	for _, x := range []*Table{{ProposedBy: "\xff"}, {CordonedWorkers: make([]string, MaxCordonedWorkers+1)}, {ShardOwners: make([]ShardOwner, MaxShards+1)}, {Tenants: []Tenant{{"a", new(math.NaN()), nil}}},
+	for _, table := range []*Table{{ProposedBy: "\xff"}, {CordonedWorkers: make([]string, MaxCordonedWorkers+1)}, {ShardOwners: make([]ShardOwner, MaxShards+1)}, {Tenants: []Tenant{{"a", new(math.NaN()), nil}}},
 		{Tenants: []Tenant{{Name: "a"}, {Name: "a"}}}, {Clusters: []Cluster{{"a", math.Inf(1)}}}} {
-		if raw, err := Encode(x); err == nil {
-			t.Errorf("encoded: %.100s", raw)
+		if raw, err := Encode(table); err == nil {
+			t.Errorf("a table without an encoding is encoded as %.100s", raw)
 		}
 	}
-	long := &Table{}
+	large := &Table{}
 	for range MaxShards {
-		long.ShardOwners = append(long.ShardOwners, ShardOwner{strings.Repeat("a", MaxNameBytes), 1})
+		large.ShardOwners = append(large.ShardOwners, ShardOwner{strings.Repeat("a", MaxNameBytes), 1})
 	}
-	if raw, err := Encode(long); err == nil {
-		t.Errorf("%d bytes", len(raw))
+	if raw, err := Encode(large); err == nil {
+		t.Errorf("a table that is too large is encoded in %d bytes", len(raw))
 	}
 }
 
@@ -72,21 +73,21 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		table, err := Decode(raw)
 		if err != nil {
-			var g *MalformedError
-			var n *UnsupportedFormatError
-			if !errors.As(err, &g) && !errors.As(err, &n) {
-				t.Fatalf("%T", err)
+			var malformed *MalformedError
+			var unsupported *UnsupportedFormatError
+			if !errors.As(err, &malformed) && !errors.As(err, &unsupported) {
+				t.Fatalf("got an error of type %T, want a MalformedError or an UnsupportedFormatError", err)
 			}
 			return
 		}
 		if again, err := Encode(table); err != nil || !bytes.Equal(raw, again) {
-			t.Fatalf("%s: %s, %v", raw, again, err)
+			t.Fatalf("%s is encoded again as %s, error %v", raw, again, err)
 		}
 	})
 }
 
-// BenchmarkLarge has a table of 300 instances, 4,096 shards and 1,000 tenants, and
-// the next one, in which a third of the shards have another owner.
+// BenchmarkLarge uses a table of 300 instances, 4,096 shards and 1,000 tenants, and
+// a next version in which a third of the shards have another owner.
 func BenchmarkLarge(b *testing.B) {
 	old := &Table{Version: 1}
 	for i := range 300 {
@@ -107,14 +108,14 @@
 	if err != nil || Validate(old, next) != nil {
 		b.Fatal(err, Validate(old, next))
 	}
-	for name, f := range map[string]func(){
-		"encode": func() { Encode(next) }, "decode": func() { Decode(raw) }, "judge": func() { Validate(old, next) },
-		"contradictions": func() { Conflicts(old, next) }, "narrower": func() { Intersection(old, next) }, "maystand": func() { Compatible(old, next) },
+	for name, operation := range map[string]func(){
+		"encode": func() { Encode(next) }, "decode": func() { Decode(raw) }, "validate": func() { Validate(old, next) },
+		"conflicts": func() { Conflicts(old, next) }, "intersection": func() { Intersection(old, next) }, "compatible": func() { Compatible(old, next) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				f()
+				operation()
 			}
 			b.ReportMetric(float64(len(raw)), "bytes-encoded")
 		})
--- a/internal/cluster/config/entitlement.go
+++ b/internal/cluster/config/entitlement.go
@@ -1,15 +1,15 @@
 package config
 
-// entitlement is what a tenant may use of the fleet, and where.
+// entitlement is the part of the fleet that a tenant may use, and the cluster of that part.
 type entitlement struct {
 	amount          float64 // slot-starts per second
-	platformDefault bool    // the amount is the platform's own, which no table knows
-	cluster         string  // empty if not placed
+	platformDefault bool    // the platform's setting applies, which is not in any table
+	cluster         string  // empty if the tenant is not placed or the ledger decides
 }
 
 var noEntitlement = entitlement{}
 
-// entitlement returns what both the reservation and the capacity ledger allow.
+// entitlement returns what both the reservation and the capacity ledger allow a tenant.
 func (t *Table) entitlement(tenant string) entitlement {
 	e := t.reservationEntitlement(tenant)
 	entry, inLedger := find(t.LedgerEntries, tenant)
@@ -23,8 +23,8 @@
 	return e
 }
 
-// reservationEntitlement returns what the reservation allows. A service in the
-// ledger is used here, wherever it is placed.
+// reservationEntitlement returns what the reservation allows. It has no cluster for
+// a service in the ledger, whose amount is usable here wherever the service is placed.
 func (t *Table) reservationEntitlement(tenant string) entitlement {
 	entry, _ := t.Tenant(tenant)
 	placement, _ := t.Placement(tenant)
--- a/internal/cluster/config/errors.go
+++ b/internal/cluster/config/errors.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// ValidationError is something that a table must not contain, or not after the
-// version before it.
+// ValidationError is an error in a table, by itself or compared with the version
+// before it.
 type ValidationError struct {
-	File    string // that it was written in, if any
-	Line    int
-	Key     string // in the rules block: tenant "north".reservation
-	Message string // what is wrong, and what to do
+	File    string // operator's file with the error; empty if none
+	Line    int    // in File
+	Key     string // in the rules block, such as tenant "north".reservation; empty for the block
+	Message string // what is wrong and how to correct it
 }
 
 func (e ValidationError) Error() string {
@@ -42,7 +42,7 @@
 	return errs
 }
 
-// abbreviate joins the first entries of a list.
+// abbreviate joins the first entries of a list and states how many others there are.
 func abbreviate(list []string) string {
 	const limit = 8
 	if len(list) > limit {
--- a/internal/cluster/config/golden_test.go
+++ b/internal/cluster/config/golden_test.go
@@ -12,9 +12,9 @@
 	"example.org/bellstream/balance"
 )
 
-var update = flag.Bool("update", false, "write the files under testdata/golden anew")
+var update = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-// fullTable has every field set, of a value that no other has.
+// fullTable returns a table with every field set to a different value.
 func fullTable() *Table {
 	return &Table{
 		Version:     17,
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestGoldenTable pins the bytes of a version, and their digest, which instances compare.
+// TestGoldenTable checks that the encoding of a table and its digest, which instances compare, stay the same.
 func TestGoldenTable(t *testing.T) {
 	for name, c := range map[string]struct {
 		table  *Table
@@ -63,7 +63,7 @@
 		"full":  {fullTable(), 0x74f2dd4e17ba857e},
 		"empty": {&Table{}, 0xc7c5e0f3f72fc59d},
 	} {
-		made, err := Encode(c.table)
+		encoded, err := Encode(c.table)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 			if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, made, 0o644); err != nil {
+			if err := os.WriteFile(path, encoded, 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -80,26 +80,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(raw, made) {
-			t.Errorf("%s is encoded as\n%s\nthe file has\n%s", name, made, raw)
+		if !bytes.Equal(raw, encoded) {
+			t.Errorf("%s is encoded as\n%s\nwant the content of the file,\n%s", name, encoded, raw)
 		}
 		if got, err := Decode(raw); err != nil || !reflect.DeepEqual(got, c.table) {
-			t.Errorf("%s is decoded as %+v, %v", name, got, err)
+			t.Errorf("%s is decoded as %+v with error %v, want the table of the test", name, got, err)
 		}
 		if got := Digest(raw); got != c.digest {
-			t.Errorf("%s has the digest %#x", name, got)
+			t.Errorf("%s has the digest %#x, want that of the test", name, got)
 		}
 	}
-	// Every field counts: one that is not set would pin nothing.
+	// Every field must be set, as the golden file does not cover the encoding of an omitted one.
 	full := reflect.ValueOf(*fullTable())
 	for i := range full.NumField() {
 		if full.Field(i).IsZero() {
-			t.Errorf("%s is not set", full.Type().Field(i).Name)
+			t.Errorf("field %s of the full table is not set", full.Type().Field(i).Name)
 		}
 	}
-	// A key of a newer build is refused as such, with the version.
+	// A key of a newer build is reported as an unsupported format.
 	newer := []byte(`{"version":17,"added":1}`)
 	if _, err := Decode(newer); !errors.As(err, new(*UnsupportedFormatError)) {
-		t.Errorf("an unknown key: %v", err)
+		t.Errorf("decoding an unknown key: got error %v, want an UnsupportedFormatError", err)
 	}
 }
--- a/internal/cluster/config/history.go
+++ b/internal/cluster/config/history.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// VersionChange is what one version changed.
+// VersionChange is a version with the keys that it changed.
 type VersionChange struct {
 	Version    uint64
 	ProposedBy string
@@ -15,7 +15,7 @@
 // OutdatedError is returned for a proposal on a version that is not the newest.
 type OutdatedError struct {
 	Base, Newest uint64
-	UnknownUpTo  uint64          // the last version whose changes are not known any more, 0 if all are
+	UnknownUpTo  uint64          // the last version whose changes are no longer known; 0 if all are known
 	Changes      []VersionChange // since Base, as far as they are known
 }
 
@@ -23,25 +23,25 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "the rules are based on version %d, the newest is %d", e.Base, e.Newest)
 	if e.Base > e.Newest {
-		text.WriteString(", which this instance knows of: " +
+		text.WriteString(", as far as this instance knows: " +
 			"wait until it has received a later one, or correct rules.based_on")
 		return text.String()
 	}
 	if e.UnknownUpTo > 0 {
-		fmt.Fprintf(&text, "; up to version %d it is not remembered who changed what", e.UnknownUpTo)
+		fmt.Fprintf(&text, "; who changed what up to version %d is no longer known", e.UnknownUpTo)
 	}
 	for _, change := range e.Changes {
 		fmt.Fprintf(&text, "; version %d by %q changed %s", change.Version, change.ProposedBy, abbreviate(change.Keys))
 	}
-	fmt.Fprintf(&text, ": take that into the file, set rules.based_on = %d and send SIGHUP", e.Newest)
+	fmt.Fprintf(&text, ": include the changes in the file, set rules.based_on = %d and send SIGHUP", e.Newest)
 	return text.String()
 }
 
-// CheckBase returns how a proposal on a version is outdated, or nil. The history
-// is in ascending order without gaps and ends with the newest version; the further
-// it goes back, the more changes the error has. Versions that changed nothing but
-// shard owners or the capacity ledger, which a file does not contain, outdate no
-// proposal.
+// CheckBase returns an error if a proposal on version base is outdated, or nil. The
+// history is in ascending order without gaps and ends with the newest version. It
+// must not be empty. The error lists the changes since base that the history covers.
+// Versions that only changed shard owners or the capacity ledger, which an
+// operator's file does not contain, do not outdate a proposal.
 func CheckBase(base uint64, history []*Table) *OutdatedError {
 	newest := history[len(history)-1]
 	if base == newest.Version {
--- a/internal/cluster/config/intersection.go
+++ b/internal/cluster/config/intersection.go
@@ -2,13 +2,15 @@
 
 import "slices"
 
-// Intersection returns what applies to an instance that only knows that one of
-// two sorted tables is in effect: nothing exclusive that either of them denies.
-// Tolerated values are those of older, but the lower limit of attempts counts. It
-// is idempotent, and but for tolerated values it does not depend on the order of
-// the tables. It is not fit for a proposal, as a shard may be without an owner and
-// a service without a cluster. Its version is the higher one. Neither table may be
-// Strict.
+// Intersection returns the table for an instance that only knows that one of two
+// sorted tables is in effect. It allows nothing exclusive that either of them
+// denies. Tolerated values are those of older, except that the lower limit of
+// attempts and the lower epoch of endpoint lists apply. The version is the higher
+// one.
+//
+// The operation is idempotent. Apart from tolerated values the result does not
+// depend on the order of the tables. It must not be proposed, as a shard may have
+// no owner and a service no cluster. Neither table may be Strict.
 func Intersection(older, newer *Table) *Table {
 	t := *older
 	t.Version = max(older.Version, newer.Version)
@@ -25,7 +27,7 @@
 	return &t
 }
 
-// lowerLimit returns the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits, where 0 means no limit.
 func lowerLimit(a, b int) int {
 	if b > 0 && (a == 0 || b < a) {
 		return b
@@ -61,8 +63,9 @@
 	return placements
 }
 
-// intersectLedgerEntries returns the lower of what both ledgers let a service
-// use. A service that only one of them has is used as that one says, if at all.
+// intersectLedgerEntries returns the lower usable amount of both ledgers for each
+// service. For a service that only one ledger has, the amount is that ledger's; the
+// reservation and the placement may allow less.
 func intersectLedgerEntries(older, newer *Table) []LedgerEntry {
 	var entries []LedgerEntry
 	for _, service := range unionKeys(older.LedgerEntries, newer.LedgerEntries) {
@@ -75,15 +78,15 @@
 		case inNewer:
 			entry.Usable = min(a.Usable, b.Usable)
 		}
-		// Issued stays 0: only the leader needs it, and it acts on no intersection.
+		// Issued stays 0: only the leader needs it, and the leader never acts on an intersection.
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-// intersectTenants includes tenants that are only placed: if the placement
-// differs, the reservation may be used in neither cluster. The ledger is
-// intersected by itself.
+// intersectTenants returns entries for the tenants of both tables. It includes
+// tenants that are only placed, because a reservation whose placement differs must
+// not be used in either cluster. intersectLedgerEntries covers the ledger.
 func intersectTenants(older, newer *Table) []Tenant {
 	var tenants []Tenant
 	for _, name := range tenantNames(older, newer) {
@@ -91,7 +94,7 @@
 		_, inNewer := newer.Tenant(name)
 		allowed := intersectEntitlements(older.reservationEntitlement(name), newer.reservationEntitlement(name))
 		if allowed.platformDefault && !inOlder && !inNewer {
-			continue // placed in the same cluster, and named by neither table
+			continue // placed in the same cluster, without an entry in either table
 		}
 		tenant.Name = name
 		tenant.Reservation = nil
@@ -103,7 +106,7 @@
 	return tenants
 }
 
-// tenantNames returns the tenants that either table has an entry or a placement of.
+// tenantNames returns the tenants for which either table has an entry or a placement, in ascending order.
 func tenantNames(a, b *Table) []string {
 	names := append(unionKeys(a.Tenants, b.Tenants), unionKeys(a.Placements, b.Placements)...)
 	slices.Sort(names)
@@ -135,8 +138,8 @@
 			owners = append(owners, a)
 			continue
 		}
-		// The lower epoch: with the higher one, instances would reject what the
-		// old owner grants if the newer version is withdrawn.
+		// Use the lower epoch: with the higher one, instances would reject the grants
+		// of the old owner if the newer version is withdrawn.
 		owners = append(owners, ShardOwner{Epoch: min(a.Epoch, b.Epoch)})
 	}
 	return owners
@@ -153,14 +156,15 @@
 	return clusters
 }
 
-// Fallback returns what applies to an instance without a lease, by all versions
-// that it knows: no reservation, no shard, no retry, nothing promised or
-// migrated, cordoned workers and attempts by the strictest of them, and the rest
-// as on the platform. Voters and the epoch of endpoint lists, which the instance
-// needs to get a lease again, are those of the first table. The tables are sorted;
-// none is Strict.
+// Fallback returns the table for an instance without a lease, from all versions
+// that the instance knows. It allows no reservation, shard ownership, retry or
+// migration, and ledgers may reserve nothing. It cordons the workers of all known
+// versions and has the lowest of their limits of attempts. The platform's settings
+// apply to the rest. Voters and the epoch of endpoint lists, which the instance
+// needs to get a lease again, are those of the first table. The tables must be
+// sorted and not Strict.
 //
-// It is compatible with every table that cordons no worker beyond those known here.
+// The result is compatible with every table that cordons no other workers.
 func Fallback(known ...*Table) *Table {
 	t := &Table{Strict: true}
 	if len(known) == 0 {
--- a/internal/cluster/config/operatorfile.go
+++ b/internal/cluster/config/operatorfile.go
@@ -67,7 +67,7 @@
 	Origin       string `hcl:"origin,optional"`
 }
 
-// Proposal is a rules block with the lines of its keys.
+// Proposal is the content of a rules block, with its errors and the lines of its keys.
 type Proposal struct {
 	table    Table // without version, proposer, shard owners and capacity ledger
 	errors   ValidationErrors
@@ -75,7 +75,7 @@
 	keyLines map[string]int
 }
 
-// Proposal reads the block of a file.
+// Proposal converts the block of a file. [Proposal.TableOn] returns the errors.
 func (b *Block) Proposal(text *hclfile.Text) *Proposal {
 	p := &Proposal{table: Table{
 		BaseVersion:       b.BaseVersion,
@@ -113,7 +113,7 @@
 	}
 	p.table.MaxAttempts = *attempts
 	if *attempts == 0 {
-		p.reject("attempts", "0 is not from 1 to %d; left out, the platform's bound holds", MaxAttempts)
+		p.reject("attempts", "0 is not from 1 to %d; leave it out to use the platform's limit", MaxAttempts)
 	}
 }
 
@@ -135,7 +135,7 @@
 	return class
 }
 
-// readDuration returns a duration in seconds, or nil.
+// readDuration returns a duration in seconds, or nil if it is not set or invalid.
 func (p *Proposal) readDuration(key string, text *string) *float64 {
 	if text == nil {
 		return nil
@@ -149,11 +149,11 @@
 	return &seconds
 }
 
-// TableOn returns the table to propose after the newest version, the last of a
-// history as for [CheckBase]. Shard owners and the capacity ledger are those of the
+// TableOn returns the table to propose after the newest version, which is the last
+// of history; see [CheckBase]. Shard owners and the capacity ledger are those of the
 // newest version, and so are voters and the epoch of endpoint lists if the file has
-// none. If the file changes nothing, it returns the newest version itself. Errors
-// are OutdatedError, and ValidationErrors with the lines in the file.
+// none. If the file changes nothing, TableOn returns the newest version itself. The
+// error is an *OutdatedError, or ValidationErrors with the lines in the file.
 func (p *Proposal) TableOn(history []*Table, proposer string) (*Table, error) {
 	newest := history[len(history)-1]
 	t := p.table.Sorted()
@@ -181,7 +181,7 @@
 	return t, nil
 }
 
-// validate returns the errors of the block and of the table that it makes.
+// validate returns the errors of the block and those of the table t after newest.
 func (p *Proposal) validate(newest, t *Table) ValidationErrors {
 	errs := slices.Clone(p.errors)
 	if invalid, ok := errors.AsType[ValidationErrors](Validate(newest, t)); ok {
@@ -190,15 +190,15 @@
 	return errs
 }
 
-// Validate checks what does not depend on the version that the proposal is based on.
+// Validate reports the errors that do not depend on the version that the proposal is based on.
 func (p *Proposal) Validate() error {
 	_, err := p.TableOn([]*Table{{Version: p.table.BaseVersion}}, "")
 	return err
 }
 
-// ApplyTo returns the platform's settings with the proposal applied, with all
-// reservations of placed services usable, or ValidationErrors for entries that do
-// not fit the settings.
+// ApplyTo returns the platform's settings with the proposal applied, where all
+// reservations of placed services are usable. It returns ValidationErrors for
+// entries that do not fit the settings.
 func (p *Proposal) ApplyTo(platform *settings.Settings) (*settings.Settings, error) {
 	var errs ValidationErrors
 	for _, class := range p.table.Classes {
@@ -232,8 +232,8 @@
 			platformClass.Idempotence != string(balance.IdempotentWithKey) {
 			errs = append(errs, ValidationError{
 				Key: fmt.Sprintf("class %q.effect", class.Name),
-				Message: "the platform's class is not keyed, so clients bring no Idempotency-Key " +
-					"and nothing would be repeated: write \"unsafe\", or have the platform make it keyed",
+				Message: "the platform's class is not keyed, so clients send no Idempotency-Key " +
+					"and no job would be retried: write \"unsafe\", or make the platform's class keyed",
 			})
 		}
 	}
@@ -246,7 +246,7 @@
 	return errs
 }
 
-// locate fills in the lines of the keys.
+// locate returns the errors with the file and the lines of their keys.
 func (p *Proposal) locate(errs ValidationErrors) ValidationErrors {
 	located := make(ValidationErrors, len(errs))
 	for i, err := range errs {
@@ -257,8 +257,8 @@
 	return located
 }
 
-// line returns the line of a key, or of the innermost block around it that is in
-// the file.
+// line returns the line of a key, or that of the innermost enclosing block in the
+// file.
 func (p *Proposal) line(key string) int {
 	for {
 		line, found := p.keyLines[key]
@@ -269,7 +269,7 @@
 	}
 }
 
-// parentKey returns the key without its last part; dots within quotes separate none.
+// parentKey returns the key without its last part, or "". Dots within quotes do not separate parts.
 func parentKey(key string) string {
 	dot := strings.LastIndexByte(key, '.')
 	if dot > strings.LastIndexByte(key, '"') {
--- a/internal/cluster/config/operatorfile_test.go
+++ b/internal/cluster/config/operatorfile_test.go
@@ -14,11 +14,11 @@
 	var f struct {
 		Rules *Block `hcl:"rules,block"`
 	}
-	at, err := hclfile.Decode("f.hcl", []byte(text), &f)
+	lines, err := hclfile.Decode("f.hcl", []byte(text), &f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.Rules.Proposal(at)
+	return f.Rules.Proposal(lines)
 }
 
 const sampleFile = `rules {
@@ -42,8 +42,8 @@
  placement "north" { cluster = "east" }
 }`
 
-// A file makes a table with the newest shard owners. The same file again, on that
-// table, proposes nothing.
+// The table of a file has the shard owners of the newest version. The same file on
+// top of that table changes nothing.
 func TestProposal(t *testing.T) {
 	base := sampleTable()
 	base.MaxAttempts, base.Tenants[0].Weight = 2, nil
@@ -51,15 +51,15 @@
 	want := sampleTable()
 	want.Version, want.BaseVersion, want.ProposedBy = 8, 7, "b"
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("got  %+v, %v\nwant %+v", got, err, want)
+		t.Fatalf("table:\ngot  %+v, error %v\nwant %+v", got, err, want)
 	}
 	if again, err := proposal(t, sampleFile).TableOn([]*Table{base, got}, "a"); err != nil || again != got {
-		t.Errorf("%+v, %v", again, err)
+		t.Errorf("the same file again: got %+v with error %v, want the newest table itself", again, err)
 	}
 }
 
-// A proposal on an old version fails with the changes since; a new owner of a
-// shard outdates none.
+// A proposal on an old version fails with the changes since then. A version that only
+// changes the owner of a shard does not outdate a proposal.
 func TestOutdated(t *testing.T) {
 	v7, v8, v9, v10 := sampleTable(), sampleTable(), sampleTable(), sampleTable()
 	v8.Version, v8.ProposedBy, v8.ShardOwners[1] = 8, "a", ShardOwner{"a", 5}
@@ -68,24 +68,24 @@
 	p := proposal(t, strings.Replace(sampleFile, "w1", "w2", 1))
 	got, err := p.TableOn([]*Table{v7, v8}, "a")
 	if err != nil || got.BaseVersion != 8 || got.Version != 9 || got.ShardOwners[1] != v8.ShardOwners[1] || got.CordonedWorkers[0] != "w2" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("after a version that only moved a shard: got %+v with error %v, want a table based on it", got, err)
 	}
 	for want, history := range map[string][]*Table{
 		`based on version 7, the newest is 10; version 9 by "c" changed attempts, tenant "north".weight; version 10 by "b" changed attempts, ` +
-			`tenant "north".weight: take that into the file, set rules.based_on = 10 and send SIGHUP`: {v7, v8, v9, v10},
-		`the newest is 10; up to version 9 it is not remembered who changed what; version 10 by "b" changed`: {v9, v10},
-		`the newest is 10; up to version 10 it is not remembered who changed what: take that`:                {v10},
-		`the newest is 6, which`: {{Version: 6}},
+			`tenant "north".weight: include the changes in the file, set rules.based_on = 10 and send SIGHUP`: {v7, v8, v9, v10},
+		`the newest is 10; who changed what up to version 9 is no longer known; version 10 by "b" changed`: {v9, v10},
+		`the newest is 10; who changed what up to version 10 is no longer known: include the changes`:      {v10},
+		`the newest is 6, as far as this instance knows: wait`:                                             {{Version: 6}},
 	} {
 		_, err := p.TableOn(history, "a")
-		var o *OutdatedError
-		if !errors.As(err, &o) || !strings.Contains(err.Error(), want) {
-			t.Errorf("got  %v\nwant %s", err, want)
+		var outdated *OutdatedError
+		if !errors.As(err, &outdated) || !strings.Contains(err.Error(), want) {
+			t.Errorf("error:\ngot  %v\nwant %s in it", err, want)
 		}
 	}
 }
 
-// Every error has its file, line and key, and all are reported at once.
+// Every error has its file, line and key, and all errors of a file are reported together.
 func TestValidationErrors(t *testing.T) {
 	base := sampleTable()
 	for _, c := range []struct{ old, new, want string }{
@@ -93,7 +93,7 @@
 		{"attempts = 3", "attempts = -1", `f.hcl:3: rules.attempts: -1 is not from 1`},
 		{"attempts = 3", "list_epoch = 0\nattempts = 101", `f.hcl:4: rules.attempts: 101`},
 		{`["w1"]`, `["w1", "", "w1"]`, "f.hcl:4: rules.out: a name is empty\nf.hcl:4: rules.out: \"w1\" is named twice"},
-		{`["b", "a"]`, `["b"]`, `f.hcl:5: rules.instances: "a" is not named and owns 1 shards, 0 the first`},
+		{`["b", "a"]`, `["b"]`, `f.hcl:5: rules.instances: "a" is not listed but owns 1 shards, the first is 0`},
 		{`tenant "south"`, `tenant "north"`, `f.hcl:7: rules.tenant "north": "north" is named twice`},
 		{`tenant "south"`, "tenant \"\"", `f.hcl:6: rules.tenant "": a name is empty`},
 		{"weight = 1", "weight = 0", `f.hcl:9: rules.tenant "north".weight: 0 is not above 0`},
@@ -108,9 +108,9 @@
 		{`aim = "1s"`, "worth = 0", `f.hcl:12: rules.class "job".worth: 0 is not above 0`},
 		{`aim = "1s"`, "stretch = -2", `f.hcl:12: rules.class "job".stretch: -2`},
 		{`"keyed"`, `"mostly"`, `f.hcl:13: rules.class "job".effect: "mostly" is none of safe, keyed, unsafe`},
-		{`"keyed"`, `"safe"`, "f.hcl:14: rules.class \"job\".scope: is for effect = \"keyed\" alone: leave it out, or write that\nf.hcl:15: rules.class \"job\".window: is for"},
+		{`"keyed"`, `"safe"`, "f.hcl:14: rules.class \"job\".scope: is only for effect = \"keyed\": leave it out, or set that\nf.hcl:15: rules.class \"job\".window: is only for"},
 		{`scope = "zone"`, "", `f.hcl:11: rules.class "job".scope: "" is none of all, zone, cell`},
-		{`window = "8s"`, "", `f.hcl:11: rules.class "job".window: a keyed class says`},
+		{`window = "8s"`, "", `f.hcl:11: rules.class "job".window: a keyed class needs`},
 		{`window = "8s"`, `window = "-8s"`, `f.hcl:15: rules.class "job".window: -8 is not`},
 		{`placement "north" { cluster = "east" }`, `placement "north" { cluster = "eest" }`, `f.hcl:19: rules.placement "north".cluster: there is no cluster "eest"`},
 		{`placement "north" {`, `placement "nobody" {`, `f.hcl:19: rules.placement "nobody": tenant "nobody" has no reservation`},
@@ -120,24 +120,24 @@
 			"f.hcl:1: rules.voter: 1 voters, must be 3 to 7\nf.hcl:1: rules.voter: \"a\", \"b\", \"c\", \"d\" change at a time"},
 		{`cluster "west" { capacity = 40 }`, "voter \"a\" {\naddress = \"n1:1\"\n}\nvoter \"b\" {\naddress = \"127.0.0.1:3\"\n}\nvoter \"c\" { address = \"127.0.0.1:3\" }",
 			"f.hcl:19: rules.voter \"a\".address: \"n1:1\" is not an IP address and a port; names are not looked up\n" +
-				"f.hcl:24: rules.voter \"c\".address: \"127.0.0.1:3\" is that of \"b\" already\nf.hcl:1: rules.voter: \"a\", \"b\" change at a time"},
+				"f.hcl:24: rules.voter \"c\".address: \"127.0.0.1:3\" is already the address of \"b\"\nf.hcl:1: rules.voter: \"a\", \"b\" change at a time"},
 	} {
 		next := strings.Replace(sampleFile, c.old, c.new, 1)
 		if next == sampleFile {
-			t.Fatalf("%s is not in the file", c.old)
+			t.Fatalf("the sample file does not have %s", c.old)
 		}
 		_, err := proposal(t, next).TableOn([]*Table{base}, "a")
-		var m ValidationErrors
-		var one ValidationError
-		if !errors.As(err, &m) || !errors.As(err, &one) || one != m[0] || !strings.HasPrefix(err.Error(), c.want) ||
+		var all ValidationErrors
+		var first ValidationError
+		if !errors.As(err, &all) || !errors.As(err, &first) || first != all[0] || !strings.HasPrefix(err.Error(), c.want) ||
 			strings.Count(err.Error(), "\n") != strings.Count(c.want, "\n") {
-			t.Errorf("%s:\ngot  %v\nwant %s", c.new, err, c.want)
+			t.Errorf("with %s:\ngot  %v\nwant %s", c.new, err, c.want)
 		}
 	}
 	if err := proposal(t, sampleFile).Validate(); err != nil {
 		t.Error(err)
 	}
 	if err := proposal(t, "rules {\n based_on = 3\n list_epoch = 4\n voter \"a\" { address = \"127.0.0.1:1\" }\n}").Validate(); err == nil {
-		t.Error("one voter")
+		t.Error("a file with one voter is valid, want an error")
 	}
 }
--- a/internal/cluster/config/override.go
+++ b/internal/cluster/config/override.go
@@ -7,14 +7,15 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// Override returns the platform's settings with a sorted table applied; the
-// platform's own stay as they are. usable is what this cluster's capacity ledger
-// lets each service use, in the unit of reservations: a tenant that is placed and
-// not in it has no reservation here. Unknown tenants are added. Unknown classes
-// are not, as the platform knows nothing of their jobs.
+// Override returns a copy of the platform's settings with a sorted table applied.
+// usable has the amount that this cluster's capacity ledger lets each service use,
+// in the unit of reservations. A placed tenant that is not in usable has no
+// reservation here. Tenants that the platform does not have are added. Classes that
+// it does not have are ignored, as the platform has no settings for their jobs.
 //
-// The quota of a reservation that may not be used is 0: an empty balance.QuotaUpdate
-// would leave a trace of it, and allotments are for package quota to set.
+// A reservation that must not be used becomes a quota of 0. An empty
+// balance.QuotaUpdate would not remove it completely, and only package quota sets
+// allotments.
 func (t *Table) Override(platform *settings.Settings, usable map[string]float64) *settings.Settings {
 	s := *platform
 	s.Classes = slices.Clone(platform.Classes)
@@ -33,7 +34,7 @@
 	return &s
 }
 
-// withNewTenants returns the platform's tenants and those that only the table has.
+// withNewTenants returns the platform's tenants and then those that only the table has.
 func (t *Table) withNewTenants(platform []settings.Tenant) []settings.Tenant {
 	tenants := slices.Clone(platform)
 	known := map[string]bool{}
@@ -72,7 +73,7 @@
 		return
 	}
 	if policy.idempotence == balance.IdempotentWithKey && class.Idempotence != string(balance.IdempotentWithKey) {
-		policy = neverRetry // clients are not asked for the key by which workers recognize a retry
+		policy = neverRetry // without the platform's setting clients send no key, so workers can't recognize a retry
 	}
 	class.Idempotence = string(policy.idempotence)
 	class.DedupScope = string(policy.dedupScope)
--- a/internal/cluster/config/override_test.go
+++ b/internal/cluster/config/override_test.go
@@ -20,46 +20,46 @@
 		t.Fatal(err)
 	}
 	before := fmt.Sprintf("%+v", *platform)
-	x := sampleTable()
-	x.Tenants[1].Weight = new(2.0)
-	x.Classes[0].ObjectiveStretch, x.Classes[0].Deadline, x.Classes[0].PriorityWeight, x.Classes[0].LateWeightFraction = new(0.0), new(9.0), new(3.0), new(0.5)
-	c := x.Override(platform, map[string]float64{"north": 22}).Config()
+	table := sampleTable()
+	table.Tenants[1].Weight = new(2.0)
+	table.Classes[0].ObjectiveStretch, table.Classes[0].Deadline, table.Classes[0].PriorityWeight, table.Classes[0].LateWeightFraction = new(0.0), new(9.0), new(3.0), new(0.5)
+	c := table.Override(platform, map[string]float64{"north": 22}).Config()
 	want := []balance.Class{{Name: "job", LatencyObjective: 1, Deadline: 9, PriorityWeight: 3, LateWeightFraction: 0.5, Idempotence: balance.IdempotentWithKey, DedupScope: balance.ScopeZone, DedupWindow: 8},
 		{Name: "read", LatencyObjective: 1, ObjectiveStretch: 1.5, Deadline: 5, Idempotence: balance.IdempotentWithKey, DedupScope: balance.ScopeZone, DedupWindow: 9}}
 	tenants := []balance.Tenant{{Name: "north", Quota: 22, Weight: 1}, {Name: "other", Quota: 3}, {Name: "south", Quota: 10, Weight: 2}}
 	if !reflect.DeepEqual(c.Classes, want) || !reflect.DeepEqual(c.Tenants, tenants) || c.MaxAttempts != 3 {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration is %+v, want that of the table over the platform's", c)
 	}
-	if q := x.Override(platform, nil).Config().Tenants[0].Quota; q != 0 {
-		t.Errorf("a service without usable reservation has %v", q)
+	if q := table.Override(platform, nil).Config().Tenants[0].Quota; q != 0 {
+		t.Errorf("a placed service without a usable amount has the quota %v, want 0", q)
 	}
 	if c := (&Table{}).Override(platform, nil).Config(); !reflect.DeepEqual(c, platform.Config()) {
-		t.Errorf("an empty table overrides: %+v", c)
+		t.Errorf("an empty table changes the configuration to %+v", c)
 	}
-	c = Fallback(x).Override(platform, map[string]float64{"north": 22}).Config()
-	for _, k := range c.Classes {
-		if k.Idempotence != balance.NonIdempotent || k.DedupScope != "" {
-			t.Errorf("without a lease: %+v", k)
+	c = Fallback(table).Override(platform, map[string]float64{"north": 22}).Config()
+	for _, class := range c.Classes {
+		if class.Idempotence != balance.NonIdempotent || class.DedupScope != "" {
+			t.Errorf("class without a lease is %+v, want one that is never retried", class)
 		}
 	}
-	for _, n := range c.Tenants {
-		if n.Quota != 0 {
-			t.Errorf("without a lease: %+v", n)
+	for _, tenant := range c.Tenants {
+		if tenant.Quota != 0 {
+			t.Errorf("tenant without a lease is %+v, want quota 0", tenant)
 		}
 	}
 	if after := fmt.Sprintf("%+v", *platform); after != before {
-		t.Errorf("the platform's own changed to %s", after)
+		t.Errorf("the platform's settings were modified to %s", after)
 	}
 	if _, err := proposal(t, sampleFile).ApplyTo(platform); err != nil {
 		t.Error(err)
 	}
-	// If clients are not asked for a key, no worker recognizes a retry.
+	// If the platform's class is not keyed, clients send no key and workers can't recognize a retry.
 	keyless, err := settings.Parse([]byte(strings.Replace(samplePlatform, `"keyed","dedup_scope":"all","repeat_window":20`, `"safe"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := x.Override(keyless, nil).Config().Classes[0]; k.Idempotence != balance.NonIdempotent {
-		t.Errorf("a key by the table alone: %+v", k)
+	if class := table.Override(keyless, nil).Config().Classes[0]; class.Idempotence != balance.NonIdempotent {
+		t.Errorf("class that only the table makes keyed is %+v, want one that is never retried", class)
 	}
 	if _, err := proposal(t, sampleFile).ApplyTo(keyless); err == nil || !strings.HasPrefix(err.Error(), `f.hcl:13: rules.class "job".effect: the platform's class is not keyed`) {
 		t.Error(err)
--- a/internal/cluster/config/retrypolicy.go
+++ b/internal/cluster/config/retrypolicy.go
@@ -4,9 +4,9 @@
 
 // retryPolicy decides whether a job of a class may run more than once.
 type retryPolicy struct {
-	idempotence balance.Idempotence // empty: the platform's own, which no table knows
+	idempotence balance.Idempotence // empty: the platform's setting applies, which is not in any table
 	dedupScope  balance.DedupScope
-	dedupWindow float64
+	dedupWindow float64 // in seconds
 }
 
 var neverRetry = retryPolicy{idempotence: balance.NonIdempotent}
@@ -28,8 +28,9 @@
 	return p.idempotence == balance.NonIdempotent || intersectRetryPolicies(p, other) == p
 }
 
-// intersectRetryPolicies returns what both allow. The platform's own policy is
-// not known, so it has only neverRetry in common with one that needs a key.
+// intersectRetryPolicies returns the policy that retries only jobs that both a and
+// b retry. The platform's policy is not known here, so its intersection with one
+// that needs a key is neverRetry.
 func intersectRetryPolicies(a, b retryPolicy) retryPolicy {
 	if a == b {
 		return a
@@ -50,8 +51,8 @@
 	return retryPolicy{balance.IdempotentWithKey, scope, min(a.dedupWindow, b.dedupWindow)}
 }
 
-// intersectScopes returns the smaller of two scopes. Neither of zone and cell
-// contains the other: a cell need not lie within one zone.
+// intersectScopes returns the smaller of two scopes, or false if there is none:
+// neither zone nor cell contains the other, as a cell may span zones.
 func intersectScopes(a, b balance.DedupScope) (balance.DedupScope, bool) {
 	switch {
 	case a == b, b == balance.ScopeAll:
--- a/internal/cluster/config/table.go
+++ b/internal/cluster/config/table.go
@@ -1,9 +1,9 @@
 // Package config holds the versioned configuration table that the instances of a
 // cluster agree on: what a version contains, whether it may follow another one,
-// which entries of two versions must not be in effect at the same time, and what
-// applies to an instance that only knows that one of the two is in effect. It
-// does no I/O, reads no clock and starts no goroutine. docs/design/accord.md
-// describes who may act on which version, and when.
+// which entries of two versions must not be in effect at the same time, and which
+// table an instance uses that only knows that one of the two is in effect. The
+// package does no I/O, reads no clock and starts no goroutine. docs/design/accord.md
+// describes when an instance may act on a version.
 //
 // A [Table] is immutable once it is encoded or passed on. Times are in seconds.
 package config
@@ -15,51 +15,52 @@
 	"example.org/bellstream/balance"
 )
 
-// Table is one version of the configuration. Where it is silent (nil, 0 or
-// empty, as stated for each field) the platform's own settings apply. Lists are
-// in ascending order of names, without duplicates; [Table.Sorted] sorts them.
+// Table is one version of the configuration. The platform's settings apply to all
+// that is not set: nil, 0 or empty, as stated for each field. Lists are in ascending
+// order of names and without duplicates; [Table.Sorted] sorts them.
 type Table struct {
-	Version     uint64 `json:"version"`        // from 1; 0 is the table before the first one
-	BaseVersion uint64 `json:"base,omitempty"` // the version that it was proposed on
-	ProposedBy  string `json:"by,omitempty"`   // an instance
+	Version     uint64 `json:"version"`        // from 1; 0 is the empty table before the first version
+	BaseVersion uint64 `json:"base,omitempty"` // version that the proposal was based on
+	ProposedBy  string `json:"by,omitempty"`   // name of an instance
 
 	Tenants         []Tenant     `json:"tenants,omitempty"`
 	Classes         []Class      `json:"classes,omitempty"`
-	MaxAttempts     int          `json:"attempts,omitempty"` // for one job; 0 if not set
-	CordonedWorkers []string     `json:"out,omitempty"`
+	MaxAttempts     int          `json:"attempts,omitempty"`   // maximum for one job; 0 if not set
+	CordonedWorkers []string     `json:"out,omitempty"`        // that get no new jobs
 	ShardInstances  []string     `json:"instances,omitempty"`  // that may own shards; none if empty
 	Voters          []Voter      `json:"voters,omitempty"`     // empty if not set
 	ShardOwners     []ShardOwner `json:"seats,omitempty"`      // by shard; empty if there are no shards
 	Clusters        []Cluster    `json:"clusters,omitempty"`   // that have a capacity ledger
 	Placements      []Placement  `json:"placements,omitempty"` // of services
 
-	// CapacityLedger holds this cluster's records of services that migrate
-	// between clusters, opaque here, and LedgerEntries what follows from them. The
-	// leader writes both.
+	// CapacityLedger has this cluster's records of services that migrate between
+	// clusters, in an encoding that is opaque to this package. LedgerEntries are
+	// derived from it. The leader writes both.
 	CapacityLedger []byte        `json:"books,omitempty"`
 	LedgerEntries  []LedgerEntry `json:"booked,omitempty"`
 
-	// EndpointListEpoch is the incarnation of discovery whose list versions
-	// count. It never decreases.
+	// EndpointListEpoch is the incarnation of discovery whose endpoint lists are
+	// valid. It never decreases.
 	EndpointListEpoch uint64 `json:"list_epoch,omitempty"`
 
-	// Strict denies every reservation and every retry, also of tenants and classes
-	// that are not named. No agreed version has it set: see [Fallback].
+	// Strict denies every reservation and every retry, also those of tenants and
+	// classes without an entry. Only the result of [Fallback] has it set, never a
+	// version that was agreed on.
 	Strict bool `json:"strict,omitempty"`
 }
 
-// Tenant overrides the platform's settings of a tenant where they are not nil.
+// Tenant overrides the platform's settings of a tenant by the fields that are not nil.
 type Tenant struct {
 	Name string `json:"name"`
 	// Reservation is in the unit of the platform's quota_per_s: jobs of the mean
-	// size per second over the whole cluster. 0 is none.
+	// size per second, in total for the cluster. 0 means no reservation.
 	Reservation *float64 `json:"reservation,omitempty"`
 	Weight      *float64 `json:"weight,omitempty"` // above 0
 }
 
-// Class overrides the platform's settings of a class where they are not nil.
-// Idempotence, DedupScope and DedupWindow override together, if Idempotence is
-// not empty.
+// Class overrides the platform's settings of a class by the fields that are not nil.
+// Idempotence, DedupScope and DedupWindow override the settings together, and only
+// if Idempotence is not empty.
 type Class struct {
 	Name               string              `json:"name"`
 	LatencyObjective   *float64            `json:"aim,omitempty"`
@@ -80,34 +81,34 @@
 
 // ShardOwner is the instance that owns a shard's queues.
 type ShardOwner struct {
-	Name  string `json:"name,omitempty"` // empty if nobody does: the shard is sealed
+	Name  string `json:"name,omitempty"` // empty if the shard has no owner and is sealed
 	Epoch uint64 `json:"epoch"`          // increases with each change of Name
 }
 
 // Cluster is a cluster that services may be placed in.
 type Cluster struct {
 	Name     string  `json:"name"`
-	Capacity float64 `json:"capacity"` // that its ledger may promise, in the unit of reservations
+	Capacity float64 `json:"capacity"` // most that its ledger may reserve, in the unit of reservations
 }
 
-// Placement is the cluster that a service belongs in.
+// Placement is the cluster that a service is to run in.
 type Placement struct {
 	Service string `json:"service"`           // a tenant
-	Cluster string `json:"cluster,omitempty"` // empty: no further migration; what is reserved stays so
-	// ForceRelease is an operator's statement that nothing was sent to a
-	// destination that still has capacity reserved for the service, so that it may
-	// release that.
+	Cluster string `json:"cluster,omitempty"` // empty: no further migration; reserved capacity stays reserved
+	// ForceRelease lets a destination release the capacity that it has reserved for
+	// the service. With it the operator states that the source has sent nothing to
+	// that destination.
 	ForceRelease bool `json:"release,omitempty"`
-	// Origin is the cluster whose ledger issues the reservation, once. All others
-	// receive it by migration only.
+	// Origin is the cluster whose ledger issues the reservation, once. Other
+	// clusters receive it only by migration.
 	Origin string `json:"origin,omitempty"`
 }
 
 // LedgerEntry is this cluster's share of a placed service's reservation.
 type LedgerEntry struct {
 	Service string  `json:"service"`
-	Usable  float64 `json:"usable"`            // here and now
-	Issued  float64 `json:"entered,omitempty"` // here in total, if this is the origin
+	Usable  float64 `json:"usable"`            // amount that may be used in this cluster now
+	Issued  float64 `json:"entered,omitempty"` // total amount issued here, if this cluster is the origin
 }
 
 // Limits of a table. A name has 1 to MaxNameBytes bytes.
@@ -128,7 +129,7 @@
 	MaxQuantity            = 1e9 // of a reservation, weight, time or capacity
 )
 
-// keyed is an entry of a list that is sorted by its key.
+// keyed is an entry of a list that is sorted by the entries' keys.
 type keyed interface{ key() string }
 
 func (t Tenant) key() string      { return t.Name }
@@ -158,8 +159,8 @@
 
 func sortedNames(list []string) []string { return slices.Sorted(slices.Values(list)) }
 
-// Sorted returns a copy with sorted lists, which [Encode] and all comparisons of
-// tables need. Duplicate names stay, so that [Validate] can report them.
+// Sorted returns a copy with sorted lists, which all comparisons of tables need. It
+// keeps duplicate names, so that [Validate] can report them.
 func (t *Table) Sorted() *Table {
 	s := *t
 	s.Tenants = sorted(t.Tenants)
@@ -185,8 +186,8 @@
 // Placement returns the placement of a service.
 func (t *Table) Placement(service string) (Placement, bool) { return find(t.Placements, service) }
 
-// UsableReservations returns what the capacity ledger lets each placed service
-// use here; see [Table.Override].
+// UsableReservations returns the amount that the capacity ledger lets each placed
+// service use in this cluster, by service; see [Table.Override].
 func (t *Table) UsableReservations() map[string]float64 {
 	usable := make(map[string]float64, len(t.LedgerEntries))
 	for _, entry := range t.LedgerEntries {
@@ -195,7 +196,7 @@
 	return usable
 }
 
-// ShardOwner returns the owner of a shard; nobody if there is no such shard.
+// ShardOwner returns the owner of a shard, or the zero value if there is no such shard.
 func (t *Table) ShardOwner(shard int) ShardOwner {
 	if shard < 0 || shard >= len(t.ShardOwners) {
 		return ShardOwner{}
--- a/internal/cluster/config/table_test.go
+++ b/internal/cluster/config/table_test.go
@@ -10,28 +10,28 @@
 // them often have entries in common.
 func tableGenerator() *rapid.Generator[*Table] {
 	return rapid.Custom(func(r *rapid.T) *Table {
-		some := func(what string, names ...string) (out []string) {
+		subset := func(label string, names ...string) (drawn []string) {
 			for _, n := range names {
-				if rapid.Bool().Draw(r, what+" "+n) {
-					out = append(out, n)
+				if rapid.Bool().Draw(r, label+" "+n) {
+					drawn = append(drawn, n)
 				}
 			}
-			return out
+			return drawn
 		}
-		figure := func(what string, of ...float64) *float64 {
-			if n := rapid.IntRange(-1, len(of)-1).Draw(r, what); n >= 0 {
-				return new(of[n])
+		optional := func(label string, values ...float64) *float64 {
+			if n := rapid.IntRange(-1, len(values)-1).Draw(r, label); n >= 0 {
+				return new(values[n])
 			}
 			return nil
 		}
 		t := &Table{Version: rapid.Uint64Range(1, 3).Draw(r, "version"), MaxAttempts: rapid.IntRange(0, 2).Draw(r, "attempts"),
-			CordonedWorkers: some("out", "w1", "w2"), ShardInstances: some("instance", "a", "b", "c"), EndpointListEpoch: rapid.Uint64Range(0, 1).Draw(r, "lists"),
+			CordonedWorkers: subset("out", "w1", "w2"), ShardInstances: subset("instance", "a", "b", "c"), EndpointListEpoch: rapid.Uint64Range(0, 1).Draw(r, "lists"),
 			BaseVersion: rapid.Uint64Range(0, 2).Draw(r, "base"), ProposedBy: rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "by")}
-		for _, n := range some("tenant", "north", "south") {
-			t.Tenants = append(t.Tenants, Tenant{n, figure("reservation", 0, 10, 20), figure("weight", 1, 2)})
+		for _, n := range subset("tenant", "north", "south") {
+			t.Tenants = append(t.Tenants, Tenant{n, optional("reservation", 0, 10, 20), optional("weight", 1, 2)})
 		}
-		for _, n := range some("class", "job", "read") {
-			c := Class{Name: n, LatencyObjective: figure("aim", 1, 2), Deadline: figure("deadline", 5, 9), PriorityWeight: figure("worth", 1, 3)}
+		for _, n := range subset("class", "job", "read") {
+			c := Class{Name: n, LatencyObjective: optional("aim", 1, 2), Deadline: optional("deadline", 5, 9), PriorityWeight: optional("worth", 1, 3)}
 			switch c.Idempotence = rapid.SampledFrom([]balance.Idempotence{"", balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent}).Draw(r, "effect"); c.Idempotence {
 			case balance.IdempotentWithKey:
 				c.DedupScope = rapid.SampledFrom([]balance.DedupScope{balance.ScopeAll, balance.ScopeZone, balance.ScopeCell}).Draw(r, "scope")
@@ -42,13 +42,13 @@
 		for range rapid.SampledFrom([]int{0, 2, 2, 2, 3}).Draw(r, "shards") {
 			t.ShardOwners = append(t.ShardOwners, ShardOwner{rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "seat"), rapid.Uint64Range(0, 2).Draw(r, "epoch")})
 		}
-		for _, n := range some("voter", "a", "b", "c") {
+		for _, n := range subset("voter", "a", "b", "c") {
 			t.Voters = append(t.Voters, Voter{n, "127.0.0.1:" + rapid.SampledFrom([]string{"1", "2"}).Draw(r, "port")})
 		}
-		for _, n := range some("cluster", "east", "west") {
+		for _, n := range subset("cluster", "east", "west") {
 			t.Clusters = append(t.Clusters, Cluster{n, rapid.SampledFrom([]float64{20, 40}).Draw(r, "capacity")})
 		}
-		for _, n := range some("placement", "north", "south") {
+		for _, n := range subset("placement", "north", "south") {
 			t.Placements = append(t.Placements, Placement{n, rapid.SampledFrom([]string{"", "east", "west"}).Draw(r, "in"), rapid.Bool().Draw(r, "release"),
 				rapid.SampledFrom([]string{"", "east"}).Draw(r, "origin")})
 			if rapid.Bool().Draw(r, "booked") {
@@ -59,6 +59,7 @@
 	})
 }
 
+// sampleTable returns the table that sampleFile describes, as version 7 with voters and shard owners.
 func sampleTable() *Table {
 	return &Table{Version: 7, BaseVersion: 6, ProposedBy: "a", MaxAttempts: 3, CordonedWorkers: []string{"w1"}, ShardInstances: []string{"a", "b"}, EndpointListEpoch: 1,
 		Tenants:     []Tenant{{"north", new(30.0), new(1.0)}, {"south", new(10.0), nil}},
@@ -69,7 +70,7 @@
 		Placements:  []Placement{{"north", "east", false, ""}}}
 }
 
-// sampleWithLedger returns the sample table with its service in the capacity ledger.
+// sampleWithLedger returns the sample table with its placed service in the capacity ledger.
 func sampleWithLedger() *Table {
 	t := sampleTable()
 	t.Placements[0].Origin, t.CapacityLedger, t.LedgerEntries = "east", []byte{1}, []LedgerEntry{{"north", 30, 30}}
--- a/internal/cluster/config/validate.go
+++ b/internal/cluster/config/validate.go
@@ -11,16 +11,16 @@
 	"example.org/bellstream/balance"
 )
 
-// validator collects the errors of a table that is to follow an older one. Both
+// validator collects the errors of the table newer as the successor of older. Both
 // are sorted.
 type validator struct {
 	older, newer *Table
 	errors       ValidationErrors
 }
 
-// Validate returns all reasons for which a table may not follow older (nil: none)
-// as ValidationErrors, in an order that depends on the two tables only. A table
-// without errors has an encoding.
+// Validate returns ValidationErrors with all reasons why newer must not follow
+// older, or nil. Their order depends only on the two tables. If older is nil, newer
+// is the first version. A table without errors has an encoding.
 func Validate(older, newer *Table) error {
 	if older == nil {
 		older = &Table{}
@@ -54,16 +54,16 @@
 func (v *validator) checkVersions() {
 	older, newer := v.older, v.newer
 	v.rejectIf(newer.BaseVersion != older.Version, "based_on",
-		"%d is not the newest version, which is %d: see what that changed, and base the rules on it",
+		"%d is not the newest version, which is %d: check what that version changed, and base the rules on it",
 		newer.BaseVersion, older.Version)
 	v.rejectIf(newer.Version != older.Version+1, "based_on",
 		"version %d can't follow version %d", newer.Version, older.Version)
 	v.rejectIf(newer.Strict, "",
-		"rules that deny everything are for instances without a lease, and can't be agreed on")
+		"rules that deny everything are only for instances without a lease, and can't be proposed")
 	v.rejectIf(newer.MaxAttempts < 0 || newer.MaxAttempts > MaxAttempts, "attempts",
 		"%d is not from 1 to %d", newer.MaxAttempts, MaxAttempts)
 	v.rejectIf(newer.EndpointListEpoch < older.EndpointListEpoch, "list_epoch",
-		"%d is below %d, which was agreed: lists of an earlier incarnation of discovery would count again",
+		"%d is below %d, the value in force: lists of an earlier incarnation of discovery would become valid again",
 		newer.EndpointListEpoch, older.EndpointListEpoch)
 }
 
@@ -94,12 +94,12 @@
 	}
 }
 
-// checkQuantity rejects a number that is not from 0 to limit.
+// checkQuantity rejects a number that is below 0 or above limit.
 func (v *validator) checkQuantity(key string, quantity *float64, limit float64) {
 	v.checkRange(key, quantity, "from 0", limit, false)
 }
 
-// checkPositive rejects a number that is not above 0 and up to limit.
+// checkPositive rejects a number that is 0 or less, or above limit.
 func (v *validator) checkPositive(key string, quantity *float64, limit float64) {
 	v.checkRange(key, quantity, "above 0 and", limit, true)
 }
@@ -137,17 +137,18 @@
 }
 
 func (v *validator) checkIdempotence(key string, class Class) {
-	const needsKey = "is for effect = \"keyed\" alone: leave it out, or write that"
+	const needsKey = "is only for effect = \"keyed\": leave it out, or set that"
 	switch class.Idempotence {
 	case balance.IdempotentWithKey:
 		switch class.DedupScope {
 		case balance.ScopeAll, balance.ScopeZone, balance.ScopeCell:
 		default:
 			v.rejectIf(true, key+".scope",
-				"%q is none of all, zone, cell: a keyed class says which workers know a repeat", class.DedupScope)
+				"%q is none of all, zone, cell: a keyed class needs the scope in which workers recognize a retry",
+				class.DedupScope)
 		}
 		v.rejectIf(class.DedupWindow == 0, key+".window",
-			"a keyed class says for how long its workers know a repeat")
+			"a keyed class needs the time for which its workers recognize a retry")
 		v.checkQuantity(key+".window", &class.DedupWindow, MaxQuantity)
 	case balance.Idempotent, balance.NonIdempotent, "":
 		v.rejectIf(class.DedupScope != "", key+".scope", needsKey)
@@ -177,7 +178,7 @@
 		}
 	}
 	v.rejectIf(len(changed) > 1, "voter",
-		"%s change at a time: add, take out or readdress one, wait until that is in force, then the next",
+		"%s change at a time: add, remove or readdress one, wait until that is in force, then change the next",
 		strings.Join(changed, ", "))
 }
 
@@ -189,7 +190,7 @@
 		v.rejectIf(err != nil || parsed.Port() == 0, key,
 			"%q is not an IP address and a port; names are not looked up", voter.Address)
 		other := names[voter.Address]
-		v.rejectIf(other != "" && other != voter.Name, key, "%q is that of %q already", voter.Address, other)
+		v.rejectIf(other != "" && other != voter.Name, key, "%q is already the address of %q", voter.Address, other)
 		names[voter.Address] = voter.Name
 	}
 }
@@ -198,18 +199,18 @@
 	older, newer := v.older, v.newer
 	v.rejectIf(len(newer.ShardOwners) > MaxShards, "", "%d shards, at most %d", len(newer.ShardOwners), MaxShards)
 	if len(older.ShardOwners) > 0 && len(newer.ShardOwners) != len(older.ShardOwners) {
-		v.rejectIf(true, "", "%d shards after %d: tenants would change shards; the number is fixed",
+		v.rejectIf(true, "", "%d shards after %d: tenants would change shards, so the number is fixed",
 			len(newer.ShardOwners), len(older.ShardOwners))
 		return
 	}
-	unlisted := map[string][]int{} // shards by an owner that is not among the instances
+	unlisted := map[string][]int{} // shards by owner, for owners that are not among the instances
 	for shard, owner := range newer.ShardOwners {
 		previous := older.ShardOwner(shard)
 		key := fmt.Sprintf("seat %d", shard)
 		v.rejectIf(owner.Epoch < previous.Epoch, key,
-			"epoch %d is below %d: grants of a former owner would count again", owner.Epoch, previous.Epoch)
+			"epoch %d is below %d: grants of a former owner would become valid again", owner.Epoch, previous.Epoch)
 		v.rejectIf(owner.Name != previous.Name && owner.Epoch == previous.Epoch, key,
-			"it changes to %q in the same epoch, %d", owner.Name, owner.Epoch)
+			"the owner changes to %q in the same epoch, %d", owner.Name, owner.Epoch)
 		if owner.Name != "" && !containsName(newer.ShardInstances, owner.Name) {
 			unlisted[owner.Name] = append(unlisted[owner.Name], shard)
 		}
@@ -217,7 +218,7 @@
 	for _, name := range slices.Sorted(maps.Keys(unlisted)) {
 		shards := unlisted[name]
 		v.rejectIf(true, "instances",
-			"%q is not named and owns %d shards, %d the first: keep it until they have moved",
+			"%q is not listed but owns %d shards, the first is %d: keep it until they have moved",
 			name, len(shards), shards[0])
 	}
 }
@@ -236,18 +237,18 @@
 		previous, _ := v.older.Placement(placement.Service)
 		entry, _ := find(v.newer.LedgerEntries, placement.Service)
 		v.rejectIf(entry.Issued > 0 && previous.Origin != placement.Origin, key+".origin",
-			"it was %q, where %v is issued, and can't become another: it would be issued twice",
+			"it was %q, which has issued %v, and can't change: the reservation would be issued twice",
 			previous.Origin, entry.Issued)
 		tenant, _ := v.newer.Tenant(placement.Service)
 		v.rejectIf(tenant.Reservation == nil, key,
-			"tenant %q has no reservation in the rules: set it, as it is what moves", placement.Service)
+			"tenant %q has no reservation in the rules: set it, because it is what migrates", placement.Service)
 	}
 }
 
 func (v *validator) checkPlacedIn(key, cluster string) {
 	_, found := v.newer.Cluster(cluster)
 	v.rejectIf(!found && cluster != "", key,
-		"there is no cluster %q: add a block for it, or name one that there is", cluster)
+		"there is no cluster %q: add a block for it, or name an existing one", cluster)
 }
 
 func (v *validator) checkLedger() {
@@ -256,8 +257,9 @@
 		v.checkQuantity(key+".usable", &entry.Usable, MaxQuantity)
 		v.checkQuantity(key+".entered", &entry.Issued, MaxQuantity)
 		_, placed := v.newer.Placement(entry.Service)
-		v.rejectIf(!placed, fmt.Sprintf("placement %q", entry.Service), "it is in this cluster's capacity ledger: "+
-			"keep the block until its reservation is 0 at its origin, or all of it is elsewhere")
+		v.rejectIf(!placed, fmt.Sprintf("placement %q", entry.Service),
+			"the service is in this cluster's capacity ledger: "+
+				"keep the block until its reservation is 0 at its origin, or is completely in other clusters")
 	}
 }
 
--- a/internal/cluster/config/validate_test.go
+++ b/internal/cluster/config/validate_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Errors that a file can't have, but a leader might.
+// Validate reports errors that an operator's file can't have but a proposal to the leader may.
 func TestValidate(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Table)
@@ -25,8 +25,8 @@
 		{func(x *Table) { x.Strict = true }, "deny everything"},
 		{func(x *Table) { x.EndpointListEpoch = 0 }, "list_epoch: 0 is below 1"},
 		{func(x *Table) { x.ShardOwners[1].Epoch = 3 }, "seat 1: epoch 3 is below 4"},
-		{func(x *Table) { x.ShardOwners[1].Name = "a" }, `seat 1: it changes to "a" in the same epoch, 4`},
-		{func(x *Table) { x.ShardOwners[1] = ShardOwner{"x", 5} }, `"x" is not named and owns 1 shards, 1 the first`},
+		{func(x *Table) { x.ShardOwners[1].Name = "a" }, `seat 1: the owner changes to "a" in the same epoch, 4`},
+		{func(x *Table) { x.ShardOwners[1] = ShardOwner{"x", 5} }, `"x" is not listed but owns 1 shards, the first is 1`},
 		{func(x *Table) { x.ShardOwners = x.ShardOwners[:1] }, "1 shards after 2"},
 		{func(x *Table) { x.ShardOwners = nil }, "0 shards after 2"},
 		{func(x *Table) { x.Voters = x.Voters[:2] }, "2 voters, must be 3"},
@@ -36,15 +36,15 @@
 		{func(x *Table) { x.Tenants[0].Reservation = new(math.Copysign(0, -1)) }, "-0 is not from 0"},
 		{func(x *Table) { x.CordonedWorkers = make([]string, MaxCordonedWorkers+1) }, "4097 workers, at most"},
 		{func(x *Table) { x.ShardInstances = append(x.ShardInstances, strings.Repeat("n", MaxNameBytes+1)) }, "has 129 bytes"},
-		{func(x *Table) { x.ShardInstances = append(x.ShardInstances, "n\x00") }, "is no plain text"},
-		{func(x *Table) { x.ProposedBy = "\xff" }, "is no plain text"},
+		{func(x *Table) { x.ShardInstances = append(x.ShardInstances, "n\x00") }, "is not plain text"},
+		{func(x *Table) { x.ProposedBy = "\xff" }, "is not plain text"},
 	} {
 		next := sampleTable()
 		next.Version, next.BaseVersion = 8, 7
 		c.change(next)
 		err := Validate(sampleTable(), next)
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-			t.Errorf("got %v, want %q", err, c.want)
+			t.Errorf("got error %v, want %q in it (empty: no error)", err, c.want)
 		}
 	}
 	if err := Validate(nil, &Table{Version: 1}); err != nil {
@@ -52,8 +52,8 @@
 	}
 }
 
-// The errors do not depend on the order of lists, and a valid table has an encoding
-// and no lower epoch.
+// The errors do not depend on the order of lists. A valid table has an encoding, and
+// no shard has a lower epoch than before.
 func TestValidateIsDeterministic(t *testing.T) {
 	valid := 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -75,7 +75,7 @@
 		slices.Reverse(c.Classes)
 		slices.Reverse(c.ShardInstances)
 		if again := Validate(a, &c); fmt.Sprint(first) != fmt.Sprint(again) {
-			r.Fatalf("%v\nand %v", first, again)
+			r.Fatalf("errors depend on the order of lists: %v\nand %v", first, again)
 		}
 		if first != nil {
 			return
@@ -86,11 +86,11 @@
 		}
 		for i, s := range a.ShardOwners {
 			if b.ShardOwners[i].Epoch < s.Epoch {
-				r.Fatal("an epoch decreased")
+				r.Fatal("a valid table decreases the epoch of a shard")
 			}
 		}
 	})
 	if valid == 0 {
-		t.Error("no table was valid")
+		t.Error("no valid table was drawn")
 	}
 }
