--- a/internal/cluster/config/errors.go
+++ b/internal/cluster/config/errors.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s%s: %s", place, strings.TrimSuffix("rules."+e.Key, "."), e.Message)
 }
 
-// ValidationErrors are all errors of a proposal, one per line.
+// ValidationErrors has all errors of a proposal. Its text has one per line.
 type ValidationErrors []ValidationError
 
 func (e ValidationErrors) Error() string {
--- a/internal/cluster/config/intersection_test.go
+++ b/internal/cluster/config/intersection_test.go
@@ -56,7 +56,7 @@
 		if again := Intersection(a, a); !Equivalent(again, a) || len(Conflicts(a, a)) > 0 || hasExclusiveConflict(Intersection(ab, ab), ab) {
 			r.Fatalf("the intersection is not idempotent: conflicts %v", Conflicts(again, a))
 		}
-		// What both tables allow, the intersection allows.
+		// The intersection allows what both tables allow.
 		for _, p := range platforms[2:] {
 			byA, byB, byBoth := permissions(a, p), permissions(b, p), permissions(ab, p)
 			for action, ok := range byA {
--- a/internal/cluster/config/operatorfile_test.go
+++ b/internal/cluster/config/operatorfile_test.go
@@ -60,7 +60,7 @@
 
 // A proposal on an old version fails with the changes since then. A version that only
 // changes the owner of a shard does not outdate a proposal.
-func TestOutdated(t *testing.T) {
+func TestOutdatedProposal(t *testing.T) {
 	v7, v8, v9, v10 := sampleTable(), sampleTable(), sampleTable(), sampleTable()
 	v8.Version, v8.ProposedBy, v8.ShardOwners[1] = 8, "a", ShardOwner{"a", 5}
 	v9.Version, v9.ProposedBy, v9.ShardOwners, v9.MaxAttempts, v9.Tenants[0].Weight = 9, "c", v8.ShardOwners, 2, new(4.0)
--- a/internal/cluster/lease/agent/agent_test.go
+++ b/internal/cluster/lease/agent/agent_test.go
@@ -36,8 +36,8 @@
 			t.Errorf("%s acts on a reservation of %v", n.Name, *r.Reservation)
 		}
 	}
-	old := reservationProposal(1, 90)
-	all[3].Propose(old)
+	outdated := reservationProposal(1, 90)
+	all[3].Propose(outdated)
 	waitFor(t, "the old proposal is rejected", func() bool { return strings.Contains(all[3].Status().Rejection, "is the newest") })
 	if reason := all[3].Status().Rejection; !strings.Contains(reason, "2 by n4 changed") || !strings.Contains(reason, "SIGHUP") {
 		t.Errorf("rejection reason %s, want the later change and what to do", reason)
@@ -49,7 +49,7 @@
 	waitFor(t, "n0 acts on version 3", func() bool { return all[0].appliesVersion(3) })
 	// The instance restarts with an old operator's file.
 	all[3] = startNode(t, all[3].options, 99)
-	all[3].Propose(old)
+	all[3].Propose(outdated)
 	waitFor(t, "n3 acts on version 3", func() bool { return all[3].appliesVersion(3) })
 	// The leader stops, so another one is elected.
 	leader := 0
@@ -89,9 +89,9 @@
 		all[0], all[1] = startNode(t, all[0].options, 50), startNode(t, all[1].options, 51)
 	}()
 	waitFor(t, "n4's lease has expired", func() bool { return !all[4].Status().Leased })
-	r := all[4].EffectiveConfig(time.Now())
-	if x, ok := r.Tenant("a"); !r.Strict || ok && (x.Reservation == nil || *x.Reservation != 0) {
-		t.Errorf("without a lease the table is %+v, want a strict one without reservations", r)
+	table := all[4].EffectiveConfig(time.Now())
+	if tenant, ok := table.Tenant("a"); !table.Strict || ok && (tenant.Reservation == nil || *tenant.Reservation != 0) {
+		t.Errorf("without a lease the table is %+v, want a strict one without reservations", table)
 	}
 	if s := all[4].Status(); !strings.Contains(s.Fault, "majority") && !strings.Contains(s.Fault, "no response") {
 		t.Errorf("fault is %q, want a missing majority or response", s.Fault)
@@ -117,8 +117,8 @@
 	waitFor(t, "n4 acts on version 1", func() bool { return all[4].appliesVersion(1) })
 	hasLease := func() bool {
 		for _, n := range all[:3] {
-			for _, b := range n.Status().ActiveLeases {
-				if b.Instance == "n4" {
+			for _, active := range n.Status().ActiveLeases {
+				if active.Instance == "n4" {
 					return true
 				}
 			}
@@ -147,21 +147,21 @@
 	for _, n := range all {
 		waitFor(t, n.Name+" acts on version 1", func() bool { return n.appliesVersion(1) })
 	}
-	var bad *node
+	var leader *node
 	waitFor(t, "an instance leads", func() bool {
 		for _, n := range all[:3] {
 			if n.Status().Voter.IsLeader {
-				bad = n
+				leader = n
 			}
 		}
-		return bad != nil
+		return leader != nil
 	})
-	made := make(chan []byte, 1)
-	bad.voter.node.TryRun(func() {
-		bad.voter.apply(1, 1, []byte{0xff, 1, 2})
-		made <- bad.voter.snapshot()
+	snapshots := make(chan []byte, 1)
+	leader.voter.node.TryRun(func() {
+		leader.voter.apply(1, 1, []byte{0xff, 1, 2})
+		snapshots <- leader.voter.snapshot()
 	})
-	if raw := <-made; raw != nil {
+	if raw := <-snapshots; raw != nil {
 		t.Errorf("got a snapshot of %d bytes that lacks the entry, want none", len(raw))
 	}
 	all[4].Propose(reservationProposal(1, 40))
--- a/internal/cluster/lease/agent/client.go
+++ b/internal/cluster/lease/agent/client.go
@@ -73,8 +73,8 @@
 }
 
 // isVoter reports whether this instance is a voter, or may become one without an
-// operator. A voter that was removed or lost its file only knows the voters of
-// that time, so it sends requests as a follower does.
+// operator's action. A voter that was removed or lost its file only knows the voters
+// of that time, so it sends requests as a follower does.
 func (a *Agent) isVoter() bool {
 	if a.voter == nil || a.voter.retired.Load() {
 		return false
--- a/internal/cluster/lease/agent/migration.go
+++ b/internal/cluster/lease/agent/migration.go
@@ -115,7 +115,8 @@
 	m.coordinator.SetLeader(leads)
 }
 
-// backOff pauses the coordinator's proposals if err shows that one of them made an operator's proposal fail.
+// backOff pauses the coordinator's proposals if err shows that a proposal failed because of another one, which may be
+// the coordinator's.
 func (m *migrationRunner) backOff(err error) {
 	if m == nil {
 		return
