--- a/internal/cluster/gossip/doc.go
+++ b/internal/cluster/gossip/doc.go
@@ -1,7 +1,7 @@
-// Package gossip carries the exchange of usage and quota between the instances of a
-// cluster: membership by memberlist, messages in protobuf.
+// Package gossip exchanges usage counts and quota loans between the instances of a
+// cluster. Membership is maintained by memberlist; messages are encoded in protobuf.
 //
-// One goroutine of each Node owns the exchange; callbacks of membership only copy what
-// they get into its bounded inbox. What is lost there, or on the network, is counted: the
-// exchange recovers by itself.
+// One goroutine of each Node owns the exchange. The callbacks of memberlist only copy
+// their input into the bounded inbox of that goroutine. A message that the inbox has no
+// room for is dropped and counted; the exchange recovers from lost messages by itself.
 package gossip
--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -18,7 +18,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden compares bytes with those of a committed file, and returns the file's.
+// golden compares bytes with the content of a committed file, and returns that content.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -40,7 +40,7 @@
 	return want
 }
 
-// What an instance announces to membership.
+// TestGoldenMeta checks the metadata that an instance announces through memberlist.
 func TestGoldenMeta(t *testing.T) {
 	for name, c := range map[string]struct {
 		settings quota.Settings
@@ -64,7 +64,7 @@
 	}
 }
 
-// goldenStatus has every field set, to a value of its own.
+// goldenStatus returns a status in which every field is set, each to a different value.
 func goldenStatus() *Status {
 	return &Status{
 		Name:            "n1",
@@ -88,7 +88,7 @@
 	}
 }
 
-// What operators read.
+// TestGoldenStatus checks the JSON of the status, which operators read.
 func TestGoldenStatus(t *testing.T) {
 	full, err := json.MarshalIndent(goldenStatus(), "", "  ")
 	if err != nil {
--- a/internal/cluster/gossip/listen.go
+++ b/internal/cluster/gossip/listen.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	pushPullInterval  = 5 * time.Second // between exchanges of the complete state with one other instance
+	pushPullInterval  = 5 * time.Second // between exchanges of the complete state with another instance
 	tcpTimeout        = 2 * time.Second
-	gossipToDeadTime  = time.Minute // for which dead members are sent updates, so that they notice
-	deadReclaimTime   = time.Second // after which a dead member's name may be taken from another address
+	gossipToDeadTime  = time.Minute // how long dead members still get updates, to notice that they are considered dead
+	deadReclaimTime   = time.Second // after which another address may use a dead member's name
 	maxListenAttempts = 8
 )
 
-// listen starts membership.
+// listen opens the listening sockets and starts memberlist on them.
 func (n *Node) listen() error {
 	host, portText, err := net.SplitHostPort(n.Listen)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return fmt.Errorf("peers: port %q", portText)
+		return fmt.Errorf("peers: listen: invalid port %q", portText)
 	}
 	logger := newMemberlistLog(n)
 	t, err := newTransport(host, port, logger)
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// create makes the memberlist on a transport.
+// create starts memberlist on a transport.
 func (n *Node) create(host string, t *transport, logger *log.Logger) error {
 	config, err := n.memberlistConfig(host, t, logger)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return c, nil
 }
 
-// setAdvertised sets where others reach this instance.
+// setAdvertised sets the address at which others reach this instance. Without one, it is the
+// listening address.
 func (n *Node) setAdvertised(c *memberlist.Config) error {
 	if n.Advertise == "" {
 		return nil
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// transport is memberlist's, but dials from the address that it listens on: a firewall, or
-// whoever reads a trace, can tell instances apart by it.
+// transport is memberlist's NetTransport, but dials from the address that it listens on, so
+// that firewalls and network traces can identify an instance by its source address.
 type transport struct {
 	*memberlist.NetTransport
 	localAddr *net.TCPAddr
@@ -127,7 +128,7 @@
 	config := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger}
 	inner, err := memberlist.NewNetTransport(config)
 	for attempt := 0; attempt < maxListenAttempts && port == 0 && isAddressInUse(err); attempt++ {
-		// A port that is free for TCP may be in use for UDP: another is tried.
+		// The port that the system chose for TCP may be in use for UDP. Try another one.
 		inner, err = memberlist.NewNetTransport(config)
 	}
 	if err != nil {
@@ -140,7 +141,8 @@
 	return t, nil
 }
 
-// isAddressInUse compares text, as memberlist does not wrap the cause.
+// isAddressInUse reports whether an error means that the address is in use. It compares the
+// text, because memberlist does not wrap the cause.
 func isAddressInUse(err error) bool {
 	return err != nil && strings.Contains(err.Error(), syscall.EADDRINUSE.Error())
 }
--- a/internal/cluster/gossip/membership.go
+++ b/internal/cluster/gossip/membership.go
@@ -11,12 +11,12 @@
 	"example.org/bellstream/internal/cluster/quota"
 )
 
-// directory is who is, or was, in the cluster.
+// directory holds the current members of the cluster and the addresses of earlier ones.
 type directory struct {
 	mu        sync.Mutex
-	addresses map[string]memberlist.Address // of all that were ever seen and have not left
+	addresses map[string]memberlist.Address // of all members ever seen, except those that left
 	present   map[string]quota.Member
-	leaving   map[string]bool // have announced that they leave: membership doesn't tell that from a failure
+	leaving   map[string]bool // announced their leave; memberlist doesn't distinguish a leave from a failure
 }
 
 func newDirectory() directory {
@@ -27,7 +27,7 @@
 	}
 }
 
-// add adds a member that membership sees.
+// add adds a member that memberlist reports as alive.
 func (d *directory) add(m *memberlist.Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,8 +36,8 @@
 	delete(d.leaving, m.Name)
 }
 
-// remove removes a member that membership no longer sees, and reports whether it had
-// announced that it leaves.
+// remove removes a member that memberlist no longer reports as alive, and reports whether
+// the member had announced its leave.
 func (d *directory) remove(name string) (left bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,7 +50,7 @@
 	return left
 }
 
-// markLeaving notes that a member announced that it leaves.
+// markLeaving records that a member announced its leave.
 func (d *directory) markLeaving(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// members are those that membership sees.
+// members returns the members that memberlist reports as alive.
 func (d *directory) members() []quota.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,8 +77,8 @@
 	return a, known
 }
 
-// missing are the addresses of members that were seen before, and those of the configured
-// ones that no member that is seen has.
+// missing returns the addresses of members that are not present now but were earlier, and
+// the configured addresses at which no present member is reachable.
 func (d *directory) missing(local string, configured []string) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,12 +99,13 @@
 	return missing
 }
 
-// delegate carries memberlist's callbacks to the exchange. Its methods are called on
-// memberlist's goroutines and must not block, and the bytes are not theirs.
+// delegate passes memberlist's callbacks on to the exchange. Its methods are called on
+// memberlist's goroutines: they must not block, and must not retain the payload.
 type delegate struct{ node *Node }
 
-// NodeMeta announces what others have to know of an instance before its first message:
-// whether it supports owners of reservations, and its region. Earlier builds announce nothing.
+// NodeMeta returns what others need to know about an instance before its first message: a
+// byte that shows that it supports hashed ownership, followed by its region. Earlier builds
+// return nothing. The result is cut to limit bytes.
 func (d delegate) NodeMeta(limit int) []byte {
 	if d.node.Settings.Owners <= 0 || !d.node.ExchangeEnabled {
 		return nil
@@ -113,7 +114,7 @@
 	return meta[:min(len(meta), limit)]
 }
 
-// memberFromMeta is what an instance announces.
+// memberFromMeta decodes the metadata that NodeMeta of another instance returned.
 func memberFromMeta(node *memberlist.Node) quota.Member {
 	m := quota.Member{Name: node.Name}
 	if len(node.Meta) > 0 {
@@ -135,7 +136,7 @@
 // LocalState implements memberlist.Delegate.
 func (d delegate) LocalState(bool) []byte {
 	if !d.node.ExchangeEnabled || d.node.hashedOwnership.Load() {
-		return nil // where a few instances own each reservation, counts go to these alone
+		return nil // with hashed ownership, counts are sent only to instances that need them
 	}
 	return wire.EncodeState(d.node.clusterDigest, d.node.exchange.Usage.Snapshot())
 }
@@ -151,7 +152,7 @@
 	d.node.enqueue(receivedBytes{append([]byte(nil), payload...)})
 }
 
-// events follow who joins and leaves.
+// events receives memberlist's notifications of members that join and leave.
 type events struct{ node *Node }
 
 // NotifyJoin implements memberlist.EventDelegate.
@@ -176,10 +177,10 @@
 		return
 	}
 	e.node.Log.Warn().Str("peer", m.Name).
-		Msg("peers: an instance is unreachable; its part of the reservations stays its own until it is forgotten")
+		Msg("peers: an instance is unreachable; it keeps its part of the reservations until it is removed")
 }
 
-// conflicts follow instances that use one name.
+// conflicts receives memberlist's notifications of two instances that use the same name.
 type conflicts struct{ node *Node }
 
 // NotifyConflict implements memberlist.ConflictDelegate.
@@ -191,8 +192,9 @@
 	c.node.drops.add("two instances under one name")
 }
 
-// newMemberlistLog sorts memberlist's own lines: what it drops is counted by reason, other
-// faults are logged once a minute, the rest is for debugging.
+// newMemberlistLog returns a logger for memberlist's own lines. Lines about dropped packets
+// are counted by reason, other warnings and errors are logged at most once a minute, and
+// the remaining lines are logged at debug level.
 func newMemberlistLog(n *Node) *log.Logger { return log.New(logWriter{n}, "", 0) }
 
 type logWriter struct{ node *Node }
--- a/internal/cluster/gossip/metrics.go
+++ b/internal/cluster/gossip/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// collector exports a node's status as metrics. Labels are tenants of the settings and
-// reasons from a fixed list: nothing that a peer sends makes a new one.
+// collector exports a node's status as metrics. Label values are configured tenants and
+// reasons from a fixed list, so that no message of a peer can create a new time series.
 type collector struct {
 	node            *Node
 	visible         *prometheus.Desc
@@ -19,7 +19,7 @@
 	received        *prometheus.Desc
 }
 
-// Collector exports the node's metrics.
+// Collector returns a Prometheus collector of the node's metrics.
 func (n *Node) Collector() prometheus.Collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("bellstream_peers_"+name, help, labels, nil)
@@ -83,7 +83,7 @@
 	}
 }
 
-// visiblePeers is how many other instances membership sees.
+// visiblePeers returns the number of other instances that memberlist reports as alive.
 func (s *Status) visiblePeers() int {
 	visible := 0
 	for _, p := range s.Peers {
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -24,21 +24,21 @@
 // Options configure a Node.
 type Options struct {
 	Name            string
-	Listen          string // host:port, UDP and TCP; port 0 takes a free one
-	Advertise       string // where others reach it; empty: where it listens
+	Listen          string // host:port, for UDP and TCP; port 0: any free port
+	Advertise       string // the address at which others reach it; empty: the address of Listen
 	Join            []string
-	Keys            [][]byte // the first one encrypts, all decrypt; none: no encryption
+	Keys            [][]byte // the first key encrypts, all decrypt; empty: no encryption
 	Cluster         string
-	Incarnation     uint64 // higher with each start
+	Incarnation     uint64 // increases with each start of the instance
 	Settings        quota.Settings
 	Tenants         []quota.Tenant
-	ExchangeEnabled bool // false: membership alone
+	ExchangeEnabled bool // false: only membership
 	Log             zerolog.Logger
-	Now             func() time.Time // monotonic
+	Now             func() time.Time // must be monotonic
 	OnQuotaUpdate   func([]balance.QuotaUpdate)
 }
 
-// Node is this instance in the cluster.
+// Node is this instance as a member of the cluster. Make one with New.
 type Node struct {
 	Options
 	members         *memberlist.Memberlist
@@ -57,22 +57,24 @@
 	quota           notifiedQuota
 }
 
-// lifecycle ends the goroutines.
+// lifecycle holds what is needed to stop the goroutines.
 type lifecycle struct {
 	done       chan struct{}
 	goroutines sync.WaitGroup
 	closeOnce  sync.Once
-	joining    atomic.Bool // an attempt to reach missing members is under way
+	joining    atomic.Bool // an attempt to join missing members is running
 }
 
-// notifiedQuota is what the dispatcher was notified of. It belongs to the node's goroutine.
+// notifiedQuota holds the allotments of which the dispatcher was notified. Only the node's
+// goroutine uses it.
 type notifiedQuota struct {
 	allotments []uint32 // as of the last round
-	notified   []uint32 // nil: nothing yet
+	notified   []uint32 // as last passed to the dispatcher; nil: not notified yet
 }
 
-// New starts membership and the exchange. Addresses to join may be wrong or not up yet:
-// that is retried until Close.
+// New starts membership and the exchange. It returns an error if it can't listen on the
+// address or if the options are invalid. Addresses in Join may be wrong or not reachable yet:
+// joining is retried until Close.
 func New(o Options) (*Node, error) {
 	n := &Node{
 		Options:       o,
@@ -98,45 +100,47 @@
 	return n, nil
 }
 
-// Addr is where the instance listens for its peers.
+// Addr returns the address, as host:port, at which peers reach the instance.
 func (n *Node) Addr() string { return n.members.LocalNode().Address() }
 
-// RecordArrival counts a job that came; see usage.Meter.
+// RecordArrival counts the arrival of a job; see usage.Meter.
 func (n *Node) RecordArrival(tenant string) { n.exchange.Meter.RecordArrival(tenant) }
 
 // RecordStart counts a job that was sent to a worker.
 func (n *Node) RecordStart(tenant string, slots float64) { n.exchange.Meter.RecordStart(tenant, slots) }
 
-// RecordRefund counts that such a job proved never to have run.
+// RecordRefund counts the refund of a job that was sent to a worker but never ran.
 func (n *Node) RecordRefund(tenant string, slots float64) {
 	n.exchange.Meter.RecordRefund(tenant, slots)
 }
 
-// elapsedSeconds is the time on the exchange's clock.
+// elapsedSeconds returns the time on the exchange's clock, in seconds since New.
 func (n *Node) elapsedSeconds() float64 { return n.Now().Sub(n.startedAt).Seconds() }
 
-// Leave announces that this instance leaves: from now on it starts what still comes by
-// weight alone, and the others may use its part.
+// Leave announces that this instance leaves the cluster. From then on the instance starts
+// further jobs by weight only, and the others may use its part of the reservations.
 func (n *Node) Leave() { n.enqueue(leaveRequest{}) }
 
-// Close ends membership. It waits no longer than leaveTimeout for the announcement.
+// Close ends membership and stops the goroutines. It waits at most leaveTimeout for other
+// members to learn of it.
 func (n *Node) Close() {
 	n.lifecycle.closeOnce.Do(func() {
 		close(n.lifecycle.done)
 		n.lifecycle.goroutines.Wait()
-		// Others notice by themselves if either fails.
+		// If either call fails, the other members detect the failure by themselves.
 		_ = n.members.Leave(leaveTimeout)
 		_ = n.members.Shutdown()
 	})
 }
 
-// RotateKeys replaces the keys: new ones are accepted first, then the first one encrypts,
-// then the old ones are dropped. As long as every instance accepts a key before any
-// encrypts with it, nothing is lost.
+// RotateKeys replaces the keys: it adds the new keys for decryption, then encrypts with the
+// first one, then removes the keys that are not in the list. No message is lost if every
+// instance accepts a key before any instance encrypts with it. RotateKeys returns an error for
+// an invalid key, and if it would switch encryption on or off.
 func (n *Node) RotateKeys(keys [][]byte) error {
 	if n.keyring == nil || len(keys) == 0 {
 		if (n.keyring == nil) != (len(keys) == 0) {
-			return fmt.Errorf("peers: a cluster goes from clear to encrypted, or back, by a restart of all")
+			return fmt.Errorf("peers: encryption can't be switched on or off at run time: restart all instances")
 		}
 		return nil
 	}
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// dropCounts count dropped messages by reason.
+// dropCounts counts dropped messages by reason.
 type dropCounts struct {
 	mu       sync.Mutex
 	byReason map[string]uint64
@@ -179,7 +183,7 @@
 	d.byReason[reason]++
 }
 
-// addTo adds the counts to others.
+// addTo adds the counts to total.
 func (d *dropCounts) addTo(total map[string]uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +192,7 @@
 	}
 }
 
-// drop counts what was dropped and logs it, at most once a minute for a reason.
+// drop counts a dropped message, and logs it at most once a minute for each reason.
 func (n *Node) drop(reason, detail string) {
 	n.drops.add(reason)
 	n.logLimiter.Do(reason, func(suppressed int) {
--- a/internal/cluster/gossip/node_test.go
+++ b/internal/cluster/gossip/node_test.go
@@ -19,15 +19,15 @@
 )
 
 func TestMain(m *testing.M) {
-	// memberlist leaves its delayed gossip to end by itself after Shutdown.
+	// memberlist's goroutines for delayed gossip end by themselves some time after Shutdown.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("time.Sleep"))
 }
 
-func table() []quota.Tenant {
+func testTenants() []quota.Tenant {
 	return []quota.Tenant{{Name: "a", ID: usage.TenantID("a", 20, 1), Quota: 20}, {Name: "b", ID: usage.TenantID("b", 10, 1), Quota: 10}}
 }
 
-// logRecorder keeps what was logged.
+// logRecorder records log output.
 type logRecorder struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -45,13 +45,13 @@
 	return strings.Count(l.text.String(), words)
 }
 
-var lives uint64
+var lastIncarnation uint64
 
 func start(t *testing.T, name string, join []string, more func(*Options)) (*Node, *logRecorder) {
 	t.Helper()
 	log := &logRecorder{}
-	lives++
-	o := Options{Name: name, Listen: "127.0.0.1:0", Join: join, Cluster: "test", Incarnation: lives, ExchangeEnabled: true, Tenants: table(),
+	lastIncarnation++
+	o := Options{Name: name, Listen: "127.0.0.1:0", Join: join, Cluster: "test", Incarnation: lastIncarnation, ExchangeEnabled: true, Tenants: testTenants(),
 		Settings: quota.Settings{Period: 0.05, LeaseDuration: 1.5, RetainedFraction: 0.02, ExpectedInstances: 2},
 		Log:      zerolog.New(log), Now: time.Now, OnQuotaUpdate: func([]balance.QuotaUpdate) {}}
 	if more != nil {
@@ -65,12 +65,12 @@
 	return n, log
 }
 
-// until waits for a condition, which the network brings about.
+// until waits for a condition that depends on network traffic.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in 15 s: %s", what)
+			t.Fatalf("condition did not hold within 15 s: %s", what)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	return func() bool { return n.Status().Drops[reason] > 0 }
 }
 
-func net2(n *Node, tenant string) float64 {
+func startedSlots(n *Node, tenant string) float64 {
 	for _, t := range n.Status().Tenants {
 		if t.Name == tenant {
 			return t.Started
@@ -88,7 +88,7 @@
 	return -1
 }
 
-// allotments records what a node notified of.
+// allotments records the latest quota update of each tenant that a node passed on.
 type allotments struct {
 	mu      sync.Mutex
 	updates map[string]balance.QuotaUpdate
@@ -132,7 +132,7 @@
 	}
 }
 
-// reserveAddress returns an address that is free.
+// reserveAddress returns an address whose port is free.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -143,50 +143,51 @@
 	return l.Addr().String()
 }
 
-// Two find each other although one address of the list is wrong and the other
-// instance is not up yet, exchange counts, lend, and part when one leaves.
+// Two instances find each other although one configured address is wrong and the other
+// instance starts later. They exchange counts and loans until one of them leaves.
 func TestTwoInstancesExchange(t *testing.T) {
 	later := reserveAddress(t)
 	var notified allotments
 	a, log := start(t, "a", []string{"127.0.0.1:1", later}, func(o *Options) { o.OnQuotaUpdate = notified.record })
-	until(t, "a owns its part alone", func() bool { return notified.of("a") == 0.5 })
+	until(t, "a, still alone, may use its part, which is one half", func() bool { return notified.of("a") == 0.5 })
 	b, _ := start(t, "b", nil, func(o *Options) { o.Listen = later })
-	until(t, "both own a part", func() bool {
+	until(t, "both instances own a part", func() bool {
 		return b.Status().Joined && len(a.Status().Peers) == 1 && a.Status().Peers[0].Acknowledges
 	})
 	stop := generateLoad(a)
-	until(t, "a has nearly all where all come in", func() bool { return notified.of("a") > 0.95 })
+	until(t, "a, which gets all jobs, may use nearly all of the quota", func() bool { return notified.of("a") > 0.95 })
 	stop()
 	a.RecordRefund("a", 1)
-	// Starts and refunds, not their difference: b may know one start less and not
-	// yet the refund, which is the same net.
-	until(t, "b counts what a did", func() bool {
+	// Compares starts and refunds, not their difference: if b has not received the last start
+	// and the refund yet, the difference is the same.
+	until(t, "b knows the starts and the refund of a", func() bool {
 		m, _ := a.exchange.Usage.Snapshot().Instance("a").Incarnation(a.Incarnation)
 		got := b.Usage()["a"]
 		return len(m) == 1 && m[0].Refunded == 1000 && got.Started == m[0].Started && got.Refunded == 1000
 	})
 	b.Leave()
-	until(t, "b has announced that it leaves", func() bool { return len(a.Status().Peers) == 0 })
+	until(t, "b has announced its leave", func() bool { return len(a.Status().Peers) == 0 })
 	b.Close()
 	until(t, "membership has removed b", func() bool { return log.count("an instance left") == 1 })
 	a.directory.mu.Lock()
 	defer a.directory.mu.Unlock()
 	if log.count("is unreachable") > 0 || len(a.directory.addresses) > 0 || len(a.directory.leaving) > 0 {
-		t.Errorf("a leave was taken for a failure: %v", a.directory.addresses)
+		t.Errorf("a leave was treated as a failure: addresses %v", a.directory.addresses)
 	}
 }
 
-// What comes from elsewhere is dropped and counted by reason, and logged once.
-func TestStrangers(t *testing.T) {
+// Messages that are invalid, or not of a member of this cluster, are dropped, counted by reason
+// and logged once.
+func TestForeignMessages(t *testing.T) {
 	key := func(b byte) [][]byte { return [][]byte{[]byte(strings.Repeat(string(rune('a'+b)), 16))} }
 	a, log := start(t, "a", nil, func(o *Options) { o.Keys = key(0) })
 	start(t, "k", []string{a.Addr()}, func(o *Options) { o.Keys = key(1) })
 	start(t, "c", []string{a.Addr()}, func(o *Options) { o.Keys, o.Cluster = key(0), "other" })
-	until(t, "the wrong key is seen", drops(a, "wrong key"))
-	until(t, "the other cluster is seen", drops(a, wire.ErrWrongCluster.Error()))
-	until(t, "the wrong key is logged", func() bool { return log.count("wrong key") > 0 }) // it is counted first
+	until(t, "the wrong key is counted", drops(a, "wrong key"))
+	until(t, "the other cluster is counted", drops(a, wire.ErrWrongCluster.Error()))
+	until(t, "the wrong key is logged", func() bool { return log.count("wrong key") > 0 }) // counting precedes logging
 	if n := log.count("wrong key"); n != 1 {
-		t.Errorf("logged %d times", n)
+		t.Errorf("wrong key logged %d times, want once", n)
 	}
 	for reason, raw := range map[string][]byte{
 		wire.ErrCorrupt.Error():      {1, 2, 3},
@@ -199,28 +200,28 @@
 		until(t, reason, drops(a, reason))
 	}
 	if len(a.Status().Peers) != 0 {
-		t.Errorf("peers %v", a.Status().Peers)
+		t.Errorf("got peers %v, want none", a.Status().Peers)
 	}
 }
 
-// More than the inbox holds is dropped and counted, and nothing waits.
+// Messages that don't fit the inbox are dropped and counted, and the caller is not blocked.
 func TestFloodOfMessages(t *testing.T) {
 	a, _ := start(t, "a", nil, nil)
 	raw := wire.EncodeMessage(wire.ClusterDigest("test"), &quota.Message{Header: quota.Header{From: "x", To: "a", Incarnation: 1, Seq: 1}})
 	for range 100 * inboxCapacity {
 		delegate{a}.NotifyMsg(raw)
 	}
-	until(t, "the flood is counted", drops(a, "inbox full"))
+	until(t, "dropped messages are counted", drops(a, "inbox full"))
 }
 
-// Keys change in a running cluster: first all can read the new one, then it is
-// written with, then the old one goes. Counts arrive throughout.
+// Keys are rotated in a running cluster: first all instances accept the new key, then they
+// encrypt with it, then the old key is removed. Counts arrive in each step.
 func TestKeysRotate(t *testing.T) {
 	old, fresh := []byte(strings.Repeat("o", 32)), []byte(strings.Repeat("n", 32))
 	with := func(o *Options) { o.Keys = [][]byte{old} }
 	a, _ := start(t, "a", nil, with)
 	b, log := start(t, "b", []string{a.Addr()}, with)
-	until(t, "they met", func() bool { return b.Status().Joined && a.Status().Joined && len(a.Status().Peers) == 1 })
+	until(t, "both have joined", func() bool { return b.Status().Joined && a.Status().Joined && len(a.Status().Peers) == 1 })
 	for step, keys := range [][][]byte{{old, fresh}, {fresh, old}, {fresh}} {
 		for _, n := range []*Node{a, b} {
 			if err := n.RotateKeys(keys); err != nil {
@@ -228,26 +229,26 @@
 			}
 		}
 		a.RecordStart("a", 1)
-		until(t, fmt.Sprintf("step %d: b counts", step), func() bool { return net2(b, "a") == float64(step+1) })
+		until(t, fmt.Sprintf("step %d: b counts", step), func() bool { return startedSlots(b, "a") == float64(step+1) })
 	}
 	if log.count("wrong key") > 0 || log.count(base64.StdEncoding.EncodeToString(fresh)) > 0 || log.count(string(fresh)) > 0 {
-		t.Error("the rotation shows in the log")
+		t.Error("the log mentions a wrong key or contains the new key")
 	}
 	if err := a.RotateKeys(nil); err == nil {
-		t.Error("went into the clear")
+		t.Error("encryption was switched off without an error")
 	}
 }
 
-// Two under one name: both are noticed and named, and the counts of a third
-// hold what each has done.
-func TestTwoUnderOneName(t *testing.T) {
+// Two instances use the same name: a third one detects the conflict and logs the addresses of
+// both.
+func TestDuplicateName(t *testing.T) {
 	c, log := start(t, "c", nil, func(o *Options) { o.Settings.ExpectedInstances = 3 })
 	start(t, "twin", []string{c.Addr()}, nil)
-	until(t, "the first is seen", func() bool { return len(c.Status().Peers) == 1 })
+	until(t, "the first instance is present", func() bool { return len(c.Status().Peers) == 1 })
 	second, _ := start(t, "twin", []string{c.Addr()}, nil)
-	until(t, "the conflict is seen", drops(c, "two instances under one name"))
+	until(t, "the conflict is counted", drops(c, "two instances under one name"))
 	if log.count("two instances use one name") != 1 || log.count("127.0.0.1") < 2 {
-		t.Error("the log does not name them")
+		t.Error("the conflict is not logged once with both addresses")
 	}
 	_ = second
 }
@@ -255,10 +256,10 @@
 func TestBadAddresses(t *testing.T) {
 	for _, listen := range []string{"nowhere", "127.0.0.1:x", "203.0.113.1:1"} {
 		if _, err := New(Options{Name: "a", Listen: listen, Now: time.Now, Log: zerolog.Nop()}); err == nil {
-			t.Errorf("%s: no error", listen)
+			t.Errorf("listen %s: got no error", listen)
 		}
 	}
 	if _, err := New(Options{Name: "a", Listen: "127.0.0.1:0", Advertise: "x", Now: time.Now, Log: zerolog.Nop()}); err == nil {
-		t.Error("advertise: no error")
+		t.Error("advertise x: got no error")
 	}
 }
--- a/internal/cluster/gossip/ownership_test.go
+++ b/internal/cluster/gossip/ownership_test.go
@@ -13,16 +13,16 @@
 
 const ownershipInstances = 9
 
-// ownershipCluster is nine instances in three regions, with three owners of each tenant.
+// ownershipCluster is a cluster of nine instances in three regions, with three owners for each tenant.
 type ownershipCluster struct {
 	t        *testing.T
 	tenants  []quota.Tenant
-	notified allotments // of the first instance
+	notified allotments // recorded at the first instance
 	nodes    []*Node
-	flat     *Node // of the instance with flat ownership; nil: not started
+	flat     *Node // the instance with flat ownership; nil: not started
 }
 
-// logIfFailed logs what all know.
+// logIfFailed logs the status of all instances if the test has failed.
 func (c *ownershipCluster) logIfFailed() {
 	if !c.t.Failed() {
 		return
@@ -34,29 +34,29 @@
 	}
 }
 
-// Membership announces regions: each tenant has three owners in three regions, loans reach
-// the instance that serves it, and counts reach those that serve it or own a part. One of a
-// build without owners has all use flat ownership until it is gone.
+// TestHashedOwnership checks that each tenant gets three owners in three regions, that loans
+// reach the instance that serves the tenant, and that counts reach only instances that serve it
+// or own a part. While an instance without hashed ownership is a member, all use flat ownership.
 func TestHashedOwnership(t *testing.T) {
-	t.Cleanup(func() { // after all have been closed: a probe that is out waits some seconds for its answer
+	t.Cleanup(func() { // runs after all nodes have been closed: a pending probe waits some seconds for its answer
 		until(t, "probes have ended", func() bool { return goleak.Find(goleak.IgnoreTopFunction("time.Sleep")) == nil })
 	})
 	c := newOwnershipCluster(t)
 	defer c.logIfFailed()
 	c.checkOwners()
 	c.checkLending()
-	until(t, "at rest nobody writes", func() bool {
+	until(t, "no instance sends messages while nothing changes", func() bool {
 		before := c.sent()
 		time.Sleep(500 * time.Millisecond)
 		return c.sent() == before
 	})
 	c.removeLast()
 	c.checkFlatMember()
-	until(t, "a few own each tenant again", c.joined)
+	until(t, "all use hashed ownership again", c.joined)
 }
 
 func newOwnershipCluster(t *testing.T) *ownershipCluster {
-	c := &ownershipCluster{t: t, tenants: table()}
+	c := &ownershipCluster{t: t, tenants: testTenants()}
 	first, _ := start(t, "n0", nil, func(o *Options) {
 		c.configure(0, o)
 		o.OnQuotaUpdate = c.notified.record
@@ -66,7 +66,7 @@
 		n, _ := start(t, fmt.Sprint("n", i), []string{first.Addr()}, func(o *Options) { c.configure(i, o) })
 		c.nodes = append(c.nodes, n)
 	}
-	until(t, "all have joined", c.joined)
+	until(t, "all instances have joined", c.joined)
 	return c
 }
 
@@ -99,27 +99,27 @@
 		}
 	}
 	if owned != 3*len(c.tenants) || len(regions) != 3 {
-		c.t.Errorf("%d parts are owned, in %d regions", owned, len(regions))
+		c.t.Errorf("%d parts are owned, in %d regions, want three parts for each tenant, in 3 regions", owned, len(regions))
 	}
 }
 
 func (c *ownershipCluster) checkLending() {
 	first := c.nodes[0]
 	stop := generateLoad(first)
-	until(c.t, "nearly all is where it enters", func() bool { return c.notified.of("a") > 0.95 })
+	until(c.t, "the serving instance may use nearly all of a's quota", func() bool { return c.notified.of("a") > 0.95 })
 	stop()
-	until(c.t, "who owns a part counts what was started, others nothing", func() bool {
+	until(c.t, "only the owners of tenant a and the instance that serves it know its starts", func() bool {
 		counts := first.exchange.Meter.Counts()
-		know := 0
+		informed := 0
 		for _, n := range c.nodes {
 			if got, ok := n.Usage()["a"]; ok {
 				if got.Started != counts.At(c.tenants[0].ID).Started {
 					return false
 				}
-				know++
+				informed++
 			}
 		}
-		return know >= 3 && know <= 4
+		return informed >= 3 && informed <= 4
 	})
 }
 
@@ -130,15 +130,15 @@
 	return n
 }
 
-// removeLast has the last instance leave.
+// removeLast makes the last instance leave.
 func (c *ownershipCluster) removeLast() {
 	last := c.nodes[ownershipInstances-1]
 	c.nodes = c.nodes[:ownershipInstances-1]
 	last.Leave()
-	until(c.t, "the last has announced that it leaves", func() bool { return len(c.nodes[0].Status().Peers) == 7 })
+	until(c.t, "the last instance has announced its leave", func() bool { return len(c.nodes[0].Status().Peers) == 7 })
 	last.Close()
-	// It comes back at another address: before all have removed it, membership takes that for a second one.
-	until(c.t, "all have removed it", func() bool {
+	// Its name is used again at another address. Before all have removed it, that would be a name conflict.
+	until(c.t, "all instances have removed it", func() bool {
 		for _, n := range c.nodes {
 			n.directory.mu.Lock()
 			_, present := n.directory.present[last.Name]
@@ -151,14 +151,15 @@
 	})
 }
 
-// checkFlatMember has an instance with flat ownership take the last one's place, and leave.
+// checkFlatMember starts an instance with flat ownership under the name of the last instance,
+// and makes it leave.
 func (c *ownershipCluster) checkFlatMember() {
 	flat, _ := start(c.t, "n8", []string{c.nodes[0].Addr()}, func(o *Options) {
 		c.configure(ownershipInstances-1, o)
 		o.Settings.Owners = 0
 	})
 	c.flat = flat
-	until(c.t, "all use flat ownership", func() bool {
+	until(c.t, "all instances use flat ownership", func() bool {
 		for _, n := range c.nodes {
 			if n.Status().HashedOwnership || !n.Status().Joined {
 				return false
@@ -167,6 +168,6 @@
 		return flat.Status().Joined
 	})
 	flat.Leave()
-	until(c.t, "it has announced that it leaves", func() bool { return len(c.nodes[0].Status().Peers) == 7 })
+	until(c.t, "the flat instance has announced its leave", func() bool { return len(c.nodes[0].Status().Peers) == 7 })
 	flat.Close()
 }
--- a/internal/cluster/gossip/run.go
+++ b/internal/cluster/gossip/run.go
@@ -12,7 +12,7 @@
 
 const rejoinInterval = 500 * time.Millisecond // between attempts to reach missing members
 
-// inboxEntry is handled by the node's goroutine.
+// inboxEntry is an event or request that the node's goroutine handles.
 type inboxEntry interface{ handle(n *Node) }
 
 type (
@@ -22,10 +22,10 @@
 	usageRequest  struct{ response chan<- UsageReport }
 )
 
-// UsageReport is the counts of all instances by tenant.
+// UsageReport holds the usage counts of all instances together, by tenant name.
 type UsageReport map[string]usage.Count
 
-// enqueue hands something to the goroutine; what doesn't fit is dropped and counted.
+// enqueue puts an entry into the inbox. If the inbox is full, the entry is dropped and counted.
 func (n *Node) enqueue(e inboxEntry) {
 	select {
 	case n.inbox <- e:
@@ -34,7 +34,7 @@
 	}
 }
 
-// run is the goroutine that owns the exchange.
+// run is the body of the goroutine that owns the exchange.
 func (n *Node) run() {
 	defer n.lifecycle.goroutines.Done()
 	period := time.Duration(n.Settings.Period * float64(time.Second))
@@ -79,8 +79,8 @@
 		n.directory.markLeaving(m.From)
 	}
 	err := n.exchange.Receive(n.elapsedSeconds(), m)
-	if err != nil && !errors.Is(err, quota.ErrOutOfOrder) { // datagrams are reordered
-		n.logLimiter.Do("hear", func(int) { n.Log.Warn().Msgf("peers: %v", err) })
+	if err != nil && !errors.Is(err, quota.ErrOutOfOrder) { // datagrams may arrive out of order
+		n.logLimiter.Do("receive", func(int) { n.Log.Warn().Msgf("peers: %v", err) })
 	}
 }
 
@@ -93,8 +93,8 @@
 
 func (r usageRequest) handle(n *Node) { r.response <- n.usageReport() }
 
-// dropReason is the class of an error: counted under its text, the content of messages
-// could make keys without end.
+// dropReason returns the kind of an error. The complete error text is not used as a counter's
+// name: it depends on the content of messages, so that the number of names would be unbounded.
 func dropReason(err error) string {
 	for _, known := range []error{wire.ErrWrongCluster, wire.ErrUnsupportedVersion, wire.ErrTooLarge} {
 		if errors.Is(err, known) {
@@ -104,7 +104,8 @@
 	return wire.ErrCorrupt.Error()
 }
 
-// round plays one round of the exchange.
+// round runs one round of the exchange: it sends messages, notifies the dispatcher of quota
+// changes and publishes the status.
 func (n *Node) round() {
 	now := n.elapsedSeconds()
 	n.exchange.Allocator.UpdateMembers(now, n.directory.members())
@@ -120,7 +121,7 @@
 	n.publishStatus(now, s)
 }
 
-// send sends a message, and counts it.
+// send sends a message and counts it in s. A message to an unknown member is not sent.
 func (n *Node) send(m *quota.Message, s *Status) {
 	to, known := n.directory.address(m.To)
 	if !known {
@@ -134,7 +135,7 @@
 	}
 }
 
-// notifyQuota notifies the dispatcher of what has changed.
+// notifyQuota notifies the dispatcher of allotments that changed and of new usage by other instances.
 func (n *Node) notifyQuota(now float64) {
 	state := n.exchange.Usage.Snapshot()
 	q := &n.quota
@@ -161,8 +162,8 @@
 	}
 }
 
-// Usage is what all instances have counted by tenant, as far as this one knows, of the
-// tenants that it serves or owns a part of.
+// Usage returns the usage counts of all instances together, as far as this one knows them.
+// It covers the tenants that this instance serves or owns a part of. It returns nil after Close.
 func (n *Node) Usage() UsageReport {
 	response := make(chan UsageReport, 1)
 	select {
@@ -188,8 +189,8 @@
 	return report
 }
 
-// rejoinMissing tries to reach instances that membership doesn't see: the configured ones,
-// and those that were seen before.
+// rejoinMissing starts an attempt to join instances that are configured, or were present
+// earlier, and are not present now. It does nothing while an earlier attempt is running.
 func (n *Node) rejoinMissing() {
 	missing := n.directory.missing(n.Addr(), n.Join)
 	if len(missing) == 0 || !n.lifecycle.joining.CompareAndSwap(false, true) {
@@ -199,7 +200,7 @@
 	go n.join(missing)
 }
 
-// join joins each address in turn. It waits for the network.
+// join tries to join each address in turn. It blocks on network I/O.
 func (n *Node) join(addresses []string) {
 	defer n.lifecycle.goroutines.Done()
 	defer n.lifecycle.joining.Store(false)
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -5,18 +5,18 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// boundsWindowSeconds is the window for which the stated error is computed.
+// boundsWindowSeconds is the length of the window for which Status.Bounds is computed.
 const boundsWindowSeconds = 10
 
-// Status is what operators see.
+// Status is the state of a Node as the admin interface shows it.
 type Status struct {
 	Name            string             `json:"name"`
 	Cluster         string             `json:"cluster"`
 	Listen          string             `json:"listen"`
 	Incarnation     uint64             `json:"incarnation"`
 	Joined          bool               `json:"joined"`
-	HashedOwnership bool               `json:"homed"` // a few instances own each reservation, not all
-	OwnedTenants    int                `json:"owns"`  // tenants of which it owns a part
+	HashedOwnership bool               `json:"homed"` // each reservation is owned by a few instances, not by all
+	OwnedTenants    int                `json:"owns"`  // tenants of whose reservations this instance owns a part
 	Size            int                `json:"size"`
 	Peers           []quota.PeerStatus `json:"peers"`
 	Tenants         []TenantStatus     `json:"tenants"`
@@ -31,22 +31,22 @@
 type TenantStatus struct {
 	Name        string  `json:"name"`
 	Quota       float64 `json:"quota_per_s"`
-	Allotment   float64 `json:"slice"` // part of the reservation that this instance may use now
-	Started     float64 `json:"net"`   // slots started by all instances, as known here
-	StartedHere float64 `json:"mine"`  // slots started by this incarnation
+	Allotment   float64 `json:"slice"` // fraction of the reservation that this instance may use now
+	Started     float64 `json:"net"`   // slots started by all instances, as far as this one knows
+	StartedHere float64 `json:"mine"`  // slots started by this instance since its start
 }
 
-// Status is the latest status. The caller must not change it.
+// Status returns the latest status. The caller must not modify it.
 func (n *Node) Status() *Status { return n.status.Load() }
 
-// countReceived counts a message.
+// countReceived counts a received message in the status.
 func (n *Node) countReceived() {
 	s := *n.status.Load()
 	s.Received++
 	n.status.Store(&s)
 }
 
-// publishStatus completes the status of a round.
+// publishStatus fills in the status s of a round and publishes it.
 func (n *Node) publishStatus(now float64, s Status) {
 	allocator := n.exchange.Allocator
 	s.Incarnation = n.exchange.Usage.Incarnation()
@@ -85,7 +85,8 @@
 
 func slots(c usage.Count) float64 { return float64(c.Net()) / usage.MillislotsPerSlot }
 
-// smallestQuota is the smallest reservation, 0 if there is none: its error is the largest.
+// smallestQuota returns the smallest reservation, or 0 if there is none. The smallest
+// reservation has the largest relative error.
 func (n *Node) smallestQuota() float64 {
 	smallest := 0.0
 	for _, t := range n.tenantsByID {
