--- a/internal/cluster/gossip/wire/decode.go
+++ b/internal/cluster/gossip/wire/decode.go
@@ -9,7 +9,9 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Decode decodes what another instance sent: either a message or what it knows of usage.
+// Decode decodes a message of another instance: it returns either a message of the exchange, or the
+// usage from an encoded state. It returns ErrCorrupt, ErrWrongCluster, ErrUnsupportedVersion or
+// ErrTooLarge, possibly wrapped, for content that must be dropped.
 func Decode(cluster uint64, data []byte) (*quota.Message, []*usage.InstanceUsage, error) {
 	if len(data) > MaxStateBytes {
 		return nil, nil, ErrTooLarge
@@ -41,10 +43,11 @@
 		instances, err := decodeInstances(body.State.Instances)
 		return nil, instances, err
 	}
-	return nil, nil, ErrCorrupt // no body, or one that a newer build added
+	return nil, nil, ErrCorrupt // no body, or of a type that a newer build added
 }
 
-// checkEnvelope reports whether the content is of this cluster, and can be read by this build.
+// checkEnvelope returns an error if the content belongs to another cluster or needs a newer build.
+// A delta message that identifies the receiver may leave the cluster out.
 func checkEnvelope(cluster uint64, e *Envelope) error {
 	delta := e.GetDelta()
 	identifiesReceiver := delta.GetAckIncarnation() != 0 || delta.GetLinkId() != 0
@@ -121,7 +124,7 @@
 		TenantsByIndex: d.Flags&flagTenantsByIndex != 0,
 	}
 	if m.TenantsByIndex && m.AckIncarnation == 0 && m.LinkID == 0 {
-		return nil, ErrCorrupt // it is unknown whose table the indexes are of
+		return nil, ErrCorrupt // without an incarnation it is unknown to which table the indexes refer
 	}
 	if err := decodeContent(m, d); err != nil {
 		return nil, err
@@ -132,7 +135,8 @@
 	return m, nil
 }
 
-// validAddress reports whether a delta message names sender and receiver, or a link in place of both.
+// validAddress reports whether a delta message identifies sender and receiver: either by names and
+// incarnations, or by a link alone.
 func validAddress(d *DeltaMessage) bool {
 	if d.LinkId != 0 {
 		return d.From == "" && d.To == "" && d.Incarnation == 0 && d.AckIncarnation == 0
@@ -140,7 +144,7 @@
 	return validName(d.From) && len(d.To) <= MaxNameBytes && (d.To != "" || d.AckIncarnation != 0)
 }
 
-// content is what both forms of a message have.
+// content has the fields that full and delta messages have in common.
 type content interface {
 	GetDemands() *Fractions
 	GetGrants() *Fractions
@@ -170,7 +174,7 @@
 
 func validName(name string) bool { return name != "" && len(name) <= MaxNameBytes }
 
-// tenants are the tenants of a list, by id or by index.
+// tenants returns the tenants of a list: the ids, or the indexes if byIndex is set.
 func tenants(ids []uint64, indexes []uint32, byIndex bool) []uint64 {
 	if !byIndex {
 		return ids
@@ -259,7 +263,7 @@
 	}, nil
 }
 
-// decodeIncarnations accepts rising incarnations only.
+// decodeIncarnations returns ErrCorrupt unless the incarnations are in strictly ascending order.
 func decodeIncarnations(list []*Incarnation) ([]usage.IncarnationUsage, error) {
 	var incarnations []usage.IncarnationUsage
 	for k, i := range list {
--- a/internal/cluster/gossip/wire/encode.go
+++ b/internal/cluster/gossip/wire/encode.go
@@ -7,10 +7,12 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// EncodeMessage encodes a message of the exchange.
+// EncodeMessage encodes a message of the exchange. cluster is the ClusterDigest. It returns nil
+// if a name is not valid UTF-8.
 func EncodeMessage(cluster uint64, m *quota.Message) []byte { return marshal(newEnvelope(cluster, m)) }
 
-// EncodeState encodes everything that an instance knows of usage.
+// EncodeState encodes the usage of all instances that s holds. cluster is the ClusterDigest. It
+// returns nil if a name is not valid UTF-8.
 func EncodeState(cluster uint64, s usage.State) []byte {
 	state := &StateMessage{}
 	s.ForEach(func(u *usage.InstanceUsage) bool {
@@ -27,7 +29,7 @@
 
 func marshal(e *Envelope) []byte {
 	data, err := proto.Marshal(e)
-	if err != nil { // only for a string that is not UTF-8: names are checked at the start
+	if err != nil { // only if a string is not valid UTF-8; names are checked at start-up
 		return nil
 	}
 	return data
@@ -42,14 +44,15 @@
 			Body:             &Envelope_Full{Full: encodeFull(m)},
 		}
 	}
-	// A build that reads delta messages needs no version.
-	if identifiesReceiver(m) { // an incarnation belongs to one cluster
+	// Every build that reads delta messages reads them without a version.
+	if identifiesReceiver(m) { // an incarnation belongs to only one cluster, so that the digest is redundant
 		cluster = 0
 	}
 	return &Envelope{Cluster: cluster, Body: &Envelope_Delta{Delta: encodeDelta(m)}}
 }
 
-// identifiesReceiver reports whether a delta message names the receiver's incarnation.
+// identifiesReceiver reports whether a delta message identifies the receiver's incarnation, either
+// directly or by a link.
 func identifiesReceiver(m *quota.Message) bool { return m.AckIncarnation != 0 || m.LinkID != 0 }
 
 func encodeFull(m *quota.Message) *FullMessage {
@@ -134,7 +137,7 @@
 	return i
 }
 
-// encodeFractions encodes no message for an empty list.
+// encodeFractions returns nil for an empty list.
 func encodeFractions(list []quota.TenantFraction, byIndex bool) *Fractions {
 	if len(list) == 0 {
 		return nil
@@ -151,7 +154,7 @@
 	return f
 }
 
-// encodeCounts encodes no message for an empty list, and no refunds where there are none.
+// encodeCounts returns nil for an empty list, and leaves out Refunded if all refunds are 0.
 func encodeCounts(list usage.Counts, byIndex bool) *Counts {
 	if len(list) == 0 {
 		return nil
--- a/internal/cluster/gossip/wire/golden_test.go
+++ b/internal/cluster/gossip/wire/golden_test.go
@@ -14,10 +14,10 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenCluster is the digest that all golden files carry.
+// goldenCluster is the cluster digest in all golden files.
 const goldenCluster = 0x0102030405060708
 
-// golden compares bytes with those of a committed file, and returns the file's.
+// golden compares bytes with the content of a committed file, and returns that content.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".bin")
@@ -39,7 +39,7 @@
 	return want
 }
 
-// goldenCounts are counts by tenant; the first tenant has a number that fits a place in a table.
+// goldenCounts returns counts of two tenants. Both ids are small enough to be table indexes.
 func goldenCounts(n uint64) usage.Counts {
 	return usage.Counts{
 		{Tenant: n, Count: usage.Count{Started: 5000 + n, Refunded: 100 + n}},
@@ -58,7 +58,7 @@
 	}
 }
 
-// goldenFull has every field of a full message set, to a value of its own.
+// goldenFull returns a full message in which every field is set, each to a different value.
 func goldenFull() *quota.Message {
 	return &quota.Message{
 		Header: quota.Header{
@@ -88,7 +88,8 @@
 	}
 }
 
-// goldenDelta has every field of a delta message set that names sender and receiver.
+// goldenDelta returns a delta message that names sender and receiver, without flags and
+// acknowledgement; all other fields are set.
 func goldenDelta() *quota.Message {
 	return &quota.Message{
 		Header: quota.Header{
@@ -112,25 +113,25 @@
 	}
 }
 
-// goldenMessages are messages of both forms, by the names of their files.
+// goldenMessages returns full and delta messages by the names of their golden files.
 func goldenMessages() map[string]*quota.Message {
-	echo := goldenDelta()
-	echo.AckIncarnation, echo.AckSeq, echo.AckBits = 1<<60+24, 325, 1<<63+26
-	places := goldenDelta()
-	places.AckIncarnation, places.AckSeq, places.AckBits, places.TenantsByIndex = 1<<60+24, 25, 1<<23+1<<20+1, true
-	places.Demands = []quota.TenantFraction{{Tenant: 40, Millionths: 41_000}, {Tenant: 342, Millionths: 0}}
-	places.Grants = []quota.TenantFraction{{Tenant: 43, Millionths: 44_000}}
+	withAck := goldenDelta()
+	withAck.AckIncarnation, withAck.AckSeq, withAck.AckBits = 1<<60+24, 325, 1<<63+26
+	byIndex := goldenDelta()
+	byIndex.AckIncarnation, byIndex.AckSeq, byIndex.AckBits, byIndex.TenantsByIndex = 1<<60+24, 25, 1<<23+1<<20+1, true
+	byIndex.Demands = []quota.TenantFraction{{Tenant: 40, Millionths: 41_000}, {Tenant: 342, Millionths: 0}}
+	byIndex.Grants = []quota.TenantFraction{{Tenant: 43, Millionths: 44_000}}
 	linked := goldenDelta()
 	linked.LinkID, linked.From, linked.Incarnation = 1<<63+50, "", 0
 	linked.AckSeq, linked.AckBits, linked.TenantsByIndex = 52, 1<<50+53, true
-	linked.Demands, linked.Grants = places.Demands, places.Grants
+	linked.Demands, linked.Grants = byIndex.Demands, byIndex.Grants
 	bare := &quota.Message{Header: quota.Header{Build: quota.OwnershipBuild, From: "a", To: "b", Incarnation: 1, Seq: 1, Round: 1}, Delta: true}
 	cases := map[string]*quota.Message{
 		"flat":             goldenFull(),
 		"flat-bare":        {Header: quota.Header{From: "a", To: "b"}},
 		"homed":            goldenDelta(),
-		"homed-echo":       echo,
-		"homed-places":     places,
+		"homed-echo":       withAck,
+		"homed-places":     byIndex,
 		"homed-link":       linked,
 		"homed-bare":       bare,
 		"homed-link-bare":  {Header: quota.Header{Build: quota.OwnershipBuild, LinkID: 1<<63 + 60, Seq: 61, Round: 61}, Delta: true},
@@ -140,7 +141,7 @@
 	return cases
 }
 
-// addGoldenFlags adds messages that have one flag set each.
+// addGoldenFlags adds messages in each of which a single flag is set.
 func addGoldenFlags(cases map[string]*quota.Message, bare *quota.Message) {
 	for name, set := range map[string]func(*quota.Message){
 		"settled": func(m *quota.Message) { m.LoansCovered = true },
@@ -166,7 +167,7 @@
 	for name, content := range goldenMessages() {
 		raw := golden(t, name, EncodeMessage(goldenCluster, content))
 		if len(raw) != MessageSize(content) {
-			t.Errorf("%s: Size is %d, of %d bytes", name, MessageSize(content), len(raw))
+			t.Errorf("%s: MessageSize is %d, but %d bytes were encoded", name, MessageSize(content), len(raw))
 		}
 		got, records, err := Decode(goldenCluster, raw)
 		want := *content
@@ -174,7 +175,7 @@
 			want.To = ""
 		}
 		if err != nil || records != nil || !reflect.DeepEqual(got, &want) {
-			t.Errorf("%s decodes to %+v, %v, %v", name, got, records, err)
+			t.Errorf("%s decodes to %+v, usage %v, error %v", name, got, records, err)
 		}
 	}
 }
@@ -187,14 +188,14 @@
 	} {
 		state, _ := usage.EmptyState().Merge(content...)
 		m, got, err := Decode(goldenCluster, golden(t, name, EncodeState(goldenCluster, state)))
-		// Incarnations in the rollup are dropped, as are unsorted ones: these are sorted, above it.
+		// These incarnations are sorted and later than the rollup, so that none is dropped.
 		if err != nil || m != nil || !reflect.DeepEqual(got, content) {
-			t.Errorf("%s decodes to %v, %+v, %v", name, m, got, err)
+			t.Errorf("%s decodes to message %v, usage %+v, error %v", name, m, got, err)
 		}
 	}
 }
 
-// The counters of an incarnation as they are sent: what a meter counted, in a record and in a message.
+// TestGoldenUsage checks how the counts of a meter are encoded, in a state and in a delta message.
 func TestGoldenUsage(t *testing.T) {
 	tenants := []usage.Tenant{
 		{Name: "a", ID: usage.TenantID("a", 20, 1)},
@@ -209,19 +210,19 @@
 	meter.RecordStart("b", 4)
 	meter.RecordRefund("b", 4)
 	meter.RecordStart("nobody", 9)
-	set := usage.NewReplica("n1", 1<<60+81)
-	set.UpdateLocal(meter.Counts())
-	rows, _ := set.Snapshot().Instance("n1").Incarnation(1<<60 + 81)
+	replica := usage.NewReplica("n1", 1<<60+81)
+	replica.UpdateLocal(meter.Counts())
+	counts, _ := replica.Snapshot().Instance("n1").Incarnation(1<<60 + 81)
 	want := []*usage.InstanceUsage{{Name: "n1", Incarnations: []usage.IncarnationUsage{{Incarnation: 1<<60 + 81, Counts: usage.Normalize(usage.Counts{
 		{Tenant: tenants[0].ID, Count: usage.Count{Started: 1500}},
 		{Tenant: tenants[1].ID, Count: usage.Count{Started: 4002, Refunded: 4000}},
 	})}}}}
-	if _, got, err := Decode(goldenCluster, golden(t, "usage-record", EncodeState(goldenCluster, set.Snapshot()))); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the record decodes to %+v, %v", got, err)
+	if _, got, err := Decode(goldenCluster, golden(t, "usage-record", EncodeState(goldenCluster, replica.Snapshot()))); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("the state decodes to %+v, error %v", got, err)
 	}
-	m := &quota.Message{Header: quota.Header{Build: quota.OwnershipBuild, From: "n1", To: "n2", Incarnation: 1<<60 + 81, Seq: 82, Round: 82}, Delta: true, Counts: rows}
+	m := &quota.Message{Header: quota.Header{Build: quota.OwnershipBuild, From: "n1", To: "n2", Incarnation: 1<<60 + 81, Seq: 82, Round: 82}, Delta: true, Counts: counts}
 	if got, _, err := Decode(goldenCluster, golden(t, "usage-message", EncodeMessage(goldenCluster, m))); err != nil || !reflect.DeepEqual(got, m) {
-		t.Errorf("the message decodes to %+v, %v", got, err)
+		t.Errorf("the message decodes to %+v, error %v", got, err)
 	}
 }
 
--- a/internal/cluster/gossip/wire/wire.go
+++ b/internal/cluster/gossip/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire encodes and decodes the messages between instances. It does no I/O. Content
-// from outside is checked here: nothing that it returns exceeds the limits.
+// Package wire encodes and decodes the messages between instances. It does no I/O. It
+// validates what it decodes: nothing that Decode returns exceeds the limits below.
 package wire
 
 import (
@@ -15,24 +15,24 @@
 //go:generate go run example.org/bellstream/internal/tools/protogen peers.proto
 
 const (
-	// Version is that of this build.
+	// Version is the version of the encoding that this build writes.
 	Version = 1
-	// MinReaderVersion is the lowest version that reads what this build writes.
+	// MinReaderVersion is the lowest version of a build that can read what this build writes.
 	MinReaderVersion = 1
 )
 
-// Limits of what is decoded.
+// Limits of decoded content.
 const (
 	MaxMessageBytes = 16 << 10
 	MaxStateBytes   = 16 << 20
-	MaxTenants      = 10_000 // of one list
+	MaxTenants      = 10_000 // in one list
 	MaxNameBytes    = 255
 
-	maxStarted      = 1 << 53                   // thousandths of a slot: sums of more could overflow
+	maxStarted      = 1 << 53                   // in thousandths of a slot; sums of larger counts could overflow
 	maxIncarnations = 4 * usage.MaxIncarnations // of one instance
 )
 
-// Reasons for which content is dropped. Their texts are labels of metrics.
+// Errors of content that is dropped. Their texts are label values of metrics.
 var (
 	ErrCorrupt            = errors.New("garbled")
 	ErrWrongCluster       = errors.New("of another cluster")
@@ -49,13 +49,14 @@
 	flagTenantsByIndex
 )
 
-// ClusterDigest identifies a cluster.
+// ClusterDigest returns the hash of a cluster's name, which identifies the cluster in messages.
 func ClusterDigest(name string) uint64 { return xxhash.Sum64String(name) }
 
-// MessageSize is how many bytes an encoded message takes.
+// MessageSize returns the size of an encoded message in bytes.
 func MessageSize(m *quota.Message) int { return proto.Size(newEnvelope(1, m)) }
 
-// ackMask covers the messages before seq that an acknowledgement of it covers.
+// ackMask returns the mask of the valid bits in an acknowledgement of seq: bit i stands for message
+// seq-1-i, and messages are numbered from 1.
 func ackMask(seq uint64) uint64 {
 	const window = 64
 	switch {
--- a/internal/cluster/gossip/wire/wire_test.go
+++ b/internal/cluster/gossip/wire/wire_test.go
@@ -23,10 +23,10 @@
 	return s
 }
 
-func TestBothWays(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	m, _, err := Decode(5, EncodeMessage(5, sample))
 	if err != nil || !reflect.DeepEqual(m, sample) {
-		t.Errorf("got %+v, %v", m, err)
+		t.Errorf("decoded %+v, error %v", m, err)
 	}
 	_, list, err := Decode(5, EncodeState(5, state()))
 	if err != nil {
@@ -34,108 +34,109 @@
 	}
 	back, _ := usage.EmptyState().Merge(list...)
 	if !reflect.DeepEqual(back.Totals(), state().Totals()) || back.Len() != 2 {
-		t.Errorf("got %v", back.Totals())
+		t.Errorf("got totals %v", back.Totals())
 	}
 	if len(EncodeMessage(5, sample)) != MessageSize(sample) {
-		t.Error("Size differs")
+		t.Error("MessageSize differs from the encoded length")
 	}
 }
 
-// The form of tenants that have homes says the same with fewer bytes, and what it leaves
-// out it says otherwise: the receiver's life names receiver and cluster, places name tenants.
-func TestDeltaBothWays(t *testing.T) {
+// A delta message holds the same content in fewer bytes. The receiver's incarnation replaces the
+// receiver's name and the cluster, and table indexes replace tenant ids.
+func TestDeltaRoundTrip(t *testing.T) {
 	m := &quota.Message{Header: quota.Header{From: "a", To: "b", Incarnation: 9, Seq: 9, Round: 7, Build: quota.OwnershipBuild}, View: quota.View{LoansCovered: true, ViewDigest: 77, TableDigest: 8}, Delta: true, AckRequested: true, ViewRequested: true, Demands: sample.Demands, Grants: []quota.TenantFraction{{Tenant: 5, Millionths: 0}}, Counts: sample.Counts, RemoteTotals: sample.Counts, RelayedUsage: []*usage.InstanceUsage{{Name: "c", Incarnations: []usage.IncarnationUsage{{Incarnation: 4, Counts: sample.Counts}}}}}
 	if got, _, err := Decode(5, EncodeMessage(5, m)); err != nil || !reflect.DeepEqual(got, m) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 	if _, _, err := Decode(6, EncodeMessage(5, m)); !errors.Is(err, ErrWrongCluster) {
-		t.Errorf("another cluster: %v", err)
+		t.Errorf("message of another cluster: got error %v", err)
 	}
 	m.Leaving, m.ViewRequested, m.ViewDigest, m.TableDigest, m.LoansCovered, m.TenantsByIndex = true, false, 0, 0, false, true
 	m.AckIncarnation, m.AckSeq, m.AckBits = 1<<60|3, 70, 1<<63|5
 	got, _, err := Decode(5, EncodeMessage(5, m))
 	if err != nil || got.To != "" {
-		t.Fatalf("got %+v, %v", got, err)
+		t.Fatalf("decoded %+v, error %v; want no receiver's name", got, err)
 	}
 	got.To = "b"
 	if !reflect.DeepEqual(got, m) || len(EncodeMessage(5, m)) != MessageSize(m) {
-		t.Errorf("got %+v", got)
+		t.Errorf("decoded %+v, want the encoded message of MessageSize bytes", got)
 	}
-	for _, seq := range []uint64{1, 2, 64, 65, 1000} { // bits of messages that never were are not made up
+	for _, seq := range []uint64{1, 2, 64, 65, 1000} { // bits of numbers below 1 must not be set
 		m.AckSeq, m.AckBits = seq, ackMask(seq)
 		if got, _, _ := Decode(5, EncodeMessage(5, m)); got.AckBits != m.AckBits {
-			t.Errorf("echo %d: bits %x, want %x", seq, got.AckBits, m.AckBits)
+			t.Errorf("acknowledgement of %d: got bits %x, want %x", seq, got.AckBits, m.AckBits)
 		}
 	}
 	bare := &quota.Message{Header: quota.Header{From: "n001", Incarnation: 1 << 60, Seq: 900, Round: 900}, Ack: quota.Ack{AckIncarnation: 1 << 60, AckSeq: 900, AckBits: math.MaxUint64}, Delta: true}
 	if n := MessageSize(bare); n > 38 {
-		t.Errorf("a bare message takes %d bytes", n)
+		t.Errorf("a message without content takes %d bytes, want at most 38", n)
 	}
-	// A link says who speaks to whom, and is all that says it.
+	// A link alone identifies sender and receiver.
 	linked := &quota.Message{Header: quota.Header{LinkID: 1<<63 | 7, Seq: 900, Round: 900, Build: quota.OwnershipBuild}, Ack: quota.Ack{AckSeq: 900, AckBits: math.MaxUint64}, Delta: true, TenantsByIndex: true, Counts: sample.Counts}
-	linked.To = "b" // the sender's, to know where it goes
+	linked.To = "b" // used only by the sender, for the address; not encoded
 	if got, _, err := Decode(5, EncodeMessage(5, linked)); err != nil || got.To != "" || got.LinkID != linked.LinkID || got.AckIncarnation != 0 || !reflect.DeepEqual(got.Counts, linked.Counts) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 	if linked.Counts = nil; MessageSize(linked) > 24 {
-		t.Errorf("a bare message by a link takes %d bytes", MessageSize(linked))
+		t.Errorf("a message without content and with a link takes %d bytes, want at most 24", MessageSize(linked))
 	}
 }
 
-// A newer build adds fields: they are passed over, unless it says that this
-// one can't read it rightly.
+// Unknown fields of a newer build are ignored. If the newer build requires a later reader version,
+// the message is rejected.
 func TestOtherBuilds(t *testing.T) {
 	raw := EncodeMessage(5, sample)
 	raw = protowire.AppendTag(raw, 999, protowire.BytesType)
 	raw = protowire.AppendBytes(raw, []byte("new"))
 	if m, _, err := Decode(5, raw); err != nil || m.Seq != 3 {
-		t.Errorf("%v, %v", m, err)
+		t.Errorf("unknown field: decoded %v, error %v", m, err)
 	}
 	newer, _ := proto.Marshal(&Envelope{Version: 3, MinReaderVersion: 2, Cluster: 5})
 	if _, _, err := Decode(5, newer); !errors.Is(err, ErrUnsupportedVersion) {
-		t.Errorf("newer: %v", err)
+		t.Errorf("newer reader version required: got error %v", err)
 	}
 }
 
 func TestRejected(t *testing.T) {
 	envelope := func(e *Envelope) []byte { e.Cluster, e.MinReaderVersion = 5, 1; return marshal(e) }
-	rows := func(r *Counts) []byte {
+	counts := func(r *Counts) []byte {
 		return envelope(&Envelope{Body: &Envelope_Full{Full: &FullMessage{From: "a", To: "b", Counts: r}}})
 	}
-	record := func(r *Instance) []byte {
+	instance := func(r *Instance) []byte {
 		return envelope(&Envelope{Body: &Envelope_State{State: &StateMessage{Instances: []*Instance{r}}}})
 	}
 	for name, c := range map[string]struct {
 		raw  []byte
 		want error
 	}{
-		"other cluster":         {EncodeMessage(6, sample), ErrWrongCluster},
-		"cut":                   {EncodeMessage(5, sample)[:40], ErrCorrupt},
-		"empty":                 {nil, ErrWrongCluster},
-		"no body":               {envelope(&Envelope{}), ErrCorrupt},
-		"no sender":             {envelope(&Envelope{Body: &Envelope_Full{Full: &FullMessage{To: "b"}}}), ErrCorrupt},
-		"homed, to nobody":      {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a"}}}), ErrCorrupt},
-		"places without a life": {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a", To: "b", Flags: flagTenantsByIndex}}}), ErrCorrupt},
-		"uneven places":         {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a", AckIncarnation: 1, Flags: flagTenantsByIndex, Demands: &Fractions{Index: []uint32{1}}}}}), ErrCorrupt},
-		"a link and a name":     {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, From: "a", Seq: 1}}}), ErrCorrupt},
-		"a link and a life":     {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, AckIncarnation: 9, Seq: 1}}}), ErrCorrupt},
-		"a page before all":     {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, Seq: 2, Page: 2}}}), ErrCorrupt},
-		"uneven rows":           {rows(&Counts{Tenant: []uint64{1}}), ErrCorrupt},
-		"more back than out":    {rows(&Counts{Tenant: []uint64{1}, Started: []uint64{1}, Refunded: []uint64{2}}), ErrCorrupt},
-		"sums overflow":         {rows(&Counts{Tenant: []uint64{1}, Started: []uint64{1 << 60}}), ErrCorrupt},
-		"large":                 {rows(&Counts{Tenant: make([]uint64, MaxTenants), Started: make([]uint64, MaxTenants)}), ErrTooLarge},
-		"huge":                  {make([]byte, MaxStateBytes+1), ErrTooLarge},
-		"nameless":              {record(&Instance{}), ErrCorrupt},
-		"lives out of order":    {record(&Instance{Name: "x", Incarnations: []*Incarnation{{Incarnation: 2}, {Incarnation: 1}}}), ErrCorrupt},
-		"fold of the future":    {record(&Instance{Name: "x", RollupWriter: 1, RollupThrough: 2}), ErrCorrupt},
+		"other cluster":                 {EncodeMessage(6, sample), ErrWrongCluster},
+		"truncated":                     {EncodeMessage(5, sample)[:40], ErrCorrupt},
+		"empty":                         {nil, ErrWrongCluster},
+		"no body":                       {envelope(&Envelope{}), ErrCorrupt},
+		"no sender":                     {envelope(&Envelope{Body: &Envelope_Full{Full: &FullMessage{To: "b"}}}), ErrCorrupt},
+		"delta without receiver":        {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a"}}}), ErrCorrupt},
+		"indexes without incarnation":   {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a", To: "b", Flags: flagTenantsByIndex}}}), ErrCorrupt},
+		"fewer fractions than indexes":  {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{From: "a", AckIncarnation: 1, Flags: flagTenantsByIndex, Demands: &Fractions{Index: []uint32{1}}}}}), ErrCorrupt},
+		"link and name":                 {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, From: "a", Seq: 1}}}), ErrCorrupt},
+		"link and incarnation":          {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, AckIncarnation: 9, Seq: 1}}}), ErrCorrupt},
+		"page before the first message": {envelope(&Envelope{Body: &Envelope_Delta{Delta: &DeltaMessage{LinkId: 7, Seq: 2, Page: 2}}}), ErrCorrupt},
+		"fewer counts than tenants":     {counts(&Counts{Tenant: []uint64{1}}), ErrCorrupt},
+		"more refunds than starts":      {counts(&Counts{Tenant: []uint64{1}, Started: []uint64{1}, Refunded: []uint64{2}}), ErrCorrupt},
+		"sums overflow":                 {counts(&Counts{Tenant: []uint64{1}, Started: []uint64{1 << 60}}), ErrCorrupt},
+		"message too large":             {counts(&Counts{Tenant: make([]uint64, MaxTenants), Started: make([]uint64, MaxTenants)}), ErrTooLarge},
+		"state too large":               {make([]byte, MaxStateBytes+1), ErrTooLarge},
+		"instance without name":         {instance(&Instance{}), ErrCorrupt},
+		"unsorted incarnations":         {instance(&Instance{Name: "x", Incarnations: []*Incarnation{{Incarnation: 2}, {Incarnation: 1}}}), ErrCorrupt},
+		"rollup beyond its writer":      {instance(&Instance{Name: "x", RollupWriter: 1, RollupThrough: 2}), ErrCorrupt},
 	} {
 		if _, _, err := Decode(5, c.raw); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: got error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// No bytes crash the reader, and what it takes an exchange can take as well.
+// Decode doesn't crash on any input, and an exchange accepts whatever Decode accepts without crashing
+// or an allotment above the full reservation.
 func FuzzRead(f *testing.F) {
 	f.Add(EncodeMessage(5, sample))
 	f.Add(EncodeState(5, state()))
@@ -155,7 +156,7 @@
 		x.Round(1)
 		for _, s := range x.Allocator.Allotments(1, nil) {
 			if s > quota.FullReservation {
-				t.Fatalf("slice %d", s)
+				t.Fatalf("allotment of %d millionths exceeds the full reservation", s)
 			}
 		}
 	})
