--- a/internal/cluster/mesh/conn.go
+++ b/internal/cluster/mesh/conn.go
@@ -14,33 +14,34 @@
 
 const readBufferBytes = 64 << 10
 
-// register records an open connection; false: there are too many, or the mesh is
-// closed.
-func (m *Mesh) register(conn net.Conn, unidentified int) bool {
+// register records an open connection. accepted is 1 for an accepted connection and
+// 0 for a dialled one. It returns false if there are too many accepted
+// connections or the mesh is closed.
+func (m *Mesh) register(conn net.Conn, accepted int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ctx.Err() != nil || m.unidentified+unidentified > maxUnidentifiedConns {
+	if m.ctx.Err() != nil || m.accepted+accepted > maxAcceptedConns {
 		return false
 	}
-	m.unidentified += unidentified
+	m.accepted += accepted
 	m.conns[conn] = true
 	return true
 }
 
-// unregister closes a connection and forgets it.
-func (m *Mesh) unregister(conn net.Conn, unidentified int) {
+// unregister closes a connection and removes its record.
+func (m *Mesh) unregister(conn net.Conn, accepted int) {
 	conn.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, conn)
-	m.unidentified -= unidentified
+	m.accepted -= accepted
 }
 
 func (m *Mesh) accept() {
 	for {
 		conn, err := m.listener.Accept()
 		if err != nil {
-			if !sleep(m.ctx, minDialBackoff) { // out of file descriptors, for one
+			if !sleep(m.ctx, minDialBackoff) { // for example, no file descriptor was free
 				return
 			}
 			continue
@@ -57,7 +58,8 @@
 	}
 }
 
-// sleep waits and reports whether the context still holds.
+// sleep waits for d and returns true, or returns false as soon as the context is
+// cancelled.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -70,7 +72,8 @@
 	}
 }
 
-// maintain dials a peer whenever there is no connection with it.
+// maintain dials a peer whenever the connection with it has ended, with an
+// exponential backoff, until the context is cancelled.
 func (m *Mesh) maintain(ctx context.Context, p *peer) {
 	backoff := minDialBackoff
 	for {
@@ -78,7 +81,7 @@
 		m.dial(ctx, p)
 		backoff = min(2*backoff, maxDialBackoff)
 		if time.Since(began) > m.IdleTimeout {
-			backoff = minDialBackoff // the connection stood for a while
+			backoff = minDialBackoff // the connection lasted for some time
 		}
 		if !sleep(ctx, backoff/2+rand.N(backoff/2)) {
 			return
@@ -86,7 +89,7 @@
 	}
 }
 
-// dial connects to a peer and serves the connection to its end.
+// dial connects to a peer and serves the connection until it ends.
 func (m *Mesh) dial(ctx context.Context, p *peer) {
 	conn, err := m.dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
@@ -100,7 +103,7 @@
 	m.serveDialled(conn, p)
 }
 
-// serveDialled says hello first and expects the peer's in return.
+// serveDialled sends a hello, waits for the peer's hello and serves the connection.
 func (m *Mesh) serveDialled(conn net.Conn, p *peer) {
 	if !m.sendHello(conn, p.name) {
 		return
@@ -117,8 +120,9 @@
 	m.serve(conn, r, p)
 }
 
-// serveAccepted expects a hello and answers it if the sender is a peer. The one
-// with the higher name does not dial.
+// serveAccepted waits for a hello, answers it if the sender is a peer with a lower
+// name, and serves the connection. A sender with a higher name is rejected, because
+// the instance with the higher name does not dial.
 func (m *Mesh) serveAccepted(conn net.Conn) {
 	r := bufio.NewReaderSize(conn, readBufferBytes)
 	from, ok := m.readHello(conn, r)
@@ -145,7 +149,8 @@
 	return err == nil
 }
 
-// readHello reads the hello that opens a connection and returns its sender.
+// readHello reads the first frame of a connection, which must be a hello to this
+// instance, and returns its sender.
 func (m *Mesh) readHello(conn net.Conn, r io.Reader) (string, bool) {
 	kind, body, err := m.readFrame(conn, r)
 	if err != nil {
@@ -191,8 +196,9 @@
 	}
 }
 
-// adopt makes a connection the one in use with its peer: a new one shows that
-// the old one is dead.
+// adopt makes a connection the one in use with its peer, and closes an older one: a
+// new connection shows that the older one no longer works. It returns false if the
+// peer has been removed or the mesh is closed.
 func (m *Mesh) adopt(conn net.Conn, p *peer) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -202,7 +208,7 @@
 	if p.conn != nil {
 		p.conn.Close()
 	}
-	p.outbox.Clear() // what waited for the old one
+	p.outbox.Clear() // frames that were queued for the older connection
 	p.conn = conn
 	return true
 }
@@ -215,8 +221,8 @@
 	}
 }
 
-// readFrame reads the next frame. One that is invalid ends the connection and is
-// counted.
+// readFrame reads the next frame. An invalid frame is counted, and the caller closes
+// the connection on any error.
 func (m *Mesh) readFrame(conn net.Conn, r io.Reader) (byte, []byte, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(m.IdleTimeout)); err != nil {
 		return 0, nil, err
--- a/internal/cluster/mesh/frame.go
+++ b/internal/cluster/mesh/frame.go
@@ -8,20 +8,20 @@
 	"example.org/bellstream/internal/cluster/mesh/peerconn"
 )
 
-// The body of a frame begins with version (1 byte), kind (1 byte) and digest of
-// the cluster's name (8 bytes); package peerconn puts length and checksum before
-// it.
+// The body of a frame begins with a version (1 byte), a kind (1 byte) and the
+// digest of the cluster's name (8 bytes, big-endian). Package peerconn prefixes
+// the body with its length and checksum.
 const (
 	bodyHeaderLen = 10
 	version       = 1
 
-	kindHello = 1 // opens a connection from both ends: who sends it, and who is meant
+	kindHello = 1 // the first frame in each direction; names its sender and the intended receiver
 	kindData  = 2
 	kindPing  = 3
 )
 
-// Reasons for which a frame is dropped, beside peerconn.ErrChecksum. Their texts
-// are names of counters in the admin status.
+// Errors of frames that are dropped, in addition to peerconn.ErrChecksum. Their
+// texts are names of counters in the admin status.
 var (
 	errTooLarge           = errors.New("too large")
 	errWrongCluster       = errors.New("of another cluster")
@@ -48,7 +48,8 @@
 	return frame
 }
 
-// decode reads a frame and returns its kind and content.
+// decode reads a frame and returns its kind and content. It returns an error of
+// countedErrors for an invalid frame.
 func decode(r io.Reader, cluster uint64) (byte, []byte, error) {
 	header, err := peerconn.ReadHeader(r)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return kind, body[bodyHeaderLen:], nil
 }
 
-// appendHello appends the names of sender and target, each with its length (1
-// byte) before it.
+// appendHello appends the names of sender and receiver, each prefixed with its
+// length (1 byte).
 func appendHello(b []byte, from, to string) []byte {
 	b = append(b, byte(len(from)))
 	b = append(b, from...)
--- a/internal/cluster/mesh/golden_test.go
+++ b/internal/cluster/mesh/golden_test.go
@@ -16,17 +16,17 @@
 	"example.org/bellstream/internal/cluster/mesh/peerconn"
 )
 
-// updateGolden writes the files under testdata/golden anew. A changed file is a changed wire format.
+// updateGolden regenerates the files under testdata/golden. A changed file means a changed wire format.
 var updateGolden = flag.Bool("update", false, "write testdata/golden anew")
 
-func golden(t *testing.T, file string, made []byte) []byte {
+func golden(t *testing.T, file string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
 	if *updateGolden {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, made, 0o644); err != nil {
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,13 +34,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(made, raw) {
-		t.Fatalf("%s: encoded\n%q\nwant\n%q", file, made, raw)
+	if !bytes.Equal(encoded, raw) {
+		t.Fatalf("%s: encoded\n%q\nwant\n%q", file, encoded, raw)
 	}
 	return raw
 }
 
-// TestGoldenFrames pins the bytes on a connection.
+// TestGoldenFrames checks the bytes of each kind of frame.
 func TestGoldenFrames(t *testing.T) {
 	cluster := xxhash.Sum64String("cluster-1")
 	for file, c := range map[string]struct {
@@ -55,16 +55,16 @@
 		raw := golden(t, file, encode(cluster, c.kind, c.body))
 		kind, body, err := decode(bytes.NewReader(raw), cluster)
 		if err != nil || kind != c.kind || !bytes.Equal(body, c.body) {
-			t.Errorf("%s: decoded %d, %q, %v", file, kind, body, err)
+			t.Errorf("%s: decoded kind %d, content %q, error %v", file, kind, body, err)
 		}
 	}
 	from, to, ok := parseHello([]byte("\x06node-a\x06node-b"))
 	if from != "node-a" || to != "node-b" || !ok {
-		t.Errorf("%q, %q, %v", from, to, ok)
+		t.Errorf("parseHello: got sender %q, receiver %q, ok %v", from, to, ok)
 	}
 }
 
-// TestGoldenHandshake plays both ends of a connection with the bytes of another build.
+// TestGoldenHandshake tests the accepting and the dialling end against the recorded bytes of a peer.
 func TestGoldenHandshake(t *testing.T) {
 	cluster := xxhash.Sum64String("cluster-1")
 	hello := golden(t, "hello.frame", encode(cluster, kindHello, []byte("\x06node-a\x06node-b")))
@@ -101,7 +101,7 @@
 	})
 }
 
-// exchange sends a hello and reads the one that the mesh sends, in whatever order.
+// exchange sends a hello and checks the hello that the mesh sends. The two may cross.
 func exchange(t *testing.T, c net.Conn, hello, want []byte) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -110,27 +110,27 @@
 	}
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		t.Fatalf("hello %q, want %q: %v", got, want, err)
+		t.Fatalf("got hello %q, want %q, error %v", got, want, err)
 	}
 }
 
-// expect carries one frame each way.
-func expect(t *testing.T, c net.Conn, taken chan received, m *Mesh, name string, data []byte) {
+// expect sends one frame in each direction, and checks what arrives. It skips pings of the mesh.
+func expect(t *testing.T, c net.Conn, receivedFrames chan received, m *Mesh, name string, data []byte) {
 	t.Helper()
 	if _, err := c.Write(data); err != nil {
 		t.Fatal(err)
 	}
 	var x received
 	select {
-	case x = <-taken:
+	case x = <-receivedFrames:
 	case <-time.After(10 * time.Second):
-		t.Fatal("no frame was taken")
+		t.Fatal("the mesh received no frame within 10 s")
 	}
 	if x.from != name || string(x.frame) != "what it carries\x00\xff" {
-		t.Errorf("%q of %q", x.frame, x.from)
+		t.Errorf("got frame %q from %q", x.frame, x.from)
 	}
 	if !m.Send(name, []byte("what it carries\x00\xff")) {
-		t.Fatal("dropped")
+		t.Fatal("Send dropped the frame")
 	}
 	ping := golden(t, "ping.frame", encode(m.clusterDigest, kindPing, nil))
 	for {
@@ -143,22 +143,22 @@
 		}
 		rest := make([]byte, len(data)-len(got))
 		if _, err := io.ReadFull(c, rest); err != nil || !bytes.Equal(append(got, rest...), data) {
-			t.Errorf("%q and %q, want %q: %v", got, rest, data, err)
+			t.Errorf("got %q followed by %q, want %q, error %v", got, rest, data, err)
 		}
 		return
 	}
 }
 
-// TestGoldenStatus pins the status as operators get it.
+// TestGoldenStatus checks the JSON of the status, which operators read.
 func TestGoldenStatus(t *testing.T) {
-	made, err := json.MarshalIndent(Status{Connected: 1, Peers: 2, Dropped: map[string]uint64{"outbox full": 3}}, "", "\t")
+	encoded, err := json.MarshalIndent(Status{Connected: 1, Peers: 2, Dropped: map[string]uint64{"outbox full": 3}}, "", "\t")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "status.json", made)
+	golden(t, "status.json", encoded)
 }
 
-// TestGoldenReasons pins the names of drops: they stand in the status, and operators look for them.
+// TestGoldenReasons checks the names of drop counters, which operators search for in the status.
 func TestGoldenReasons(t *testing.T) {
 	for want, err := range map[string]error{
 		"damaged on the way": peerconn.ErrChecksum,
@@ -168,7 +168,7 @@
 		"garbled":            errCorrupt,
 	} {
 		if err.Error() != want {
-			t.Errorf("%q, want %q", err.Error(), want)
+			t.Errorf("got %q, want %q", err.Error(), want)
 		}
 	}
 }
--- a/internal/cluster/mesh/mesh.go
+++ b/internal/cluster/mesh/mesh.go
@@ -1,7 +1,8 @@
-// Package mesh carries frames between instances over one TCP connection for each
+// Package mesh sends frames between instances over one TCP connection for each
 // pair. The instance with the lower name dials, from the address that it listens
-// on. A frame may be lost: Send does not wait, and what does not fit an outbox,
-// or is under way as a connection breaks, is dropped and counted.
+// on. Frames may be lost: Send does not block, and drops and counts a frame that
+// does not fit the outbox. Frames that are queued or in transit when a connection
+// breaks are lost without being counted.
 package mesh
 
 import (
@@ -18,11 +19,11 @@
 
 // Limits of frames, queues and connections.
 const (
-	MaxFrame             = 16 << 20 // bytes of one frame
-	maxQueuedFrames      = 512      // for one instance
-	maxQueuedBytes       = 2 * MaxFrame
-	maxPeers             = 4096
-	maxUnidentifiedConns = 1024 // accepted, before their hello
+	MaxFrame         = 16 << 20 // bytes of content in one frame
+	maxQueuedFrames  = 512      // for each peer
+	maxQueuedBytes   = 2 * MaxFrame
+	maxPeers         = 4096
+	maxAcceptedConns = 1024 // accepted connections that are open, before and after their hello
 )
 
 const (
@@ -41,7 +42,7 @@
 	dropUnexpectedTarget = "not who was meant"
 )
 
-// ListenError is the error of an address that can't be listened on.
+// ListenError is the error that New returns if it can't listen on the address.
 type ListenError struct {
 	Address string
 	Err     error
@@ -55,7 +56,7 @@
 // Unwrap returns the cause.
 func (e ListenError) Unwrap() error { return e.Err }
 
-// Is matches any error of the type.
+// Is reports whether err is a ListenError, whatever its fields.
 func (ListenError) Is(err error) bool { _, ok := err.(ListenError); return ok }
 
 // Options configure a Mesh.
@@ -63,13 +64,14 @@
 	Name        string // of this instance
 	Cluster     string
 	Listen      string        // host:port
-	IdleTimeout time.Duration // after which a connection without a byte is closed; 0: 3 s
-	// Receive is called with the frames of others, in their order; it may keep the
-	// frame. While it does not return, nothing more of that instance is read.
+	IdleTimeout time.Duration // after which a connection without data is closed; 0: 3 s
+	// Receive is called with each frame from a peer, in the order in which the peer
+	// sent them. It may retain the frame. No further frame of that peer is read
+	// before it returns.
 	Receive func(from string, frame []byte)
 }
 
-// Mesh is an instance's connections. Make one with New.
+// Mesh holds the connections of an instance with its peers. Make one with New.
 type Mesh struct {
 	Options
 	clusterDigest uint64
@@ -80,21 +82,22 @@
 	goroutines    sync.WaitGroup
 	drops         peerconn.DropCounters
 
-	mu           sync.Mutex
-	peers        map[string]*peer
-	conns        map[net.Conn]bool // all connections
-	unidentified int               // accepted ones before their hello
+	mu       sync.Mutex
+	peers    map[string]*peer
+	conns    map[net.Conn]bool // all connections
+	accepted int               // number of accepted connections that are open
 }
 
 type peer struct {
 	name    string
 	address string
-	cancel  context.CancelFunc // ends its dialing
+	cancel  context.CancelFunc // stops dialling
 	outbox  *peerconn.Outbox
-	conn    net.Conn // the one in use; nil: none
+	conn    net.Conn // the connection in use; nil: none
 }
 
-// New listens. It connects to nobody before SetPeers.
+// New listens on the configured address. It returns a ListenError if it can't. It
+// has no peers before SetPeers: until then it dials nobody and rejects every hello.
 func New(o Options) (*Mesh, error) {
 	if o.IdleTimeout <= 0 {
 		o.IdleTimeout = defaultIdleTimeout
@@ -119,11 +122,12 @@
 	return m, nil
 }
 
-// Addr returns the address that it listens on.
+// Addr returns the address, as host:port, that the mesh listens on.
 func (m *Mesh) Addr() string { return m.listener.Addr().String() }
 
-// SetPeers sets which instances there are, with their addresses; connections
-// with others end.
+// SetPeers sets the peers and their addresses, by name. It closes connections with
+// instances that are not among them or have another address. The entry of this
+// instance itself is ignored, as are peers beyond maxPeers.
 func (m *Mesh) SetPeers(addresses map[string]string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,7 +144,7 @@
 	}
 }
 
-// removePeer ends the connection with a peer. The lock is held.
+// removePeer closes the connection with a peer and removes it. The caller holds m.mu.
 func (m *Mesh) removePeer(p *peer) {
 	p.cancel()
 	if p.conn != nil {
@@ -149,8 +153,8 @@
 	delete(m.peers, p.name)
 }
 
-// addPeer begins to dial a peer, if this instance has the lower name. The lock
-// is held.
+// addPeer adds a peer and starts to dial it if this instance has the lower name.
+// The caller holds m.mu.
 func (m *Mesh) addPeer(name, address string) {
 	ctx, cancel := context.WithCancel(m.ctx)
 	p := &peer{
@@ -165,8 +169,8 @@
 	}
 }
 
-// Send queues a frame for an instance and reports whether it was queued. It
-// never waits.
+// Send queues a frame for a peer and reports whether it was queued. It never
+// blocks. A frame that is not queued is counted as dropped.
 func (m *Mesh) Send(to string, frame []byte) bool {
 	m.mu.Lock()
 	p := m.peers[to]
@@ -179,7 +183,7 @@
 	case len(frame) > MaxFrame:
 		m.drops.Add(errTooLarge.Error())
 		return false
-	case !connected: // a frame that waits for long has no value any more
+	case !connected: // not queued for later: the frame would be outdated by then
 		m.drops.Add(dropNotConnected)
 		return false
 	}
@@ -190,7 +194,7 @@
 	return true
 }
 
-// Status is what the admin interface shows of the mesh.
+// Status is the state of the mesh as the admin interface shows it.
 type Status struct {
 	Connected int               `json:"connected"`
 	Peers     int               `json:"wanted"`
@@ -213,7 +217,7 @@
 	return s
 }
 
-// Close ends all connections and waits for all goroutines.
+// Close closes the listener and all connections, and waits for all goroutines.
 func (m *Mesh) Close() {
 	m.cancel()
 	m.listener.Close()
--- a/internal/cluster/mesh/mesh_test.go
+++ b/internal/cluster/mesh/mesh_test.go
@@ -31,7 +31,7 @@
 	return m, c
 }
 
-// until polls until a condition holds.
+// until polls until a condition holds, for at most 10 s.
 func until(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(time.Millisecond) {
@@ -54,25 +54,25 @@
 	b.mu.Lock()
 	for c := range b.conns {
 		if host, _, _ := net.SplitHostPort(c.RemoteAddr().String()); host != "127.0.0.2" {
-			t.Errorf("dialled from %s", host)
+			t.Errorf("dialled from %s, want 127.0.0.2", host)
 		}
 	}
 	b.mu.Unlock()
 	for i := range 100 {
 		if !a.Send("b", []byte{byte(i)}) || !b.Send("a", bytes.Repeat([]byte{byte(i)}, 10_000)) {
-			t.Fatal("dropped")
+			t.Fatal("Send dropped a frame")
 		}
 	}
 	for i := range 100 {
 		if x := <-toB; x.from != "a" || x.frame[0] != byte(i) {
-			t.Fatalf("frame %d: %v", i, x)
+			t.Fatalf("b got wrong frame %d: %v", i, x)
 		}
 		if x := <-toA; x.from != "b" || len(x.frame) != 10_000 || x.frame[0] != byte(i) {
-			t.Fatalf("frame %d", i)
+			t.Fatalf("a got wrong frame %d", i)
 		}
 	}
 	if a.Send("b", make([]byte, MaxFrame+1)) {
-		t.Error("a frame without bound")
+		t.Error("Send accepted a frame larger than MaxFrame")
 	}
 	// A broken connection is dialled again.
 	a.mu.Lock()
@@ -94,15 +94,16 @@
 	}
 }
 
-// A peer that reads nothing costs what its outbox holds, and Send does not wait.
+// If a peer does not read, the frames for it take no more memory than its outbox allows, and Send
+// does not block.
 func TestBoundedOutbox(t *testing.T) {
-	held := make(chan struct{})
-	b, err := New(Options{Name: "b", Cluster: "c", Listen: "127.0.0.1:0", IdleTimeout: 5 * time.Second, Receive: func(string, []byte) { <-held }})
+	unblock := make(chan struct{})
+	b, err := New(Options{Name: "b", Cluster: "c", Listen: "127.0.0.1:0", IdleTimeout: 5 * time.Second, Receive: func(string, []byte) { <-unblock }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	defer close(held)
+	defer close(unblock)
 	a, err := New(Options{Name: "a", Cluster: "c", Listen: "127.0.0.1:0", IdleTimeout: 5 * time.Second, Receive: func(string, []byte) {}})
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +118,7 @@
 		sent++
 	}
 	if sent < 8 || sent > 64 || a.Status().Dropped["outbox full"] == 0 {
-		t.Errorf("%d MiB were taken; %v", sent, a.Status())
+		t.Errorf("Send accepted %d frames of 1 MiB; status %v", sent, a.Status())
 	}
 }
 
@@ -126,36 +127,36 @@
 	b, toB := start(t, "b", "c", "127.0.0.1")
 	b.SetPeers(map[string]string{"a": "127.0.0.1:1"})
 	for name, x := range map[string]struct {
-		who  *Mesh
-		to   string
-		raw  func([]byte) []byte
-		want string
+		sender *Mesh
+		to     string
+		modify func([]byte) []byte
+		want   string
 	}{
-		"unknown":    {&Mesh{Options: Options{Name: "aa"}}, "b", nil, "of unknown senders"},
-		"higher":     {&Mesh{Options: Options{Name: "x"}}, "b", nil, "of unknown senders"},
-		"misled":     {&Mesh{Options: Options{Name: "a"}}, "z", nil, "not who was meant"},
-		"other":      {&Mesh{Options: Options{Name: "a"}, clusterDigest: 7}, "b", nil, errWrongCluster.Error()},
-		"damaged":    {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { b[len(b)-1] ^= 1; return b }, peerconn.ErrChecksum.Error()},
-		"too large":  {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { b[0] = 0xff; return b }, errTooLarge.Error()},
-		"too little": {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { return make([]byte, peerconn.HeaderLen) }, errCorrupt.Error()},
+		"unknown sender": {&Mesh{Options: Options{Name: "aa"}}, "b", nil, "of unknown senders"},
+		"higher name":    {&Mesh{Options: Options{Name: "x"}}, "b", nil, "of unknown senders"},
+		"other receiver": {&Mesh{Options: Options{Name: "a"}}, "z", nil, "not who was meant"},
+		"other cluster":  {&Mesh{Options: Options{Name: "a"}, clusterDigest: 7}, "b", nil, errWrongCluster.Error()},
+		"wrong checksum": {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { b[len(b)-1] ^= 1; return b }, peerconn.ErrChecksum.Error()},
+		"too large":      {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { b[0] = 0xff; return b }, errTooLarge.Error()},
+		"too short":      {&Mesh{Options: Options{Name: "a"}}, "b", func(b []byte) []byte { return make([]byte, peerconn.HeaderLen) }, errCorrupt.Error()},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if x.who.clusterDigest == 0 {
-				x.who.clusterDigest = b.clusterDigest
+			if x.sender.clusterDigest == 0 {
+				x.sender.clusterDigest = b.clusterDigest
 			}
 			c, err := net.Dial("tcp", b.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			raw := encode(x.who.clusterDigest, kindHello, appendHello(nil, x.who.Name, x.to))
-			if x.raw != nil {
-				raw = x.raw(raw)
+			raw := encode(x.sender.clusterDigest, kindHello, appendHello(nil, x.sender.Name, x.to))
+			if x.modify != nil {
+				raw = x.modify(raw)
 			}
-			was := b.Status().Dropped[x.want]
-			c.Write(append(raw, encode(x.who.clusterDigest, kindData, []byte("x"))...))
-			io.Copy(io.Discard, c) // until it is closed
-			until(t, "not counted", func() bool { return b.Status().Dropped[x.want] == was+1 })
+			before := b.Status().Dropped[x.want]
+			c.Write(append(raw, encode(x.sender.clusterDigest, kindData, []byte("x"))...))
+			io.Copy(io.Discard, c) // until the mesh closes the connection
+			until(t, "the connection was not counted as dropped", func() bool { return b.Status().Dropped[x.want] == before+1 })
 		})
 	}
 	if len(toB) > 0 || b.Status().Connected > 0 {
@@ -175,7 +176,7 @@
 		kind, frame, err := decode(bytes.NewReader(raw), 3)
 		if err == nil {
 			if again := encode(3, kind, frame); !bytes.Equal(again, raw[:len(again)]) {
-				t.Errorf("other bytes: %x, want %x", again, raw)
+				t.Errorf("a decoded frame is encoded as %x, want %x", again, raw)
 			}
 		}
 		parseHello(frame)
--- a/internal/cluster/mesh/peerconn/drops.go
+++ b/internal/cluster/mesh/peerconn/drops.go
@@ -21,7 +21,7 @@
 	d.counts[reason]++
 }
 
-// Snapshot returns a copy of the counters; nil: nothing was dropped.
+// Snapshot returns a copy of the counters, or nil if no frame was dropped.
 func (d *DropCounters) Snapshot() map[string]uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cluster/mesh/peerconn/outbox.go
+++ b/internal/cluster/mesh/peerconn/outbox.go
@@ -9,19 +9,20 @@
 
 const (
 	writeBufferBytes = 64 << 10
-	// pingsPerTimeout is how often a connection is used within its idle timeout
-	// though nothing is sent.
+	// pingsPerTimeout is the number of pings within the idle timeout of a
+	// connection.
 	pingsPerTimeout = 3
 )
 
-// Outbox queues encoded frames for one connection, bounded by number and bytes.
+// Outbox queues encoded frames for one connection. It limits both their number and
+// their total size.
 type Outbox struct {
 	frames   chan []byte
 	maxBytes int64
-	queued   atomic.Int64 // bytes in frames
+	queued   atomic.Int64 // total size of the queued frames in bytes
 }
 
-// NewOutbox returns an empty outbox.
+// NewOutbox returns an empty outbox for at most maxFrames frames of maxBytes in total.
 func NewOutbox(maxFrames int, maxBytes int64) *Outbox {
 	return &Outbox{
 		frames:   make(chan []byte, maxFrames),
@@ -50,16 +51,16 @@
 	}
 }
 
-// WriteLoop says how an outbox is written to a connection.
+// WriteLoop writes the frames of an outbox to a connection.
 type WriteLoop struct {
 	Conn        net.Conn
-	IdleTimeout time.Duration   // for one write; pings are sent more often than that
-	Ping        []byte          // a frame that is sent while nothing is queued
-	Done        <-chan struct{} // ends the loop
-	Sent        func(bytes int) // is called after each frame; nil: nobody counts
+	IdleTimeout time.Duration   // limit for each write; three pings are sent within it
+	Ping        []byte          // an encoded frame that is sent at regular intervals
+	Done        <-chan struct{} // ends the loop when closed
+	Sent        func(bytes int) // called after each frame with its size; may be nil
 }
 
-// Run writes queued frames until the connection fails or Done is closed.
+// Run writes queued frames and pings until the connection fails or Done is closed.
 func (w WriteLoop) Run(outbox *Outbox) {
 	buffered := bufio.NewWriterSize(w.Conn, writeBufferBytes)
 	ping := time.NewTicker(w.IdleTimeout / pingsPerTimeout)
--- a/internal/cluster/mesh/peerconn/peerconn_test.go
+++ b/internal/cluster/mesh/peerconn/peerconn_test.go
@@ -30,21 +30,21 @@
 		frame := frameOf(body)
 		got, err := readFrame(bytes.NewReader(frame))
 		if err != nil || !bytes.Equal(got, body) {
-			t.Errorf("%d bytes: got %d, %v", size, len(got), err)
+			t.Errorf("body of %d bytes: got %d bytes, error %v", size, len(got), err)
 		}
 		if size == 0 {
 			continue
 		}
 		if _, err := readFrame(bytes.NewReader(frame[:len(frame)-1])); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%d bytes, one missing: %v", size, err)
+			t.Errorf("body of %d bytes, the last missing: got error %v", size, err)
 		}
 		frame[len(frame)-1] ^= 1
 		if _, err := readFrame(bytes.NewReader(frame)); !errors.Is(err, ErrChecksum) {
-			t.Errorf("%d bytes, one changed: %v", size, err)
+			t.Errorf("body of %d bytes, the last changed: got error %v", size, err)
 		}
 	}
 	if _, err := readFrame(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("no frame: %v", err)
+		t.Errorf("empty stream: got error %v, want EOF", err)
 	}
 }
 
@@ -52,18 +52,18 @@
 	byFrames := NewOutbox(2, 100)
 	for i, want := range []bool{true, true, false} {
 		if byFrames.Push([]byte{1}) != want {
-			t.Errorf("frame %d of 2", i)
+			t.Errorf("wrong result for frame %d in an outbox of 2 frames", i)
 		}
 	}
 	byBytes := NewOutbox(10, 4)
 	for i, want := range []bool{true, false} {
 		if byBytes.Push([]byte{1, 2, 3}) != want {
-			t.Errorf("frame %d, of 4 bytes in all", i)
+			t.Errorf("wrong result for frame %d in an outbox of 4 bytes", i)
 		}
 	}
 	byBytes.Clear()
 	if !byBytes.Push([]byte{1, 2, 3, 4}) {
-		t.Error("no space after Clear")
+		t.Error("a frame of the maximum size does not fit after Clear")
 	}
 }
 
@@ -89,19 +89,19 @@
 	outbox.Push([]byte("c"))
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(far, got); err != nil || string(got) != "abcp" {
-		t.Errorf("%q: %v", got, err)
+		t.Errorf("got %q, want both frames and a ping; error %v", got, err)
 	}
 	close(done)
 	<-ended
 	if sent < 4 {
-		t.Errorf("%d bytes counted", sent)
+		t.Errorf("Sent counted %d bytes, want at least 4", sent)
 	}
 }
 
 func TestDropCounters(t *testing.T) {
 	var d DropCounters
 	if d.Snapshot() != nil {
-		t.Error("counts before any")
+		t.Error("Snapshot of unused counters is not nil")
 	}
 	d.Add("a")
 	d.Add("a")
