--- a/internal/cluster/gossip/wire/golden_test.go
+++ b/internal/cluster/gossip/wire/golden_test.go
@@ -125,7 +125,7 @@
 	linked.LinkID, linked.From, linked.Incarnation = 1<<63+50, "", 0
 	linked.AckSeq, linked.AckBits, linked.TenantsByIndex = 52, 1<<50+53, true
 	linked.Demands, linked.Grants = byIndex.Demands, byIndex.Grants
-	bare := &quota.Message{Header: quota.Header{Build: quota.OwnershipBuild, From: "a", To: "b", Incarnation: 1, Seq: 1, Round: 1}, Delta: true}
+	empty := &quota.Message{Header: quota.Header{Build: quota.OwnershipBuild, From: "a", To: "b", Incarnation: 1, Seq: 1, Round: 1}, Delta: true}
 	cases := map[string]*quota.Message{
 		"flat":             goldenFull(),
 		"flat-bare":        {Header: quota.Header{From: "a", To: "b"}},
@@ -133,33 +133,33 @@
 		"homed-echo":       withAck,
 		"homed-places":     byIndex,
 		"homed-link":       linked,
-		"homed-bare":       bare,
+		"homed-bare":       empty,
 		"homed-link-bare":  {Header: quota.Header{Build: quota.OwnershipBuild, LinkID: 1<<63 + 60, Seq: 61, Round: 61}, Delta: true},
 		"homed-next-round": {Header: quota.Header{Build: quota.OwnershipBuild, LinkID: 1<<63 + 62, Seq: 1000, Round: 937}, Delta: true},
 	}
-	addGoldenFlags(cases, bare)
+	addGoldenFlags(cases, empty)
 	return cases
 }
 
 // addGoldenFlags adds messages in each of which a single flag is set.
-func addGoldenFlags(cases map[string]*quota.Message, bare *quota.Message) {
+func addGoldenFlags(cases map[string]*quota.Message, empty *quota.Message) {
 	for name, set := range map[string]func(*quota.Message){
 		"settled": func(m *quota.Message) { m.LoansCovered = true },
 		"leaving": func(m *quota.Message) { m.Leaving = true },
 		"ask":     func(m *quota.Message) { m.AckRequested = true },
 		"hello":   func(m *quota.Message) { m.ViewRequested = true },
 	} {
-		homed := *bare
-		set(&homed)
-		cases["homed-"+name] = &homed
+		delta := *empty
+		set(&delta)
+		cases["homed-"+name] = &delta
 	}
 	for name, set := range map[string]func(*quota.Message){
 		"settled": func(m *quota.Message) { m.LoansCovered = true },
 		"leaving": func(m *quota.Message) { m.Leaving = true },
 	} {
-		flat := quota.Message{Header: quota.Header{From: "a", To: "b"}}
-		set(&flat)
-		cases["flat-"+name] = &flat
+		full := quota.Message{Header: quota.Header{From: "a", To: "b"}}
+		set(&full)
+		cases["flat-"+name] = &full
 	}
 }
 
@@ -169,18 +169,18 @@
 		if len(raw) != MessageSize(content) {
 			t.Errorf("%s: MessageSize is %d, but %d bytes were encoded", name, MessageSize(content), len(raw))
 		}
-		got, records, err := Decode(goldenCluster, raw)
+		got, instances, err := Decode(goldenCluster, raw)
 		want := *content
 		if content.Delta && (content.AckIncarnation != 0 || content.LinkID != 0) { // the receiver is identified by its incarnation
 			want.To = ""
 		}
-		if err != nil || records != nil || !reflect.DeepEqual(got, &want) {
-			t.Errorf("%s decodes to %+v, usage %v, error %v", name, got, records, err)
+		if err != nil || instances != nil || !reflect.DeepEqual(got, &want) {
+			t.Errorf("%s decodes to %+v, usage %v, error %v", name, got, instances, err)
 		}
 	}
 }
 
-func TestGoldenKnowledge(t *testing.T) {
+func TestGoldenStates(t *testing.T) {
 	for name, content := range map[string][]*usage.InstanceUsage{
 		"knowledge":       goldenInstances(),
 		"knowledge-one":   goldenInstances()[1:],
--- a/internal/cluster/gossip/wire/wire_test.go
+++ b/internal/cluster/gossip/wire/wire_test.go
@@ -15,7 +15,7 @@
 
 var sample = &quota.Message{Header: quota.Header{From: "a", To: "b", Incarnation: 9, Seq: 3}, Ack: quota.Ack{AckIncarnation: 4, AckSeq: 2, AckBits: 1}, View: quota.View{ViewDigest: 77, LoansCovered: true, TableDigest: 8}, RangeStart: 1, RangeEnd: 1 << 63, Demands: []quota.TenantFraction{{Tenant: 4, Millionths: 100}}, Grants: []quota.TenantFraction{{Tenant: 5, Millionths: 7}}, Counts: usage.Counts{{Tenant: 4, Count: usage.Count{Started: 5000, Refunded: 1000}}, {Tenant: 6, Count: usage.Count{Started: 1}}}}
 
-func state() usage.State {
+func testState() usage.State {
 	s, _ := usage.EmptyState().Merge(
 		&usage.InstanceUsage{Name: "a", Rollup: usage.Rollup{Writer: 9, Sequence: 1, Through: 3, Counts: usage.Counts{{Tenant: 1, Count: usage.Count{Started: 2}}}},
 			Incarnations: []usage.IncarnationUsage{{Incarnation: 4, Counts: sample.Counts}, {Incarnation: 9}}},
@@ -28,12 +28,12 @@
 	if err != nil || !reflect.DeepEqual(m, sample) {
 		t.Errorf("decoded %+v, error %v", m, err)
 	}
-	_, list, err := Decode(5, EncodeState(5, state()))
+	_, list, err := Decode(5, EncodeState(5, testState()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	back, _ := usage.EmptyState().Merge(list...)
-	if !reflect.DeepEqual(back.Totals(), state().Totals()) || back.Len() != 2 {
+	if !reflect.DeepEqual(back.Totals(), testState().Totals()) || back.Len() != 2 {
 		t.Errorf("got totals %v", back.Totals())
 	}
 	if len(EncodeMessage(5, sample)) != MessageSize(sample) {
@@ -67,8 +67,8 @@
 			t.Errorf("acknowledgement of %d: got bits %x, want %x", seq, got.AckBits, m.AckBits)
 		}
 	}
-	bare := &quota.Message{Header: quota.Header{From: "n001", Incarnation: 1 << 60, Seq: 900, Round: 900}, Ack: quota.Ack{AckIncarnation: 1 << 60, AckSeq: 900, AckBits: math.MaxUint64}, Delta: true}
-	if n := MessageSize(bare); n > 38 {
+	empty := &quota.Message{Header: quota.Header{From: "n001", Incarnation: 1 << 60, Seq: 900, Round: 900}, Ack: quota.Ack{AckIncarnation: 1 << 60, AckSeq: 900, AckBits: math.MaxUint64}, Delta: true}
+	if n := MessageSize(empty); n > 38 {
 		t.Errorf("a message without content takes %d bytes, want at most 38", n)
 	}
 	// A link alone identifies sender and receiver.
@@ -139,7 +139,7 @@
 // or an allotment above the full reservation.
 func FuzzRead(f *testing.F) {
 	f.Add(EncodeMessage(5, sample))
-	f.Add(EncodeState(5, state()))
+	f.Add(EncodeState(5, testState()))
 	f.Add(EncodeMessage(5, &quota.Message{Header: quota.Header{LinkID: 7, Seq: 3, Round: 2}, Ack: quota.Ack{AckSeq: 1}, Delta: true, AckRequested: true, TenantsByIndex: true, Counts: sample.Counts}))
 	f.Add([]byte{0x09, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/cluster/shard/drill/drill.go
+++ b/internal/cluster/shard/drill/drill.go
@@ -1,7 +1,7 @@
-// Package drill simulates shards at size in virtual time: package shard's own
-// code places, updates, transfers and opens, every message is encoded and
-// decoded, and only delays, rates and the steps of the agreement are modelled.
-// It does no I/O.
+// Package drill simulates the shards of a large fleet in virtual time. It runs the
+// code of package shard for placement, updates, transfers and opening, and encodes
+// and decodes every message. Only delays, rates and the steps of the agreement on
+// the configuration are modelled. It does no I/O.
 package drill
 
 import (
@@ -12,24 +12,25 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// Model is what the code itself does not determine. All times are in seconds.
+// Model holds the parameters that the simulated code does not determine. All times
+// are in seconds.
 type Model struct {
-	Delay               float64 // of a message
-	Rate                float64 // records a second that one instance sends or receives
-	Lease               float64 // of a version of the configuration
-	Drift               float64 // of clocks, as a part
-	CoordinatorInterval float64 // between two runs of the coordinator
-	AgreementStep       float64 // one step of a version, of agreementSteps, when everybody answers
-	BatchDelay          float64 // that a version waits for more changes after the first
-	Tolerance           float64
-	MaxTransfers        int
-	CPU                 func() float64 // seconds that the process has computed so far; nil: not measured
+	Delay               float64        // of each message, one way
+	Rate                float64        // records per second that an instance can send, and that it can receive
+	Lease               float64        // of a version of the configuration
+	Drift               float64        // relative drift of clocks
+	CoordinatorInterval float64        // between two runs of the coordinator
+	AgreementStep       float64        // duration of one of the agreementSteps of a version, when all instances answer
+	BatchDelay          float64        // how long a version waits for more changes after the first one
+	Tolerance           float64        // see shard.Bounds
+	MaxTransfers        int            // see shard.Bounds
+	CPU                 func() float64 // returns the CPU time of the process so far; nil: not measured
 }
 
-// agreementSteps is how many steps a version takes.
+// agreementSteps is the number of steps of the agreement on a version.
 const agreementSteps = 3
 
-// DefaultModel is a fleet in one building.
+// DefaultModel models a fleet in one building.
 var DefaultModel = Model{
 	Delay:               0.002,
 	Rate:                100_000,
@@ -42,23 +43,24 @@
 	MaxTransfers:        64,
 }
 
-// Result is what a simulation found.
+// Result holds the results of a simulation. All times are in seconds.
 type Result struct {
-	OwnedAfter     float64    // seconds until every shard had an open owner again
-	KnownAfter     float64    // until the owners knew every job of a living origin
-	Assignments    int        // shards that got an owner without a snapshot
-	Transfers      int        // with one
-	MinimumChanges int        // of both, from bounds and loads
-	SealedFor      [3]float64 // seconds that a shard was sealed: median, 99th percentile, maximum
-	Records        int        // sent in updates or chunks
-	MeanCPU        float64    // seconds that an instance computed for it
-	MeanBytes      float64    // sent by an instance
-	MaxBytes       float64    // by the one that sent most
-	LostJobs       int        // jobs of living origins that no owner knows: 0
+	OwnedAfter     float64    // time at which every shard had an open owner again
+	KnownAfter     float64    // time at which the remaining origins had acknowledgements of every job
+	Assignments    int        // number of shards that got a new owner without a snapshot
+	Transfers      int        // transfers that ran (Grow) or that the plan still calls for (Simulate)
+	MinimumChanges int        // lower bound of Assignments+Transfers, computed from bounds and loads
+	SealedFor      [3]float64 // time that a shard was sealed: median, 99th percentile, maximum
+	Records        int        // number of records sent in updates and chunks
+	MeanCPU        float64    // CPU time per instance
+	MeanBytes      float64    // bytes sent per instance
+	MaxBytes       float64    // bytes sent by the instance that sent most
+	LostJobs       int        // open jobs in logs of remaining origins that differ from the owner's; must be 0
 }
 
-// Simulate has `lost` of the instances die at once, and runs until every shard
-// has an owner and every job of the others is known.
+// Simulate simulates the failure of lost instances at the same time, until every
+// shard has an owner that knows all jobs of the remaining instances. count is the
+// number of shards.
 func (md Model) Simulate(instances, count, jobs, lost int) (Result, error) {
 	f, err := newFleet(md, instances, count, jobs)
 	if err != nil {
@@ -73,7 +75,8 @@
 	if p, _ := f.plan(nil); len(p.Transfers) > 0 {
 		f.Transfers = len(p.Transfers) + p.Deferred
 	}
-	// The leases of the dead have to run out; the coordinator's next run proposes the change, and its steps are taken.
+	// The leases of the failed instances have to expire, the coordinator's next run proposes the change, and the
+	// agreement on it takes its steps.
 	f.OwnedAfter = f.Lease*(1+f.Drift) + f.CoordinatorInterval + agreementSteps*f.AgreementStep
 	if f.KnownAfter, err = f.sendUpdates(f.OwnedAfter, moved); err != nil {
 		return Result{}, err
@@ -81,8 +84,9 @@
 	return f.finish(), nil
 }
 
-// Grow has the fleet grow from some instances to more, and runs the transfers
-// that follow until the loads are within their bounds.
+// Grow simulates the growth of the fleet from one number of instances to another. It
+// runs the transfers that follow until the loads are within their bounds. count is
+// the number of shards.
 func (md Model) Grow(from, to, count, jobs int) (Result, error) {
 	f, err := newFleet(md, from, count, jobs)
 	if err != nil {
@@ -106,7 +110,8 @@
 	return f.finish(), nil
 }
 
-// percentiles returns the median, the 99th percentile and the maximum.
+// percentiles returns the median, the 99th percentile and the maximum, or zeros for
+// an empty list. It sorts the list in place.
 func percentiles(values []float64) [3]float64 {
 	n := len(values)
 	if n == 0 {
@@ -121,18 +126,18 @@
 	*fleet
 	now     float64
 	running []runningTransfer
-	sealed  []float64 // seconds that each transferred shard was sealed
+	sealed  []float64 // for how many seconds each transferred shard was sealed
 }
 
-// runningTransfer is a transfer under way.
+// runningTransfer is a transfer that has not been completed.
 type runningTransfer struct {
 	shard.Transfer
 	sealedAt  float64
-	stagedAt  float64 // when the new owner had all
+	stagedAt  float64 // when the new owner had received all records
 	importing *shard.ImportTransfer
 }
 
-// beginTransfers starts those that the plan allows now.
+// beginTransfers starts the transfers that the plan allows now.
 func (g *growth) beginTransfers() error {
 	var running []shard.Transfer
 	for _, t := range g.running {
@@ -152,8 +157,8 @@
 	return nil
 }
 
-// finishStaged advances to the next version of the map, which takes in all that
-// is staged when it is proposed.
+// finishStaged advances the time to the next version of the map. The version
+// includes all transfers that are staged when it is proposed.
 func (g *growth) finishStaged() error {
 	slices.SortStableFunc(g.running, func(a, b runningTransfer) int { return cmp.Compare(a.stagedAt, b.stagedAt) })
 	first := g.running[0].stagedAt
@@ -180,11 +185,12 @@
 	return err
 }
 
-// open changes the map and opens the new owner with the snapshot.
+// open completes a transfer: it changes the map and opens the new owner with the
+// snapshot.
 func (g *growth) open(t runningTransfer) error {
 	change, ok := t.importing.Propose(t.To)
 	if !ok || !g.owners.Apply(change) {
-		return fmt.Errorf("shard %d did not change", t.Shard)
+		return fmt.Errorf("shard %d: owner change was not applied", t.Shard)
 	}
 	return g.openOwner(t.Shard, t.importing.TakeSnapshot(change.Epoch+1))
 }
--- a/internal/cluster/shard/drill/drill_test.go
+++ b/internal/cluster/shard/drill/drill_test.go
@@ -9,14 +9,14 @@
 	t.Helper()
 	t.Logf("%+v", r)
 	if err != nil || r.LostJobs != 0 {
-		t.Fatalf("%d jobs lost: %v", r.LostJobs, err)
+		t.Fatalf("%d jobs lost, want 0; error %v", r.LostJobs, err)
 	}
 	if r.Assignments+r.Transfers != r.MinimumChanges {
-		t.Errorf("%d placed, %d moved, fewest %d", r.Assignments, r.Transfers, r.MinimumChanges)
+		t.Errorf("%d assignments and %d transfers, want %d in total", r.Assignments, r.Transfers, r.MinimumChanges)
 	}
 }
 
-func TestThirdLost(t *testing.T) {
+func TestThirdOfInstancesLost(t *testing.T) {
 	r, err := DefaultModel.Simulate(60, 1024, 20_000, 20)
 	check(t, r, err)
 	if r.Assignments == 0 || r.Records == 0 || r.OwnedAfter > 4.1 || r.KnownAfter > r.OwnedAfter+1 {
@@ -32,25 +32,25 @@
 	}
 }
 
-// The benchmarks play the size that is aimed at. Their time is that of all
-// instances together, with building the fleet before.
+// The benchmarks simulate fleets of the target size. Their time is that of all
+// instances together, and includes building the fleet.
 
 func BenchmarkThirdOf300Lost(b *testing.B) {
 	for b.Loop() {
-		r, err := measured().Simulate(300, 4096, 1_000_000, 100)
+		r, err := measuredModel().Simulate(300, 4096, 1_000_000, 100)
 		report(b, r, err)
 	}
 }
 
 func BenchmarkGrowthFrom6To300(b *testing.B) {
 	for b.Loop() {
-		r, err := measured().Grow(6, 300, 4096, 1_000_000)
+		r, err := measuredModel().Grow(6, 300, 4096, 1_000_000)
 		report(b, r, err)
 	}
 }
 
-// measured counts what this process computes.
-func measured() Model {
+// measuredModel returns DefaultModel with the CPU time of this process measured.
+func measuredModel() Model {
 	m := DefaultModel
 	m.CPU = func() float64 {
 		var u syscall.Rusage
--- a/internal/cluster/shard/drill/fleet.go
+++ b/internal/cluster/shard/drill/fleet.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// cluster is the digest of the simulated cluster.
+	// cluster is the digest of the simulated cluster's name.
 	cluster = 1
-	// jobsPerTenant is how many jobs a tenant has.
+	// jobsPerTenant is the number of jobs of each tenant.
 	jobsPerTenant = 50
-	// originsPerTenant is how many instances accept them.
+	// originsPerTenant is the number of instances that accept a tenant's jobs.
 	originsPerTenant = 3
-	// chunkWindow is how many chunks are under way.
+	// chunkWindow is the maximum number of unacknowledged chunks of a transfer.
 	chunkWindow = 16
 )
 
 type instance struct {
 	name        string
 	jobLogs     map[int]*shard.JobLog // by shard
-	bytes       float64               // sent
-	writesUntil float64               // busy with sending until then
-	readsUntil  float64               // busy with receiving until then
+	bytes       float64               // total size of the messages that it sent
+	writesUntil float64               // when it finishes sending
+	readsUntil  float64               // when it finishes receiving
 }
 
 func (i *instance) incarnation() string { return i.name + "#1" }
@@ -35,10 +35,11 @@
 	instances  []*instance
 	byName     map[string]*instance
 	shards     []*shard.Owner
-	cpuAtStart float64 // when what is measured began
+	cpuAtStart float64 // CPU time in seconds when the measurement began
 }
 
-// newFleet gives all shards an owner and has every job accepted and sent to it.
+// newFleet returns a fleet in which every shard has an open owner, and the owners
+// know all jobs.
 func newFleet(md Model, instances, count, jobs int) (*fleet, error) {
 	f := &fleet{
 		Model:  md,
@@ -68,7 +69,8 @@
 	return f, nil
 }
 
-// addJob has the i-th job accepted by one of its tenant's instances.
+// addJob adds the i-th job to the log of one of the instances that accept its
+// tenant's jobs.
 func (f *fleet) addJob(i int) error {
 	number := i / jobsPerTenant
 	tenant := fmt.Sprint("tenant-", number)
@@ -90,7 +92,7 @@
 	})
 }
 
-// syncAll applies all updates at once, outside of what is measured.
+// syncAll applies all pending updates directly, without counting messages or time.
 func (f *fleet) syncAll() error {
 	for _, origin := range f.instances {
 		for s, log := range origin.jobLogs {
@@ -113,7 +115,7 @@
 	return f.CPU()
 }
 
-// addInstances adds instances until there are so many.
+// addInstances adds instances until there are total instances.
 func (f *fleet) addInstances(total int) {
 	for i := len(f.instances); i < total; i++ {
 		added := &instance{
@@ -125,21 +127,22 @@
 	}
 }
 
-// removeInstances has the first n instances die.
+// removeInstances removes the first n instances, as if they had failed.
 func (f *fleet) removeInstances(n int) {
-	dead := f.instances[:n]
+	failed := f.instances[:n]
 	f.instances = f.instances[n:]
-	for _, i := range dead {
+	for _, i := range failed {
 		delete(f.byName, i.name)
 	}
 	for _, owner := range f.shards {
-		for _, i := range dead {
+		for _, i := range failed {
 			owner.OriginLost(i.incarnation())
 		}
 	}
 }
 
-// reassign gives the shards of dead owners new ones, and returns which they are.
+// reassign assigns new owners to the shards of failed owners and opens them. It
+// returns a map whose value is true for these shards.
 func (f *fleet) reassign() (map[int]bool, error) {
 	moved := map[int]bool{}
 	for s, ownership := range f.owners {
@@ -168,7 +171,7 @@
 	return shard.Place(f.owners, members, nil, running, bounds)
 }
 
-// assignUnowned gives an owner to each shard that has none.
+// assignUnowned assigns an owner to each shard that has none or whose owner has failed.
 func (f *fleet) assignUnowned() error {
 	plan, err := f.plan(nil)
 	for _, a := range plan.Assignments {
@@ -187,8 +190,8 @@
 	return f.shards[s].Open(f.owners[s].Epoch, snapshot)
 }
 
-// minimumChanges is how many shards must change their owner, computed from loads
-// alone.
+// minimumChanges returns the minimum number of shards that must change their owner,
+// computed from the loads alone.
 func (f *fleet) minimumChanges() int {
 	load := map[string]int{}
 	unowned := 0
@@ -213,7 +216,8 @@
 	return unowned + max(excess, deficit-unowned)
 }
 
-// roundTrip encodes a message and decodes it, as two instances would.
+// roundTrip encodes a message and decodes it, as sender and receiver would, and adds
+// its size to what the sender has sent.
 func (f *fleet) roundTrip(from *instance, m shard.Message) (shard.Message, error) {
 	raw, err := wire.Encode(cluster, m)
 	if err != nil {
@@ -223,16 +227,16 @@
 	return wire.Decode(cluster, raw)
 }
 
-// readAt returns when a message of some records, that is ready at a time, has
-// been received.
+// readAt returns the time at which a message has been received that is ready to be
+// sent at a given time. It accounts for the time that both instances are busy.
 func (f *fleet) readAt(ready float64, from, to *instance, records int) float64 {
 	from.writesUntil = max(from.writesUntil, ready) + float64(records)/f.Rate
 	to.readsUntil = max(to.readsUntil, from.writesUntil+f.Delay) + float64(records)/f.Rate
 	return to.readsUntil
 }
 
-// transfer runs a transfer until it is staged. Nothing is granted here, so that
-// sealing is one message.
+// transfer runs a transfer until it is staged. The simulated shards have no grants,
+// so that sealing takes a single message.
 func (f *fleet) transfer(now float64, planned shard.Transfer) (runningTransfer, error) {
 	to := f.byName[planned.To]
 	t := runningTransfer{
@@ -277,7 +281,7 @@
 	return ack, err
 }
 
-// finish counts what the owners do not know, and who sent how much.
+// finish counts the lost jobs and fills in the CPU time and the bytes sent.
 func (f *fleet) finish() Result {
 	f.MeanCPU = (f.cpu() - f.cpuAtStart) / float64(len(f.instances))
 	for _, origin := range f.instances {
--- a/internal/cluster/shard/drill/updates.go
+++ b/internal/cluster/shard/drill/updates.go
@@ -7,14 +7,14 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// updateTurn is an origin's turn to send a shard's owner all that it has.
+// updateTurn is the time at which an origin sends its next update to the owner of a shard.
 type updateTurn struct {
 	at     float64
 	origin *instance
 	shard  int
 }
 
-// turnQueue is a heap by time.
+// turnQueue is a heap of turns, ordered by time.
 type turnQueue []updateTurn
 
 func (t turnQueue) Len() int           { return len(t) }
@@ -27,9 +27,9 @@
 	return last
 }
 
-// sendUpdates has living origins update the owners of new epochs, from a time
-// on, each one shard after the other, and returns when the last update has been
-// received.
+// sendUpdates simulates the updates of the origins to the owners of moved shards,
+// beginning at a given time. Each origin updates one shard after the other.
+// sendUpdates returns the time at which the last update has been acknowledged.
 func (f *fleet) sendUpdates(at float64, moved map[int]bool) (float64, error) {
 	var queue turnQueue
 	waiting := map[*instance][]int{}
@@ -46,10 +46,10 @@
 		turn := heap.Pop(&queue).(updateTurn)
 		update, ok := turn.origin.jobLogs[turn.shard].NextUpdate(turn.at)
 		if !ok {
-			if rest := waiting[turn.origin]; len(rest) > 0 {
-				waiting[turn.origin] = rest[1:]
+			if remaining := waiting[turn.origin]; len(remaining) > 0 {
+				waiting[turn.origin] = remaining[1:]
 				next := max(turn.at, turn.origin.writesUntil)
-				heap.Push(&queue, updateTurn{at: next, origin: turn.origin, shard: rest[0]})
+				heap.Push(&queue, updateTurn{at: next, origin: turn.origin, shard: remaining[0]})
 			}
 			continue
 		}
@@ -63,7 +63,8 @@
 	return end, nil
 }
 
-// observeEpochs returns the shards of which an origin has to update the owner.
+// observeEpochs records the new epochs of moved shards in an origin's job logs. It
+// returns the shards whose owner the origin has to update, in ascending order.
 func (f *fleet) observeEpochs(origin *instance, moved map[int]bool) []int {
 	var outdated []int
 	for s, log := range origin.jobLogs {
@@ -75,8 +76,8 @@
 	return outdated
 }
 
-// sendUpdate carries an update over and its acknowledgement back, and returns
-// when the update has been received.
+// sendUpdate simulates an update and its acknowledgement, and returns the time at
+// which the update has been received.
 func (f *fleet) sendUpdate(turn updateTurn, update shard.JobUpdate) (float64, error) {
 	message, err := f.roundTrip(turn.origin, update)
 	if err != nil {
