--- a/internal/cluster/quota/acknowledge.go
+++ b/internal/cluster/quota/acknowledge.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// receiveAck records which messages the peer has received.
+// receiveAck processes the acknowledgement in a message of the peer.
 func (a *Allocator) receiveAck(p *peer, m *Message) {
 	if m.AckIncarnation != a.self.incarnation || m.AckSeq == 0 {
 		return
@@ -23,26 +23,27 @@
 	p.sent.stopWaiting()
 }
 
-// resolveInFlight decides which messages in flight were received: of those of rounds before the
-// highest one that was, the others never will be accepted.
+// resolveInFlight determines which messages in flight were received. A message from a round
+// before that of the highest acknowledged message was either received by now or will never be
+// accepted.
 func (a *Allocator) resolveInFlight(p *peer, seq, bits uint64) {
 	latest, known := p.sent.timeOf(seq)
 	if !known {
-		return // long ago
+		return // the send time is no longer recorded
 	}
-	news := false
+	resolved := false
 	for i := range p.sent.inFlight {
 		if p.resolveMessage(&p.sent.inFlight[i], latest, bits) {
-			news = true
+			resolved = true
 		}
 	}
-	if a.disabled.lending.confirmedReturn { // as if everything that was sent had been received
+	if a.disabled.lending.confirmedReturn { // treats every sent message as received
 		for i := range p.sent.inFlight {
 			p.sent.inFlight[i].acknowledged = true
-			news = true
+			resolved = true
 		}
 	}
-	if !news {
+	if !resolved {
 		return
 	}
 	for i := range p.sent.inFlight {
@@ -54,7 +55,8 @@
 	p.loans.outdated = true
 }
 
-// resolveMessage decides on one message, and reports whether something is known of it now.
+// resolveMessage determines whether one message was received or will never be accepted. It reports
+// whether one of these became known now.
 func (p *peer) resolveMessage(m *inFlightMessage, latest sendTime, bits uint64) bool {
 	behind := latest.seq - m.seq
 	switch {
@@ -67,16 +69,16 @@
 		return false
 	}
 	p.requeue(m)
-	if behind > ackWindow { // the acknowledgement doesn't cover it: it may have been received
+	if behind > ackWindow { // outside the acknowledgement window: the message may have been received
 		return false
 	}
 	m.superseded = true
 	return true
 }
 
-// confirm records what a message granted as held by the peer, if it was received. A loan
-// that was granted before has ended once the borrower has received a later grant of the
-// same tenant.
+// confirm records the grants of an acknowledged message as held by the peer. A grant of a
+// tenant replaces any earlier grant of the same tenant that the borrower received, so the
+// earlier messages' grants of these tenants are dropped.
 func (p *peer) confirm(index int) {
 	m := &p.sent.inFlight[index]
 	if !m.acknowledged || m.superseded {
--- a/internal/cluster/quota/allocator.go
+++ b/internal/cluster/quota/allocator.go
@@ -14,39 +14,39 @@
 	tenants      tenantTable
 	members      membership
 	rounds       roundClock
-	joined       bool                // every member counts this instance among the owners
-	leaving      bool                // this instance gives back what it owns
+	joined       bool                // all members have confirmed a view that includes this instance
+	leaving      bool                // this instance is leaving and owns nothing any more
 	flat         bool                // every instance owns an equal part of every reservation
-	fullMesh     bool                // the cluster is so small that each sends its counts to every other
-	loansCovered bool                // no more is lent than owned, as of this round
-	flatDemands  []TenantFraction    // to be sent in this round; flat ownership only
-	changed      map[int]struct{}    // indexes of tenants whose loans are to be computed again
-	earlyTotals  map[int]remoteTotal // by index; of owners that are not the tenant's aggregator yet, as seen from here
+	fullMesh     bool                // the cluster is so small that each instance sends its counts to every other
+	loansCovered bool                // as of this round, no more is lent of any tenant than is owned
+	flatDemands  []TenantFraction    // demands to send in this round; flat ownership only
+	changed      map[int]struct{}    // indexes of tenants whose loans have to be recomputed
+	earlyTotals  map[int]remoteTotal // by tenant index: reports of owners not yet seen as aggregator
 	stats        receiveStats
 	disabled     safetyRules
 }
 
-// identity is this instance.
+// identity identifies this instance and its incarnation.
 type identity struct {
 	name        string
 	hash        uint64
 	incarnation uint64
 }
 
-// roundClock is where the rounds are.
+// roundClock holds the times and the number of the rounds.
 type roundClock struct {
-	startedAt float64 // when this instance started, or went on after it was suspended
-	last      float64
+	startedAt float64 // when this instance started, restarted or was resumed after a suspension
+	last      float64 // time of the latest round
 	number    uint64
 }
 
-// receiveStats count messages.
+// receiveStats counts received and dropped messages.
 type receiveStats struct {
 	received uint64
 	drops    map[DropReason]uint64
 }
 
-// New makes an allocator at time now.
+// New returns an allocator that starts at time now.
 func New(s Settings, name string, incarnation uint64, tenants []Tenant, now float64) *Allocator {
 	a := &Allocator{
 		Settings: s.withDefaults(),
@@ -70,10 +70,12 @@
 // Joined reports whether this instance may own parts of reservations.
 func (a *Allocator) Joined() bool { return a.joined }
 
-// HashedOwnership reports whether a few instances own each reservation, and not all alike.
+// HashedOwnership reports whether each reservation is owned by a few instances chosen by hashing,
+// and not by all instances in equal parts (flat ownership).
 func (a *Allocator) HashedOwnership() bool { return !a.flat }
 
-// OwnedTenants is of how many tenants this instance owns a part, and how many there are.
+// OwnedTenants returns the number of tenants of which this instance owns a part, and the number
+// of all tenants.
 func (a *Allocator) OwnedTenants() (owned, all int) {
 	for i := range a.tenants.list {
 		if a.tenants.list[i].ledger.owned > 0 {
@@ -83,7 +85,7 @@
 	return owned, len(a.tenants.list)
 }
 
-// Leave gives back what this instance owns. Messages say so from now on.
+// Leave gives up everything that this instance owns. Its messages announce from now on that it leaves.
 func (a *Allocator) Leave() {
 	a.leaving = true
 	for i := range a.tenants.list {
@@ -95,14 +97,14 @@
 	}
 }
 
-// restartAs goes on under another incarnation: everything that was lent and borrowed
-// under the old one ends as if the instance had been started again.
+// restartAs continues under another incarnation. All loans of the old incarnation end as if the
+// instance had been restarted.
 func (a *Allocator) restartAs(incarnation uint64) {
 	a.self.incarnation = incarnation
 	a.joined = false
 	a.rounds.startedAt = a.rounds.last
 	a.members.changed = true
-	a.tenants.unfollow()
+	a.tenants.stopFollowing()
 	for _, p := range a.members.peers {
 		p.received.acknowledges = false
 		p.sent.ackedSentAt = math.Inf(-1)
@@ -111,9 +113,10 @@
 	}
 }
 
-// Allotments are the parts of the reservations that this instance may use now, in
-// millionths by rising tenant id, into buf. They hold until the next round, which must
-// come within two periods: a loan that might expire before is left out.
+// Allotments returns the fractions of the reservations that this instance may use now, in
+// millionths, in ascending order of tenant ids. It overwrites buf. The allotments are valid
+// until the next round, which must begin within two periods: a loan that expires within two
+// periods is left out.
 func (a *Allocator) Allotments(now float64, buf []uint32) []uint32 {
 	buf = buf[:0]
 	for i := range a.tenants.list {
@@ -134,10 +137,11 @@
 	return buf
 }
 
-// markChanged schedules computing a tenant's loans again.
+// markChanged schedules recomputing a tenant's loans.
 func (a *Allocator) markChanged(t *tenantState) { a.changed[t.index] = struct{}{} }
 
-// drainChanged are the tenants whose loans are to be computed again, by rising id.
+// drainChanged returns the indexes of the tenants whose loans have to be recomputed, in ascending
+// order, and clears the set.
 func (a *Allocator) drainChanged() []int {
 	indexes := make([]int, 0, len(a.changed))
 	for i := range a.changed {
--- a/internal/cluster/quota/counts.go
+++ b/internal/cluster/quota/counts.go
@@ -6,10 +6,11 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// receivesCounts reports whether a peer receives what this instance counts of a tenant.
+// receivesCounts reports whether this instance sends its counts of a tenant to a peer.
 func (a *Allocator) receivesCounts(p *peer, t *tenantState) bool { return a.fullMesh || t.ownedBy(p) }
 
-// countReceivers are the instances that receive what this instance counts of a tenant.
+// countReceivers returns the instances to which this instance sends its counts of a tenant. A nil
+// peer is this instance.
 func (a *Allocator) countReceivers(t *tenantState) []*peer {
 	if a.fullMesh {
 		return a.members.sorted
@@ -17,10 +18,11 @@
 	return t.ledger.owners
 }
 
-// usageReportDelay is the time within which counts are sent to the aggregator.
+// usageReportDelay returns the time in seconds within which counts are sent to the aggregator.
 func (a *Allocator) usageReportDelay() float64 { return usageReportDelay(len(a.members.sorted) + 1) }
 
-// CountsChanged schedules sending those of this instance's counts that have changed.
+// CountsChanged schedules sending the given counts of this instance, which have changed since the
+// last round.
 func (a *Allocator) CountsChanged(now float64, counts usage.Counts) {
 	if a.flat {
 		a.sendCountsToAll(counts)
@@ -37,10 +39,10 @@
 	}
 }
 
-// sendCountsToAll is for flat ownership.
+// sendCountsToAll schedules sending counts to all peers. Flat ownership only.
 func (a *Allocator) sendCountsToAll(counts usage.Counts) {
 	for _, p := range a.members.sorted {
-		if p.pending.everything {
+		if p.pending.fullState {
 			continue
 		}
 		for _, count := range counts {
@@ -49,8 +51,8 @@
 	}
 }
 
-// reportCounts sends a tenant's counts to its aggregator soon, and to the other owners
-// some time, which need them once the aggregator is gone.
+// reportCounts schedules sending a tenant's counts to its aggregator within usageReportDelay, and to
+// the other owners with a longer delay: they need the counts only if the aggregator fails.
 func (a *Allocator) reportCounts(now float64, t *tenantState) {
 	aggregator, _ := a.aggregator(t)
 	for _, p := range a.countReceivers(t) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// RemoteCountsChanged schedules relaying a tenant's counts after another instance has
+// RemoteCountsChanged schedules relaying a tenant's counts after reporter, another instance, has
 // reported new ones.
 func (a *Allocator) RemoteCountsChanged(now float64, tenant uint64, reporter string) {
 	t, known := a.tenants.byID[tenant]
@@ -80,8 +82,9 @@
 	a.relayToUsers(now, t, region, p)
 }
 
-// relayToUsers sends a tenant's counts to its users but one, if this instance is the
-// aggregator: sooner to users in the region where they were counted.
+// relayToUsers schedules sending a tenant's counts to all of its users except one, if this
+// instance is the tenant's aggregator. Users in the region where the jobs were counted receive
+// them sooner.
 func (a *Allocator) relayToUsers(now float64, t *tenantState, region string, except *peer) {
 	if a.fullMesh || !a.isAggregator(t) {
 		return
@@ -93,16 +96,16 @@
 			users = append(users, p)
 		}
 	}
-	forMany := relayPerUserSeconds * float64(len(users))
+	perUserDelay := relayPerUserSeconds * float64(len(users))
 	for _, p := range users {
-		delay := max(relayDelay(n, p.region == region), forMany)
+		delay := max(relayDelay(n, p.region == region), perUserDelay)
 		p.pending.counts.add(t.ID)
 		p.pending.sendCountsBy(now + delay)
 	}
 }
 
-// relayIncarnation sends the other owners what a peer's incarnation has counted, as it may
-// not have reached all of them.
+// relayIncarnation schedules sending the counts of a peer's ended incarnation to the other owners,
+// because that incarnation may not have sent them to all owners.
 func (a *Allocator) relayIncarnation(ended *peer) {
 	if a.flat || ended.received.incarnation == 0 {
 		return
@@ -121,7 +124,7 @@
 	}
 }
 
-// receiveTotals records what an owner reports of counts elsewhere.
+// receiveTotals records an owner's report of what all other instances have counted.
 func (a *Allocator) receiveTotals(p *peer, m *Message) {
 	for _, total := range m.RemoteTotals {
 		t, known := a.tenants.byID[total.Tenant]
@@ -140,7 +143,8 @@
 	}
 }
 
-// applyEarlyTotals applies reports of owners that have become aggregators since.
+// applyEarlyTotals applies the reports of owners that this instance sees as aggregators by now, and
+// drops those that are no longer needed.
 func (a *Allocator) applyEarlyTotals() {
 	for i, reported := range a.earlyTotals {
 		t := &a.tenants.list[i]
@@ -156,8 +160,9 @@
 	}
 }
 
-// KnownUsage is what all instances have counted of a tenant, by its index, as far as this
-// one knows. An instance that neither serves nor owns a tenant doesn't know it.
+// KnownUsage returns what all instances have counted of the tenant with the given index, as far as
+// this instance knows. It returns false if this instance has no such information, because it
+// neither serves nor owns the tenant or has received no report yet.
 func (a *Allocator) KnownUsage(index int, st usage.State) (usage.Count, bool) {
 	t := &a.tenants.list[index]
 	total := t.usage.total
@@ -165,24 +170,24 @@
 		return st.Total(t.ID), true
 	}
 	if t.request.millionths == 0 && a.rounds.last-t.usage.lastCounted >= userExpirySeconds/2 {
-		return usage.Count{}, false // no reports are sent here any more
+		return usage.Count{}, false // this instance does not receive reports any more
 	}
 	own := a.localCount(t, st)
 	sum := usage.Count{Started: own.Started + total.Started, Refunded: own.Refunded + total.Refunded}
 	return sum, total.owner != ""
 }
 
-// localCount is what this incarnation has counted of a tenant.
+// localCount returns what this incarnation has counted of a tenant.
 func (a *Allocator) localCount(t *tenantState, st usage.State) usage.Count {
 	counts, _ := st.Instance(a.self.name).Incarnation(a.self.incarnation)
 	return counts.At(t.ID)
 }
 
-// RemoteUsage is what the other instances have started for each tenant since the last
-// call, in slots. What was counted before this instance followed the counts is left out:
-// it would charge tenants for a past in which it had no part. For the same reason no more
-// than what the reservation gives in a lease is charged at once, however long reports were
-// delayed.
+// RemoteUsage returns what the other instances have started for each tenant since the last call,
+// in slots, in ascending order of tenant ids. Jobs that were counted before this instance followed
+// the counts are left out, so that tenants are not charged for them here. For the same reason one
+// call charges at most what the reservation allows in the warm-up time (the lease duration, but at
+// most usageWarmupSeconds) or minUsageStepSlots if that is more, however long reports were delayed.
 func (a *Allocator) RemoteUsage(now float64, st usage.State) []float64 {
 	own, _ := st.Instance(a.self.name).Incarnation(a.self.incarnation)
 	charges := make([]float64, len(a.tenants.list))
@@ -201,7 +206,7 @@
 	return charges
 }
 
-// remoteNet is what others have counted of a tenant, and who reported it.
+// remoteNet returns the net count of all other instances for a tenant, and who reported it.
 func (a *Allocator) remoteNet(t *tenantState, own usage.Count, st usage.State) (net int64, source remoteTotal) {
 	total := t.usage.total
 	switch {
@@ -213,7 +218,8 @@
 	return 0, remoteTotal{}
 }
 
-// follow notes since when counts of one source are followed. A new source starts over.
+// follow updates since when the counts of the current source are followed. A new source resets the
+// time and the baseline.
 func (a *Allocator) follow(now float64, t *tenantState, net int64, source remoteTotal) {
 	u := &t.usage
 	switch {
--- a/internal/cluster/quota/demand.go
+++ b/internal/cluster/quota/demand.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// rateWeights are the weights of a new sample in the moving averages.
+// rateWeights holds the weights of a new sample in the moving averages, for a sample that covers
+// elapsed seconds.
 type rateWeights struct {
 	elapsed float64
 	fast    float64
@@ -17,8 +18,9 @@
 	}
 }
 
-// measureDemand updates the demand of each tenant, up fast and down slowly: a demand
-// that is too high costs others nothing while they don't need it themselves.
+// measureDemand updates the estimated demand of each tenant. The estimate rises fast and falls
+// slowly: an estimate that is too high costs other instances nothing while they do not need that
+// part themselves. Arrivals are the totals by tenant index since the start.
 func (a *Allocator) measureDemand(elapsed float64, arrivals []uint64) {
 	if elapsed <= 0 || len(arrivals) != len(a.tenants.list) {
 		return
@@ -41,7 +43,8 @@
 	}
 }
 
-// hasEnded reports whether there is no demand any more, or none yet. It notes an arrival.
+// hasEnded reports whether there is no demand any more, or none yet. If rate is above 0, it records
+// an arrival and returns false.
 func (d *demandEstimate) hasEnded(now, rate float64, flat bool) bool {
 	if rate > 0 {
 		d.lastArrival = now
@@ -51,7 +54,7 @@
 	return !flat && now-d.lastArrival >= longestGap || d.longRate < minDemandPerSecond
 }
 
-// reset clears the rates.
+// reset clears the rates and the demand.
 func (d *demandEstimate) reset(now float64) {
 	d.fastRate = 0
 	d.slowRate = 0
@@ -60,7 +63,7 @@
 	d.since = now
 }
 
-// addSample takes the rate of one round into the moving averages.
+// addSample adds the rate of one round to the moving averages.
 func (d *demandEstimate) addSample(now, rate float64, w rateWeights) {
 	d.fastRate += (rate - d.fastRate) * w.fast
 	d.slowRate += (rate - d.slowRate) * w.slow
@@ -71,20 +74,20 @@
 	}
 }
 
-// jobsPerSecond is the demand as a rate.
+// jobsPerSecond returns the estimated demand in jobs per second.
 func (d *demandEstimate) jobsPerSecond(flat bool) float64 {
 	if flat {
 		return max(d.fastRate, d.slowRate)
 	}
-	// Each change costs messages: noise must not make any.
+	// Each change of the demand costs messages, so changes within the noise are suppressed.
 	noise := significantDeviations * math.Sqrt(max(d.slowRate, d.longRate)/2/slowRateSeconds)
 	d.longRate = max(d.slowRate-noise, min(d.slowRate+noise, d.longRate))
 	fastNoise := significantDeviations * math.Sqrt(d.fastRate/2/fastRateSeconds)
 	return max(d.fastRate-fastNoise, d.longRate)
 }
 
-// advertiseDemand decides which demands owners are to know: a rise at once, a fall when
-// it is no noise.
+// advertiseDemand updates the demands that are advertised to the owners: a rise at once, a fall
+// only once it is not just noise.
 func (a *Allocator) advertiseDemand(now float64) {
 	for i := range a.tenants.list {
 		a.advertiseTenant(now, &a.tenants.list[i])
@@ -116,12 +119,14 @@
 	}
 }
 
-// shouldWidenRequest reports whether the owners that know the demand have not lent enough for some time.
+// shouldWidenRequest reports whether the owners to which the demand is sent have not lent enough
+// within widenAfterSeconds, and there are other owners.
 func (a *Allocator) shouldWidenRequest(now float64, t *tenantState) bool {
 	return t.request.owners < len(t.ledger.owners) && now-t.request.changedAt >= widenAfterSeconds && !t.demandMet()
 }
 
-// lowerAdvertisedDemand lowers the advertised demand once the demand was low for some jobs.
+// lowerAdvertisedDemand lowers the advertised demand once the measured demand has been low for about
+// longRateJobs jobs at the advertised rate.
 func (a *Allocator) lowerAdvertisedDemand(now float64, t *tenantState, demand uint32) {
 	rate := t.jobsPerSecond(t.request.millionths)
 	if now-t.request.lowSince < max(minIdleSeconds, min(longRateMaxSeconds, longRateJobs/rate)) {
@@ -135,12 +140,12 @@
 	t.request.lowSince = now
 }
 
-// withHeadroom is the demand that is advertised for a measured one.
+// withHeadroom returns the demand to advertise for a measured demand.
 func withHeadroom(demand uint32) uint32 {
 	return uint32(min(FullReservation, advertisedHeadroom*float64(demand)))
 }
 
-// setAdvertisedDemand sends the owners of a tenant another demand.
+// setAdvertisedDemand changes the demand that is advertised to the owners of a tenant.
 func (a *Allocator) setAdvertisedDemand(t *tenantState, millionths uint32, urgent bool) {
 	r := &t.request
 	if r.millionths == millionths {
@@ -157,15 +162,15 @@
 	a.requestFromOwners(t, urgent)
 }
 
-// ownersForDemand is how many of the owners can cover an advertised demand, with a margin.
+// ownersForDemand returns how many of the owners are needed to cover an advertised demand, with a
+// margin.
 func ownersForDemand(advertised uint32, owners int) int {
 	needed := math.Ceil(ownerMargin * float64(advertised) / advertisedHeadroom / FullReservation * float64(owners))
 	return min(owners, int(needed))
 }
 
-// requestFromOwners requests the advertised demand from as many owners as can cover it,
-// beginning at one that depends on the tenant and this instance, so that others begin
-// elsewhere.
+// requestFromOwners requests the advertised demand from t.request.owners of the owners. The first of
+// them depends on the tenant and on this instance, so that instances start with different owners.
 func (a *Allocator) requestFromOwners(t *tenantState, urgent bool) {
 	owners := t.ledger.owners
 	if len(owners) == 0 {
@@ -193,7 +198,7 @@
 	}
 }
 
-// demandMet reports whether the owners have lent what is needed.
+// demandMet reports whether the own part and the loans of the owners cover the measured demand.
 func (t *tenantState) demandMet() bool {
 	total := t.ledger.owned
 	for _, p := range t.ledger.owners {
--- a/internal/cluster/quota/exchange.go
+++ b/internal/cluster/quota/exchange.go
@@ -6,8 +6,9 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Exchange joins an instance's usage counters and its allocator: everything of the
-// exchange but sending. It must be used by one goroutine at a time.
+// Exchange connects an instance's usage counters with its allocator. It does everything that the
+// exchange of counts and loans needs except sending messages. It must be used by one goroutine at
+// a time.
 type Exchange struct {
 	Usage     *usage.Replica
 	Allocator *Allocator
@@ -17,8 +18,8 @@
 	arrivals   []uint64
 }
 
-// NewExchange makes an instance's part at time now. The meter counts the tenants that
-// have a reservation.
+// NewExchange returns the exchange of one instance, starting at time now. Its meter counts the
+// given tenants, which have a reservation.
 func NewExchange(s Settings, name string, incarnation uint64, tenants []Tenant, now float64) *Exchange {
 	var metered []usage.Tenant
 	for _, t := range tenants {
@@ -31,7 +32,7 @@
 	}
 }
 
-// Round processes what was counted since the last round and returns what to send.
+// Round processes the counts since the last round and returns the messages to send.
 func (x *Exchange) Round(now float64) []*Message {
 	counts := x.Meter.Counts()
 	changed := x.changedCounts(counts)
@@ -51,7 +52,7 @@
 	return messages
 }
 
-// changedCounts are the counts that differ from those of the last round.
+// changedCounts returns the counts that differ from those of the last round.
 func (x *Exchange) changedCounts(counts usage.Counts) usage.Counts {
 	var changed usage.Counts
 	for _, c := range counts {
@@ -62,21 +63,22 @@
 	return changed
 }
 
-// compact folds ended incarnations where all instances receive all counts. Where a few own
-// a tenant, no instance knows everything that its past incarnations have counted.
+// compact folds the counts of ended incarnations into the rollup. It does so only with flat
+// ownership, where all instances receive all counts. Otherwise no instance is certain to know all
+// counts of its past incarnations.
 func (x *Exchange) compact(now float64, counts usage.Counts) {
 	if !x.Allocator.flat || !x.Usage.Compact(now, compactAfterSeconds, counts) {
 		return
 	}
 	if incarnation := x.Usage.Incarnation(); incarnation != x.Allocator.self.incarnation {
-		// Another process of this name folded this incarnation: it goes on as a new one.
+		// Another process of the same name has folded this incarnation, so this process continues as a new one.
 		x.Allocator.restartAs(incarnation)
 	}
 }
 
-// Receive processes a message. Its counts are merged even if the rest is dropped,
-// unless their name or incarnation is impossible: merging is safe against repetition, loss
-// and age.
+// Receive processes a message. It returns an error if the message was dropped. The counts in a
+// dropped message are merged nevertheless, unless its sender's name or incarnation is invalid or
+// its tenant indexes can't be resolved: counts may be merged repeatedly, late or not at all.
 func (x *Exchange) Receive(now float64, m *Message) error {
 	m = x.Allocator.resolveLink(m)
 	if m.TenantsByIndex && m.AckIncarnation == x.Allocator.self.incarnation {
@@ -101,7 +103,7 @@
 	return err
 }
 
-// merge merges what a peer reported, and has others receive what is new.
+// merge merges the counts that a peer reported, and schedules relaying those that changed a total.
 func (x *Exchange) merge(now float64, reporter string, instance *usage.InstanceUsage) {
 	before := x.Usage.Snapshot()
 	if !x.Usage.Merge(now, instance) {
@@ -117,7 +119,7 @@
 	}
 }
 
-// MergeAll merges everything that another instance knows.
+// MergeAll merges all counts that another instance knows.
 func (x *Exchange) MergeAll(now float64, instances []*usage.InstanceUsage) {
 	known := make([]*usage.InstanceUsage, 0, len(instances))
 	for _, instance := range instances {
@@ -132,7 +134,8 @@
 	x.Usage.Merge(now, known...)
 }
 
-// KnownUsage is what all instances have counted of a tenant, as far as this one knows.
+// KnownUsage returns what all instances have counted of a tenant, as far as this instance knows. It
+// returns false if the tenant is not configured or this instance has no information on it.
 func (x *Exchange) KnownUsage(tenant uint64) (usage.Count, bool) {
 	t, known := x.Allocator.tenants.byID[tenant]
 	if !known {
@@ -141,7 +144,7 @@
 	return x.Allocator.KnownUsage(t.index, x.Usage.Snapshot())
 }
 
-// knownIncarnations leaves out tenants that this instance doesn't have.
+// knownIncarnations returns incarnations with only the counts of tenants that this instance has.
 func (x *Exchange) knownIncarnations(list []usage.IncarnationUsage) []usage.IncarnationUsage {
 	var known []usage.IncarnationUsage
 	for _, incarnation := range list {
@@ -153,7 +156,7 @@
 	return known
 }
 
-// knownTenants leaves out tenants that this instance doesn't have: a peer can't
+// knownTenants returns only the counts of tenants that this instance has, so that a peer can't
 // grow the state beyond the configured tenants.
 func (x *Exchange) knownTenants(counts usage.Counts) usage.Counts {
 	ids := x.Meter.TenantIDs()
@@ -164,7 +167,8 @@
 	return usage.Normalize(known)
 }
 
-// Instances is everything that this instance knows, for others to merge.
+// Instances returns the counts of all instances in a state, for other instances to merge with
+// [Exchange.MergeAll].
 func Instances(s usage.State) []*usage.InstanceUsage {
 	var list []*usage.InstanceUsage
 	s.ForEach(func(instance *usage.InstanceUsage) bool {
--- a/internal/cluster/quota/lending.go
+++ b/internal/cluster/quota/lending.go
@@ -59,8 +59,8 @@
 
 // free is what is neither lent nor needed here.
 func (d distribution) free() uint64 {
-	here := uint64(d.target(d.tenant.request.millionths))
-	return d.lendable - min(d.lendable, here+uint64(d.tenant.ledger.lent))
+	localTarget := uint64(d.target(d.tenant.request.millionths))
+	return d.lendable - min(d.lendable, localTarget+uint64(d.tenant.ledger.lent))
 }
 
 // mustRevoke reports whether loans are reduced now to the benefit of others. Where a user
@@ -183,8 +183,8 @@
 
 // expireLent takes back everything that a peer held, once it has expired for certain.
 func (a *Allocator) expireLent(now float64, p *peer) {
-	holds := len(p.loans.confirmed) > 0 || len(p.loans.granted) > 0 || len(p.sent.inFlight) > 0
-	if now < p.loans.expireAt || !holds {
+	mayHoldLoans := len(p.loans.confirmed) > 0 || len(p.loans.granted) > 0 || len(p.sent.inFlight) > 0
+	if now < p.loans.expireAt || !mayHoldLoans {
 		return
 	}
 	clear(p.loans.confirmed)
--- a/internal/cluster/quota/membership.go
+++ b/internal/cluster/quota/membership.go
@@ -42,8 +42,8 @@
 	m.changed = true
 }
 
-// advance goes to the next peer, in turn.
-func (m *membership) advance() *peer {
+// nextPeer goes to the next peer, in turn.
+func (m *membership) nextPeer() *peer {
 	m.next = (m.next + 1) % len(m.sorted)
 	return m.sorted[m.next]
 }
@@ -154,15 +154,15 @@
 	a.members.sort()
 }
 
-// lastStranger is when this instance started, or a message of an unknown instance came.
-func (a *Allocator) lastStranger() float64 {
+// lastUnknownContact is when this instance started, or a message of an unknown instance came.
+func (a *Allocator) lastUnknownContact() float64 {
 	return max(a.rounds.startedAt, a.members.unknownContactAt)
 }
 
 // ClusterSize is among how many instances a reservation is divided with flat ownership.
 func (a *Allocator) ClusterSize(now float64) int {
 	n := len(a.members.peers) + 1
-	expecting := a.ForgetAfter <= 0 || now-a.lastStranger() < a.ForgetAfter
+	expecting := a.ForgetAfter <= 0 || now-a.lastUnknownContact() < a.ForgetAfter
 	if n < a.ExpectedInstances && expecting {
 		return a.ExpectedInstances
 	}
@@ -179,7 +179,7 @@
 	}
 	// An instance that is expected and was never seen may hold loans of an earlier
 	// incarnation of this one: these have expired by then.
-	if a.members.unseen > 0 && now-a.lastStranger() < a.LeaseDuration*(1+clockDriftRatio) {
+	if a.members.unseen > 0 && now-a.lastUnknownContact() < a.LeaseDuration*(1+clockDriftRatio) {
 		return
 	}
 	a.joined = true
@@ -193,7 +193,7 @@
 func (a *Allocator) mayJoin(now float64) bool {
 	rules := &a.disabled.joining
 	for _, p := range a.members.sorted {
-		if a.agrees(now, p) {
+		if a.hasConfirmedView(now, p) {
 			continue
 		}
 		longSilent := p.isSilent(now, a.LeaseDuration) && now-a.rounds.startedAt >= 2*a.LeaseDuration
@@ -206,8 +206,8 @@
 	return a.loansWithinOwned() || rules.loansCovered
 }
 
-// agrees reports whether a peer has recently confirmed that it counts the same instances.
-func (a *Allocator) agrees(now float64, p *peer) bool {
+// hasConfirmedView reports whether a peer has recently confirmed that it counts the same instances.
+func (a *Allocator) hasConfirmedView(now float64, p *peer) bool {
 	rules := &a.disabled.joining
 	age := now - p.sent.viewAckedSentAt
 	if rules.acknowledgement {
--- a/internal/cluster/quota/ownership.go
+++ b/internal/cluster/quota/ownership.go
@@ -63,7 +63,7 @@
 	if !flat && a.members.expectedReached { // a missing one was seen, and has left or is forgotten
 		return 0
 	}
-	expired := a.ForgetAfter > 0 && now-a.lastStranger() >= a.ForgetAfter
+	expired := a.ForgetAfter > 0 && now-a.lastUnknownContact() >= a.ForgetAfter
 	if expired || a.disabled.ownership.unseenInstances {
 		return 0
 	}
@@ -146,7 +146,7 @@
 	}
 	a.fullMesh = fullMesh
 	for _, p := range a.members.sorted {
-		p.pending.everything = true
+		p.pending.fullState = true
 	}
 }
 
@@ -155,7 +155,7 @@
 	peers    []*peer
 	regions  []int // by peer; 0 is this instance's
 	best     [][]candidate
-	level    []candidate
+	sameRank []candidate
 	selected []candidate
 	wanted   int // owners of each tenant
 	parts    int // owners of each tenant that there are
@@ -234,14 +234,14 @@
 func (r *ranking) selectOwners() {
 	r.selected = r.selected[:0]
 	for rank := 0; rank < r.wanted && len(r.selected) < r.parts; rank++ {
-		r.level = r.level[:0]
+		r.sameRank = r.sameRank[:0]
 		for _, best := range r.best {
 			if rank < len(best) {
-				r.level = append(r.level, best[rank])
+				r.sameRank = append(r.sameRank, best[rank])
 			}
 		}
-		slices.SortFunc(r.level, compareCandidates)
-		r.selected = append(r.selected, r.level...)
+		slices.SortFunc(r.sameRank, compareCandidates)
+		r.selected = append(r.selected, r.sameRank...)
 	}
 	r.selected = r.selected[:r.parts]
 }
--- a/internal/cluster/quota/peer.go
+++ b/internal/cluster/quota/peer.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ackWindow is the number of messages that one acknowledgement covers besides the latest.
+// ackWindow is the number of messages that one acknowledgement covers in addition to the latest one.
 const ackWindow = 64
 
 // tenantSet is a set of tenants by id.
@@ -14,111 +14,111 @@
 
 func (s tenantSet) add(tenant uint64) { s[tenant] = struct{}{} }
 
-// peer is another instance.
+// peer is the state that is kept about another instance.
 type peer struct {
 	name      string
 	hash      uint64
 	region    string
 	build     uint32
-	announced Member // as membership announced it last
+	announced Member // the latest announcement by membership
 	presence  presence
 	received  receiveState
 	sent      sendState
 	loans     loanState
 	pending   pendingState
-	lastUsed  map[uint64]float64 // tenants that it serves: when it last said so
+	lastUsed  map[uint64]float64 // by tenant: when the peer last reported a demand or a count
 }
 
-// presence is when a peer was there.
+// presence records when a peer was seen by membership and heard from.
 type presence struct {
-	present      bool // membership sees it
+	present      bool // membership sees the peer now
 	lastPresent  float64
-	lastReceived float64 // -Inf: never
-	leftAt       float64 // when it announced that it leaves; -Inf: it did not
+	lastReceived float64 // time of the latest message; -Inf: never
+	leftAt       float64 // when the peer announced that it leaves; -Inf: it has not
 }
 
-// receiveState is what was received of a peer's current incarnation.
+// receiveState is the state of the messages received from a peer's current incarnation.
 type receiveState struct {
 	incarnation  uint64
-	seq          uint64 // the highest that was received
-	bits         uint64 // bit i: seq-1-i was received as well
-	round        uint64 // the latest of which something was received
-	delta        bool   // the form of its messages
+	seq          uint64 // the highest sequence number received
+	bits         uint64 // bit i: message seq-1-i was received as well
+	round        uint64 // the latest round from which a message was received
+	delta        bool   // the peer sends delta messages, not full ones
 	viewDigest   uint64
 	tableDigest  uint64
 	loansCovered bool
-	acknowledges bool // it has received a message of this instance's incarnation
-	addressesUs  bool // its latest message named this incarnation
+	acknowledges bool // the peer has received a message from this instance's current incarnation
+	addressesUs  bool // the peer's latest message named this instance's current incarnation
 }
 
-// sendState is what was sent to a peer, and what it has acknowledged.
+// sendState is the state of the messages sent to a peer and of their acknowledgements.
 type sendState struct {
-	seq              uint64 // of the last message
+	seq              uint64 // sequence number of the last message
 	inFlight         []inFlightMessage
 	times            [2 * maxInFlightMessages]sendTime
 	link             link
 	ackOwed          bool
-	viewRequested    bool    // by the peer
-	unacknowledged   int     // messages without an answer
-	ackDueAt         float64 // until when an answer is awaited
-	ackedSentAt      float64 // when the latest message was sent that was answered
-	viewAckedSentAt  float64 // when the latest message was sent that was answered with a view
-	viewPollInterval float64 // seconds between requests for its view
-	viewPolledAt     float64 // when it was last requested
+	viewRequested    bool    // the peer has requested this instance's view
+	unacknowledged   int     // messages sent since the last acknowledgement that requested one
+	ackDueAt         float64 // when the wait for an acknowledgement times out
+	ackedSentAt      float64 // send time of the latest message that was acknowledged
+	viewAckedSentAt  float64 // send time of the latest message that was acknowledged together with a view
+	viewPollInterval float64 // seconds between requests for the peer's view
+	viewPolledAt     float64 // when the peer's view was last requested
 }
 
-// sendTime is when one message was sent.
+// sendTime records when one message was sent.
 type sendTime struct {
 	seq   uint64
 	round uint64
 	at    float64
 }
 
-// link is the identity of messages from a peer's incarnation to this one.
+// link caches the link digest for a pair of incarnations: the peer's and this instance's.
 type link struct {
 	digest uint64
 	from   uint64
 	to     uint64
 }
 
-// loanState is what a peer and this instance lend each other, by tenant.
+// loanState holds the loans between a peer and this instance, by tenant, in millionths.
 type loanState struct {
-	demands   map[uint64]uint32 // of the peer
-	borrowed  map[uint64]loan   // from the peer
-	requested map[uint64]uint32 // from the peer
-	granted   map[uint64]uint32 // to the peer, sent or to be sent
+	demands   map[uint64]uint32 // advertised by the peer
+	borrowed  map[uint64]loan   // lent by the peer to this instance
+	requested map[uint64]uint32 // demand that this instance advertises to the peer
+	granted   map[uint64]uint32 // current grants to the peer, sent or pending
 	confirmed map[uint64]uint32 // grants that the peer has acknowledged
-	lent      map[uint64]uint32 // to the peer, at most
-	expireAt  float64           // when everything that the peer holds has expired for certain
-	outdated  bool              // lent is to be computed again
+	lent      map[uint64]uint32 // upper bound on what the peer may hold
+	expireAt  float64           // when all loans to the peer have certainly expired
+	outdated  bool              // lent has to be recomputed
 }
 
-// loan is a fraction that was borrowed.
+// loan is a borrowed fraction of a reservation.
 type loan struct {
 	millionths uint32
 	expiresAt  float64
 }
 
-// pendingState is what a peer has not received yet.
+// pendingState is the content that still has to be sent to a peer.
 type pendingState struct {
 	demands        tenantSet
 	grants         tenantSet
-	urgent         bool      // demands or grants are to be sent at once
-	counts         tenantSet // of this instance
-	relays         tenantSet // counted by others
-	deferred       tenantSet // counts that may wait
+	urgent         bool      // demands or grants have to be sent in the next round
+	counts         tenantSet // tenants whose counts by this instance have to be sent
+	relays         tenantSet // tenants whose counts by other instances have to be sent
+	deferred       tenantSet // tenants whose counts may be sent later
 	deferredSentAt float64
-	countsDueAt    float64 // +Inf: no counts are due
-	countsLost     bool    // counts are to be sent again
-	everything     bool    // the peer is new or was away
+	countsDueAt    float64 // when pending counts have to be sent; +Inf: none are due
+	countsLost     bool    // counts were lost and have to be sent again
+	fullState      bool    // the complete state has to be sent: the peer is new, restarted or was unreachable
 }
 
-// inFlightMessage is a message that may or may not have been received.
+// inFlightMessage is a sent message that may or may not have been received.
 type inFlightMessage struct {
 	seq            uint64
 	round          uint64
 	sentAt         float64
-	rangeStart     uint64 // of a full message; above rangeEnd in a delta message
+	rangeStart     uint64 // tenants of a full message; above rangeEnd in a delta message
 	rangeEnd       uint64
 	grants         []TenantFraction
 	demandTenants  []uint64
@@ -126,14 +126,14 @@
 	relayedTenants []uint64
 	ackRequested   bool
 	acknowledged   bool
-	requeued       bool // its content is pending again
-	superseded     bool // it never will be accepted
+	requeued       bool // the content is pending again
+	superseded     bool // the peer will never accept the message
 }
 
-// isDelta reports whether the message names changes only.
+// isDelta reports whether the message is a delta message.
 func (m *inFlightMessage) isDelta() bool { return m.rangeStart > m.rangeEnd }
 
-// covers reports whether the message determines what is granted of a tenant.
+// covers reports whether the message determines the grant of a tenant.
 func (m *inFlightMessage) covers(tenant uint64) bool {
 	for _, g := range m.grants {
 		if g.Tenant == tenant {
@@ -183,7 +183,7 @@
 			deferred:       tenantSet{},
 			deferredSentAt: now,
 			countsDueAt:    math.Inf(1),
-			everything:     true,
+			fullState:      true,
 		},
 		lastUsed: map[uint64]float64{},
 	}
@@ -192,19 +192,20 @@
 // hasLeft reports whether the peer announced that it leaves.
 func (p *peer) hasLeft() bool { return !math.IsInf(p.presence.leftAt, -1) }
 
-// isSilent reports whether nothing was received of the peer for so long.
+// isSilent reports whether no message of the peer was accepted for at least duration seconds.
 func (p *peer) isSilent(now, duration float64) bool {
 	return now-p.presence.lastReceived >= duration
 }
 
-// timeOf is when a message to the peer was sent, if that was not long ago.
+// timeOf returns when a message was sent. It returns false if the record has been overwritten
+// by a later message.
 func (s *sendState) timeOf(seq uint64) (sendTime, bool) {
 	t := s.times[seq%uint64(len(s.times))]
 	return t, t.seq == seq
 }
 
-// next numbers a message that is sent now, in a round.
-func (s *sendState) next(now float64, round uint64) uint64 {
+// nextSeq returns the sequence number of a message that is sent now, and records its send time.
+func (s *sendState) nextSeq(now float64, round uint64) uint64 {
 	s.seq++
 	s.times[s.seq%uint64(len(s.times))] = sendTime{seq: s.seq, round: round, at: now}
 	return s.seq
@@ -216,7 +217,8 @@
 	s.ackDueAt = 0
 }
 
-// linkTo is the digest of links from the peer's incarnation to this one.
+// linkTo returns the digest for messages from the peer's incarnation to the given incarnation
+// of this instance.
 func (p *peer) linkTo(incarnation uint64) uint64 {
 	l := &p.sent.link
 	if l.from != p.received.incarnation || l.to != incarnation {
@@ -227,19 +229,19 @@
 	return l.digest
 }
 
-// sendCountsBy schedules sending counts no later than at a time.
+// sendCountsBy schedules sending the pending counts no later than at the given time.
 func (p *pendingState) sendCountsBy(at float64) { p.countsDueAt = min(p.countsDueAt, at) }
 
-// hasCounts reports whether counts are pending, deferred ones aside.
+// hasCounts reports whether counts are pending, not including deferred ones.
 func (p *pendingState) hasCounts() bool { return len(p.counts)+len(p.relays) > 0 }
 
-// requestAgain schedules sending a demand to the peer at once.
+// requestAgain schedules sending a demand to the peer again in the next round.
 func (p *peer) requestAgain(tenant uint64) {
 	p.pending.demands.add(tenant)
 	p.pending.urgent = true
 }
 
-// resendGrants schedules sending again everything that the peer may hold.
+// resendGrants schedules sending the grants of all tenants of which the peer may hold a loan.
 func (p *peer) resendGrants() {
 	for tenant := range p.loans.lent {
 		p.pending.grants.add(tenant)
@@ -269,12 +271,12 @@
 		p.pending.relays.add(tenant)
 	}
 	if len(m.countTenants)+len(m.relayedTenants) > 0 {
-		p.pending.sendCountsBy(m.sentAt) // it is late already
+		p.pending.sendCountsBy(m.sentAt) // already overdue
 		p.pending.countsLost = true
 	}
 }
 
-// setRequested changes the demand that is sent to the peer, and reports whether it differs.
+// setRequested sets the demand that is advertised to the peer, and reports whether it changed.
 func (p *peer) setRequested(tenant uint64, millionths uint32) bool {
 	if p.loans.requested[tenant] == millionths {
 		return false
@@ -288,7 +290,7 @@
 	return true
 }
 
-// dropExpired drops a loan that has expired, and requests it again where it is still needed.
+// dropExpired drops an expired loan, and sends the demand again if the loan is still needed.
 func (p *peer) dropExpired(tenant uint64) {
 	delete(p.loans.borrowed, tenant)
 	if p.loans.requested[tenant] > 0 {
@@ -296,7 +298,8 @@
 	}
 }
 
-// usesTenant reports whether the peer serves a tenant.
+// usesTenant reports whether the peer is a user of a tenant: it has a demand, or reported one or
+// a count within userExpirySeconds.
 func (p *peer) usesTenant(now float64, tenant uint64) bool {
 	last, used := p.lastUsed[tenant]
 	return used && now-last < userExpirySeconds || p.loans.demands[tenant] > 0
--- a/internal/cluster/quota/receive.go
+++ b/internal/cluster/quota/receive.go
@@ -132,7 +132,7 @@
 		return OutOfOrder
 	}
 	if p.isSilent(now, a.LeaseDuration) {
-		p.pending.everything = true // the peer, or the way to it, was away
+		p.pending.fullState = true // the peer, or the way to it, was away
 	}
 	if p.build != m.Build {
 		p.build = m.Build
@@ -168,7 +168,7 @@
 		addressesUs:  p.received.addressesUs,
 	}
 	p.presence.leftAt = math.Inf(-1)
-	p.pending.everything = true
+	p.pending.fullState = true
 	p.sent.stopWaiting()
 	delete(a.members.departed, p.name)
 	clear(p.loans.demands)
@@ -194,7 +194,7 @@
 	return s.fillGap(s.seq - m.Seq)
 }
 
-// advance records a message with a higher sequence number.
+// nextPeer records a message with a higher sequence number.
 func (s *receiveState) advance(m *Message) {
 	if gap := m.Seq - s.seq; gap > ackWindow {
 		s.bits = 0
--- a/internal/cluster/quota/rounds.go
+++ b/internal/cluster/quota/rounds.go
@@ -36,7 +36,7 @@
 	a.rounds.startedAt = now
 	a.joined = false
 	a.members.changed = true
-	a.tenants.unfollow()
+	a.tenants.stopFollowing()
 	for _, p := range a.members.peers {
 		p.presence.lastPresent = now
 	}
@@ -48,7 +48,7 @@
 	a.prepareFlatRound(now)
 	var names []string
 	for range min(a.Fanout, len(a.members.sorted)) {
-		names = append(names, a.members.advance().name)
+		names = append(names, a.members.nextPeer().name)
 	}
 	return names
 }
@@ -58,7 +58,7 @@
 	var names []string
 	polls := 0
 	for range a.members.sorted {
-		if p := a.members.advance(); a.isDue(now, p, &polls) {
+		if p := a.members.nextPeer(); a.isDue(now, p, &polls) {
 			names = append(names, p.name)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // viewPollDue reports whether this instance waits for a peer's view to join.
 func (a *Allocator) viewPollDue(now float64, p *peer) bool {
-	return !a.joined && !a.agrees(now, p) && now-p.sent.viewPolledAt >= p.sent.viewPollInterval
+	return !a.joined && !a.hasConfirmedView(now, p) && now-p.sent.viewPolledAt >= p.sent.viewPollInterval
 }
 
 func (a *Allocator) scheduleViewPoll(now float64, p *peer) {
--- a/internal/cluster/quota/send.go
+++ b/internal/cluster/quota/send.go
@@ -31,7 +31,7 @@
 		if !a.reserveSlot(now, p, m) {
 			continue
 		}
-		a.address(now, p, m, round)
+		a.setHeader(now, p, m, round)
 		a.send(now, p, m, requestAck)
 		messages = append(messages, m)
 	}
@@ -76,12 +76,12 @@
 	}
 }
 
-// address sets the head of a message.
-func (a *Allocator) address(now float64, p *peer, m *Message, round uint64) {
+// setHeader sets the head of a message.
+func (a *Allocator) setHeader(now float64, p *peer, m *Message, round uint64) {
 	m.From = a.self.name
 	m.To = p.name
 	m.Incarnation = a.self.incarnation
-	m.Seq = p.sent.next(now, round)
+	m.Seq = p.sent.nextSeq(now, round)
 	m.Round = round
 	m.AckIncarnation = p.received.incarnation
 	m.AckSeq = p.received.seq
@@ -101,22 +101,22 @@
 // send completes a message and notes that it is in flight.
 func (a *Allocator) send(now float64, p *peer, m *Message, requestAck bool) {
 	entry := newInFlightMessage(now, m)
-	m.AckRequested = m.Delta && (requestAck || entry.hasUpdates() || p.isReducedBy(m))
+	m.AckRequested = m.Delta && (requestAck || entry.hasUpdates() || p.hasLoanReducedBy(m))
 	entry.ackRequested = m.AckRequested
 	// A loan's lease begins with the borrower's last message that was received: the borrower
 	// sent that earlier, so by its clock the loan expires earlier as well. Any message
 	// renews all loans from there.
 	p.loans.expireAt = max(p.loans.expireAt, p.presence.lastReceived+a.LeaseDuration*(1+clockDriftRatio))
-	a.shorten(p, m)
+	a.omitKnownFields(p, m)
 	if !m.Delta || entry.hasUpdates() || len(entry.grants) > 0 {
 		p.sent.inFlight = append(p.sent.inFlight, entry)
 		p.loans.outdated = true
 	}
 }
 
-// isReducedBy reports whether a message takes back a part of what a peer may hold. That needs an
+// hasLoanReducedBy reports whether a message takes back a part of what a peer may hold. That needs an
 // acknowledgement; a loan needs none, as it is the answer to a demand.
-func (p *peer) isReducedBy(m *Message) bool {
+func (p *peer) hasLoanReducedBy(m *Message) bool {
 	return slices.ContainsFunc(m.Grants, func(g TenantFraction) bool { return g.Millionths < p.loans.lent[g.Tenant] })
 }
 
@@ -174,8 +174,8 @@
 	a.updateLent(p)
 }
 
-// shorten leaves out what the receiver of a delta message knows.
-func (a *Allocator) shorten(p *peer, m *Message) {
+// omitKnownFields leaves out what the receiver of a delta message knows.
+func (a *Allocator) omitKnownFields(p *peer, m *Message) {
 	if !m.Delta || m.AckIncarnation == 0 {
 		return
 	}
--- a/internal/cluster/quota/send_delta.go
+++ b/internal/cluster/quota/send_delta.go
@@ -77,9 +77,9 @@
 
 // deltaMessages are messages of everything that is pending.
 func (a *Allocator) deltaMessages(now float64, p *peer, known knownCounts) []Message {
-	if p.pending.everything {
-		p.pending.everything = false
-		a.resendEverything(p, known.local)
+	if p.pending.fullState {
+		p.pending.fullState = false
+		a.addFullState(p, known.local)
 	}
 	b := newDeltaBuilder()
 	for _, tenant := range sortedKeys(p.pending.demands) {
@@ -99,8 +99,8 @@
 	return b.messages()
 }
 
-// resendEverything schedules sending the complete state.
-func (a *Allocator) resendEverything(p *peer, local usage.Counts) {
+// addFullState schedules sending the complete state.
+func (a *Allocator) addFullState(p *peer, local usage.Counts) {
 	for i := range a.tenants.list {
 		t := &a.tenants.list[i]
 		if a.receivesCounts(p, t) {
--- a/internal/cluster/quota/send_flat.go
+++ b/internal/cluster/quota/send_flat.go
@@ -9,8 +9,8 @@
 
 // flatMessages are pages of all demands and loans.
 func (a *Allocator) flatMessages(now float64, p *peer, local usage.Counts) []Message {
-	if p.pending.everything {
-		p.pending.everything = false
+	if p.pending.fullState {
+		p.pending.fullState = false
 		for _, count := range local {
 			p.pending.counts.add(count.Tenant)
 		}
--- a/internal/cluster/quota/tenant.go
+++ b/internal/cluster/quota/tenant.go
@@ -8,67 +8,67 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// tenantState is what an allocator knows of one tenant.
+// tenantState is the allocator's state of one tenant.
 type tenantState struct {
 	Tenant
-	index   int // in the table
+	index   int // in the tenant table
 	demand  demandEstimate
 	request demandRequest
 	ledger  ledger
 	usage   usageView
 }
 
-// demandEstimate follows the demand that arrives at this instance.
+// demandEstimate estimates the demand of a tenant's jobs that arrive at this instance.
 type demandEstimate struct {
-	arrivals    uint64  // as of the last round
-	fastRate    float64 // jobs a second
+	arrivals    uint64  // total as of the last round
+	fastRate    float64 // jobs per second
 	slowRate    float64
 	longRate    float64
-	since       float64 // when the demand began
+	since       float64 // when the demand was last reset
 	lastArrival float64
-	arrivalRate float64 // the long rate as of the last arrival
-	millionths  uint32  // of the reservation
+	arrivalRate float64 // longRate as of the last arrival
+	millionths  uint32  // demand as a fraction of the reservation
 }
 
-// demandRequest is what owners know of the demand. It follows the demand in
-// steps, up at once and down late.
+// demandRequest is the demand that is advertised to the owners. It follows the measured
+// demand in steps: it is raised at once and lowered after a delay.
 type demandRequest struct {
 	millionths uint32
 	changedAt  float64
-	owners     int     // to which it is sent
-	lowSince   float64 // when the demand was last close to the advertised one
+	owners     int     // number of owners to which the demand is sent
+	lowSince   float64 // when the measured demand was last close to the advertised one
 }
 
-// ledger is what this instance owns of a reservation and lends of it.
+// ledger records what this instance owns of a reservation and has lent of it, in millionths.
 type ledger struct {
-	owners       []*peer // by rank; nil is this instance. Empty with flat ownership
+	owners       []*peer // by rank; nil is this instance; empty with flat ownership
 	owned        uint32
-	lent         uint32  // to all peers
-	unmetDemand  uint64  // demand of all peers beyond what they own; flat ownership only
+	lent         uint32  // total to all peers
+	unmetDemand  uint64  // sum of the peers' demands beyond what each owns; flat ownership only
 	rebalancedAt float64 // when loans were last revoked for small differences
 }
 
-// remoteTotal is what an owner reported of the counts elsewhere.
+// remoteTotal is an owner's report of what all other instances have counted.
 type remoteTotal struct {
 	owner       string
 	incarnation uint64
 	usage.Count
 }
 
-// usageView follows what other instances have counted.
+// usageView tracks what other instances have counted.
 type usageView struct {
-	total         remoteTotal // as owners reported it
-	baseline      int64       // counted elsewhere when it was last read
-	source        remoteTotal // of the baseline, without the counts
-	followedSince float64     // +Inf: this instance does not follow the counts
-	lastCounted   float64     // when this instance last counted something itself; -Inf: never
+	total         remoteTotal // latest report of an owner
+	baseline      int64       // net remote count at the last call of RemoteUsage
+	source        remoteTotal // reporter of the baseline, without the counts
+	followedSince float64     // since when the current source is followed; +Inf: none is followed
+	lastCounted   float64     // when this instance last reported a change of its own count; -Inf: never
 }
 
-// tenantTable holds all tenants by rising id.
+// tenantTable holds all tenants in ascending order of their ids.
 type tenantTable struct {
 	list   []tenantState
 	byID   map[uint64]*tenantState
-	digest uint64 // of the ids
+	digest uint64 // of all tenant ids
 }
 
 func newTenantTable(tenants []Tenant) tenantTable {
@@ -90,27 +90,27 @@
 	return t
 }
 
-// mixBits spreads an id over all bits, so that the digest of a table is no plain XOR of ids.
+// mixBits spreads an id over all bits, so that the digest of a table is not a plain XOR of ids.
 func mixBits(id uint64) uint64 {
 	id ^= id >> 31
 	id *= 0x9e3779b97f4a7c15
 	return id ^ id>>29
 }
 
-// unfollow stops following counts, so that what was counted meanwhile is not charged.
-func (t tenantTable) unfollow() {
+// stopFollowing stops following remote counts, so that jobs counted in the meantime are not charged.
+func (t tenantTable) stopFollowing() {
 	for i := range t.list {
 		t.list[i].usage.followedSince = math.Inf(1)
 	}
 }
 
-// jobsPerSecond is a fraction of the reservation as a rate.
+// jobsPerSecond converts a fraction of the reservation to jobs per second.
 func (t *tenantState) jobsPerSecond(millionths uint32) float64 {
 	return float64(millionths) / FullReservation * t.Quota
 }
 
-// ownedHere reports whether this instance is an owner, joined or not.
+// ownedHere reports whether this instance is an owner of the tenant, whether or not it has joined.
 func (t *tenantState) ownedHere() bool { return slices.Contains(t.ledger.owners, nil) }
 
-// ownedBy reports whether a peer is an owner.
+// ownedBy reports whether a peer is an owner of the tenant.
 func (t *tenantState) ownedBy(p *peer) bool { return slices.Contains(t.ledger.owners, p) }
