--- a/internal/cluster/quota/lending.go
+++ b/internal/cluster/quota/lending.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// allocate lends what this instance owns, as demands and owners change. Each user
-// gets what it needs, or in proportion where that is more than there is; this instance is
-// a user among them.
+// allocate adjusts the loans of the tenants whose demands or owners have changed. Each user gets
+// its demand, or a share in proportion to it if the demands exceed the lendable part. This
+// instance is one of the users.
 func (a *Allocator) allocate(now float64) {
 	if len(a.changed) == 0 {
 		return
@@ -27,11 +27,11 @@
 	}
 }
 
-// distribution is how a tenant's lendable part is divided among its users.
+// distribution describes how a tenant's lendable part is divided among its users, in millionths.
 type distribution struct {
 	tenant   *tenantState
-	lendable uint64 // of what is owned
-	demand   uint64 // of all users
+	lendable uint64 // part of what is owned that may be lent
+	demand   uint64 // sum over all users
 }
 
 func (a *Allocator) newDistribution(now float64, t *tenantState) distribution {
@@ -49,7 +49,7 @@
 	return d
 }
 
-// target is what a user with such a demand should have.
+// target returns what a user with the given demand should have.
 func (d distribution) target(demand uint32) uint32 {
 	if d.demand <= d.lendable || d.demand == 0 {
 		return demand
@@ -57,14 +57,15 @@
 	return uint32(d.lendable * uint64(demand) / d.demand)
 }
 
-// free is what is neither lent nor needed here.
+// free returns the part that is neither lent nor needed by this instance.
 func (d distribution) free() uint64 {
 	localTarget := uint64(d.target(d.tenant.request.millionths))
 	return d.lendable - min(d.lendable, localTarget+uint64(d.tenant.ledger.lent))
 }
 
-// mustRevoke reports whether loans are reduced now to the benefit of others. Where a user
-// gets much less than its part they are; small differences wait, as each costs messages.
+// mustRevoke reports whether loans have to be reduced now so that other users can get more. Loans
+// are reduced at once if a user could have less than 1/starvedFactor of its target. Smaller
+// differences wait for rebalanceSeconds, because each change costs messages.
 func (a *Allocator) mustRevoke(now float64, d distribution) bool {
 	if d.tenant.ledger.owned == 0 || now-d.tenant.ledger.rebalancedAt >= rebalanceSeconds {
 		return true
@@ -82,8 +83,8 @@
 	return false
 }
 
-// reduceLoans ends loans that are not needed any more, and if loans are to be revoked
-// those above their target.
+// reduceLoans ends loans that are not needed any more. If revoke is set, it also reduces loans that
+// exceed their target by more than lendStep.
 func (a *Allocator) reduceLoans(now float64, d distribution, revoke bool) {
 	tenant := d.tenant.ID
 	for _, p := range a.members.sorted {
@@ -97,12 +98,12 @@
 		case target == 0 && current > 0 || revoke && above:
 			a.grant(p, d.tenant, target)
 		case above:
-			a.markChanged(d.tenant) // later
+			a.markChanged(d.tenant) // checked again in the next round
 		}
 	}
 }
 
-// raiseLoans lends what is free to users below their target.
+// raiseLoans lends the free part to users that have less than their target.
 func (a *Allocator) raiseLoans(now float64, d distribution) {
 	tenant := d.tenant.ID
 	for _, p := range a.members.sorted {
@@ -121,16 +122,17 @@
 	}
 }
 
-// lendStep is the smallest change of a loan that is worth a message.
+// lendStep returns the size in millionths that a change of a loan must exceed to be worth a message.
 func lendStep(current uint32) uint32 { return current/lendStepDivisor + lendStepMillionths }
 
-// mayLendTo reports whether a peer can be lent anything: it receives messages of this
-// incarnation, and sent one recently.
+// mayLendTo reports whether this instance may lend to a peer: the peer has acknowledged this
+// incarnation, was heard from within a lease and has not left, and this instance has joined and is
+// not leaving.
 func (a *Allocator) mayLendTo(now float64, p *peer) bool {
 	return p.received.acknowledges && !p.isSilent(now, a.LeaseDuration) && a.joined && !a.leaving && !p.hasLeft()
 }
 
-// grant sets what a peer is lent.
+// grant sets the loan of a tenant to a peer, and schedules sending it.
 func (a *Allocator) grant(p *peer, t *tenantState, millionths uint32) {
 	current := p.loans.granted[t.ID]
 	if millionths > 0 {
@@ -142,12 +144,13 @@
 	p.pending.grants.add(t.ID)
 	if millionths < current || millionths > 2*current {
 		p.pending.urgent = true
-	} else { // a little more can wait for other content
+	} else { // a small increase can wait and share a message with other content
 		p.pending.sendCountsBy(a.rounds.last + batchSeconds)
 	}
 }
 
-// deduct deducts what a peer may hold from now on.
+// deduct deducts a new loan to a peer from this instance's allotment. A smaller loan changes nothing
+// until the peer has confirmed it.
 func (a *Allocator) deduct(p *peer, t *tenantState, millionths uint32) {
 	lent := p.loans.lent[t.ID]
 	if millionths <= lent || a.disabled.lending.deductFirst {
@@ -157,7 +160,8 @@
 	p.loans.lent[t.ID] = millionths
 }
 
-// markLoansChanged schedules computing the loans of all tenants that a peer needs or holds.
+// markLoansChanged schedules recomputing the loans of all tenants for which the peer has a demand or
+// a grant.
 func (a *Allocator) markLoansChanged(p *peer) {
 	for tenant := range p.loans.demands {
 		a.markChanged(a.tenants.byID[tenant])
@@ -167,7 +171,7 @@
 	}
 }
 
-// expireLoans drops loans that have expired, on both sides, and computes what is lent.
+// expireLoans drops expired loans to and from all peers, and updates what is lent.
 func (a *Allocator) expireLoans(now float64) {
 	for _, p := range a.members.sorted {
 		a.expireLent(now, p)
@@ -181,7 +185,7 @@
 	}
 }
 
-// expireLent takes back everything that a peer held, once it has expired for certain.
+// expireLent takes back all loans to a peer once they have certainly expired.
 func (a *Allocator) expireLent(now float64, p *peer) {
 	mayHoldLoans := len(p.loans.confirmed) > 0 || len(p.loans.granted) > 0 || len(p.sent.inFlight) > 0
 	if now < p.loans.expireAt || !mayHoldLoans {
@@ -199,8 +203,8 @@
 	p.loans.outdated = true
 }
 
-// requeueLost has the content of messages sent again that were not acknowledged in time.
-// They may still arrive: what they lend stays written off.
+// requeueLost schedules sending again the content of messages that were not acknowledged in time.
+// These messages may still arrive, so their loans stay deducted.
 func (a *Allocator) requeueLost(now float64, p *peer) {
 	for i := range p.sent.inFlight {
 		m := &p.sent.inFlight[i]
@@ -221,14 +225,14 @@
 		case now < borrowed.expiresAt:
 		case a.flat:
 			delete(p.loans.borrowed, tenant)
-		default: // it may be lent again
+		default: // the owner may lend it again
 			p.dropExpired(tenant)
 		}
 	}
 }
 
-// updateLent computes what a peer may hold of each tenant: the most of what it is known to
-// have received, of what is in flight and of what it is granted.
+// updateLent recomputes what a peer may hold of each tenant, if that is outdated: the maximum of
+// the confirmed loan, the grants in flight and the current grant.
 func (a *Allocator) updateLent(p *peer) {
 	if !p.loans.outdated {
 		return
@@ -240,7 +244,7 @@
 		t := a.tenants.byID[tenant]
 		t.ledger.lent -= min(millionths, t.ledger.lent)
 		if p.loans.lent[tenant] < millionths {
-			a.markChanged(t) // others may have it
+			a.markChanged(t) // the difference can be lent to others
 		}
 	}
 	for tenant, millionths := range p.loans.lent {
@@ -248,7 +252,8 @@
 	}
 }
 
-// maxOutstanding is the most that a peer may hold of each tenant.
+// maxOutstanding returns the most that a peer may hold of each tenant. Size is a hint for the size
+// of the map.
 func (a *Allocator) maxOutstanding(p *peer, size int) map[uint64]uint32 {
 	held := make(map[uint64]uint32, size)
 	raise := func(tenant uint64, millionths uint32) {
@@ -273,8 +278,8 @@
 	return held
 }
 
-// prepareFlatRound adds up what all need beyond their parts, and lists the demands of this
-// instance. Flat ownership only.
+// prepareFlatRound sums, for each tenant, the demands of the peers beyond their own parts, and lists
+// the demands of this instance. Flat ownership only.
 func (a *Allocator) prepareFlatRound(now float64) {
 	a.flatDemands = nil
 	for i := range a.tenants.list {
@@ -296,8 +301,8 @@
 	}
 }
 
-// flatGrants decides what one peer gets with flat ownership: of what this instance does not
-// need itself, in proportion to what each needs beyond its part.
+// flatGrants returns the grants to one peer with flat ownership. This instance lends what it does
+// not need itself, in proportion to what each peer needs beyond its own part.
 func (a *Allocator) flatGrants(now float64, p *peer) []TenantFraction {
 	clear(p.loans.granted)
 	if !a.mayLendTo(now, p) {
@@ -318,7 +323,7 @@
 	return grants
 }
 
-// flatGrant is what a peer with such a demand gets of one tenant.
+// flatGrant returns the grant of one tenant to a peer with the given demand.
 func (a *Allocator) flatGrant(p *peer, t *tenantState, demand uint32) uint32 {
 	owned := t.ledger.owned
 	kept := max(t.demand.millionths, uint32(float64(owned)*a.RetainedFraction)+1)
@@ -326,9 +331,9 @@
 		return 0
 	}
 	needed := float64(demand - owned)
-	unmet := max(float64(t.ledger.unmetDemand), needed) // the demand may be newer than the round
+	unmet := max(float64(t.ledger.unmetDemand), needed) // the demand may be newer than the sum
 	millionths := uint32(min(float64(owned-kept)*needed/unmet, needed))
-	// What others hold, or may still hold, can't be lent again.
+	// What other peers hold or may still hold can't be lent.
 	others := t.ledger.lent - min(p.loans.lent[t.ID], t.ledger.lent)
 	if others+kept >= owned {
 		return 0
--- a/internal/cluster/quota/membership.go
+++ b/internal/cluster/quota/membership.go
@@ -8,18 +8,18 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// membership is who takes part in the exchange.
+// membership holds the instances that take part in the exchange.
 type membership struct {
 	peers             map[string]*peer
 	sorted            []*peer // by name
-	next              int     // index of the peer that was written to last
-	changed           bool    // since owners were assigned
+	next              int     // index of the peer that nextPeer returned last
+	changed           bool    // owners have to be assigned again
 	viewDigest        uint64
-	departed          map[string]uint64 // incarnations that announced that they leave: membership may still see them
-	unseen            int               // instances that are expected and were never seen
-	expectedReached   bool              // as many as are expected were seen once
-	earlierBuildUntil float64           // until when an earlier build may be near that membership has not shown
-	unknownContactAt  float64           // when a message came of one that membership had not shown
+	departed          map[string]uint64 // incarnations that left, by name; membership may still see them
+	unseen            int               // expected instances that were never seen
+	expectedReached   bool              // the expected number of instances has been seen
+	earlierBuildUntil float64           // until when an unknown instance of an earlier build may be active
+	unknownContactAt  float64           // when a message of an unknown instance was last received
 }
 
 func newMembership() membership {
@@ -32,7 +32,7 @@
 	}
 }
 
-// sort brings the list of peers up to date.
+// sort rebuilds the sorted list of peers after a peer was added or removed.
 func (m *membership) sort() {
 	m.sorted = m.sorted[:0]
 	for _, p := range m.peers {
@@ -42,13 +42,13 @@
 	m.changed = true
 }
 
-// nextPeer goes to the next peer, in turn.
+// nextPeer returns the peers in turn.
 func (m *membership) nextPeer() *peer {
 	m.next = (m.next + 1) % len(m.sorted)
 	return m.sorted[m.next]
 }
 
-// UpdateMemberNames is UpdateMembers with instances of this build and region.
+// UpdateMemberNames calls UpdateMembers with instances of this build and region.
 func (a *Allocator) UpdateMemberNames(now float64, names []string) {
 	list := make([]Member, 0, len(names))
 	for _, name := range names {
@@ -57,8 +57,9 @@
 	a.UpdateMembers(now, list)
 }
 
-// UpdateMembers sets which instances membership sees now. One that it doesn't see
-// any more still counts, until it is forgotten or has announced that it leaves.
+// UpdateMembers sets the instances that membership sees now. An instance that membership no longer
+// sees still counts as a member until it is removed: ForgetAfter seconds after it was last seen or
+// heard from, or some time after it announced that it leaves.
 func (a *Allocator) UpdateMembers(now float64, list []Member) {
 	seen := make(map[string]Member, len(list))
 	for _, m := range list {
@@ -76,7 +77,7 @@
 	}
 }
 
-// addMember adds an instance unless it is known, or has left.
+// addMember adds an instance unless it is already known, has left or exceeds usage.MaxInstances.
 func (a *Allocator) addMember(now float64, m Member) {
 	if _, left := a.members.departed[m.Name]; left {
 		return
@@ -89,11 +90,11 @@
 	a.members.sort()
 }
 
-// updatePresence sets whether membership sees a peer, and what it announces.
+// updatePresence records whether membership sees a peer, and what it announces about the peer.
 func (a *Allocator) updatePresence(now float64, p *peer, m Member, seen bool) {
 	if seen {
 		p.presence.lastPresent = now
-		if m != p.announced { // another incarnation, or the first announcement
+		if m != p.announced { // region or build differs, or was not known before
 			a.updateAnnouncement(p, m)
 		}
 	}
@@ -104,7 +105,7 @@
 }
 
 func (a *Allocator) updateAnnouncement(p *peer, m Member) {
-	if m.Region != p.region { // owners are assigned otherwise: some instances may gain by it
+	if m.Region != p.region { // the ranks of owners change, and some instances may own more than before
 		a.joined = false
 	}
 	p.announced = m
@@ -113,9 +114,9 @@
 	p.build = m.Build
 }
 
-// MemberLeft records that an instance announced that it leaves. What it owned is divided
-// among the others once everything that it may have lent has expired: a borrower may
-// not know yet that it left.
+// MemberLeft records that an instance announced that it leaves. What it owned is divided among the
+// other instances once all loans that it may have made have expired, because a borrower may not
+// know yet that it left.
 func (a *Allocator) MemberLeft(now float64, name string) {
 	p := a.members.peers[name]
 	if p == nil || p.hasLeft() {
@@ -128,7 +129,7 @@
 	a.markLoansChanged(p)
 }
 
-// forgetPeers removes instances that left, or that were silent for too long.
+// forgetPeers removes instances that left or that were silent for ForgetAfter seconds.
 func (a *Allocator) forgetPeers(now float64) {
 	wait := a.LeaseDuration * (1 + clockDriftRatio)
 	if a.disabled.lending.leaverLoans {
@@ -154,12 +155,14 @@
 	a.members.sort()
 }
 
-// lastUnknownContact is when this instance started, or a message of an unknown instance came.
+// lastUnknownContact returns when a message of an unknown instance was last received, but at least the
+// time when this instance started.
 func (a *Allocator) lastUnknownContact() float64 {
 	return max(a.rounds.startedAt, a.members.unknownContactAt)
 }
 
-// ClusterSize is among how many instances a reservation is divided with flat ownership.
+// ClusterSize returns the number of instances among which a reservation is divided with flat
+// ownership.
 func (a *Allocator) ClusterSize(now float64) int {
 	n := len(a.members.peers) + 1
 	expecting := a.ForgetAfter <= 0 || now-a.lastUnknownContact() < a.ForgetAfter
@@ -169,16 +172,16 @@
 	return n
 }
 
-// tryJoin joins once all members agree.
+// tryJoin lets this instance own its parts once all members agree.
 func (a *Allocator) tryJoin(now float64) {
 	if a.joined || a.leaving || !a.mayJoin(now) {
 		return
 	}
 	if a.members.unseen > 0 && !a.flat {
-		return // it may own what this instance would
+		return // the unseen instance may own the same parts
 	}
-	// An instance that is expected and was never seen may hold loans of an earlier
-	// incarnation of this one: these have expired by then.
+	// An expected instance that was never seen may hold loans from an earlier incarnation of this
+	// instance. Wait until these have expired.
 	if a.members.unseen > 0 && now-a.lastUnknownContact() < a.LeaseDuration*(1+clockDriftRatio) {
 		return
 	}
@@ -186,10 +189,10 @@
 	a.assignOwners(now)
 }
 
-// mayJoin reports whether all agree that this instance owns its parts: each that counts has
-// received a message of this incarnation, counts the same instances, has got back what it
-// lent of larger parts, and has confirmed that recently. A silent one may count others, which
-// would own the same parts.
+// mayJoin reports whether all members agree that this instance owns its parts: each member has
+// received a message of this incarnation, counts the same instances, has been returned what it lent
+// of larger parts, and has confirmed this recently. A silent member prevents joining, because it
+// may count other instances, which would own the same parts.
 func (a *Allocator) mayJoin(now float64) bool {
 	rules := &a.disabled.joining
 	for _, p := range a.members.sorted {
@@ -202,11 +205,13 @@
 		}
 		return false
 	}
-	// Others lend of parts that this instance gave up, until what it lent of them is back.
+	// Other instances may already own parts that this instance gave up, so its loans of these parts
+	// have to be returned first.
 	return a.loansWithinOwned() || rules.loansCovered
 }
 
-// hasConfirmedView reports whether a peer has recently confirmed that it counts the same instances.
+// hasConfirmedView reports whether a peer has confirmed within a lease that it counts the same
+// instances and lends no more than it owns.
 func (a *Allocator) hasConfirmedView(now float64, p *peer) bool {
 	rules := &a.disabled.joining
 	age := now - p.sent.viewAckedSentAt
@@ -219,7 +224,7 @@
 	return recent && !p.hasLeft() && sameView && covered
 }
 
-// loansWithinOwned reports whether no more is lent of any tenant than is owned.
+// loansWithinOwned reports whether this instance lends no more of any tenant than it owns.
 func (a *Allocator) loansWithinOwned() bool {
 	for i := range a.tenants.list {
 		if l := &a.tenants.list[i].ledger; l.lent > l.owned {
@@ -229,8 +234,8 @@
 	return true
 }
 
-// pastLoansExpired reports whether nothing is in use any more that an earlier incarnation of
-// this instance lent: all have received messages of this one, or the lease has passed.
+// pastLoansExpired reports whether no loan of an earlier incarnation of this instance is in use any
+// more: all peers have received messages of the current one, or a lease has passed since the start.
 func (a *Allocator) pastLoansExpired(now float64) bool {
 	if now-a.rounds.startedAt >= a.LeaseDuration*(1+clockDriftRatio) {
 		return true
--- a/internal/cluster/quota/message.go
+++ b/internal/cluster/quota/message.go
@@ -12,8 +12,8 @@
 // Tenant is a tenant that has a reservation.
 type Tenant struct {
 	Name  string
-	ID    uint64  // of usage.TenantID
-	Quota float64 // jobs a second
+	ID    uint64  // as computed by usage.TenantID
+	Quota float64 // reservation in jobs per second
 }
 
 // TenantFraction is a part of one tenant's reservation.
@@ -22,27 +22,29 @@
 	Millionths uint32
 }
 
-// Member is another instance as membership announces it.
+// Member describes another instance as announced by membership.
 type Member struct {
 	Name   string
 	Region string
-	Build  uint32 // OwnershipBuild; 0 for an earlier build, or one that is set to flat ownership
+	Build  uint32 // OwnershipBuild, or 0 for an earlier build or flat ownership in the settings
 }
 
-// OwnershipBuild is announced by instances that support owners of reservations.
+// OwnershipBuild is the build number of instances that support ownership by a few instances per
+// reservation, and that are not set to flat ownership.
 const OwnershipBuild = 1
 
-// Message goes from one instance to one other, in one of two forms.
+// Message is sent from one instance to another. It has one of two forms.
 //
-// A full message is a page of the state: of the tenants from RangeStart to RangeEnd it holds
-// every demand and every grant; those that it leaves out are zero. A delta message holds
-// changes: it changes nothing for tenants that it doesn't name, and a fraction of 0 ends one.
+// A full message is a page of the state: it holds every demand and every grant for the tenants from
+// RangeStart to RangeEnd. Demands and grants that it leaves out are zero. A delta message holds
+// changes: it changes nothing for tenants that it doesn't name, and a fraction of 0 ends a demand
+// or a grant.
 type Message struct {
 	Header
 	Ack
 	View
 
-	// RangeStart and RangeEnd are the tenants of a full message.
+	// RangeStart and RangeEnd are the first and the last tenant id that a full message covers.
 	RangeStart uint64
 	RangeEnd   uint64
 	Demands    []TenantFraction
@@ -51,46 +53,49 @@
 
 	Delta        bool
 	AckRequested bool
-	// ViewRequested: the sender has not joined, and needs the receiver's view.
+	// ViewRequested is set if the sender has not joined and needs the receiver's view.
 	ViewRequested bool
-	// TenantsByIndex: tenants are named by their index in the table, which both have; not so in RelayedUsage.
+	// TenantsByIndex is set if tenants are named by their index in the table, which both instances have.
+	// RelayedUsage names tenants by id in any case.
 	TenantsByIndex bool
-	// RemoteTotals are counted by all but the receiver's current incarnation, as far as the sender knows.
+	// RemoteTotals are the counts of all instances except the receiver's current incarnation, as far as
+	// the sender knows.
 	RemoteTotals usage.Counts
-	// RelayedUsage is counted by others, for another owner of these tenants.
+	// RelayedUsage are counts of other instances, sent to an owner of these tenants.
 	RelayedUsage []*usage.InstanceUsage
 }
 
 // Header identifies a message.
 type Header struct {
-	// LinkID replaces From, Incarnation and AckIncarnation, which are empty then, and To.
+	// LinkID, if not 0, replaces From, Incarnation and AckIncarnation, which are empty then, and To.
 	LinkID      uint64
 	From        string
 	To          string
 	Incarnation uint64 // of the sender
-	Seq         uint64 // counts from 1 for each receiver
-	// Round of the sender; in a delta message the first Seq of the round. Pages of a round may be reordered.
+	Seq         uint64 // sequence number for each receiver, from 1
+	// Round is the sender's round; in a delta message it is the first Seq of the round. Messages of the
+	// same round may be accepted in any order.
 	Round   uint64
 	Build   uint32 // of the sender, as in [Member]
-	Leaving bool
+	Leaving bool   // the sender leaves
 }
 
-// Ack acknowledges messages of the receiver.
+// Ack acknowledges messages that the sender of the Ack received from the receiver.
 type Ack struct {
-	AckIncarnation uint64 // the receiver's, 0 if unknown
-	AckSeq         uint64 // the highest Seq that was received of it
-	AckBits        uint64 // bit i: AckSeq-1-i was received as well
+	AckIncarnation uint64 // incarnation of the receiver; 0: unknown
+	AckSeq         uint64 // the highest Seq received from that incarnation
+	AckBits        uint64 // bit i: message AckSeq-1-i was received as well
 }
 
-// View is what all members have to agree on. A delta message has it only if it requests the
-// receiver's, and in the answer to that.
+// View is the sender's view of the cluster, on which all members have to agree before one joins. A
+// delta message holds it only if it requests the receiver's view or answers such a request.
 type View struct {
-	ViewDigest   uint64 // of the members that the sender counts and of how owners are assigned
-	LoansCovered bool   // the sender has lent no more than it owns
+	ViewDigest   uint64 // of the members that the sender counts and of the rules by which owners are assigned
+	LoansCovered bool   // the sender has lent no more than it owns of any tenant
 	TableDigest  uint64 // of the sender's tenants
 }
 
-// DropReason is why a message was dropped. It is a label of metrics.
+// DropReason is the reason why a message was dropped. It is a label value of metrics.
 type DropReason string
 
 // Reasons for which a message is dropped.
@@ -103,24 +108,25 @@
 	Malformed        DropReason = "malformed"
 )
 
-// ErrOutOfOrder is returned for a message that arrived twice, or after a later one.
+// ErrOutOfOrder is returned for a message that arrived twice, or after a message of a later round.
 var ErrOutOfOrder = errors.New(string(OutOfOrder))
 
 // DropError is returned for a message that was dropped for another reason.
 type DropError struct {
-	From   string // empty: unknown
+	From   string // empty if the sender is unknown
 	Reason DropReason
 }
 
 // Error implements error.
 func (e *DropError) Error() string {
 	if e.From == "" {
-		return "message by a link: " + string(e.Reason)
+		return "message without a sender name: " + string(e.Reason)
 	}
 	return "message from " + e.From + ": " + string(e.Reason)
 }
 
-// linkDigest identifies a sender's and a receiver's incarnation; two pairs collide with a probability of 2^-64.
+// linkDigest returns a digest that identifies the incarnations of a sender and a receiver. Two pairs
+// collide with a probability of 2^-64.
 func linkDigest(from, to uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:], from)
