--- a/internal/cluster/quota/ownership.go
+++ b/internal/cluster/quota/ownership.go
@@ -8,18 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The owners of a tenant's reservation are the first few instances by rendezvous hashing
-// (Thaler, Ravishankar, 1998) over those that count, the best of each region before the
-// second best of any.
+// The owners of a tenant's reservation are the a.Owners highest-ranked members by rendezvous
+// hashing (Thaler, Ravishankar, 1998). The best instance of each region ranks before the second
+// best instance of any region.
 //
-// Why no part is owned twice: an instance's rank can only get worse as more instances are
-// counted. If each that has joined counts all that have, its rank among those is no worse
-// than the rank by which it claims a part; no two have the same rank; so no more claim
-// than there are parts, and nobody claims more than one of as many parts as there are
-// claimants. An instance that is expected and was never seen may have joined: until all
-// were seen, or others would have been forgotten, an instance does not join.
+// No part is owned twice, for the following reason. An instance's rank can only get worse as more
+// instances are counted as members. If each instance that has joined counts all instances that
+// have joined, then its rank among the joined instances is no worse than the rank by which it
+// claims a part. No two instances have the same rank, so there are no more claimants than parts,
+// and each claims at most 1/n of the reservation, where n is the number of claimants. An expected
+// instance that was never seen may have joined. An instance therefore does not join until all
+// expected instances were seen, or until ForgetAfter has passed, after which others would be removed.
 
-// rendezvousScore ranks an instance for a tenant.
+// rendezvousScore returns the score by which an instance is ranked for a tenant; the highest score
+// ranks first.
 func rendezvousScore(tenant, instance uint64) uint64 {
 	x := tenant ^ instance
 	x ^= x >> 32
@@ -29,9 +31,9 @@
 	return x ^ x>>32
 }
 
-// updateOwnership determines the mode of ownership, and assigns owners if that or the
-// members have changed. In another mode, or another region of an instance, the ranks
-// differ: everything owned is given up, and claimed again once all agree.
+// updateOwnership determines the mode of ownership, and assigns owners if the mode or the members
+// have changed. If the mode changes, this instance gives up everything that it owns, and owns parts
+// again once all members agree.
 func (a *Allocator) updateOwnership(now float64) {
 	flat := a.requiresFlat(now)
 	unseen := a.countUnseen(now, flat)
@@ -46,7 +48,8 @@
 	a.assignOwners(now)
 }
 
-// requiresFlat reports whether any instance doesn't support owners, or is set so.
+// requiresFlat reports whether any instance, this one included, is set to flat ownership or is of an
+// earlier build.
 func (a *Allocator) requiresFlat(now float64) bool {
 	if a.Owners <= 0 || now < a.members.earlierBuildUntil && !a.disabled.ownership.unknownBuilds {
 		return true
@@ -54,13 +57,13 @@
 	return slices.ContainsFunc(a.members.sorted, func(p *peer) bool { return p.build < OwnershipBuild })
 }
 
-// countUnseen is how many instances are expected and were never seen.
+// countUnseen returns the number of expected instances that were never seen.
 func (a *Allocator) countUnseen(now float64, flat bool) int {
 	unseen := max(0, a.ExpectedInstances-len(a.members.sorted)-1)
 	if unseen == 0 {
 		a.members.expectedReached = true
 	}
-	if !flat && a.members.expectedReached { // a missing one was seen, and has left or is forgotten
+	if !flat && a.members.expectedReached { // all were seen; a missing one has left or was removed
 		return 0
 	}
 	expired := a.ForgetAfter > 0 && now-a.lastUnknownContact() >= a.ForgetAfter
@@ -70,7 +73,7 @@
 	return unseen
 }
 
-// changeMode gives up everything that is owned.
+// changeMode gives up everything that this instance owns, because the mode of ownership changes.
 func (a *Allocator) changeMode() {
 	if !a.disabled.ownership.ownershipChange {
 		a.joined = false
@@ -81,7 +84,7 @@
 	}
 }
 
-// assignOwners finds the owners of each tenant, and what this instance owns.
+// assignOwners computes the owners of each tenant and the part that this instance owns.
 func (a *Allocator) assignOwners(now float64) {
 	a.members.changed = false
 	a.updateViewDigest()
@@ -99,7 +102,7 @@
 	}
 }
 
-// assignFlat gives every instance an equal part.
+// assignFlat assigns an equal part of every reservation to every instance.
 func (a *Allocator) assignFlat(now float64) {
 	part := uint32(FullReservation / a.ClusterSize(now))
 	for i := range a.tenants.list {
@@ -109,21 +112,21 @@
 	}
 }
 
-// memberDigest is the part of the view's digest that one instance contributes.
+// memberDigest returns the contribution of one instance to the view's digest.
 func (a *Allocator) memberDigest(name, region string) uint64 {
 	if a.flat {
-		return xxhash.Sum64String(name) // as earlier builds do
+		return xxhash.Sum64String(name) // compatible with earlier builds
 	}
 	return xxhash.Sum64String(name + "\x00" + region)
 }
 
-// updateViewDigest computes the digest of everything that all members have to agree on.
+// updateViewDigest computes the digest of the view on which all members have to agree.
 func (a *Allocator) updateViewDigest() {
 	digest := a.memberDigest(a.self.name, a.Region)
 	for _, p := range a.members.sorted {
 		digest ^= a.memberDigest(p.name, p.region)
 	}
-	if !a.flat { // the mode belongs to the view
+	if !a.flat { // the digest covers the mode of ownership
 		var buf [16]byte
 		binary.LittleEndian.PutUint64(buf[:], digest)
 		binary.LittleEndian.PutUint64(buf[8:], uint64(a.Owners)<<8|OwnershipBuild)
@@ -138,7 +141,8 @@
 	}
 }
 
-// updateFullMesh determines whether each instance sends its counts to every other.
+// updateFullMesh determines whether each instance sends its counts to every other. If that changes,
+// the full state is sent to all peers.
 func (a *Allocator) updateFullMesh() {
 	fullMesh := len(a.members.sorted) < fullMeshInstances
 	if fullMesh == a.fullMesh {
@@ -150,15 +154,15 @@
 	}
 }
 
-// ranking ranks instances for one tenant after the other.
+// ranking ranks the instances for a tenant. Its buffers are reused for each tenant.
 type ranking struct {
 	peers    []*peer
-	regions  []int // by peer; 0 is this instance's
-	best     [][]candidate
-	sameRank []candidate
-	selected []candidate
-	wanted   int // owners of each tenant
-	parts    int // owners of each tenant that there are
+	regions  []int         // region number of each peer; 0 is this instance's region
+	best     [][]candidate // best candidates of each region, by rank
+	sameRank []candidate   // candidates of equal rank within their regions
+	selected []candidate   // owners by rank
+	wanted   int           // configured number of owners of each tenant
+	parts    int           // owners of each tenant: wanted, but at most the number of instances
 }
 
 // candidate is an instance that may own a part; a nil peer is this instance.
@@ -189,7 +193,8 @@
 	return r
 }
 
-// owners are a tenant's owners by rank, and the part that this instance owns.
+// owners returns a tenant's owners by rank, and the part in millionths that this instance owns if it
+// is among them. A nil owner is this instance.
 func (r *ranking) owners(tenant, self uint64) (owners []*peer, owned uint32) {
 	r.rankRegions(tenant, self)
 	r.selectOwners()
@@ -203,7 +208,7 @@
 	return owners, owned
 }
 
-// rankRegions finds the best candidates of each region.
+// rankRegions computes the best candidates of each region for a tenant.
 func (r *ranking) rankRegions(tenant, self uint64) {
 	for region := range r.best {
 		r.best[region] = r.best[region][:0]
@@ -214,7 +219,7 @@
 	}
 }
 
-// add inserts a candidate among the best of its region.
+// add inserts a candidate into the ranked list of its region, which keeps the best wanted ones.
 func (r *ranking) add(region int, c candidate) {
 	best := r.best[region]
 	if len(best) == r.wanted {
@@ -230,7 +235,7 @@
 	r.best[region] = slices.Insert(best, at, c)
 }
 
-// selectOwners takes the best of each region, then the second best of each, and so on.
+// selectOwners selects the best candidate of each region, then the second best of each, and so on.
 func (r *ranking) selectOwners() {
 	r.selected = r.selected[:0]
 	for rank := 0; rank < r.wanted && len(r.selected) < r.parts; rank++ {
@@ -246,10 +251,11 @@
 	r.selected = r.selected[:r.parts]
 }
 
-// setOwned sets the part of a tenant's reservation that this instance owns.
+// setOwned sets the part of a tenant's reservation that this instance owns. It is 0 while this
+// instance has not joined or is leaving.
 func (a *Allocator) setOwned(t *tenantState, millionths uint32) {
 	if !a.joined || a.leaving {
-		millionths = 0 // the others may count on all of it
+		millionths = 0 // other instances may own this part
 	}
 	if t.ledger.owned != millionths {
 		t.ledger.owned = millionths
@@ -257,7 +263,7 @@
 	}
 }
 
-// setOwners sets a tenant's owners.
+// setOwners sets a tenant's owners, and schedules sending demands and counts to them accordingly.
 func (a *Allocator) setOwners(now float64, t *tenantState, owners []*peer) {
 	previous := t.ledger.owners
 	if slices.Equal(previous, owners) {
@@ -275,7 +281,7 @@
 	a.sendCountsToOwners(now, t, previous)
 }
 
-// sendCountsToOwners schedules sending a tenant's counts to new owners, and to all others if
+// sendCountsToOwners schedules sending a tenant's counts to its new owners, or to all of its owners if
 // this instance has become an owner or ceased to be one.
 func (a *Allocator) sendCountsToOwners(now float64, t *tenantState, previous []*peer) {
 	ownedHere := t.ownedHere()
@@ -292,8 +298,8 @@
 	}
 }
 
-// aggregator is the instance that reports to a tenant's users what was counted elsewhere:
-// the first of its owners that is present; nil is this instance.
+// aggregator returns the instance that reports to a tenant's users what other instances have
+// counted: the first owner by rank that is present. A nil peer with ok set is this instance.
 func (a *Allocator) aggregator(t *tenantState) (p *peer, ok bool) {
 	for _, p := range t.ledger.owners {
 		if p == nil || p.presence.present {
@@ -303,8 +309,8 @@
 	return nil, false
 }
 
-// isAggregator reports whether this instance is a tenant's aggregator. Where each instance
-// sends its counts to every other, each is its own aggregator.
+// isAggregator reports whether this instance is a tenant's aggregator. If every instance sends its
+// counts to every other, each is its own aggregator.
 func (a *Allocator) isAggregator(t *tenantState) bool {
 	if a.flat || a.fullMesh {
 		return true
--- a/internal/cluster/quota/receive.go
+++ b/internal/cluster/quota/receive.go
@@ -6,17 +6,18 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Receive processes a message. It returns an error if the message was dropped. The caller
-// has to merge its counts, also if it is out of order: merging is idempotent.
+// Receive processes a message. It returns an error if the message was dropped: [ErrOutOfOrder] or a
+// [*DropError]. The caller has to merge the message's counts even if the message was out of order;
+// merging is idempotent.
 func (a *Allocator) Receive(now float64, m *Message) error {
 	a.stats.received++
 	m = a.resolveLink(m)
-	if m.From == "" { // the link is unknown: its sender was forgotten here
+	if m.From == "" { // unknown link: the sender was removed here, or either instance was restarted
 		a.members.unknownContactAt = now
 		return a.drop(m, UnknownMember)
 	}
 	if m.TenantsByIndex {
-		if m.AckIncarnation != a.self.incarnation { // it was sent to an earlier incarnation
+		if m.AckIncarnation != a.self.incarnation { // sent to an earlier incarnation of this instance
 			return a.drop(m, OtherReceiver)
 		}
 		m = a.toIDs(m)
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// drop counts a dropped message.
+// drop counts a dropped message, and returns the error for it.
 func (a *Allocator) drop(m *Message, reason DropReason) error {
 	a.stats.drops[reason]++
 	if reason == OutOfOrder {
@@ -40,8 +41,8 @@
 	return &DropError{From: m.From, Reason: reason}
 }
 
-// resolveLink is the message with the names and incarnations that its link stands for, or
-// without them if these are unknown. The sender's message stays as it is.
+// resolveLink returns a copy of the message with the names and incarnations that its LinkID stands
+// for, or without them if the link is unknown. A message without a LinkID is returned as it is.
 func (a *Allocator) resolveLink(m *Message) *Message {
 	if m.LinkID == 0 {
 		return m
@@ -60,7 +61,7 @@
 	return &resolved
 }
 
-// toIDs is the message with tenants by id. The sender's message stays as it is.
+// toIDs returns a copy of the message that names tenants by id instead of by index.
 func (a *Allocator) toIDs(m *Message) *Message {
 	resolved := *m
 	resolved.TenantsByIndex = false
@@ -91,7 +92,7 @@
 	return resolved
 }
 
-// check returns why a message can't be accepted, empty if it can.
+// check returns the reason why a message can't be accepted, or an empty reason if it can.
 func (a *Allocator) check(now float64, m *Message) DropReason {
 	p := a.members.peers[m.From]
 	switch {
@@ -110,15 +111,15 @@
 	return ""
 }
 
-// recordUnknown records contact by an instance that membership has not shown.
+// recordUnknown records a message from an instance that is not a known member.
 func (a *Allocator) recordUnknown(now float64, m *Message) {
 	a.members.unknownContactAt = now
 	if m.Build < OwnershipBuild && m.Incarnation > 0 && !m.Leaving {
-		// It takes its part by flat ownership, and may not ask this instance.
+		// The sender owns its part by flat ownership, possibly without waiting for this instance.
 		a.members.earlierBuildUntil = now + 2*a.LeaseDuration
 	}
 	left, known := a.members.departed[m.From]
-	if known && m.Incarnation > left && !m.Leaving { // it has started again
+	if known && m.Incarnation > left && !m.Leaving { // the instance was restarted
 		delete(a.members.departed, m.From)
 	}
 }
@@ -132,7 +133,7 @@
 		return OutOfOrder
 	}
 	if p.isSilent(now, a.LeaseDuration) {
-		p.pending.fullState = true // the peer, or the way to it, was away
+		p.pending.fullState = true // the peer was down or unreachable
 	}
 	if p.build != m.Build {
 		p.build = m.Build
@@ -155,9 +156,9 @@
 	return ""
 }
 
-// beginIncarnation goes on with a peer that was started again. What its old incarnation
-// borrowed ends when the lease does; what it lent has ended, as the new one owns its
-// parts completely.
+// beginIncarnation resets the state of a peer that was restarted. Loans to its old incarnation stay
+// deducted until they expire. Loans from it end now, because the new incarnation owns its parts
+// without deducting them.
 func (a *Allocator) beginIncarnation(p *peer, incarnation uint64) {
 	a.relayIncarnation(p)
 	a.markLoansChanged(p)
@@ -179,8 +180,8 @@
 	p.resendGrants()
 }
 
-// accept records that a message was received, and reports whether it is valid: a duplicate
-// is not, nor is one that arrives after a message of a later round.
+// accept records that a message was received, and reports whether to process it. Duplicates and
+// messages that arrive after a message of a later round are rejected.
 func (s *receiveState) accept(m *Message) bool {
 	switch {
 	case m.Delta == s.delta && m.Round < s.round:
@@ -188,13 +189,13 @@
 	case m.Seq > s.seq:
 		s.advance(m)
 		return true
-	case m.Delta != s.delta || m.Round > s.round: // no sender's rounds go backwards
+	case m.Delta != s.delta || m.Round > s.round: // a sender's rounds never decrease
 		return false
 	}
 	return s.fillGap(s.seq - m.Seq)
 }
 
-// nextPeer records a message with a higher sequence number.
+// advance records a message with a higher sequence number than any before.
 func (s *receiveState) advance(m *Message) {
 	if gap := m.Seq - s.seq; gap > ackWindow {
 		s.bits = 0
@@ -209,7 +210,8 @@
 	s.delta = m.Delta
 }
 
-// fillGap records a message so far behind the highest one, unless it is a duplicate.
+// fillGap records a message whose sequence number is lower by behind than the highest one. It returns
+// false if the message is a duplicate or too old.
 func (s *receiveState) fillGap(behind uint64) bool {
 	if behind == 0 || behind > ackWindow || s.bits&(1<<(behind-1)) != 0 {
 		return false
@@ -218,7 +220,7 @@
 	return true
 }
 
-// hasView reports whether a message has the sender's view.
+// hasView reports whether a message holds the sender's view.
 func (m *Message) hasView() bool { return !m.Delta || m.ViewDigest != 0 }
 
 func (a *Allocator) receiveView(p *peer, m *Message) {
--- a/internal/cluster/quota/receive_loans.go
+++ b/internal/cluster/quota/receive_loans.go
@@ -1,6 +1,6 @@
 package quota
 
-// receiveDemands records what a peer needs.
+// receiveDemands records the peer's demands.
 func (a *Allocator) receiveDemands(now float64, p *peer, m *Message) {
 	if !m.Delta {
 		a.clearDemands(p, m.RangeStart, m.RangeEnd)
@@ -22,7 +22,7 @@
 	}
 }
 
-// clearDemands drops the demands of a range of tenants.
+// clearDemands drops the peer's demands for the tenants from start to end.
 func (a *Allocator) clearDemands(p *peer, start, end uint64) {
 	for tenant := range p.loans.demands {
 		if tenant >= start && tenant <= end {
@@ -32,10 +32,10 @@
 	}
 }
 
-// recordDemand records a peer as a user of a tenant, and schedules what it needs to know.
+// recordDemand records a peer as a user of a tenant, and schedules sending its grant and the counts.
 func (a *Allocator) recordDemand(now float64, p *peer, t *tenantState) {
 	p.lastUsed[t.ID] = now
-	if p.loans.granted[t.ID] > 0 { // it may have lost what it was lent
+	if p.loans.granted[t.ID] > 0 { // the peer may have lost the grant
 		p.pending.grants.add(t.ID)
 	}
 	if a.isAggregator(t) && !a.fullMesh {
@@ -44,9 +44,9 @@
 	}
 }
 
-// receiveGrants records what a peer lends. A loan expires a lease after the message was
-// sent that the peer acknowledges: only this instance's own clock matters. Loans that
-// the message doesn't name are renewed as well.
+// receiveGrants records what a peer lends. A loan expires one lease after the time at which this
+// instance sent the message that the peer acknowledges, so only this instance's own clock matters.
+// A delta message also renews the loans that it does not name.
 func (a *Allocator) receiveGrants(now float64, p *peer, m *Message) {
 	if !m.Delta {
 		for tenant := range p.loans.borrowed {
@@ -79,11 +79,11 @@
 	}
 }
 
-// renewBorrowed renews all loans that have not expired.
+// renewBorrowed extends all loans from the peer to expiresAt, and drops those that have expired.
 func (p *peer) renewBorrowed(now, expiresAt float64) {
 	for tenant, borrowed := range p.loans.borrowed {
 		switch {
-		case now >= borrowed.expiresAt: // the lender may have taken it back
+		case now >= borrowed.expiresAt: // the lender may have taken the loan back
 			p.dropExpired(tenant)
 		case expiresAt > borrowed.expiresAt:
 			p.loans.borrowed[tenant] = loan{millionths: borrowed.millionths, expiresAt: expiresAt}
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordUsers records which tenants the peer serves: those that it counts.
+// recordUsers records the peer as a user of the tenants whose counts a delta message holds.
 func (a *Allocator) recordUsers(now float64, p *peer, m *Message) {
 	if !m.Delta {
 		return
--- a/internal/cluster/quota/rounds.go
+++ b/internal/cluster/quota/rounds.go
@@ -1,14 +1,15 @@
 package quota
 
 const (
-	leaveAttempts          = 4   // messages by which an instance announces that it leaves
+	leaveAttempts          = 4   // messages to each peer by which an instance announces that it leaves
 	viewPollGrowth         = 1.5 // factor between two requests for a view
 	maxViewPollSeconds     = 2.0
 	maxAckTimeoutDoublings = 8
 )
 
-// Round begins a round. Arrivals is how many jobs of each tenant came since the
-// start, in the order of ids. It returns which peers are to be written to.
+// Round begins a round. Arrivals are the numbers of jobs of each tenant that have arrived since the
+// start, in ascending order of tenant ids. Round returns the names of the peers to which messages
+// have to be sent.
 func (a *Allocator) Round(now float64, arrivals []uint64) []string {
 	elapsed := now - a.rounds.last
 	if elapsed > a.LeaseDuration && !a.disabled.joining.suspension {
@@ -31,7 +32,7 @@
 	return a.deltaReceivers(now)
 }
 
-// resume goes on after this instance was suspended for longer than a lease.
+// resume prepares this instance to join again after it was suspended for longer than a lease.
 func (a *Allocator) resume(now float64) {
 	a.rounds.startedAt = now
 	a.joined = false
@@ -42,8 +43,8 @@
 	}
 }
 
-// flatReceivers are the next peers in turn, also those that membership doesn't see: a
-// partition may be over before it notices.
+// flatReceivers returns the next Fanout peers in turn. They include peers that membership doesn't
+// see, because a partition may end before membership notices.
 func (a *Allocator) flatReceivers(now float64) []string {
 	a.prepareFlatRound(now)
 	var names []string
@@ -53,7 +54,7 @@
 	return names
 }
 
-// deltaReceivers are the peers for which something is due.
+// deltaReceivers returns the peers to which a message is due.
 func (a *Allocator) deltaReceivers(now float64) []string {
 	var names []string
 	polls := 0
@@ -65,8 +66,8 @@
 	return names
 }
 
-// isDue reports whether a peer is to be written to. At rest only users and owners of
-// the same tenants are, so that renewals don't cost more in a larger cluster.
+// isDue reports whether a message to a peer is due. Without changes only users and owners of the same
+// tenants exchange messages, so that the cost of renewals does not grow with the cluster.
 func (a *Allocator) isDue(now float64, p *peer, polls *int) bool {
 	if a.leaving {
 		p.sent.unacknowledged++
@@ -89,7 +90,7 @@
 	return deferredDue || p.pending.urgent || now >= p.pending.countsDueAt || renewalDue
 }
 
-// viewPollDue reports whether this instance waits for a peer's view to join.
+// viewPollDue reports whether this instance has to request a peer's view in order to join.
 func (a *Allocator) viewPollDue(now float64, p *peer) bool {
 	return !a.joined && !a.hasConfirmedView(now, p) && now-p.sent.viewPolledAt >= p.sent.viewPollInterval
 }
@@ -101,19 +102,21 @@
 	p.sent.viewPollInterval = min(max(viewPollGrowth*p.sent.viewPollInterval, retry), longest)
 }
 
-// renewalAge is the age of the latest answered message at which loans are renewed, so
-// that some attempts are left before they expire.
+// renewalAge returns the age in seconds of the latest acknowledged message at which loans are renewed.
+// It leaves time for leaseRenewalAttempts attempts before the loans expire, within the limits of a
+// quarter and a half of the lease.
 func (a *Allocator) renewalAge() float64 {
 	latest := a.LeaseDuration - 2*a.Period - leaseRenewalAttempts*a.ackTimeout(0)
 	return max(a.LeaseDuration/4, min(a.LeaseDuration/2, latest))
 }
 
-// ackTimeout is how long an acknowledgement is awaited, after so many attempts.
+// ackTimeout returns how long to wait for an acknowledgement, in seconds, after the given number of
+// unacknowledged attempts.
 func (a *Allocator) ackTimeout(attempts int) float64 {
 	first := a.retrySeconds()
 	backoff := first * float64(int(1)<<min(attempts, maxAckTimeoutDoublings))
 	return max(first, min(backoff, a.LeaseDuration/8))
 }
 
-// isLender reports whether this instance borrows of the peer, or would.
+// isLender reports whether this instance borrows from the peer or has requested to.
 func (p *peer) isLender() bool { return len(p.loans.requested) > 0 || len(p.loans.borrowed) > 0 }
--- a/internal/cluster/quota/safety.go
+++ b/internal/cluster/quota/safety.go
@@ -1,8 +1,8 @@
 package quota
 
-// safetyRules keep the sum of allotments within the reservation. The exhaustive
-// search in the tests disables them one at a time, to show that each is needed;
-// none is ever disabled outside of tests.
+// safetyRules lists the rules that keep the sum of the allotments within the reservation. A field
+// that is true disables its rule. The exhaustive search in the tests disables them one at a time, to
+// show that each is needed. Outside of tests no rule is ever disabled.
 type safetyRules struct {
 	joining   joiningRules
 	lending   lendingRules
@@ -10,34 +10,34 @@
 	ownership ownershipRules
 }
 
-// joiningRules are required before an instance owns anything.
+// joiningRules have to be met before an instance owns anything.
 type joiningRules struct {
-	matchingViews   bool // all count the same instances
-	loansCovered    bool // all have got back what they lent of larger parts
-	silentPeers     bool // a silent peer is waited for
-	acknowledgement bool // each has answered this incarnation
-	recentAck       bool // and that recently
-	suspension      bool // an instance that was suspended joins again
-	pastLoans       bool // loans of an earlier incarnation count as lent
+	matchingViews   bool // all members count the same instances
+	loansCovered    bool // all members have been returned what they lent of larger parts
+	silentPeers     bool // joining waits for silent peers
+	acknowledgement bool // each member has acknowledged this incarnation
+	recentAck       bool // that acknowledgement is recent
+	suspension      bool // a suspended instance has to join again
+	pastLoans       bool // loans of an earlier incarnation count as lent until they expire
 }
 
-// lendingRules are required of loans.
+// lendingRules have to be met by loans.
 type lendingRules struct {
-	leaverLoans     bool // what a leaving instance lent is waited for
+	leaverLoans     bool // loans of an instance that left expire before its parts are reassigned
 	deductFirst     bool // a loan is deducted before it is sent
-	expiryFromSend  bool // a loan expires relative to the borrower's own sending
-	confirmedReturn bool // a reduced loan is the lender's again once that is confirmed
+	expiryFromSend  bool // a loan's lease starts when the borrower sent the acknowledged message
+	confirmedReturn bool // a reduction of a loan takes effect once the borrower confirms it
 }
 
-// receivingRules are required of messages.
+// receivingRules have to be met by received messages.
 type receivingRules struct {
-	messageOrder bool // a message is dropped after a later one
-	incarnations bool // incarnations are told apart
+	messageOrder bool // a message that arrives after one of a later round is dropped
+	incarnations bool // messages and loans of ended incarnations are rejected
 }
 
-// ownershipRules are required of the assignment of owners.
+// ownershipRules have to be met by the assignment of owners.
 type ownershipRules struct {
-	unseenInstances bool // an instance that is expected and was never seen counts
-	ownershipChange bool // everything is given up when the mode of ownership changes
-	unknownBuilds   bool // a message of an unknown earlier build counts
+	unseenInstances bool // expected instances that were never seen count
+	ownershipChange bool // a change of the mode of ownership gives up everything owned
+	unknownBuilds   bool // a message of an unknown instance of an earlier build counts
 }
--- a/internal/cluster/quota/send.go
+++ b/internal/cluster/quota/send.go
@@ -7,8 +7,8 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Messages builds the next messages to one peer, from what is known of counts. What they
-// lend is deducted from this instance's allotments from now on.
+// Messages builds the next messages to one peer, with counts from st. It returns nil if the peer is
+// unknown. Loans in these messages are deducted from this instance's allotments from now on.
 func (a *Allocator) Messages(now float64, to string, st usage.State) []*Message {
 	p := a.members.peers[to]
 	if p == nil {
@@ -22,7 +22,7 @@
 		drafts = a.flatMessages(now, p, known.local)
 	} else {
 		drafts = a.deltaMessages(now, p, known)
-		round = p.sent.seq + 1 // its difference to the sequence number is 0 for nearly all, and not sent then
+		round = p.sent.seq + 1 // the difference to the sequence number is 0 for most messages, and is not sent then
 	}
 	requestAck := a.requiresAck(now, p)
 	var messages []*Message
@@ -39,19 +39,19 @@
 	return messages
 }
 
-// requiresAck reports whether an acknowledgement is wanted whatever the messages hold.
+// requiresAck reports whether an acknowledgement is required regardless of the content of the messages.
 func (a *Allocator) requiresAck(now float64, p *peer) bool {
 	return p.pending.countsLost || !a.joined || p.isLender() && now-p.sent.ackedSentAt >= a.renewalAge()*2/3
 }
 
-// reserveSlot frees a place among the messages in flight. Where none can be freed, the
-// content of the message is pending again.
+// reserveSlot makes room for a message among the messages in flight. If that is not possible, it
+// makes the content of the message pending again and returns false.
 func (a *Allocator) reserveSlot(now float64, p *peer, m *Message) bool {
 	if len(p.sent.inFlight) < maxInFlightMessages {
 		return true
 	}
 	if len(m.Grants) > 0 || len(p.sent.inFlight[0].grants) > 0 {
-		p.pending.restore(m) // no new loans until earlier ones are acknowledged or have expired
+		p.pending.restore(m) // no new loans until earlier ones are acknowledged or expired
 		p.pending.sendCountsBy(now + a.LeaseDuration)
 		return false
 	}
@@ -60,7 +60,7 @@
 	return true
 }
 
-// restore schedules sending the content of a message later.
+// restore makes the content of a message that was not sent pending again.
 func (s *pendingState) restore(m *Message) {
 	for _, demand := range m.Demands {
 		s.demands.add(demand.Tenant)
@@ -76,7 +76,7 @@
 	}
 }
 
-// setHeader sets the head of a message.
+// setHeader sets the header, the acknowledgement and, where required, the view of a message.
 func (a *Allocator) setHeader(now float64, p *peer, m *Message, round uint64) {
 	m.From = a.self.name
 	m.To = p.name
@@ -98,14 +98,14 @@
 	}
 }
 
-// send completes a message and notes that it is in flight.
+// send completes a message and records it as in flight.
 func (a *Allocator) send(now float64, p *peer, m *Message, requestAck bool) {
 	entry := newInFlightMessage(now, m)
 	m.AckRequested = m.Delta && (requestAck || entry.hasUpdates() || p.hasLoanReducedBy(m))
 	entry.ackRequested = m.AckRequested
-	// A loan's lease begins with the borrower's last message that was received: the borrower
-	// sent that earlier, so by its clock the loan expires earlier as well. Any message
-	// renews all loans from there.
+	// The borrower counts the lease from the time at which it sent its latest message that was received
+	// here. This instance counts it from the time of reception, which is later, so the loan expires
+	// for the borrower first. Every message renews all loans in this way.
 	p.loans.expireAt = max(p.loans.expireAt, p.presence.lastReceived+a.LeaseDuration*(1+clockDriftRatio))
 	a.omitKnownFields(p, m)
 	if !m.Delta || entry.hasUpdates() || len(entry.grants) > 0 {
@@ -114,13 +114,13 @@
 	}
 }
 
-// hasLoanReducedBy reports whether a message takes back a part of what a peer may hold. That needs an
-// acknowledgement; a loan needs none, as it is the answer to a demand.
+// hasLoanReducedBy reports whether a message takes back a part of what the peer may hold. Such a message
+// requires an acknowledgement. A new loan requires none, because it answers a demand.
 func (p *peer) hasLoanReducedBy(m *Message) bool {
 	return slices.ContainsFunc(m.Grants, func(g TenantFraction) bool { return g.Millionths < p.loans.lent[g.Tenant] })
 }
 
-// newInFlightMessage notes the content of a message that names tenants by id.
+// newInFlightMessage returns the record of a message whose tenants are still named by id.
 func newInFlightMessage(now float64, m *Message) inFlightMessage {
 	entry := inFlightMessage{
 		seq:        m.Seq,
@@ -153,12 +153,13 @@
 	return entry
 }
 
-// hasUpdates reports whether the message holds demands of a delta message, or counts.
+// hasUpdates reports whether the message holds counts or is a delta message with demands.
 func (m *inFlightMessage) hasUpdates() bool {
 	return len(m.demandTenants)+len(m.countTenants)+len(m.relayedTenants) > 0
 }
 
-// finishSending notes that everything that was due has been sent.
+// finishSending records that everything that was due has been sent, and starts the wait for an
+// acknowledgement if one was requested.
 func (a *Allocator) finishSending(now float64, p *peer, messages []*Message) {
 	p.sent.ackOwed = false
 	p.sent.viewRequested = false
@@ -174,16 +175,16 @@
 	a.updateLent(p)
 }
 
-// omitKnownFields leaves out what the receiver of a delta message knows.
+// omitKnownFields leaves out of a delta message what its receiver already knows.
 func (a *Allocator) omitKnownFields(p *peer, m *Message) {
 	if !m.Delta || m.AckIncarnation == 0 {
 		return
 	}
-	if p.received.tableDigest == a.tenants.digest { // of the acknowledged incarnation
+	if p.received.tableDigest == a.tenants.digest { // reported by the acknowledged incarnation
 		a.toIndexes(m)
 	}
-	// A peer that receives this incarnation's messages, and whose latest message named it,
-	// knows both from a single number.
+	// A peer that has received messages of this incarnation, and whose latest message named this
+	// incarnation, can derive both incarnations from the link digest.
 	known := p.received.acknowledges && p.received.addressesUs && p.sent.unacknowledged == 0
 	if known && !m.Leaving && !m.ViewRequested {
 		m.LinkID = linkDigest(a.self.incarnation, p.received.incarnation)
@@ -193,7 +194,7 @@
 	}
 }
 
-// toIndexes names tenants by their index in the table, in place.
+// toIndexes replaces tenant ids by indexes in the tenant table, in place.
 func (a *Allocator) toIndexes(m *Message) {
 	m.TenantsByIndex = true
 	for _, fractions := range [][]TenantFraction{m.Demands, m.Grants} {
@@ -208,5 +209,5 @@
 	}
 }
 
-// indexOf is a known tenant's index, as it is sent.
+// indexOf returns the index of a tenant of the table.
 func (t tenantTable) indexOf(id uint64) uint64 { return uint64(t.byID[id].index) }
--- a/internal/cluster/quota/send_delta.go
+++ b/internal/cluster/quota/send_delta.go
@@ -6,20 +6,20 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Entries by which the size of a message is counted.
+// Sizes of the parts of a message, in entries. A message holds at most maxMessageEntries.
 const (
 	fractionEntries = 1
 	countEntries    = 2
 	relayEntries    = 4 // for the name and the incarnation of relayed counts
 )
 
-// knownCounts is what is known of counts as messages are built.
+// knownCounts holds the counts from which messages are built.
 type knownCounts struct {
 	state usage.State
-	local usage.Counts // of this instance's incarnation
+	local usage.Counts // counts of this instance's current incarnation
 }
 
-// deltaBuilder fills delta messages, as few as fit their size.
+// deltaBuilder collects content into as few delta messages as their maximum size allows.
 type deltaBuilder struct {
 	complete []Message
 	current  Message
@@ -28,7 +28,8 @@
 
 func newDeltaBuilder() *deltaBuilder { return &deltaBuilder{current: Message{Delta: true}} }
 
-// reserve makes room for so many entries in the current message, or begins another.
+// reserve makes room for the given number of entries: it begins another message if the current one
+// would exceed maxMessageEntries.
 func (b *deltaBuilder) reserve(entries int) {
 	b.entries += entries
 	if b.entries <= maxMessageEntries {
@@ -59,7 +60,7 @@
 	b.current.RemoteTotals = append(b.current.RemoteTotals, usage.TenantCount{Tenant: tenant, Count: count})
 }
 
-// addRelayed adds what an instance counted in one incarnation, in parts that fit a message.
+// addRelayed adds the counts of one incarnation of another instance, in parts that fit a message.
 func (b *deltaBuilder) addRelayed(name string, incarnation uint64, counts usage.Counts) {
 	for len(counts) > 0 {
 		n := min(len(counts), (maxMessageEntries-relayEntries)/countEntries)
@@ -72,10 +73,10 @@
 	}
 }
 
-// messages are all messages, the current one among them.
+// messages returns all messages, including the current one.
 func (b *deltaBuilder) messages() []Message { return append(b.complete, b.current) }
 
-// deltaMessages are messages of everything that is pending.
+// deltaMessages returns messages with everything that is pending for a peer, and clears it.
 func (a *Allocator) deltaMessages(now float64, p *peer, known knownCounts) []Message {
 	if p.pending.fullState {
 		p.pending.fullState = false
@@ -99,7 +100,7 @@
 	return b.messages()
 }
 
-// addFullState schedules sending the complete state.
+// addFullState schedules sending the complete state to a peer.
 func (a *Allocator) addFullState(p *peer, local usage.Counts) {
 	for i := range a.tenants.list {
 		t := &a.tenants.list[i]
@@ -117,7 +118,7 @@
 	}
 }
 
-// includeDeferred sends deferred counts if they have waited for long enough.
+// includeDeferred makes deferred counts pending if the last ones were sent at least a lease ago.
 func (a *Allocator) includeDeferred(now float64, p *peer) {
 	if now-p.pending.deferredSentAt < a.LeaseDuration {
 		return
@@ -129,8 +130,8 @@
 	clear(p.pending.deferred)
 }
 
-// addCounts adds this instance's counts of a tenant, and the total of the others where
-// this instance is the tenant's aggregator and the peer its user.
+// addCounts adds this instance's count of a tenant if the peer receives it. It also adds the total of
+// the other instances if this instance is the tenant's aggregator and the peer is one of its users.
 func (a *Allocator) addCounts(now float64, b *deltaBuilder, p *peer, t *tenantState, known knownCounts) {
 	if count := known.local.At(t.ID); a.receivesCounts(p, t) && count != (usage.Count{}) {
 		b.addCount(t.ID, count)
@@ -140,7 +141,7 @@
 	}
 }
 
-// addRelays adds what others have counted of the tenants that are to be relayed.
+// addRelays adds the counts of other instances for the tenants whose counts have to be relayed.
 func (a *Allocator) addRelays(b *deltaBuilder, p *peer, st usage.State) {
 	if len(p.pending.relays) == 0 {
 		return
@@ -160,7 +161,7 @@
 	})
 }
 
-// selectCounts are the counts of some tenants that are not zero.
+// selectCounts returns the counts of the given tenants that are not zero.
 func selectCounts(counts usage.Counts, tenants []uint64) usage.Counts {
 	var selected usage.Counts
 	for _, tenant := range tenants {
@@ -171,7 +172,7 @@
 	return selected
 }
 
-// totalWithout is what all but a peer's current incarnation have counted.
+// totalWithout returns the total count of a tenant without that of a peer's current incarnation.
 func totalWithout(st usage.State, tenant uint64, p *peer) usage.Count {
 	total := st.Total(tenant)
 	counts, _ := st.Instance(p.name).Incarnation(p.received.incarnation)
--- a/internal/cluster/quota/send_flat.go
+++ b/internal/cluster/quota/send_flat.go
@@ -7,7 +7,8 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// flatMessages are pages of all demands and loans.
+// flatMessages returns full messages with all demands and grants, and the pending counts. Flat
+// ownership only.
 func (a *Allocator) flatMessages(now float64, p *peer, local usage.Counts) []Message {
 	if p.pending.fullState {
 		p.pending.fullState = false
@@ -27,7 +28,7 @@
 	return paginate(a.flatDemands, grants, usage.Normalize(counts))
 }
 
-// clear empties what is pending, but for deferred counts.
+// clear removes all pending content except deferred counts.
 func (s *pendingState) clear() {
 	clear(s.demands)
 	clear(s.grants)
@@ -35,7 +36,8 @@
 	clear(s.relays)
 }
 
-// paginate divides content into full messages that fit a datagram.
+// paginate divides the content into full messages of about maxMessageEntries, so that each fits a
+// datagram.
 func paginate(demands, grants []TenantFraction, counts usage.Counts) []Message {
 	ids := tenantsOf(demands, grants, counts)
 	var messages []Message
@@ -63,7 +65,7 @@
 	}
 }
 
-// tenantsOf are the tenants of all entries by rising id, one for each entry.
+// tenantsOf returns the tenant ids of all entries in ascending order, one id for each entry.
 func tenantsOf(demands, grants []TenantFraction, counts usage.Counts) []uint64 {
 	var ids []uint64
 	for _, demand := range demands {
@@ -79,7 +81,8 @@
 	return ids
 }
 
-// pageEnd is where the next page begins. All entries of one tenant are on one page.
+// pageEnd returns the index at which the next page begins. All entries of one tenant are on the same
+// page.
 func pageEnd(ids []uint64) int {
 	at := maxMessageEntries
 	for at < len(ids) && ids[at] == ids[at-1] {
--- a/internal/cluster/quota/settings.go
+++ b/internal/cluster/quota/settings.go
@@ -5,13 +5,13 @@
 	"math"
 )
 
-// FullReservation is a complete reservation in the unit in which it is lent: millionths.
+// FullReservation is a complete reservation in millionths, the unit of owned and lent parts.
 const FullReservation = 1_000_000
 
 // Limits of one message and of the messages to one peer.
 const (
 	maxInFlightMessages = 128 // unacknowledged messages to one peer
-	maxMessageEntries   = 100 // demands, grants and counts in one message: some 1,200 bytes
+	maxMessageEntries   = 100 // entries in one message (see fractionEntries): about 1,200 bytes
 )
 
 // How demand is measured.
@@ -19,61 +19,61 @@
 	fastRateSeconds       = 1.0   // time constant of a rise
 	slowRateSeconds       = 4.0   // time constant of a fall
 	longRateMaxSeconds    = 60.0  // longest time constant, for small demands
-	longRateJobs          = 8.0   // jobs over which a small demand is averaged
+	longRateJobs          = 8.0   // number of jobs over which a small demand is averaged
 	newDemandSeconds      = 8.0   // shortest time constant of a demand that has just begun
-	idleGapFactor         = 5.0   // multiple of the mean gap between jobs after which a demand has ended
-	minIdleSeconds        = 2.0   // shortest such gap
-	significantDeviations = 2.0   // standard deviations by which a change must exceed noise
-	minDemandPerSecond    = 0.005 // jobs a second below which there is no demand
-	demandMargin          = 1.25  // multiple of the rate that is demanded
+	idleGapFactor         = 5.0   // a demand has ended after this multiple of the mean gap between jobs
+	minIdleSeconds        = 2.0   // shortest time without jobs after which a demand has ended
+	significantDeviations = 2.0   // a change must exceed the noise by this number of standard deviations
+	minDemandPerSecond    = 0.005 // jobs per second; a lower rate counts as no demand
+	demandMargin          = 1.25  // the demand is this multiple of the measured rate
 )
 
 // How demand is advertised to owners.
 const (
-	advertisedHeadroom     = 1.6  // multiple of the demand that is advertised, so that noise seldom exceeds it
-	advertisedLowFactor    = 3    // the advertised demand is lowered once the demand is below this part of it
-	ownerMargin            = 1.25 // multiple of the owners that could cover a demand, to which it is sent
-	widenAfterSeconds      = 2.0  // until the request is sent to more owners where these do not cover it
-	batchSeconds           = 1.0  // for which small changes wait to share a message
-	urgentJobsPerSecond    = 1.0  // demand whose rise is sent at once
-	urgentEndJobsPerSecond = 0.2  // demand whose end is sent at once
+	advertisedHeadroom     = 1.6  // multiple of the demand to advertise, so that noise seldom exceeds it
+	advertisedLowFactor    = 3    // the advertised demand is lowered once the demand is at most 1/3 of it
+	ownerMargin            = 1.25 // a demand is sent to this multiple of the owners that can cover it
+	widenAfterSeconds      = 2.0  // time after which an unmet demand is sent to more owners
+	batchSeconds           = 1.0  // longest time for which small changes wait to share a message
+	urgentJobsPerSecond    = 1.0  // jobs per second; changes of a demand of at least this are sent at once
+	urgentEndJobsPerSecond = 0.2  // jobs per second; the end of a demand of at least this is sent at once
 )
 
 // How owners lend.
 const (
-	clockDriftRatio      = 0.001 // by which two machines' clocks may diverge within a lease
-	rebalanceSeconds     = 8.0   // between two revocations for small differences
-	lendStepDivisor      = 8     // a change of a loan below this part of it is not worth a message
-	lendStepMillionths   = 1000  // nor is one below this
-	starvedFactor        = 2     // loans are revoked at once for a user that has less than one in so many of its part
-	leaseRenewalAttempts = 4     // that fit before a loan expires
+	clockDriftRatio      = 0.001 // largest relative difference between two machines' clocks over a lease
+	rebalanceSeconds     = 8.0   // time between two revocations for small differences
+	lendStepDivisor      = 8     // a change of a loan must exceed 1/8 of it plus lendStepMillionths
+	lendStepMillionths   = 1000  // see lendStepDivisor
+	starvedFactor        = 2     // loans are revoked at once if a user could have less than 1/2 of its target
+	leaseRenewalAttempts = 4     // attempts to renew a loan that fit before it expires
 )
 
 // How usage counts are distributed.
 const (
-	fullMeshInstances    = 8     // up to which each instance sends its counts to every other
-	usageReportSeconds   = 0.4   // within which a start is sent to the tenant's aggregator
-	regionalRelaySeconds = 0.4   // within which the aggregator relays it in its region
-	remoteRelaySeconds   = 2.4   // and to other regions
-	relayPerUserSeconds  = 0.07  // for each user of the tenant, where there are many
-	userExpirySeconds    = 60.0  // for which an instance counts as a user of a tenant
-	usageWarmupSeconds   = 5.0   // in which counts are not charged after an instance begins to follow them
-	minUsageStepSlots    = 4.0   // that may be charged at once in any case
-	compactAfterSeconds  = 600.0 // for which an ended incarnation must not have grown
+	fullMeshInstances    = 8     // largest cluster in which each instance sends its counts to every other
+	usageReportSeconds   = 0.4   // delay before a count is sent to the tenant's aggregator, at most
+	regionalRelaySeconds = 0.4   // delay before the aggregator relays a count within its region, at most
+	remoteRelaySeconds   = 2.4   // the same for other regions
+	relayPerUserSeconds  = 0.07  // per user of the tenant: lower bound of the relay delay
+	userExpirySeconds    = 60.0  // time since its last report for which an instance counts as a user of a tenant
+	usageWarmupSeconds   = 5.0   // time for which counts are not charged after an instance begins to follow them
+	minUsageStepSlots    = 4.0   // slots that may be charged at once in any case
+	compactAfterSeconds  = 600.0 // time without growth after which an ended incarnation is folded
 )
 
-// Settings of the exchange. Times are in seconds.
+// Settings are the settings of the exchange. Times are in seconds.
 type Settings struct {
-	Period            float64 // between rounds of messages
-	Fanout            int     // peers written to in one round; 0 means 32
-	LeaseDuration     float64 // after which a loan that is not renewed expires
-	RetainedFraction  float64 // of what it owns that an instance never lends
-	ForgetAfter       float64 // after which a silent instance is removed; 0 means never
-	ExpectedInstances int     // that must have been seen before an instance owns anything
-	MaxDelay          float64 // of a message, one way
-	LossRate          float64 // part of the messages that is lost
-	Owners            int     // of each reservation; 0: every instance owns a part and writes to all others
-	Region            string  // of this instance, as owners are spread over regions; empty: unknown
+	Period            float64 // time between rounds of messages
+	Fanout            int     // peers that get messages in one round; 0 means 32
+	LeaseDuration     float64 // time after which a loan that is not renewed expires
+	RetainedFraction  float64 // fraction of its own part that an instance never lends
+	ForgetAfter       float64 // time after which a silent instance is removed; 0 means never
+	ExpectedInstances int     // number of instances that must have been seen before one owns anything
+	MaxDelay          float64 // of a message, one-way
+	LossRate          float64 // fraction of the messages that are lost
+	Owners            int     // owners of each reservation; 0: every instance owns a part and sends to all others
+	Region            string  // region of this instance; owners are spread over regions; empty: unknown
 }
 
 const defaultFanout = 32
@@ -88,10 +88,10 @@
 	maxOwners           = 16
 )
 
-// Delays are stated for all but this part of the messages.
+// lateMessageRate is the fraction of the messages that may exceed the stated delays.
 const lateMessageRate = 0.001
 
-// withDefaults replaces zero values.
+// withDefaults returns the settings with defaults for Fanout and ExpectedInstances if these are not set.
 func (s Settings) withDefaults() Settings {
 	if s.Fanout <= 0 {
 		s.Fanout = defaultFanout
@@ -100,7 +100,7 @@
 	return s
 }
 
-// attempts is how many times a message is sent until one has arrived, in 999 of 1000 cases.
+// attempts returns how many times a message has to be sent until it arrives, in 999 of 1000 cases.
 func (s Settings) attempts() float64 {
 	if s.LossRate <= 0 {
 		return 1
@@ -108,19 +108,21 @@
 	return math.Max(1, math.Ceil(math.Log(lateMessageRate)/math.Log(min(s.LossRate, 1-lateMessageRate))))
 }
 
-// retrySeconds is how long an acknowledgement is awaited before a message is sent
-// again: two rounds and two ways.
+// retrySeconds returns how long to wait for an acknowledgement before a message is sent again: two
+// rounds and a round trip.
 func (s Settings) retrySeconds() float64 { return 2*s.Period + 2*s.MaxDelay }
 
-// deliverySeconds is the time until an urgent message has arrived, in 999 of 1000 cases.
+// deliverySeconds returns the time in seconds until an urgent message arrives, in 999 of 1000 cases.
 func (s Settings) deliverySeconds() float64 {
 	return s.Period + s.MaxDelay + (s.attempts()-1)*s.retrySeconds()
 }
 
-// usageReportDelay is the time within which counts are sent to the aggregator, among n instances.
+// usageReportDelay returns the time in seconds within which counts are sent to the aggregator in a
+// cluster of n instances.
 func usageReportDelay(n int) float64 { return min(usageReportSeconds, 0.01*float64(n)) }
 
-// relayDelay is the time within which the aggregator relays counts, among n instances.
+// relayDelay returns the time in seconds within which the aggregator relays counts in a cluster of n
+// instances.
 func relayDelay(n int, sameRegion bool) float64 {
 	if sameRegion {
 		return min(regionalRelaySeconds, 0.04*float64(n))
@@ -128,17 +130,18 @@
 	return min(remoteRelaySeconds, 0.04*float64(n))
 }
 
-// minLeaseDuration is the shortest lease with which loans can be renewed in time.
+// minLeaseDuration returns the shortest lease in seconds that lets loans be renewed in time.
 func (s Settings) minLeaseDuration(b Bounds) float64 {
-	if s.Owners > 0 { // renewed at least once before it expires, with some attempts
+	if s.Owners > 0 { // at least one renewal before a loan expires, with several attempts
 		return 2*s.Period + s.MaxDelay + max(leaseRenewalAttempts, s.attempts())*s.retrySeconds()
 	}
 	return b.UsageDelay + s.MaxDelay + 2*s.Period
 }
 
-// Validate finds settings that can't work for a tenant of so many jobs a second among n
-// instances, in windows of so many seconds with an error of at most maxError (0: any).
-// The key is the setting's name in the operators' file.
+// Validate checks the settings for a cluster of n instances and a tenant with a reservation of quota
+// jobs per second. The error of the tenant's share over window seconds must be at most maxError (0:
+// any). If the settings can't work, Validate returns an error and the name of the setting to change
+// in the operators' file as the key.
 func (s Settings) Validate(n int, quota, window, maxError float64) (key string, err error) {
 	if key, err := s.validateRanges(); err != nil {
 		return key, err
@@ -155,13 +158,13 @@
 	}
 	if maxError > 0 && b.ShareError > maxError {
 		return s.largestError(b, n, quota, window), fmt.Errorf("max_error %.3f can't be met: the stated error is %.3f "+
-			"(news %.2f s, floor %.3f, %d instances, %.1f jobs a second)",
+			"(usage delay %.2f s, floor %.3f, %d instances, %.1f jobs a second)",
 			maxError, b.ShareError, b.UsageDelay, s.RetainedFraction, n, quota)
 	}
 	return "", nil
 }
 
-// validateRanges checks each setting by itself.
+// validateRanges checks the range of each setting.
 func (s Settings) validateRanges() (key string, err error) {
 	switch {
 	case s.Period < minPeriodSeconds || s.Period > maxPeriodSeconds:
@@ -178,7 +181,7 @@
 	return "", nil
 }
 
-// largestError names the setting that contributes most to the stated error.
+// largestError returns the name of the setting that contributes most to the stated error.
 func (s Settings) largestError(b Bounds, n int, quota, window float64) (key string) {
 	key = "period"
 	largest := b.UsageDelay / window
--- a/internal/cluster/quota/status.go
+++ b/internal/cluster/quota/status.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// PeerStatus is what is known of another instance, for operators.
+// PeerStatus describes the state of another instance for operators.
 type PeerStatus struct {
 	Name            string  `json:"name"`
-	Present         bool    `json:"present"` // membership sees it
-	Age             float64 `json:"age_s"`   // since its last message; below 0: never
-	Acknowledges    bool    `json:"echoes"`  // it receives this instance's messages
-	ViewAgrees      bool    `json:"agrees"`  // it counted the same instances as of its latest view
-	SameTable       bool    `json:"table"`   // it has the same tenants
+	Present         bool    `json:"present"` // membership sees the instance
+	Age             float64 `json:"age_s"`   // seconds since its last message; below 0: none was received
+	Acknowledges    bool    `json:"echoes"`  // it has received messages of this instance's current incarnation
+	ViewAgrees      bool    `json:"agrees"`  // its latest view counts the same instances
+	SameTable       bool    `json:"table"`   // it has the same tenant table
 	InFlight        int     `json:"open"`    // messages that may or may not have been received
-	LentTenants     int     `json:"lent"`    // tenants of which it holds a loan
-	BorrowedTenants int     `json:"borrows"` // tenants of which it lends
+	LentTenants     int     `json:"lent"`    // number of tenants of which it may hold a loan
+	BorrowedTenants int     `json:"borrows"` // number of tenants of which it lends to this instance
 }
 
-// Peers lists the other instances that count, by name.
+// Peers returns the status of all other members, sorted by name.
 func (a *Allocator) Peers(now float64) []PeerStatus {
 	var list []PeerStatus
 	for _, p := range a.members.sorted {
@@ -38,11 +38,11 @@
 	return list
 }
 
-// Drops counts dropped messages by reason. The caller must not change it.
+// Drops returns the number of dropped messages by reason. The caller must not change the map.
 func (a *Allocator) Drops() map[DropReason]uint64 { return a.stats.drops }
 
-// Received is how many messages were received, dropped ones among them.
+// Received returns the number of messages received, including dropped ones.
 func (a *Allocator) Received() uint64 { return a.stats.received }
 
-// TableDigest is the digest of this instance's tenants.
+// TableDigest returns the digest of this instance's tenant table.
 func (a *Allocator) TableDigest() uint64 { return a.tenants.digest }
