--- a/internal/cluster/quota/bounds.go
+++ b/internal/cluster/quota/bounds.go
@@ -15,7 +15,7 @@
 	// FailoverDelay is the time in seconds until a tenant can use the remaining part of its reservation after
 	// instances that had borrowed from it have failed.
 	FailoverDelay float64 `json:"Gone"`
-	// LoanExpiry is the time in seconds after which a silent instance uses none of its loans any more.
+	// LoanExpiry is the time in seconds after which no loan to or from a silent instance is in use any more.
 	LoanExpiry float64 `json:"Ends"`
 	// AllotmentError is the fraction by which the sum of all allotments may exceed a reservation: always 0.
 	AllotmentError float64 `json:"Slices"`
--- a/internal/cluster/quota/membership.go
+++ b/internal/cluster/quota/membership.go
@@ -59,7 +59,7 @@
 
 // UpdateMembers sets the instances that membership sees now. An instance that membership no longer
 // sees still counts as a member until it is removed: ForgetAfter seconds after it was last seen or
-// heard from, or some time after it announced that it leaves.
+// heard from, or one lease after it announced that it leaves.
 func (a *Allocator) UpdateMembers(now float64, list []Member) {
 	seen := make(map[string]Member, len(list))
 	for _, m := range list {
@@ -77,7 +77,8 @@
 	}
 }
 
-// addMember adds an instance unless it is already known, has left or exceeds usage.MaxInstances.
+// addMember adds an instance unless it is already known or has left, or there are already
+// usage.MaxInstances peers.
 func (a *Allocator) addMember(now float64, m Member) {
 	if _, left := a.members.departed[m.Name]; left {
 		return
--- a/internal/cluster/quota/ownership.go
+++ b/internal/cluster/quota/ownership.go
@@ -32,8 +32,8 @@
 }
 
 // updateOwnership determines the mode of ownership, and assigns owners if the mode or the members
-// have changed. If the mode changes, this instance gives up everything that it owns, and owns parts
-// again once all members agree.
+// have changed. If the mode or the region of an instance changes, the ranks change as well, so this
+// instance gives up everything that it owns, and owns parts again once all members agree.
 func (a *Allocator) updateOwnership(now float64) {
 	flat := a.requiresFlat(now)
 	unseen := a.countUnseen(now, flat)
--- a/internal/cluster/quota/peer.go
+++ b/internal/cluster/quota/peer.go
@@ -103,7 +103,7 @@
 type pendingState struct {
 	demands        tenantSet
 	grants         tenantSet
-	urgent         bool      // demands or grants have to be sent in the next round
+	urgent         bool      // demands or grants must not wait to share a message
 	counts         tenantSet // tenants whose counts by this instance have to be sent
 	relays         tenantSet // tenants whose counts by other instances have to be sent
 	deferred       tenantSet // tenants whose counts may be sent later
@@ -235,7 +235,7 @@
 // hasCounts reports whether counts are pending, not including deferred ones.
 func (p *pendingState) hasCounts() bool { return len(p.counts)+len(p.relays) > 0 }
 
-// requestAgain schedules sending a demand to the peer again in the next round.
+// requestAgain schedules sending a demand to the peer again without delay.
 func (p *peer) requestAgain(tenant uint64) {
 	p.pending.demands.add(tenant)
 	p.pending.urgent = true
--- a/internal/cluster/quota/receive.go
+++ b/internal/cluster/quota/receive.go
@@ -156,9 +156,9 @@
 	return ""
 }
 
-// beginIncarnation resets the state of a peer that was restarted. Loans to its old incarnation stay
-// deducted until they expire. Loans from it end now, because the new incarnation owns its parts
-// without deducting them.
+// beginIncarnation resets the state of a peer that was restarted. Loans to its old incarnation end
+// with their lease. Loans from it end now, because the new incarnation owns its parts without
+// deducting them.
 func (a *Allocator) beginIncarnation(p *peer, incarnation uint64) {
 	a.relayIncarnation(p)
 	a.markLoansChanged(p)
