--- a/internal/cluster/quota/golden_test.go
+++ b/internal/cluster/quota/golden_test.go
@@ -18,9 +18,9 @@
 	"example.org/bellstream/internal/lab/simulation"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Clusters whose every message and decision a golden file pins.
+// goldenClusters are clusters whose messages and decisions are compared with a golden file.
 var goldenClusters = []struct {
 	name      string
 	instances int
@@ -35,12 +35,13 @@
 		simulation.Network{Loss: 0.05, Duplication: 0.05, MaxDelay: 0.05, LateFraction: 0.01, DetectionDelay: 1}},
 }
 
-// Every byte that is exchanged, and every allotment and count, with loss, a partition, a crash, a
-// leave and starts: all by a seed, so that any other decision shows.
+// Digests of all messages' bytes and of all allotments and counts, second by second, equal those in the golden files.
+// The clusters go through message loss, a partition, a crash, a suspension, a leave and starts, with a fixed seed, so
+// that any change of a decision shows.
 func TestGoldenExchange(t *testing.T) {
 	for _, g := range goldenClusters {
 		t.Run(g.name, func(t *testing.T) {
-			got := playGolden(t, g.instances, g.set, g.net)
+			got := recordGolden(t, g.instances, g.set, g.net)
 			path := filepath.Join("testdata", "golden", "exchange-"+g.name+".txt")
 			if *update {
 				if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -61,55 +62,56 @@
 				}
 			}
 			if len(got) != len(want) {
-				t.Errorf("%d lines, want %d", len(gotLines), len(wantLines))
+				t.Errorf("got %d lines, want %d", len(gotLines), len(wantLines))
 			}
 		})
 	}
 }
 
-// goldenPlay records a cluster's messages and decisions.
-type goldenPlay struct {
+// goldenRecorder digests a cluster's messages and decisions.
+type goldenRecorder struct {
 	*simulation.Cluster
-	t         *testing.T
-	instances int
-	out       bytes.Buffer
-	messages  int
-	bytes     int
-	exchanged *xxhash.Digest
-	decided   *xxhash.Digest
+	t              *testing.T
+	instances      int
+	out            bytes.Buffer
+	messages       int
+	bytes          int
+	messageDigest  *xxhash.Digest
+	decisionDigest *xxhash.Digest
 }
 
-func playGolden(t *testing.T, instances int, set quota.Settings, net simulation.Network) []byte {
+// recordGolden runs a cluster for 90.5 s and returns the contents of its golden file.
+func recordGolden(t *testing.T, instances int, set quota.Settings, net simulation.Network) []byte {
 	tenants := append(simulation.EqualTenants(12, 20), simulation.EqualTenants(16, 0.5)...)
-	p := &goldenPlay{
-		Cluster:   simulation.New(31, set, net, tenants),
-		t:         t,
-		instances: instances,
-		exchanged: xxhash.New(),
-		decided:   xxhash.New(),
+	p := &goldenRecorder{
+		Cluster:        simulation.New(31, set, net, tenants),
+		t:              t,
+		instances:      instances,
+		messageDigest:  xxhash.New(),
+		decisionDigest: xxhash.New(),
 	}
 	p.MessageSize = p.record
 	for i := range instances {
 		p.start(i)
 	}
 	p.schedule()
-	p.After(1, p.second)
+	p.After(1, p.playSecond)
 	p.Run(90.5, nil)
 	p.writeInstances()
 	p.writeBounds()
 	return p.out.Bytes()
 }
 
-// record takes a message's bytes into the digest.
-func (p *goldenPlay) record(m *quota.Message) int {
+// record adds the bytes of a message to the digest of messages, and returns how many there are.
+func (p *goldenRecorder) record(m *quota.Message) int {
 	data := wire.EncodeMessage(77, m)
 	p.messages++
 	p.bytes += len(data)
-	p.exchanged.Write(data)
+	p.messageDigest.Write(data)
 	return len(data)
 }
 
-func (p *goldenPlay) start(i int) {
+func (p *goldenRecorder) start(i int) {
 	s := p.Settings
 	if s.Region != "" {
 		s.Region = fmt.Sprint("r", i%3)
@@ -118,7 +120,7 @@
 }
 
 // schedule plans a crash, a restart, a partition, a leave, a join and a suspension.
-func (p *goldenPlay) schedule() {
+func (p *goldenRecorder) schedule() {
 	p.After(20, func() { p.Kill(p.Instances[1]) })
 	p.After(24, func() { p.start(1) })
 	p.After(32, func() { p.Partition(func(i int) int { return i % 2 }) })
@@ -129,25 +131,26 @@
 	p.After(62, func() { p.Freeze(p.Instances[2], 9) })
 }
 
-// put takes a number into the digest of decisions.
-func (p *goldenPlay) put(v uint64) {
-	p.decided.Write(binary.LittleEndian.AppendUint64(nil, v))
+// addDecision adds a number to the digest of decisions.
+func (p *goldenRecorder) addDecision(v uint64) {
+	p.decisionDigest.Write(binary.LittleEndian.AppendUint64(nil, v))
 }
 
-// second plays one second: arrivals, then what each instance decided.
-func (p *goldenPlay) second() {
+// playSecond adds one second's load, digests what each instance has decided, and writes a line of the golden file.
+func (p *goldenRecorder) playSecond() {
 	for i, in := range p.Instances {
 		if in.Up {
-			p.arrive(i, in)
-			p.putDecisions(in)
+			p.addLoad(i, in)
+			p.addDecisions(in)
 		}
 	}
 	fmt.Fprintf(&p.out, "%3.0f s: %d messages, %d bytes, exchanged %016x, decided %016x\n",
-		p.Now, p.messages, p.bytes, p.exchanged.Sum64(), p.decided.Sum64())
-	p.After(1, p.second)
+		p.Now, p.messages, p.bytes, p.messageDigest.Sum64(), p.decisionDigest.Sum64())
+	p.After(1, p.playSecond)
 }
 
-func (p *goldenPlay) arrive(i int, in *simulation.Instance) {
+// addLoad records a second's jobs at instance i. Its share of each tenant's jobs changes every 15 s.
+func (p *goldenRecorder) addLoad(i int, in *simulation.Instance) {
 	for k, tenant := range p.Tenants {
 		if (i+k)%4 == 0 {
 			continue
@@ -160,30 +163,30 @@
 	}
 }
 
-func (p *goldenPlay) putDecisions(in *simulation.Instance) {
+func (p *goldenRecorder) addDecisions(in *simulation.Instance) {
 	for _, allotment := range in.Allotments {
-		p.put(uint64(allotment))
+		p.addDecision(uint64(allotment))
 	}
 	for _, remote := range in.Allocator.RemoteUsage(p.Now+in.ClockOffset, in.Usage.Snapshot()) {
-		p.put(math.Float64bits(remote))
+		p.addDecision(math.Float64bits(remote))
 	}
 	for k := range p.Tenants {
 		count, known := in.Allocator.KnownUsage(k, in.Usage.Snapshot())
-		p.put(count.Started)
-		p.put(count.Refunded)
+		p.addDecision(count.Started)
+		p.addDecision(count.Refunded)
 		if known {
-			p.put(1)
+			p.addDecision(1)
 		}
 	}
 	peers, err := json.Marshal(in.Allocator.Peers(p.Now + in.ClockOffset))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.decided.Write(peers)
+	p.decisionDigest.Write(peers)
 }
 
-// writeInstances writes the final state of each instance.
-func (p *goldenPlay) writeInstances() {
+// writeInstances writes the final state of each instance, and a digest that includes the final totals.
+func (p *goldenRecorder) writeInstances() {
 	for _, in := range p.Instances {
 		drops, err := json.Marshal(in.Allocator.Drops())
 		if err != nil {
@@ -194,16 +197,16 @@
 			in.Name, in.Allocator.Received(), drops, in.Allocator.Joined(), in.Allocator.HashedOwnership(),
 			owned, all, in.Allocator.TableDigest())
 		for _, total := range in.Usage.Snapshot().Totals() {
-			p.put(total.Tenant)
-			p.put(total.Started)
-			p.put(total.Refunded)
+			p.addDecision(total.Tenant)
+			p.addDecision(total.Started)
+			p.addDecision(total.Refunded)
 		}
 	}
-	fmt.Fprintf(&p.out, "totals %016x\n", p.decided.Sum64())
+	fmt.Fprintf(&p.out, "totals %016x\n", p.decisionDigest.Sum64())
 }
 
-// writeBounds writes what the settings promise.
-func (p *goldenPlay) writeBounds() {
+// writeBounds writes the bounds that follow from the settings.
+func (p *goldenRecorder) writeBounds() {
 	for _, jobs := range []float64{0, 0.5, 20} {
 		for _, n := range []int{1, 5, 14, 1000} {
 			bounds, err := json.Marshal(p.Settings.Bounds(n, jobs, 10))
--- a/internal/cluster/quota/ownership_test.go
+++ b/internal/cluster/quota/ownership_test.go
@@ -17,7 +17,7 @@
 	for i := range n {
 		c.Start(fmt.Sprint("n", i), float64(i)*5)
 	}
-	return c, neverOvercommitted(t, c)
+	return c, overcommitCheck(t, c)
 }
 
 func requireJoined(t *testing.T, c *simulation.Cluster) {
@@ -32,7 +32,7 @@
 // What enters through one instance has nearly all of its reservation there,
 // whoever owns it, and has it where it moves.
 func TestLoansFollowDemandFromOwners(t *testing.T) {
-	c, check := hashedCluster(t, 1, 8, 6, rough, 90)
+	c, check := hashedCluster(t, 1, 8, 6, lossyNetwork, 90)
 	rates := make([][]float64, 8)
 	for i := range rates {
 		rates[i] = make([]float64, 6)
@@ -46,7 +46,7 @@
 	c.Run(15, check)
 	requireJoined(t, c)
 	for k, tn := range c.Tenants {
-		if got := allotment(c.Instances[k], index(c, tn.Name)); got < 0.97 {
+		if got := allotment(c.Instances[k], tenantIndex(c, tn.Name)); got < 0.97 {
 			t.Errorf("%s: slice where it enters %.3f, want at least 0.97", tn.Name, got)
 		}
 	}
@@ -56,15 +56,15 @@
 	c.Run(15+c.Settings.Bounds(8, 20, 10).ShiftDelay+4, check)
 	c.Run(40, check)
 	for k, tn := range c.Tenants { // where it was a little is believed for longer
-		if got := allotment(c.Instances[k+2], index(c, tn.Name)); got < 0.9 {
+		if got := allotment(c.Instances[k+2], tenantIndex(c, tn.Name)); got < 0.9 {
 			t.Errorf("%s: slice where it moved %.3f", tn.Name, got)
 		}
 	}
 }
 
 // All tenants flood through all instances: each gets its even part.
-func TestFloodsThroughAllFromOwners(t *testing.T) {
-	c, check := hashedCluster(t, 2, 5, 4, rough, 90)
+func TestOverloadThroughAllInstancesFromOwners(t *testing.T) {
+	c, check := hashedCluster(t, 2, 5, 4, lossyNetwork, 90)
 	rate := 100.0
 	for _, in := range c.Instances {
 		for _, tn := range c.Tenants {
@@ -84,7 +84,7 @@
 // An owner crashes: what it owned is missing until it is forgotten, no more, and the
 // rest goes on being lent. It comes back without memory.
 func TestOwnerCrashes(t *testing.T) {
-	c, check := hashedCluster(t, 4, 6, 1, rough, 90)
+	c, check := hashedCluster(t, 4, 6, 1, lossyNetwork, 90)
 	rate := 30.0
 	c.Run(10, check)
 	owner, user := -1, -1
@@ -128,7 +128,7 @@
 // Each side of a long partition uses no more than it owns, counts are sent to those
 // that need them and to nobody twice.
 func TestPartitionOfOwners(t *testing.T) {
-	c, check := hashedCluster(t, 3, 6, 4, rough, 0)
+	c, check := hashedCluster(t, 3, 6, 4, lossyNetwork, 0)
 	rate := 20.0
 	for i, in := range c.Instances {
 		generateLoad(c, in, c.Tenants[i%4].Name, &rate)
@@ -168,13 +168,13 @@
 func TestOwnersAreSpreadOverRegions(t *testing.T) {
 	set := settings(12)
 	set.Owners = 3
-	c := simulation.New(9, set, rough, simulation.EqualTenants(40, 20))
+	c := simulation.New(9, set, lossyNetwork, simulation.EqualTenants(40, 20))
 	for i := range 12 {
 		s := set
 		s.Region = fmt.Sprint("r", i%4)
 		c.StartAs(fmt.Sprint("n", i), 0, s)
 	}
-	c.Run(10, neverOvercommitted(t, c))
+	c.Run(10, overcommitCheck(t, c))
 	requireJoined(t, c)
 	for i := range 40 {
 		where := map[string]int{}
@@ -192,7 +192,7 @@
 // A rolling restart from flat to hashed ownership, and back: never more than the
 // reservation, and finally all have joined.
 func TestOwnershipModeChanges(t *testing.T) {
-	c, check := cluster(t, 21, 5, 3, rough)
+	c, check := flatCluster(t, 21, 5, 3, lossyNetwork)
 	rate := 20.0
 	for i, in := range c.Instances {
 		generateLoad(c, in, c.Tenants[i%3].Name, &rate)
@@ -221,8 +221,8 @@
 }
 
 // Two instances with different numbers of owners never both own parts by their own settings.
-func TestOtherNumberOfOwners(t *testing.T) {
-	c, check := hashedCluster(t, 22, 4, 3, rough, 0)
+func TestDifferentOwnerCounts(t *testing.T) {
+	c, check := hashedCluster(t, 22, 4, 3, lossyNetwork, 0)
 	c.Run(10, check)
 	requireJoined(t, c)
 	s := c.Settings
@@ -273,7 +273,7 @@
 		for i := range 12 {
 			c.Start(fmt.Sprint("n", i), float64(i))
 		}
-		check := neverOvercommitted(t, c)
+		check := overcommitCheck(t, c)
 		one, other, tenant := c.Instances[0], c.Instances[1], c.Tenants[0]
 		c.Run(30, check)
 		start := func(in *simulation.Instance) {
@@ -352,7 +352,7 @@
 		for i := range 12 {
 			c.Start(fmt.Sprint("n", i), float64(i))
 		}
-		check := neverOvercommitted(t, c)
+		check := overcommitCheck(t, c)
 		one, other, tenant := c.Instances[0], c.Instances[1], c.Tenants[0]
 		start := func(in *simulation.Instance) {
 			in.Meter.RecordArrival(tenant.Name)
--- a/internal/cluster/quota/random_cluster_test.go
+++ b/internal/cluster/quota/random_cluster_test.go
@@ -32,15 +32,15 @@
 
 // Events of a random cluster.
 const (
-	eventCrash   = "die"
-	eventSuspend = "freeze"
-	eventCut     = "cut"
-	eventHeal    = "heal"
-	eventRestart = "start again"
-	eventLoad    = "load"
-	eventLeave   = "leave"
-	eventAway    = "away"
-	eventJoin    = "new"
+	eventCrash     = "die"
+	eventSuspend   = "freeze"
+	eventPartition = "cut"
+	eventHeal      = "heal"
+	eventRestart   = "start again"
+	eventLoad      = "load"
+	eventLeave     = "leave"
+	eventAbsence   = "away"
+	eventJoin      = "new"
 )
 
 const maxRandomInstances = 9
@@ -79,7 +79,7 @@
 			generateLoad(c.Cluster, in, tenant.Name, &rate)
 		}
 	}
-	c.check = neverOvercommitted(t, c.Cluster)
+	c.check = overcommitCheck(t, c.Cluster)
 	return c
 }
 
@@ -88,10 +88,10 @@
 // Names that were never there come while no cut hides the others, or are expected: an
 // instance that sees nobody must not be one too many.
 func (c *randomCluster) drawEvents(n int) (most int) {
-	c.events = []string{eventCrash, eventSuspend, eventCut, eventHeal, eventRestart, eventLoad, eventLeave, eventAway}
+	c.events = []string{eventCrash, eventSuspend, eventPartition, eventHeal, eventRestart, eventLoad, eventLeave, eventAbsence}
 	switch rapid.IntRange(0, 2).Draw(c.t, "new names") {
 	case 1:
-		c.events = []string{eventCrash, eventSuspend, eventJoin, eventJoin, eventRestart, eventLoad, eventLeave, eventAway}
+		c.events = []string{eventCrash, eventSuspend, eventJoin, eventJoin, eventRestart, eventLoad, eventLeave, eventAbsence}
 		return 2
 	case 2:
 		c.events = append(c.events, eventJoin, eventJoin)
@@ -120,7 +120,7 @@
 		}
 	case eventSuspend:
 		c.Freeze(in, rapid.Float64Range(0, 20).Draw(c.t, "frozen"))
-	case eventCut:
+	case eventPartition:
 		mask := rapid.IntRange(0, 63).Draw(c.t, "cut")
 		c.Partition(func(i int) int { return mask >> (i % 6) & 1 })
 	case eventHeal:
@@ -136,7 +136,7 @@
 		c.join()
 	case eventLeave:
 		c.leave(in)
-	case eventAway:
+	case eventAbsence:
 		if in.Up {
 			c.Kill(in)
 			c.Run(c.Now+600, c.check)
--- a/internal/cluster/quota/search_model_test.go
+++ b/internal/cluster/quota/search_model_test.go
@@ -20,9 +20,9 @@
 type fault int
 
 const (
-	lost       fault = iota
-	delayed          // by 5 ticks
-	duplicated       // at once, and once more after 10 ticks
+	faultLost       fault = iota
+	faultDelayed          // by 5 ticks
+	faultDuplicated       // at once, and once more after 10 ticks
 	faultKinds
 )
 
@@ -83,7 +83,7 @@
 	rank := func(id uint64) (order string) {
 		names := slices.Clone(modelNames[:])
 		slices.SortFunc(names, func(x, y string) int {
-			if rendezvousScore(id, sum64(x)) > rendezvousScore(id, sum64(y)) {
+			if rendezvousScore(id, nameHash(x)) > rendezvousScore(id, nameHash(y)) {
 				return -1
 			}
 			return 1
@@ -106,7 +106,7 @@
 	tenants   = modelTenants()
 	tenantAtC = func() uint64 {
 		for _, t := range tenants {
-			if rendezvousScore(t.ID, sum64("c")) > rendezvousScore(t.ID, sum64("a")) && rendezvousScore(t.ID, sum64("a")) > rendezvousScore(t.ID, sum64("b")) {
+			if rendezvousScore(t.ID, nameHash("c")) > rendezvousScore(t.ID, nameHash("a")) && rendezvousScore(t.ID, nameHash("a")) > rendezvousScore(t.ID, nameHash("b")) {
 				return t.ID
 			}
 		}
@@ -164,7 +164,7 @@
 			p.tracef("  fault %v on the next", []string{"lost", "late", "twice"}[f])
 		}
 		switch {
-		case struck && f == lost:
+		case struck && f == faultLost:
 			if h.message == nil { // membership notices finally
 				h.at = p.now + 12
 				if p.settings.ForgetAfter > 0 { // longer is not covered
@@ -174,9 +174,9 @@
 			}
 			p.traceDelivery(h)
 			return
-		case struck && f == delayed:
+		case struck && f == faultDelayed:
 			h.at += 5
-		case struck && f == duplicated:
+		case struck && f == faultDuplicated:
 			again := h
 			again.at += 10
 			p.queue = append(p.queue, again)
@@ -344,4 +344,4 @@
 	return fmt.Sprintf("%s, %d owners, faults %v, restart %v: %s\n%s", p.name, p.settings.Owners, p.faults, p.restart, why, strings.Join(again.log, "\n"))
 }
 
-func sum64(s string) uint64 { return xxhash.Sum64String(s) }
+func nameHash(s string) uint64 { return xxhash.Sum64String(s) }
--- a/internal/cluster/quota/search_test.go
+++ b/internal/cluster/quota/search_test.go
@@ -21,7 +21,7 @@
 func search(s scenario, disabled safetyRules, maxFaults int, restarts bool) (n int, violation *run) {
 	x := &searcher{scenario: s, disabled: disabled}
 	for _, restart := range x.restarts(restarts) {
-		if x.found() {
+		if x.violationFound() {
 			break
 		}
 		faults := maxFaults
@@ -47,8 +47,8 @@
 	return list
 }
 
-// play executes one run and returns how many things were sent that a fault may affect.
-func (x *searcher) play(faults map[int]fault, restart [2]int) int {
+// executeRun executes one run and returns how many things were sent that a fault may affect.
+func (x *searcher) executeRun(faults map[int]fault, restart [2]int) int {
 	p := &run{scenario: x.scenario, disabled: x.disabled, faults: faults, restart: restart}
 	violation := p.execute()
 	x.mu.Lock()
@@ -61,7 +61,7 @@
 	return p.sends
 }
 
-func (x *searcher) found() bool {
+func (x *searcher) violationFound() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.violation != nil
@@ -69,7 +69,7 @@
 
 // placeFaults runs every placement of up to so many faults, on all processors.
 func (x *searcher) placeFaults(restart [2]int, faults int) {
-	sends := x.play(nil, restart)
+	sends := x.executeRun(nil, restart)
 	if faults < 1 {
 		return
 	}
@@ -88,16 +88,16 @@
 // placeAt runs every kind of fault at one place, and every second fault after it.
 func (x *searcher) placeAt(i int, restart [2]int, faults int) {
 	for first := range faultKinds {
-		if x.found() {
+		if x.violationFound() {
 			return
 		}
-		sends := x.play(map[int]fault{i: first}, restart)
+		sends := x.executeRun(map[int]fault{i: first}, restart)
 		if faults < 2 {
 			continue
 		}
-		for k := i + 1; k < sends && !x.found(); k++ {
+		for k := i + 1; k < sends && !x.violationFound(); k++ {
 			for second := range faultKinds {
-				x.play(map[int]fault{i: first, k: second}, restart)
+				x.executeRun(map[int]fault{i: first, k: second}, restart)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // Without any one of the rules some run has more than a reservation in use.
-func TestSearchFindsEachRule(t *testing.T) {
+func TestSearchNeedsEachRule(t *testing.T) {
 	for name, without := range map[string]safetyRules{
 		"all count the same instances":                  {joining: joiningRules{matchingViews: true}},
 		"loans of larger parts are called back first":   {joining: joiningRules{loansCovered: true}},
--- a/internal/cluster/quota/settings_test.go
+++ b/internal/cluster/quota/settings_test.go
@@ -6,15 +6,15 @@
 	"example.org/bellstream/internal/cluster/quota"
 )
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettingsValidation(t *testing.T) {
 	good := settings(5)
 	if key, err := good.Validate(5, 20, 10, 0.2); err != nil {
-		t.Errorf("%s: %v", key, err)
+		t.Errorf("valid settings rejected for %s: %v", key, err)
 	}
 	for _, c := range []struct {
-		key  string
-		most float64
-		do   func(*quota.Settings)
+		key           string
+		maxShareError float64
+		change        func(*quota.Settings)
 	}{
 		{"period", 0, func(s *quota.Settings) { s.Period = 0 }},
 		{"staleness", 0, func(s *quota.Settings) { s.LeaseDuration = 0.5 }},
@@ -26,9 +26,9 @@
 		{"period", 0.2, func(s *quota.Settings) { s.Period, s.LeaseDuration = 1, 8 }},
 	} {
 		s := good
-		c.do(&s)
-		if key, err := s.Validate(5, 20, 10, c.most); key != c.key || err == nil {
-			t.Errorf("got %s: %v, want %s", key, err, c.key)
+		c.change(&s)
+		if key, err := s.Validate(5, 20, 10, c.maxShareError); key != c.key || err == nil {
+			t.Errorf("got key %s, error %v; want an error for %s", key, err, c.key)
 		}
 	}
 }
--- a/internal/cluster/usage/convergence_test.go
+++ b/internal/cluster/usage/convergence_test.go
@@ -31,7 +31,7 @@
 // A random run of a cluster: instances count, restart without memory, and merge each
 // other's states in any order with losses and repeats. No total is ever above the truth or
 // below what it was before, and when all have merged everything, every total is the truth.
-func TestAnyOrderConverges(t *testing.T) {
+func TestMergeConvergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &convergenceModel{t: t}
 		for i := range m.instances {
--- a/internal/cluster/usage/state_test.go
+++ b/internal/cluster/usage/state_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func column(t *rapid.T) Counts {
+func drawCounts(t *rapid.T) Counts {
 	var rows []TenantCount
 	for range rapid.IntRange(0, 5).Draw(t, "rows") {
 		starts := rapid.Uint64Range(0, 9).Draw(t, "starts")
@@ -18,7 +18,7 @@
 	return Normalize(rows)
 }
 
-func states(t *rapid.T) State {
+func drawState(t *rapid.T) State {
 	s := EmptyState()
 	for range rapid.IntRange(0, 4).Draw(t, "records") {
 		by := rapid.Uint64Range(0, 4).Draw(t, "by")
@@ -34,7 +34,7 @@
 		r := &InstanceUsage{Name: rapid.SampledFrom([]string{"a", "b", "ab"}).Draw(t, "name"), Rollup: f}
 		for i := range uint64(5) {
 			if rapid.Bool().Draw(t, "life") {
-				r.Incarnations = append(r.Incarnations, IncarnationUsage{i, column(t)})
+				r.Incarnations = append(r.Incarnations, IncarnationUsage{i, drawCounts(t)})
 			}
 		}
 		s, _ = s.Merge(r)
@@ -52,14 +52,14 @@
 	return out
 }
 
-func totals(s State) Counts {
+func sumOfInstances(s State) Counts {
 	var out Counts
 	s.ForEach(func(r *InstanceUsage) bool { out = addCounts(out, r.total()); return true })
 	return out
 }
 
-// compact drops rows that say nothing: tenants whose counts were all undone.
-func compact(c Counts) (out Counts) {
+// withoutZeros drops rows that say nothing: tenants whose counts were all undone.
+func withoutZeros(c Counts) (out Counts) {
 	for _, r := range c {
 		if r.Count != (Count{}) {
 			out = append(out, r)
@@ -72,7 +72,7 @@
 // and the totals are those of the records.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := states(t), states(t), states(t)
+		a, b, c := drawState(t), drawState(t), drawState(t)
 		join := func(x, y State) State { z, _ := x.MergeState(y); return z }
 		if x, y := describe(join(a, b)), describe(join(b, a)); x != y {
 			t.Fatalf("not commutative:\n%s\n%s", x, y)
@@ -84,7 +84,7 @@
 		if z, changed := ab.MergeState(a); changed || describe(z) != describe(ab) {
 			t.Fatalf("not idempotent:\n%s\n%s", describe(ab), describe(z))
 		}
-		if got, want := compact(ab.Totals()), compact(totals(ab)); !reflect.DeepEqual(got, want) {
+		if got, want := withoutZeros(ab.Totals()), withoutZeros(sumOfInstances(ab)); !reflect.DeepEqual(got, want) {
 			t.Fatalf("totals %v, records say %v", got, want)
 		}
 	})
@@ -92,24 +92,24 @@
 
 func instanceUsage(s *Replica, name string) *InstanceUsage { return s.Snapshot().Instance(name) }
 
-// mergeAll gives one instance all that another knows.
-func mergeAll(now float64, to *Replica, from *Replica) {
+// mergeReplica gives one instance all that another knows.
+func mergeReplica(now float64, to *Replica, from *Replica) {
 	mergeState(now, to, from.Snapshot())
 }
 
 // An instance that restarts for ever under one name costs bounded memory, its
 // sum stays exact, and a message from before the folding changes nothing.
-func TestRestartsFoldWithoutChargingTwice(t *testing.T) {
+func TestCompactionKeepsTotals(t *testing.T) {
 	other := NewReplica("other", 1)
 	var old State
 	const restarts = 200
 	var self *Replica
 	for i := range uint64(restarts) {
 		self = NewReplica("self", 10+i)
-		mergeAll(float64(i), self, other) // it learns its own past from the other
+		mergeReplica(float64(i), self, other) // it learns its own past from the other
 		self.UpdateLocal(Counts{{7, Count{Started: 3, Refunded: 1}}})
 		self.Compact(float64(i), 600, nil)
-		mergeAll(float64(i), other, self)
+		mergeReplica(float64(i), other, self)
 		if i == restarts/2 {
 			old = other.Snapshot()
 		}
@@ -135,7 +135,7 @@
 // Two processes by mistake under one name: each counts in its own incarnation, the sum
 // holds both, and neither compacts the other while it grows. One that was compacted all the
 // same, since it was idle, goes on under a new incarnation.
-func TestTwoUnderOneName(t *testing.T) {
+func TestTwoProcessesWithOneName(t *testing.T) {
 	a, b := NewReplica("twin", 5), NewReplica("twin", 9)
 	var rowsA, rowsB Counts
 	for i := range 100 {
@@ -143,8 +143,8 @@
 		rowsA, rowsB = addCounts(rowsA, Counts{{1, Count{Started: 1}}}), addCounts(rowsB, Counts{{1, Count{Started: 2}}})
 		a.UpdateLocal(rowsA)
 		b.UpdateLocal(rowsB)
-		mergeAll(now, a, b)
-		mergeAll(now, b, a)
+		mergeReplica(now, a, b)
+		mergeReplica(now, b, a)
 		if a.Compact(now, 10, rowsA) || b.Compact(now, 10, rowsB) {
 			t.Fatalf("compacted at %v while both grow", now)
 		}
@@ -157,19 +157,19 @@
 	if !b.Compact(500, 10, rowsB) {
 		t.Fatal("an idle incarnation was not compacted")
 	}
-	mergeAll(500, a, b)
+	mergeReplica(500, a, b)
 	if !a.Compact(500, 10, rowsA) || a.Incarnation() <= 9 {
 		t.Fatalf("goes on as %d", a.Incarnation())
 	}
 	a.UpdateLocal(addCounts(rowsA, Counts{{1, Count{Started: 1}}}))
-	mergeAll(501, b, a)
+	mergeReplica(501, b, a)
 	if got := b.Snapshot().Total(1).Started; got != 301 {
 		t.Errorf("total %d, want 301", got)
 	}
 }
 
 // An update that claims more of this incarnation than it counted itself is ignored.
-func TestNobodyElseWritesOurLife(t *testing.T) {
+func TestUpdateOfOwnIncarnationIsIgnored(t *testing.T) {
 	s := NewReplica("s", 3)
 	s.UpdateLocal(Counts{{1, Count{Started: 1}}})
 	s.Merge(0, &InstanceUsage{Name: "s", Incarnations: []IncarnationUsage{{3, Counts{{1, Count{Started: 50}}}}}})
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestNamesAreBounded(t *testing.T) {
+func TestInstanceCountIsBounded(t *testing.T) {
 	s := NewReplica("s", 1)
 	for i := range MaxInstances + 50 {
 		s.Merge(0, &InstanceUsage{Name: fmt.Sprint("n", i), Incarnations: []IncarnationUsage{{1, Counts{{1, Count{Started: 1}}}}}})
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestTenantsDifferByFigures(t *testing.T) {
+func TestTenantIDDependsOnSettings(t *testing.T) {
 	id := TenantID("a", 1, 1)
 	if again := TenantID("a", 1, 1); id == TenantID("a", 2, 1) || id == TenantID("a", 1, 2) || id != again {
 		t.Error("ids do not follow the figures")
@@ -212,7 +212,7 @@
 	}
 }
 
-func many(n int, by uint64) Counts {
+func distinctCounts(n int, by uint64) Counts {
 	c := make(Counts, n)
 	for i := range c {
 		c[i] = TenantCount{uint64(i) * 7, Count{by * uint64(i+1), 0}}
@@ -244,12 +244,12 @@
 			b.Run(fmt.Sprint(n, "tenants-", instances, "instances"), func(b *testing.B) {
 				s := NewReplica("self", 1)
 				for i := range instances {
-					s.Merge(0, &InstanceUsage{Name: fmt.Sprint(i), Incarnations: []IncarnationUsage{{1, many(n, 1)}}})
+					s.Merge(0, &InstanceUsage{Name: fmt.Sprint(i), Incarnations: []IncarnationUsage{{1, distinctCounts(n, 1)}}})
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					s.Merge(0, &InstanceUsage{Name: "0", Incarnations: []IncarnationUsage{{1, many(n, uint64(i+2))}}})
+					s.Merge(0, &InstanceUsage{Name: "0", Incarnations: []IncarnationUsage{{1, distinctCounts(n, uint64(i+2))}}})
 				}
 			})
 		}
@@ -268,7 +268,7 @@
 			case <-stop:
 				return
 			default:
-				s.UpdateLocal(many(1000, i))
+				s.UpdateLocal(distinctCounts(1000, i))
 			}
 		}
 	}()
