--- a/internal/cluster/usage/count.go
+++ b/internal/cluster/usage/count.go
@@ -9,10 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MillislotsPerSlot is how many of the counted amounts make one slot.
+// MillislotsPerSlot is the number of counted units in one slot.
 const MillislotsPerSlot = 1000
 
-// Millislots is a size in slots as a counted amount; an invalid size is 0.
+// Millislots converts a size in slots to thousandths of a slot, rounded. It returns 0 for a
+// size that is not positive, not a number, or above math.MaxUint32.
 func Millislots(slots float64) uint64 {
 	if !(slots > 0) || slots > math.MaxUint32 {
 		return 0
@@ -20,9 +21,9 @@
 	return uint64(math.Round(slots * MillislotsPerSlot))
 }
 
-// TenantID identifies a tenant between instances. Quota (jobs a second) and weight belong
-// to it: two instances with different settings mean different amounts by a part of the
-// reservation, so they must not lend each other any.
+// TenantID identifies a tenant between instances. It depends on the tenant's name, quota (in
+// jobs a second) and weight. Instances lend each other fractions of a reservation, which are
+// different amounts if their settings differ; with different ids they lend each other nothing.
 func TenantID(name string, quota, weight float64) uint64 {
 	var figures [16]byte
 	binary.LittleEndian.PutUint64(figures[:], math.Float64bits(quota))
@@ -34,14 +35,14 @@
 	return digest.Sum64()
 }
 
-// Count is how much work of one tenant was started, in thousandths of a slot. Both
-// figures only ever grow.
+// Count is how much work of one tenant was started, in thousandths of a slot. Neither
+// figure ever decreases.
 type Count struct {
 	Started  uint64 `json:"Starts"` // sent to a worker
-	Refunded uint64 `json:"Backs"`  // of that, proved never to have run
+	Refunded uint64 `json:"Backs"`  // the part of Started that is proven never to have run
 }
 
-// Net is what remains charged.
+// Net is the amount that the tenant is charged for.
 func (c Count) Net() int64 { return int64(c.Started) - int64(c.Refunded) }
 
 // TenantCount is the count of one tenant.
@@ -64,8 +65,8 @@
 	return c[i].Count
 }
 
-// Normalize sorts counts, merges those of one tenant by their maximum and leaves out
-// zeros. Counts from outside must pass through it.
+// Normalize returns a sorted copy of counts, without zeros. Where a tenant has several, the
+// result has the maximum of each figure. Counts from outside must be normalized before use.
 func Normalize(list []TenantCount) Counts {
 	list = slices.DeleteFunc(slices.Clone(list), func(c TenantCount) bool { return c.Count == Count{} })
 	slices.SortFunc(list, func(a, b TenantCount) int { return cmp.Compare(a.Tenant, b.Tenant) })
@@ -88,8 +89,8 @@
 	return Count{Started: a.Started + b.Started, Refunded: a.Refunded + b.Refunded}
 }
 
-// combine combines two lists tenant by tenant. It returns a itself, and false, where b
-// changes nothing, so that unchanged lists stay shared.
+// combine applies by to the counts of each tenant in a and b, where a missing count is zero.
+// If b changes nothing, it returns a itself and false, so that unchanged lists stay shared.
 func combine(a, b Counts, by func(x, y Count) Count) (Counts, bool) {
 	if !changes(a, b, by) {
 		return a, false
@@ -113,7 +114,7 @@
 	return out, true
 }
 
-// changes reports whether combining a with b gives anything but a.
+// changes reports whether combining a with b gives a result other than a.
 func changes(a, b Counts, by func(x, y Count) Count) bool {
 	i := 0
 	for _, c := range b {
@@ -131,7 +132,7 @@
 	return false
 }
 
-// addCounts adds two lists.
+// addCounts returns the sum of two lists, tenant by tenant.
 func addCounts(a, b Counts) Counts {
 	sum, _ := combine(a, b, addCount)
 	return sum
--- a/internal/cluster/usage/doc.go
+++ b/internal/cluster/usage/doc.go
@@ -1,11 +1,11 @@
 // Package usage counts how much of each tenant's work every instance of a cluster has
-// started: a state-based counter (G-counter) that needs no leader.
+// started. The counts are a state-based grow-only counter (G-counter), which needs no leader.
 //
-// A [State] is immutable. Merging two is commutative, associative and idempotent, so that
-// lost, late, repeated and reordered messages all lead to the same figures. The package
-// does no I/O, reads no clock and starts no goroutine. A [Replica] must be used by one
-// goroutine at a time, its snapshots by any. The one exception is the [Meter], whose
-// counters may be read while they are written.
+// A [State] is immutable. Merging states is commutative, associative and idempotent, so that
+// instances converge to the same counts although messages are lost, delayed, repeated or
+// reordered. The package does no I/O, reads no clock and starts no goroutine. The methods of
+// a [Replica] must be called by one goroutine at a time, except for Snapshot, which any
+// goroutine may call. The counters of a [Meter] may be read while another goroutine writes them.
 //
 // Amounts are in thousandths of a slot, so that sums are exact.
 package usage
--- a/internal/cluster/usage/golden_test.go
+++ b/internal/cluster/usage/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Tenants' ids and counted amounts go between instances: no build may compute others.
+// Instances exchange tenant ids and counted amounts, so that all builds must compute the same ones.
 func TestGoldenIdentities(t *testing.T) {
 	var got bytes.Buffer
 	for _, name := range []string{"", "a", "team-a", "märkt"} {
--- a/internal/cluster/usage/meter.go
+++ b/internal/cluster/usage/meter.go
@@ -6,27 +6,28 @@
 	"sync/atomic"
 )
 
-// Meter counts what the current incarnation starts. One goroutine counts; any may read.
+// Meter counts the jobs that this process receives and starts. Only one goroutine may call the Record methods; any may
+// read the counts.
 type Meter struct {
 	index     map[string]int
-	tenantIDs []uint64 // rising
+	tenantIDs []uint64 // ascending
 	counters  []counters
 }
 
-// counters are those of one tenant.
+// counters are the counters of one tenant.
 type counters struct {
-	started  atomic.Uint64
-	refunded atomic.Uint64
-	arrived  atomic.Uint64
+	started  atomic.Uint64 // thousandths of a slot
+	refunded atomic.Uint64 // thousandths of a slot
+	arrived  atomic.Uint64 // jobs
 }
 
-// Tenant is what the meter needs to know of one.
+// Tenant is a tenant that a [Meter] counts.
 type Tenant struct {
 	Name string
 	ID   uint64
 }
 
-// NewMeter makes a meter for a table of tenants. Others are not counted.
+// NewMeter makes a meter for a table of tenants. Jobs of other tenants are not counted.
 func NewMeter(tenants []Tenant) *Meter {
 	sorted := slices.Clone(tenants)
 	slices.SortFunc(sorted, func(a, b Tenant) int { return cmp.Compare(a.ID, b.ID) })
@@ -41,29 +42,29 @@
 	return m
 }
 
-// RecordArrival counts a job that came, whatever becomes of it.
+// RecordArrival counts a job that arrived, whether or not it is started later.
 func (m *Meter) RecordArrival(tenant string) {
 	if i, ok := m.index[tenant]; ok {
 		m.counters[i].arrived.Add(1)
 	}
 }
 
-// RecordStart counts a job of so many slots that was sent to a worker.
+// RecordStart counts a job that was sent to a worker, with its size in slots.
 func (m *Meter) RecordStart(tenant string, slots float64) {
 	if i, ok := m.index[tenant]; ok {
 		m.counters[i].started.Add(Millislots(slots))
 	}
 }
 
-// RecordRefund counts that such a job proved never to have run.
+// RecordRefund subtracts a started job that is proven never to have run, with its size in slots.
 func (m *Meter) RecordRefund(tenant string, slots float64) {
 	if i, ok := m.index[tenant]; ok {
 		m.counters[i].refunded.Add(Millislots(slots))
 	}
 }
 
-// Counts are the counts so far. Refunds are read first, so that no tenant ever shows more
-// refunded than started.
+// Counts returns the counts so far. It reads a tenant's refunds before its starts, so that
+// it never returns more refunded than started.
 func (m *Meter) Counts() Counts {
 	counts := make(Counts, 0, len(m.counters))
 	for i := range m.counters {
@@ -78,7 +79,7 @@
 	return counts
 }
 
-// Arrivals is how many jobs of each tenant came so far, by rising id, into buf.
+// Arrivals returns the number of jobs of each tenant that have arrived so far, by ascending id. It overwrites buf.
 func (m *Meter) Arrivals(buf []uint64) []uint64 {
 	buf = buf[:0]
 	for i := range m.counters {
@@ -87,5 +88,5 @@
 	return buf
 }
 
-// TenantIDs are the tenants of the table, rising. The caller must not change them.
+// TenantIDs returns the ids of the table's tenants in ascending order. The caller must not change the slice.
 func (m *Meter) TenantIDs() []uint64 { return m.tenantIDs }
--- a/internal/cluster/usage/replica.go
+++ b/internal/cluster/usage/replica.go
@@ -5,29 +5,29 @@
 	"sync/atomic"
 )
 
-// Limits of what is kept.
+// Limits of what a [Replica] keeps.
 const (
-	MaxIncarnations = 8    // past incarnations of one instance that are kept apart
-	MaxInstances    = 1024 // names of instances
+	MaxIncarnations = 8    // past incarnations of one instance whose counts are kept separately
+	MaxInstances    = 1024 // instances, by name
 )
 
-// Replica is one instance's copy of the state, to which it adds its own counts. All methods but Snapshot must
-// be called by one goroutine at a time. Times are in seconds on the caller's clock.
+// Replica is one instance's copy of the state, to which the instance adds its own counts. All methods but
+// Snapshot must be called by one goroutine at a time. Times are in seconds on the caller's clock.
 type Replica struct {
 	name        string
 	incarnation uint64 // the current one
 	state       State
 	snapshot    atomic.Pointer[State]
 
-	lastGrowth map[uint64]float64 // when other incarnations of this name last grew
-	lastTotal  map[uint64]uint64  // and what they had counted then
-	rejected   uint64             // updates beyond MaxInstances
-	baseline   Counts             // what this process had counted when its current incarnation began
+	lastGrowth map[uint64]float64 // by incarnation of this name, except the current one: time of the last growth
+	lastTotal  map[uint64]uint64  // by the same: sum of all counts at that time
+	rejected   uint64             // updates that would have exceeded MaxInstances
+	baseline   Counts             // what this process's meter had counted when the current incarnation began
 }
 
-// NewReplica begins an incarnation. Incarnations of one name should grow from start to
-// start, and no two may ever be the same: start time in milliseconds, then random bits.
-// One that doesn't grow costs nothing but later compaction.
+// NewReplica makes the replica of a new incarnation. No two incarnations of a name may have the same
+// number, and a later one should have a higher number: start time in milliseconds, then random bits.
+// If it is not higher, the only effect is that past incarnations are compacted later.
 func NewReplica(name string, incarnation uint64) *Replica {
 	r := &Replica{
 		name:        name,
@@ -39,14 +39,14 @@
 	return r
 }
 
-// Incarnation is the current incarnation. It changes only if another process of the same
-// name compacted it.
+// Incarnation returns the current incarnation. It changes only in Compact, after another process
+// of the same name has compacted it.
 func (r *Replica) Incarnation() uint64 { return r.incarnation }
 
-// Snapshot is the current state, for any goroutine.
+// Snapshot returns the current state. Any goroutine may call it.
 func (r *Replica) Snapshot() State { return *r.snapshot.Load() }
 
-// Rejected counts updates that were dropped since MaxInstances instances are known.
+// Rejected returns the number of updates that were dropped because MaxInstances instances are known already.
 func (r *Replica) Rejected() uint64 { return r.rejected }
 
 func (r *Replica) publish(s State) {
@@ -54,7 +54,7 @@
 	r.snapshot.Store(&s)
 }
 
-// UpdateLocal sets what this process has counted so far, by its meter.
+// UpdateLocal sets what this process's meter has counted so far, and reports whether that changed the state.
 func (r *Replica) UpdateLocal(counts Counts) bool {
 	own := IncarnationUsage{Incarnation: r.incarnation, Counts: r.sinceBaseline(counts)}
 	next, changed := r.state.Merge(&InstanceUsage{Name: r.name, Incarnations: []IncarnationUsage{own}})
@@ -64,7 +64,7 @@
 	return changed
 }
 
-// sinceBaseline subtracts what was counted under an earlier incarnation of this process.
+// sinceBaseline subtracts what this process has counted under its earlier incarnations.
 func (r *Replica) sinceBaseline(counts Counts) Counts {
 	if len(r.baseline) == 0 {
 		return counts
@@ -79,7 +79,7 @@
 	return since
 }
 
-// Merge merges what others know at time now, and reports whether that brought anything new.
+// Merge merges updates from other instances at time now, and reports whether they changed the state.
 func (r *Replica) Merge(now float64, updates ...*InstanceUsage) bool {
 	accepted := make([]*InstanceUsage, 0, len(updates))
 	for _, u := range updates {
@@ -98,9 +98,9 @@
 	return true
 }
 
-// withoutLocalIncarnation leaves out the current incarnation. Nobody else writes it: a
-// higher count is forged, or of another process that drew the same number, and must
-// not be taken for what this one has counted.
+// withoutLocalIncarnation removes the current incarnation from an update. No other process
+// writes it: a higher count is forged, or of another process that drew the same number, and
+// must not replace what this process has counted.
 func (r *Replica) withoutLocalIncarnation(u *InstanceUsage) *InstanceUsage {
 	isOwn := func(i IncarnationUsage) bool { return i.Incarnation == r.incarnation }
 	if u.Name != r.name || !slices.ContainsFunc(u.Incarnations, isOwn) {
@@ -111,8 +111,9 @@
 	return &out
 }
 
-// trackSiblings notes which other incarnations of this name grow: those are of another
-// process under the same name, or a delayed report of the past.
+// trackSiblings records which other incarnations of this name have grown by time now. Such an
+// incarnation is another running process with the same name, or a past one of which a report
+// was delayed.
 func (r *Replica) trackSiblings(now float64) {
 	own := r.state.Instance(r.name)
 	if own == nil {
@@ -134,17 +135,19 @@
 	}
 }
 
-// Compact replaces past incarnations of this instance by one sum, and reports whether there
-// was anything to do: those that have not grown for idle seconds, and the oldest if there
-// are more than MaxIncarnations. One that another process still lives in is left alone
-// while it grows. What only others know of an incarnation after it was compacted is
-// dropped: too little is charged then, never twice.
+// Compact adds past incarnations of this instance to its rollup: those that have not grown for
+// idle seconds, and the oldest ones if there are more than MaxIncarnations. An incarnation that
+// still grows is that of another process, and stays. Counts of a compacted incarnation that
+// arrive from other instances later are dropped, so that tenants may be charged too little, but
+// never twice. If another process has compacted the current incarnation, Compact begins a new
+// one instead, for which counts is what the meter has counted so far. It reports whether there
+// was anything to do.
 func (r *Replica) Compact(now, idle float64, counts Counts) bool {
 	own := r.state.Instance(r.name)
 	if own == nil {
 		return false
 	}
-	if r.incarnation <= own.Rollup.Through { // compacted by another process of this name
+	if r.incarnation <= own.Rollup.Through { // another process of this name has compacted it
 		r.beginIncarnation(max(own.LatestIncarnation(), own.Rollup.Through)+1, counts)
 		return true
 	}
@@ -157,13 +160,13 @@
 	return true
 }
 
-// beginIncarnation goes on under another incarnation.
+// beginIncarnation continues under a new incarnation, which counts what the meter adds to counts.
 func (r *Replica) beginIncarnation(incarnation uint64, counts Counts) {
 	r.baseline = slices.Clone(counts)
 	r.incarnation = incarnation
 }
 
-// endedIncarnations are the oldest incarnations that can be compacted.
+// endedIncarnations returns the incarnations that can be compacted, the oldest first.
 func (r *Replica) endedIncarnations(now, idle float64, own *InstanceUsage) []IncarnationUsage {
 	n := 0
 	for n < len(own.Incarnations) && own.Incarnations[n].Incarnation < r.incarnation {
@@ -176,7 +179,7 @@
 	return own.Incarnations[:n]
 }
 
-// rollUp adds ended incarnations to a rollup, and forgets them.
+// rollUp returns a rollup with the ended incarnations added, and stops tracking their growth.
 func (r *Replica) rollUp(before Rollup, ended []IncarnationUsage) Rollup {
 	rollup := Rollup{
 		Writer:   r.incarnation,
--- a/internal/cluster/usage/state.go
+++ b/internal/cluster/usage/state.go
@@ -9,15 +9,16 @@
 }
 
 // Rollup is the sum of an instance's past incarnations. Only the latest incarnation of the
-// instance writes it, and a later one replaces an earlier one completely: two rollups
-// made independently could never be merged without losing or doubling something.
+// instance writes it, and a later rollup replaces an earlier one completely: two rollups
+// made independently could not be merged without losing counts or counting them twice.
 type Rollup struct {
 	Writer   uint64 // the incarnation that wrote it
-	Sequence uint64 // of the writer's rollups
-	Through  uint64 // incarnations up to this one are in it
+	Sequence uint64 // number of this rollup among the writer's
+	Through  uint64 // incarnations up to this one are included
 	Counts   Counts
 }
 
+// olderThan orders rollups by their writer, then by its sequence.
 func (r Rollup) olderThan(other Rollup) bool {
 	if r.Writer != other.Writer {
 		return r.Writer < other.Writer
@@ -25,14 +26,14 @@
 	return r.Sequence < other.Sequence
 }
 
-// InstanceUsage is everything that is known of one instance.
+// InstanceUsage is what one instance has counted, as far as it is known.
 type InstanceUsage struct {
 	Name         string
 	Rollup       Rollup
 	Incarnations []IncarnationUsage // sorted, each above Rollup.Through
 }
 
-// Incarnation returns the counts of one incarnation.
+// Incarnation returns the counts of one incarnation, and whether it is known. The receiver may be nil.
 func (u *InstanceUsage) Incarnation(incarnation uint64) (Counts, bool) {
 	if u == nil {
 		return nil, false
@@ -45,7 +46,7 @@
 	return nil, false
 }
 
-// LatestIncarnation is the highest incarnation that is known.
+// LatestIncarnation returns the highest known incarnation, 0 if none is known. The receiver may be nil.
 func (u *InstanceUsage) LatestIncarnation() uint64 {
 	if u == nil {
 		return 0
@@ -56,7 +57,7 @@
 	return u.Rollup.Through
 }
 
-// total is the sum over all incarnations.
+// total returns the sum over all incarnations. The receiver may be nil.
 func (u *InstanceUsage) total() Counts {
 	if u == nil {
 		return nil
@@ -68,14 +69,14 @@
 	return total
 }
 
-// normalized leaves out incarnations that are in the rollup.
+// normalized returns a copy without the incarnations that are in the rollup.
 func (u *InstanceUsage) normalized() *InstanceUsage {
 	out := &InstanceUsage{Name: u.Name, Rollup: u.Rollup}
 	out.keepAbove(u.Incarnations)
 	return out
 }
 
-// keepAbove appends those incarnations that are not in the rollup.
+// keepAbove appends the incarnations that are not in the rollup.
 func (u *InstanceUsage) keepAbove(incarnations []IncarnationUsage) {
 	for _, i := range incarnations {
 		if i.Incarnation > u.Rollup.Through {
@@ -84,7 +85,7 @@
 	}
 }
 
-// merge merges what is known of one instance, and reports whether other brings anything new.
+// merge returns u merged with other, and whether that differs from u. The receiver may be nil, if nothing is known.
 func (u *InstanceUsage) merge(other *InstanceUsage) (*InstanceUsage, bool) {
 	if u == nil {
 		return other.normalized(), true
@@ -100,8 +101,8 @@
 	return out, true
 }
 
-// merge is the later rollup. Through never falls: a later rollup covers no less than an
-// earlier one.
+// merge returns the later rollup, and whether that differs from r. Through never decreases: a later
+// rollup covers at least the incarnations of an earlier one.
 func (r Rollup) merge(other Rollup) (Rollup, bool) {
 	out := r
 	if r.olderThan(other) {
@@ -111,8 +112,8 @@
 	return out, r.olderThan(other) || other.Through > r.Through
 }
 
-// mergeIncarnations appends the incarnations of both sides that are not in the rollup, and
-// reports whether b brings anything new.
+// mergeIncarnations appends the incarnations of a and b that are not in the rollup, and
+// reports whether b adds anything to a.
 func (u *InstanceUsage) mergeIncarnations(a, b []IncarnationUsage) (changed bool) {
 	for len(a) > 0 || len(b) > 0 {
 		var next IncarnationUsage
@@ -138,38 +139,37 @@
 	return changed
 }
 
-// State is what one instance knows of all. It is never changed; merging returns a new one
-// that shares what stayed the same.
+// State is the usage of all instances, as far as one instance knows it. A State is immutable;
+// merging returns a new one that shares the unchanged parts.
 type State struct {
 	instances *iradix.Tree[*InstanceUsage]
-	totals    Counts
+	totals    Counts // sum over all instances
 }
 
-// EmptyState is the state of an instance that knows nothing yet.
+// EmptyState returns a state without instances.
 func EmptyState() State { return State{instances: iradix.New[*InstanceUsage]()} }
 
-// Total is a tenant's count over all instances.
+// Total returns a tenant's count, summed over all instances.
 func (s State) Total(tenant uint64) Count { return s.totals.At(tenant) }
 
-// Totals are all tenants' counts. The caller must not change them.
+// Totals returns all tenants' counts, summed over all instances. The caller must not change them.
 func (s State) Totals() Counts { return s.totals }
 
-// Len is how many instances are known.
+// Len returns the number of known instances.
 func (s State) Len() int { return s.instances.Len() }
 
-// Instance returns what is known of one instance, nil if nothing is.
+// Instance returns the usage of one instance, nil if the instance is not known.
 func (s State) Instance(name string) *InstanceUsage {
 	u, _ := s.instances.Get([]byte(name))
 	return u
 }
 
-// ForEach calls f for every instance by name until it returns false.
+// ForEach calls f for every instance, sorted by name, until f returns false.
 func (s State) ForEach(f func(*InstanceUsage) bool) {
 	s.instances.Root().Walk(func(_ []byte, u *InstanceUsage) bool { return !f(u) })
 }
 
-// Merge merges what another instance knows into the state, and reports whether that brought
-// anything new.
+// Merge returns the state merged with updates, and whether that differs from s.
 func (s State) Merge(updates ...*InstanceUsage) (State, bool) {
 	var txn *iradix.Txn[*InstanceUsage]
 	totals := s.totals
@@ -196,7 +196,7 @@
 	return State{instances: txn.Commit(), totals: totals}, true
 }
 
-// MergeState is Merge with all of another state.
+// MergeState merges all instances of another state, as Merge does.
 func (s State) MergeState(other State) (State, bool) {
 	var updates []*InstanceUsage
 	other.ForEach(func(u *InstanceUsage) bool {
@@ -206,17 +206,17 @@
 	return s.Merge(updates...)
 }
 
-// expectedDifferences is a usual number of tenants that one update changes.
+// expectedDifferences is the typical maximum of tenants that one update changes; more than these need an allocation.
 const expectedDifferences = 8
 
-// updateTotals replaces an instance's contribution to the totals.
+// updateTotals returns the totals after an instance's usage has changed from before to after. Before may be nil.
 func updateTotals(totals Counts, before, after *InstanceUsage) Counts {
 	var buf [expectedDifferences]TenantCount
 	return addCounts(totals, appendDifference(buf[:0], before.total(), after.total()))
 }
 
-// appendDifference appends what has to be added to a to get b. Differences wrap around, and
-// so do the sums: negative ones come out right.
+// appendDifference appends the counts that have to be added to a to get b. Negative differences
+// wrap around, and so does the addition, so that sums are correct.
 func appendDifference(diff, a, b Counts) Counts {
 	add := func(tenant uint64, x, y Count) {
 		if x != y {
--- a/internal/cluster/usage/state_test.go
+++ b/internal/cluster/usage/state_test.go
@@ -9,31 +9,33 @@
 	"pgregory.net/rapid"
 )
 
+// drawCounts draws counts of tenants 1 to 4.
 func drawCounts(t *rapid.T) Counts {
-	var rows []TenantCount
-	for range rapid.IntRange(0, 5).Draw(t, "rows") {
-		starts := rapid.Uint64Range(0, 9).Draw(t, "starts")
-		rows = append(rows, TenantCount{rapid.Uint64Range(1, 4).Draw(t, "tenant"), Count{starts, rapid.Uint64Range(0, starts).Draw(t, "backs")}})
+	var counts []TenantCount
+	for range rapid.IntRange(0, 5).Draw(t, "counts") {
+		started := rapid.Uint64Range(0, 9).Draw(t, "started")
+		counts = append(counts, TenantCount{rapid.Uint64Range(1, 4).Draw(t, "tenant"), Count{started, rapid.Uint64Range(0, started).Draw(t, "refunded")}})
 	}
-	return Normalize(rows)
+	return Normalize(counts)
 }
 
+// drawState draws a state of up to 4 updates.
 func drawState(t *rapid.T) State {
 	s := EmptyState()
-	for range rapid.IntRange(0, 4).Draw(t, "records") {
-		by := rapid.Uint64Range(0, 4).Draw(t, "by")
+	for range rapid.IntRange(0, 4).Draw(t, "updates") {
+		writer := rapid.Uint64Range(0, 4).Draw(t, "writer")
 		through := uint64(0)
-		if by > 0 {
-			through = rapid.Uint64Range(0, by-1).Draw(t, "through")
+		if writer > 0 {
+			through = rapid.Uint64Range(0, writer-1).Draw(t, "through")
 		}
-		// A fold is one thing: whoever names it by the same stamp means the same.
-		f := Rollup{Writer: by, Sequence: through, Through: through, Counts: Counts{{1, Count{by*100 + through, 0}}}}
-		if by == 0 {
-			f = Rollup{}
+		// Rollups with the same writer and sequence must be equal, as their writer makes only one.
+		rollup := Rollup{Writer: writer, Sequence: through, Through: through, Counts: Counts{{1, Count{writer*100 + through, 0}}}}
+		if writer == 0 {
+			rollup = Rollup{}
 		}
-		r := &InstanceUsage{Name: rapid.SampledFrom([]string{"a", "b", "ab"}).Draw(t, "name"), Rollup: f}
+		r := &InstanceUsage{Name: rapid.SampledFrom([]string{"a", "b", "ab"}).Draw(t, "name"), Rollup: rollup}
 		for i := range uint64(5) {
-			if rapid.Bool().Draw(t, "life") {
+			if rapid.Bool().Draw(t, "incarnation") {
 				r.Incarnations = append(r.Incarnations, IncarnationUsage{i, drawCounts(t)})
 			}
 		}
@@ -42,7 +44,7 @@
 	return s
 }
 
-// describe is a state without its sharing, to be compared.
+// describe returns a state as text, so that states with different memory layouts can be compared.
 func describe(s State) string {
 	out := ""
 	s.ForEach(func(r *InstanceUsage) bool {
@@ -52,13 +54,14 @@
 	return out
 }
 
+// sumOfInstances adds up the totals of all instances of a state.
 func sumOfInstances(s State) Counts {
 	var out Counts
 	s.ForEach(func(r *InstanceUsage) bool { out = addCounts(out, r.total()); return true })
 	return out
 }
 
-// withoutZeros drops rows that say nothing: tenants whose counts were all undone.
+// withoutZeros drops zero counts. State.Totals may have them, because it adds and subtracts the counts of instances.
 func withoutZeros(c Counts) (out Counts) {
 	for _, r := range c {
 		if r.Count != (Count{}) {
@@ -68,37 +71,37 @@
 	return out
 }
 
-// Whatever is known where, joining is commutative, associative and idempotent,
-// and the totals are those of the records.
+// Merging any states is commutative, associative and idempotent, and the totals of the result are the sums over its
+// instances.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawState(t), drawState(t), drawState(t)
-		join := func(x, y State) State { z, _ := x.MergeState(y); return z }
-		if x, y := describe(join(a, b)), describe(join(b, a)); x != y {
+		merge := func(x, y State) State { z, _ := x.MergeState(y); return z }
+		if x, y := describe(merge(a, b)), describe(merge(b, a)); x != y {
 			t.Fatalf("not commutative:\n%s\n%s", x, y)
 		}
-		if x, y := describe(join(join(a, b), c)), describe(join(a, join(b, c))); x != y {
+		if x, y := describe(merge(merge(a, b), c)), describe(merge(a, merge(b, c))); x != y {
 			t.Fatalf("not associative:\n%s\n%s", x, y)
 		}
-		ab := join(a, b)
+		ab := merge(a, b)
 		if z, changed := ab.MergeState(a); changed || describe(z) != describe(ab) {
 			t.Fatalf("not idempotent:\n%s\n%s", describe(ab), describe(z))
 		}
 		if got, want := withoutZeros(ab.Totals()), withoutZeros(sumOfInstances(ab)); !reflect.DeepEqual(got, want) {
-			t.Fatalf("totals %v, records say %v", got, want)
+			t.Fatalf("got totals %v, want the sum over the instances %v", got, want)
 		}
 	})
 }
 
 func instanceUsage(s *Replica, name string) *InstanceUsage { return s.Snapshot().Instance(name) }
 
-// mergeReplica gives one instance all that another knows.
+// mergeReplica merges the state of one replica into another.
 func mergeReplica(now float64, to *Replica, from *Replica) {
 	mergeState(now, to, from.Snapshot())
 }
 
-// An instance that restarts for ever under one name costs bounded memory, its
-// sum stays exact, and a message from before the folding changes nothing.
+// An instance that restarts 200 times under one name takes bounded memory, because past incarnations are compacted. Its
+// total stays exact, and an update from before the compaction must not be counted a second time.
 func TestCompactionKeepsTotals(t *testing.T) {
 	other := NewReplica("other", 1)
 	var old State
@@ -106,7 +109,7 @@
 	var self *Replica
 	for i := range uint64(restarts) {
 		self = NewReplica("self", 10+i)
-		mergeReplica(float64(i), self, other) // it learns its own past from the other
+		mergeReplica(float64(i), self, other) // it learns its past incarnations from the other replica
 		self.UpdateLocal(Counts{{7, Count{Started: 3, Refunded: 1}}})
 		self.Compact(float64(i), 600, nil)
 		mergeReplica(float64(i), other, self)
@@ -117,36 +120,37 @@
 	for _, s := range []*Replica{self, other} {
 		r := instanceUsage(s, "self")
 		if len(r.Incarnations) > MaxIncarnations+1 || len(r.Rollup.Counts) != 1 {
-			t.Errorf("%d incarnations are kept apart", len(r.Incarnations))
+			t.Errorf("%d incarnations are kept, want at most MaxIncarnations, the current one, and a rollup of one tenant",
+				len(r.Incarnations))
 		}
 		if got := s.Snapshot().Total(7); got != (Count{3 * restarts, restarts}) {
-			t.Errorf("total %v", got)
+			t.Errorf("total %v, want 3 started and 1 refunded for each restart", got)
 		}
 	}
 	if other.Merge(0, instancesOf(old)...) || other.Snapshot().Total(7) != (Count{3 * restarts, restarts}) {
-		t.Errorf("an old message changed the total to %v", other.Snapshot().Total(7))
+		t.Errorf("an update from before the compaction changed the total to %v", other.Snapshot().Total(7))
 	}
 	// Idle incarnations are compacted after the idle time, all but the current one.
 	if !self.Compact(10_000, 600, nil) || len(instanceUsage(self, "self").Incarnations) != 1 {
-		t.Errorf("incarnations left: %v", instanceUsage(self, "self").Incarnations)
+		t.Errorf("got incarnations %v after compaction, want only the current one", instanceUsage(self, "self").Incarnations)
 	}
 }
 
-// Two processes by mistake under one name: each counts in its own incarnation, the sum
-// holds both, and neither compacts the other while it grows. One that was compacted all the
-// same, since it was idle, goes on under a new incarnation.
+// Two processes run under one name by mistake. Each counts under its own incarnation, the total includes both, and
+// neither compacts the other's incarnation while that grows. A process whose incarnation was compacted because it was
+// idle continues under a new one, so that its next counts are not lost.
 func TestTwoProcessesWithOneName(t *testing.T) {
 	a, b := NewReplica("twin", 5), NewReplica("twin", 9)
-	var rowsA, rowsB Counts
+	var countsA, countsB Counts
 	for i := range 100 {
 		now := float64(i)
-		rowsA, rowsB = addCounts(rowsA, Counts{{1, Count{Started: 1}}}), addCounts(rowsB, Counts{{1, Count{Started: 2}}})
-		a.UpdateLocal(rowsA)
-		b.UpdateLocal(rowsB)
+		countsA, countsB = addCounts(countsA, Counts{{1, Count{Started: 1}}}), addCounts(countsB, Counts{{1, Count{Started: 2}}})
+		a.UpdateLocal(countsA)
+		b.UpdateLocal(countsB)
 		mergeReplica(now, a, b)
 		mergeReplica(now, b, a)
-		if a.Compact(now, 10, rowsA) || b.Compact(now, 10, rowsB) {
-			t.Fatalf("compacted at %v while both grow", now)
+		if a.Compact(now, 10, countsA) || b.Compact(now, 10, countsB) {
+			t.Fatalf("compacted at %v s while both incarnations grow", now)
 		}
 	}
 	for _, s := range []*Replica{a, b} {
@@ -154,27 +158,27 @@
 			t.Errorf("total %d, want 300", got)
 		}
 	}
-	if !b.Compact(500, 10, rowsB) {
+	if !b.Compact(500, 10, countsB) {
 		t.Fatal("an idle incarnation was not compacted")
 	}
 	mergeReplica(500, a, b)
-	if !a.Compact(500, 10, rowsA) || a.Incarnation() <= 9 {
-		t.Fatalf("goes on as %d", a.Incarnation())
+	if !a.Compact(500, 10, countsA) || a.Incarnation() <= 9 {
+		t.Fatalf("continues as incarnation %d after it was compacted, want a new one above 9", a.Incarnation())
 	}
-	a.UpdateLocal(addCounts(rowsA, Counts{{1, Count{Started: 1}}}))
+	a.UpdateLocal(addCounts(countsA, Counts{{1, Count{Started: 1}}}))
 	mergeReplica(501, b, a)
 	if got := b.Snapshot().Total(1).Started; got != 301 {
 		t.Errorf("total %d, want 301", got)
 	}
 }
 
-// An update that claims more of this incarnation than it counted itself is ignored.
+// An update with a higher count for a replica's current incarnation is ignored: only the replica itself counts there.
 func TestUpdateOfOwnIncarnationIsIgnored(t *testing.T) {
 	s := NewReplica("s", 3)
 	s.UpdateLocal(Counts{{1, Count{Started: 1}}})
 	s.Merge(0, &InstanceUsage{Name: "s", Incarnations: []IncarnationUsage{{3, Counts{{1, Count{Started: 50}}}}}})
 	if got := s.Snapshot().Total(1).Started; got != 1 {
-		t.Errorf("total %d", got)
+		t.Errorf("total %d, want 1", got)
 	}
 }
 
@@ -184,14 +188,15 @@
 		s.Merge(0, &InstanceUsage{Name: fmt.Sprint("n", i), Incarnations: []IncarnationUsage{{1, Counts{{1, Count{Started: 1}}}}}})
 	}
 	if s.Snapshot().Len() > MaxInstances || s.Rejected() < 50 {
-		t.Errorf("%d names, %d refused", s.Snapshot().Len(), s.Rejected())
+		t.Errorf("%d instances known and %d updates rejected, want at most MaxInstances and at least 50",
+			s.Snapshot().Len(), s.Rejected())
 	}
 }
 
 func TestTenantIDDependsOnSettings(t *testing.T) {
 	id := TenantID("a", 1, 1)
 	if again := TenantID("a", 1, 1); id == TenantID("a", 2, 1) || id == TenantID("a", 1, 2) || id != again {
-		t.Error("ids do not follow the figures")
+		t.Error("tenant ids should differ exactly if quota or weight differ")
 	}
 }
 
@@ -200,18 +205,19 @@
 	m.RecordStart("a", 2.5)
 	m.RecordRefund("a", 1)
 	m.RecordArrival("b")
-	m.RecordStart("nobody", 1)
+	m.RecordStart("unknown", 1)
 	if got := m.Counts(); !reflect.DeepEqual(got, Counts{{4, Count{2500, 1000}}}) {
-		t.Errorf("rows %v", got)
+		t.Errorf("got counts %v, want 2500 started and 1000 refunded of tenant 4", got)
 	}
 	if got := m.Arrivals(nil); !reflect.DeepEqual(got, []uint64{0, 1}) {
-		t.Errorf("demand %v", got)
+		t.Errorf("got arrivals %v, want 0 of tenant 4 and 1 of tenant 9", got)
 	}
 	if n := testing.AllocsPerRun(100, func() { m.RecordStart("a", 1) }); n > 0 {
-		t.Errorf("counting allocates %v times", n)
+		t.Errorf("RecordStart allocates %v times, want 0", n)
 	}
 }
 
+// distinctCounts returns the counts of n tenants, all different, in multiples of by.
 func distinctCounts(n int, by uint64) Counts {
 	c := make(Counts, n)
 	for i := range c {
@@ -236,8 +242,8 @@
 	}
 }
 
-// A message in which every row is new, at 10 and 100 times the size too, with
-// so many other instances known.
+// BenchmarkMerge merges an update in which every count has changed, for different numbers of tenants and of known
+// instances.
 func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		for _, instances := range []int{5, 200} {
@@ -256,7 +262,7 @@
 	}
 }
 
-// Readers take snapshots while one goroutine writes.
+// BenchmarkSnapshotWhileWritten takes snapshots while another goroutine writes.
 func BenchmarkSnapshotWhileWritten(b *testing.B) {
 	s := NewReplica("self", 1)
 	stop := make(chan struct{})
@@ -275,7 +281,7 @@
 	b.ReportAllocs()
 	for range b.N {
 		if s.Snapshot().Total(7).Started == 1 {
-			b.Fatal("torn")
+			b.Fatal("a snapshot has a count that was never written")
 		}
 	}
 	close(stop)
