--- a/internal/cluster/quota/mixed_builds_test.go
+++ b/internal/cluster/quota/mixed_builds_test.go
@@ -13,19 +13,19 @@
 	"example.org/bellstream/internal/lab/simulation"
 )
 
-// mixedInstance is an instance of one of the two builds.
+// mixedInstance is an instance of one of the two builds: either earlier or allocator is set.
 type mixedInstance struct {
 	name        string
 	earlier     *earlierAllocator
 	allocator   *quota.Allocator
 	up          bool
-	visibleFrom map[string]float64 // from when membership shows it
+	visibleFrom map[string]float64 // by name: when membership begins to show that instance to this one
 	allotments  []uint32
 	arrivals    []uint64
-	nextRound   float64 // of its next round
+	nextRound   float64 // time of the next round
 }
 
-// side by side is a rolling restart from the earlier build, or back to it.
+// mixedCluster is a cluster in which instances of the earlier build and of this one run side by side.
 type mixedCluster struct {
 	rand        *rand.Rand
 	settings    quota.Settings
@@ -40,6 +40,7 @@
 	tenants []quota.Tenant
 }
 
+// boot starts an instance under a new incarnation, of the earlier build or of this one.
 func (s *mixedCluster) boot(x *mixedInstance, earlier bool) {
 	s.incarnation++
 	n := len(s.tenants)
@@ -51,13 +52,14 @@
 		x.allocator = quota.New(s.settings, x.name, s.incarnation, s.tenants, s.now)
 	}
 	x.visibleFrom = map[string]float64{}
-	for _, o := range s.instances { // membership shows each to the other independently
+	for _, o := range s.instances { // membership shows the two to each other at different times
 		if o != x && o.up {
 			x.visibleFrom[o.name], o.visibleFrom[x.name] = s.now+s.rand.Float64(), s.now+s.rand.Float64()
 		}
 	}
 }
 
+// stop ends an instance; membership hides it from the others immediately.
 func (s *mixedCluster) stop(x *mixedInstance) {
 	x.up, x.allotments = false, nil
 	for _, o := range s.instances {
@@ -65,6 +67,7 @@
 	}
 }
 
+// round runs one instance's round and queues the messages that are not lost.
 func (s *mixedCluster) round(x *mixedInstance) {
 	for i := range x.arrivals {
 		x.arrivals[i] += uint64(s.rand.IntN(9))
@@ -105,8 +108,8 @@
 	}
 }
 
-// execute runs for some seconds and returns how much was in use at most.
-func (s *mixedCluster) run(span float64) (most uint64) {
+// run runs the cluster for span seconds and returns the largest sum, in millionths, of the allotments of one tenant.
+func (s *mixedCluster) run(span float64) (maxUsed uint64) {
 	const step = 0.01
 	for end := s.now + span; s.now < end; s.now += step {
 		slices.SortStableFunc(s.queue, func(a, b struct {
@@ -130,7 +133,7 @@
 				}
 				if x.earlier != nil {
 					if m.Delta {
-						continue // bytes that it can't read
+						continue // the earlier build can't decode delta messages
 					}
 					x.earlier.Hear(s.now, m)
 				} else {
@@ -151,37 +154,37 @@
 					sum += uint64(x.allotments[i])
 				}
 			}
-			most = max(most, sum)
+			maxUsed = max(maxUsed, sum)
 		}
 	}
-	return most
+	return maxUsed
 }
 
-// An earlier build without hashed ownership beside this one: in a rolling restart either way, at any
-// pace, with loss, the sum of all allotments never exceeds the reservation, and finally all have joined.
+// In a rolling restart between an earlier build without hashed ownership and this one, in either direction, at any pace
+// and with message loss, the sum of all allotments never exceeds the reservation. Finally all instances have joined.
 func TestMixedBuilds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "instances")
 		s := &mixedCluster{rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 27)), tenants: simulation.EqualTenants(2, 20),
-			settings: quota.Settings{Period: 0.25, LeaseDuration: 4, RetainedFraction: 0.02, ExpectedInstances: n, MaxDelay: 0.05, LossRate: 0.1, Owners: rapid.IntRange(1, 3).Draw(t, "homes")},
+			settings: quota.Settings{Period: 0.25, LeaseDuration: 4, RetainedFraction: 0.02, ExpectedInstances: n, MaxDelay: 0.05, LossRate: 0.1, Owners: rapid.IntRange(1, 3).Draw(t, "owners")},
 			loss:     rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss")}
-		back := rapid.Bool().Draw(t, "back")
+		toEarlier := rapid.Bool().Draw(t, "to the earlier build")
 		for i := range n {
 			s.instances = append(s.instances, &mixedInstance{name: fmt.Sprint("n", i)})
 		}
 		for _, x := range s.instances {
-			s.boot(x, !back)
+			s.boot(x, !toEarlier)
 		}
 		check := func(span float64) {
-			if most := s.run(span); most > quota.FullReservation {
-				t.Fatalf("%d of %d are in use by %.1f s", most, quota.FullReservation, s.now)
+			if maxUsed := s.run(span); maxUsed > quota.FullReservation {
+				t.Fatalf("allotments add up to %d, want at most %d, by %.1f s", maxUsed, quota.FullReservation, s.now)
 			}
 		}
 		check(12)
 		for _, x := range s.instances {
 			s.stop(x)
-			check(rapid.Float64Range(0, 6).Draw(t, "away"))
-			s.boot(x, back)
+			check(rapid.Float64Range(0, 6).Draw(t, "time stopped"))
+			s.boot(x, toEarlier)
 			check(rapid.Float64Range(0, 12).Draw(t, "pause"))
 		}
 		check(30)
--- a/internal/cluster/quota/random_cluster_test.go
+++ b/internal/cluster/quota/random_cluster_test.go
@@ -11,14 +11,14 @@
 	"example.org/bellstream/internal/lab/simulation"
 )
 
-// Random clusters on a bad network, with messages that are delayed by up to 20 s: starts,
-// crashes, suspensions, partitions, leaves and moving demand. The sum of all allotments
-// never exceeds the reservation, as long as no silence outlasts ForgetAfter.
+// The sum of all allotments never exceeds the reservation in random clusters, on a network that loses, repeats and
+// delays messages, some by up to 20 s, through starts, crashes, suspensions, partitions, leaves and moving demand.
+// ForgetAfter is 0: the guarantee doesn't cover an instance that is silent for longer than ForgetAfter.
 //
-// With hashed ownership, owners change as instances join under new names, crash, are away for
-// ten minutes, and have regions or not.
+// With hashed ownership, owners change as instances join under new names, crash, or are stopped for ten minutes, with
+// regions and without.
 func TestSumNeverAboveReservation(t *testing.T) {
-	for _, owners := range []int{0, 2, 3} { // one owner is the search's
+	for _, owners := range []int{0, 2, 3} { // TestSearchNeverAboveReservation covers one owner
 		t.Run(fmt.Sprint(owners, " owners"), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				c := newRandomCluster(t, owners)
@@ -32,15 +32,15 @@
 
 // Events of a random cluster.
 const (
-	eventCrash     = "die"
-	eventSuspend   = "freeze"
-	eventPartition = "cut"
-	eventHeal      = "heal"
-	eventRestart   = "start again"
-	eventLoad      = "load"
+	eventCrash     = "crash"
+	eventSuspend   = "suspend"
+	eventPartition = "partition"
+	eventHeal      = "heal partition"
+	eventRestart   = "restart"
+	eventLoad      = "add load"
 	eventLeave     = "leave"
-	eventAbsence   = "away"
-	eventJoin      = "new"
+	eventAbsence   = "stop for ten minutes"
+	eventJoin      = "join under a new name"
 )
 
 const maxRandomInstances = 9
@@ -66,8 +66,8 @@
 		SyncInterval:   2,
 	}
 	c := &randomCluster{t: t}
-	most := c.drawEvents(n)
-	c.settings = settings(rapid.IntRange(max(n, most), max(6, most)).Draw(t, "expected")) // no fewer than may start at once
+	minExpected := c.drawEvents(n)
+	c.settings = settings(rapid.IntRange(max(n, minExpected), max(6, minExpected)).Draw(t, "expected"))
 	c.settings.ForgetAfter = 0
 	c.settings.Owners = owners
 	c.regions = rapid.IntRange(1, 3).Draw(t, "regions")
@@ -83,11 +83,12 @@
 	return c
 }
 
-// drawEvents draws which events may happen, and returns how many instances there may be.
+// drawEvents draws which events may happen, and returns how many instances the settings must expect at least: no fewer
+// than may start before they see each other.
 //
-// Names that were never there come while no cut hides the others, or are expected: an
-// instance that sees nobody must not be one too many.
-func (c *randomCluster) drawEvents(n int) (most int) {
+// An instance that sees no other assumes the expected number of instances, so that one more would exceed the
+// reservation. New names therefore join either without partitions, or in a cluster that expects all of them.
+func (c *randomCluster) drawEvents(n int) (minExpected int) {
 	c.events = []string{eventCrash, eventSuspend, eventPartition, eventHeal, eventRestart, eventLoad, eventLeave, eventAbsence}
 	switch rapid.IntRange(0, 2).Draw(c.t, "new names") {
 	case 1:
@@ -100,7 +101,7 @@
 	return n
 }
 
-// settingsOf are the settings of one instance.
+// settingsOf returns the settings of instance i, with a region if there are several.
 func (c *randomCluster) settingsOf(i int) quota.Settings {
 	s := c.settings
 	if c.regions > 1 {
@@ -109,19 +110,19 @@
 	return s
 }
 
-// step lets some time pass and has one event happen to one instance.
+// step runs the cluster for up to 8 s and then executes one random event on one instance.
 func (c *randomCluster) step(number int) {
 	c.Run(c.Now+rapid.Float64Range(0, 8).Draw(c.t, "pause"), c.check)
-	in := c.Instances[rapid.IntRange(0, len(c.Instances)-1).Draw(c.t, "who")]
-	switch rapid.SampledFrom(c.events).Draw(c.t, "what") {
+	in := c.Instances[rapid.IntRange(0, len(c.Instances)-1).Draw(c.t, "instance")]
+	switch rapid.SampledFrom(c.events).Draw(c.t, "event") {
 	case eventCrash:
 		if in.Up {
 			c.Kill(in)
 		}
 	case eventSuspend:
-		c.Freeze(in, rapid.Float64Range(0, 20).Draw(c.t, "frozen"))
+		c.Freeze(in, rapid.Float64Range(0, 20).Draw(c.t, "suspended for"))
 	case eventPartition:
-		mask := rapid.IntRange(0, 63).Draw(c.t, "cut")
+		mask := rapid.IntRange(0, 63).Draw(c.t, "sides")
 		c.Partition(func(i int) int { return mask >> (i % 6) & 1 })
 	case eventHeal:
 		c.Partition(func(int) int { return 0 })
@@ -145,7 +146,7 @@
 	}
 }
 
-// restart starts an instance again under its name, with load of a tenant.
+// restart starts a stopped instance again under its name, with jobs of a tenant.
 func (c *randomCluster) restart(in *simulation.Instance, tenant string) {
 	i := slices.Index(c.Instances, in)
 	c.Instances = append(c.Instances[:i:i], c.Instances[i+1:]...)
@@ -157,7 +158,7 @@
 	generateLoad(c.Cluster, again, tenant, &rate)
 }
 
-// join starts an instance under a new name: owners change.
+// join starts an instance under a new name, which changes the owners, unless there are maxRandomInstances.
 func (c *randomCluster) join() {
 	if len(c.Instances) >= maxRandomInstances {
 		return
@@ -168,7 +169,7 @@
 	generateLoad(c.Cluster, in, "tenant-0000", &rate)
 }
 
-// leave ends an instance for good, with an announcement.
+// leave has an instance announce that it leaves, and ends it 1 s later.
 func (c *randomCluster) leave(in *simulation.Instance) {
 	if !in.Up {
 		return
--- a/internal/cluster/quota/search_model_test.go
+++ b/internal/cluster/quota/search_model_test.go
@@ -10,49 +10,51 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// The search runs the package's own code: three instances and two tenants with one owner each, or
-// two. Time goes in ticks; a message arrives at the next tick. Every run of a scenario with at most so
-// many faults is executed: a message, or the notice that an instance is there, is lost, delayed, or
-// duplicated and the second time delayed; and, where the search has it, an instance is restarted with
-// no memory, at any tick.
+// The search executes the package's own code with three instances and two tenants, of which each has one owner or two.
+// A tick is one second, and a message arrives at the next tick. The search covers every run of a scenario with up to a
+// given number of faults. A fault hits a message, or membership's notice of an instance: it is lost, delayed, or
+// delivered twice, the second time late. If restarts are enabled, one of the faults may be the restart of an instance,
+// which loses its state, at any tick in which faults are possible.
 
-// fault of a message.
+// fault is what happens to one message or notice of membership.
 type fault int
 
 const (
 	faultLost       fault = iota
-	faultDelayed          // by 5 ticks
-	faultDuplicated       // at once, and once more after 10 ticks
+	faultDelayed          // by 5 more ticks
+	faultDuplicated       // delivered in time, and once more 10 ticks later
 	faultKinds
 )
 
-// scenario is what happens but for the faults.
+// scenario is a sequence of events, to which a run adds faults.
 type scenario struct {
 	name      string
 	settings  Settings
-	start     [3]int            // tick of each instance's start
-	flatFrom  [3]int            // tick from which new incarnations are flat; 0: never
-	demands   map[[2]int][2]int // of instance and tenant: from tick, until tick
-	leaveAt   [3]int
-	crashAt   [3]int
-	restartAt [3]int // starts again with no memory
-	suspended [3][2]int
-	cut       [2]int // two that never receive messages of each other
+	start     [3]int            // tick at which each instance starts
+	flatFrom  [3]int            // tick from which an incarnation that starts has flat ownership; 0: never
+	demands   map[[2]int][2]int // by instance and tenant: from which tick until which tick jobs arrive
+	leaveAt   [3]int            // 0: never
+	crashAt   [3]int            // 0: never
+	restartAt [3]int            // the instance starts again without its state; 0: never
+	suspended [3][2]int         // from tick, until tick
+	cut       [2]int            // two instances that don't receive each other's messages from cutAt on
 	cutAt     int
-	unseen    [2]int // the first never sees the second
-	from      int    // faults strike what is sent from this tick on
-	until     int
+	unseen    [2]int // membership never shows the second instance to the first
+	from      int    // first tick in which what is sent may be hit by a fault
+	until     int    // the tick after the last such tick
 	end       int
 }
 
+// delivery is a message or a notice of membership that is due at a tick.
 type delivery struct {
 	at      int
 	to      int
 	message *Message
-	// or the notice that an instance is there
+	// member is an instance that membership begins to show, if message is nil.
 	member Member
 }
 
+// instance is an instance in the model of the search.
 type instance struct {
 	allocator  *Allocator
 	up         bool
@@ -61,13 +63,14 @@
 	arrivals   []uint64
 }
 
+// run is one execution of a scenario, with faults at given places.
 type run struct {
 	scenario
 	disabled    safetyRules
-	faults      map[int]fault
-	restart     [2]int // instance and tick; -1: none
+	faults      map[int]fault // by the number of the send that is hit
+	restart     [2]int        // instance and tick; -1: none
 	now         int
-	sends       int // things sent that a fault may strike
+	sends       int // number of messages and notices sent so far that a fault may hit
 	incarnation uint64
 	instances   [3]instance
 	queue       []delivery
@@ -77,8 +80,8 @@
 
 var modelNames = [3]string{"a", "b", "c"}
 
-// modelTenants are two, the first of which belongs at c, a, b in this order, and
-// the second at b, c, a.
+// modelTenants returns two tenants, sorted by id: one whose owners are chosen in the order c, a, b, and one with the
+// order b, c, a.
 func modelTenants() (list []Tenant) {
 	rank := func(id uint64) (order string) {
 		names := slices.Clone(modelNames[:])
@@ -103,7 +106,8 @@
 }
 
 var (
-	tenants   = modelTenants()
+	tenants = modelTenants()
+	// tenantAtC is the id of the tenant that c owns first.
 	tenantAtC = func() uint64 {
 		for _, t := range tenants {
 			if rendezvousScore(t.ID, nameHash("c")) > rendezvousScore(t.ID, nameHash("a")) && rendezvousScore(t.ID, nameHash("a")) > rendezvousScore(t.ID, nameHash("b")) {
@@ -114,12 +118,15 @@
 	}()
 )
 
+// tracef adds a line to the log, if the run is traced.
 func (p *run) tracef(format string, args ...any) {
 	if p.tracing {
 		p.log = append(p.log, fmt.Sprintf("%3d: ", p.now)+fmt.Sprintf(format, args...))
 	}
 }
 
+// boot starts instance i under a new incarnation. Membership then shows it to the other running instances, and these
+// to it.
 func (p *run) boot(i int) {
 	p.incarnation++
 	set := p.settings
@@ -129,9 +136,9 @@
 	x := &p.instances[i]
 	*x = instance{allocator: New(set, modelNames[i], p.incarnation, tenants, float64(p.now)), up: true, members: map[string]Member{}, arrivals: make([]uint64, 2)}
 	x.allocator.disabled = p.disabled
-	me := Member{Name: modelNames[i]}
+	self := Member{Name: modelNames[i]}
 	if set.Owners > 0 {
-		me.Build = OwnershipBuild
+		self.Build = OwnershipBuild
 	}
 	p.tracef("%s starts, incarnation %d", modelNames[i], p.incarnation)
 	for k := range p.instances {
@@ -139,16 +146,18 @@
 			continue
 		}
 		if o := &p.instances[k]; o.up {
-			p.send(delivery{to: k, member: me}, i)
-			its := Member{Name: modelNames[k]}
+			p.send(delivery{to: k, member: self}, i)
+			other := Member{Name: modelNames[k]}
 			if o.allocator.Owners > 0 {
-				its.Build = OwnershipBuild
+				other.Build = OwnershipBuild
 			}
-			p.send(delivery{to: i, member: its}, k)
+			p.send(delivery{to: i, member: other}, k)
 		}
 	}
 }
 
+// send queues a delivery from an instance, with the fault that the run has for it. It drops a delivery between
+// instances that the scenario cuts off from each other.
 func (p *run) send(h delivery, from int) {
 	if h.message == nil && p.unseen[0] != p.unseen[1] && p.unseen[0] == h.to && p.unseen[1] == from {
 		return
@@ -158,25 +167,25 @@
 	}
 	h.at = p.now + 1
 	if p.now >= p.from && p.now < p.until {
-		f, struck := p.faults[p.sends]
+		f, hit := p.faults[p.sends]
 		p.sends++
-		if struck {
-			p.tracef("  fault %v on the next", []string{"lost", "late", "twice"}[f])
+		if hit {
+			p.tracef("  fault of the next delivery: %v", []string{"lost", "delayed", "duplicated"}[f])
 		}
 		switch {
-		case struck && f == faultLost:
-			if h.message == nil { // membership notices finally
+		case hit && f == faultLost:
+			if h.message == nil { // membership shows the instance later
 				h.at = p.now + 12
-				if p.settings.ForgetAfter > 0 { // longer is not covered
+				if p.settings.ForgetAfter > 0 { // the guarantee doesn't cover a longer delay
 					h.at = p.now + int(p.settings.ForgetAfter) - 2
 				}
 				p.queue = append(p.queue, h)
 			}
 			p.traceDelivery(h)
 			return
-		case struck && f == faultDelayed:
+		case hit && f == faultDelayed:
 			h.at += 5
-		case struck && f == faultDuplicated:
+		case hit && f == faultDuplicated:
 			again := h
 			again.at += 10
 			p.queue = append(p.queue, again)
@@ -186,12 +195,13 @@
 	p.queue = append(p.queue, h)
 }
 
+// traceDelivery logs a delivery that was sent, if the run is traced.
 func (p *run) traceDelivery(h delivery) {
 	if !p.tracing {
 		return
 	}
 	if h.message == nil {
-		p.tracef("  %s is to see %s at %d", modelNames[h.to], h.member.Name, h.at)
+		p.tracef("  membership shows %s the instance %s at %d", modelNames[h.to], h.member.Name, h.at)
 	} else {
 		m := h.message
 		p.tracef("  %s to %s at %d: incarnation %d seq %d ack %d/%d view %x covered %v leaving %v demands %v grants %v",
@@ -200,7 +210,7 @@
 	}
 }
 
-// execute runs the scenario and returns what was violated, empty if nothing.
+// execute runs the scenario and returns a description of the first violation, empty if there is none.
 func (p *run) execute() string {
 	for p.now = 0; p.now < p.end; p.now++ {
 		p.applyEvents()
@@ -218,13 +228,13 @@
 	return ""
 }
 
-// applyEvents starts, ends and suspends instances.
+// applyEvents starts, restarts, crashes and suspends the instances for which this tick is set.
 func (p *run) applyEvents() {
 	for i := range p.instances {
 		x := &p.instances[i]
-		restarts := p.restartAt[i] > 0 && p.now == p.restartAt[i]
-		faults := p.restart[0] == i && p.restart[1] == p.now && x.up
-		if p.now == p.start[i] || restarts || faults {
+		scheduled := p.restartAt[i] > 0 && p.now == p.restartAt[i]
+		injected := p.restart[0] == i && p.restart[1] == p.now && x.up
+		if p.now == p.start[i] || scheduled || injected {
 			p.boot(i)
 		}
 		if p.crashAt[i] > 0 && p.now == p.crashAt[i] {
@@ -234,13 +244,13 @@
 			p.hideFromOthers(i)
 		}
 		if f := p.suspended[i]; f[1] > 0 && p.now == f[0] {
-			x.allotments = nil // it computes them first when it resumes
+			x.allotments = nil // they are computed again when the instance resumes, before it uses them
 			p.hideFromOthers(i)
 		}
 	}
 }
 
-// hideFromOthers has membership of the other instances not see one any more.
+// hideFromOthers removes instance i from the membership of the other running instances.
 func (p *run) hideFromOthers(i int) {
 	for k := range p.instances {
 		if k != i && p.instances[k].up {
@@ -254,7 +264,7 @@
 	return p.now >= f[0] && p.now < f[1]
 }
 
-// deliver delivers what is due.
+// deliver delivers what is due, except to suspended instances, which receive it when they resume.
 func (p *run) deliver() {
 	rest := p.queue[:0:0]
 	for _, h := range p.queue {
@@ -267,14 +277,14 @@
 			x.members[h.member.Name] = h.member
 		default:
 			if err := x.allocator.Receive(float64(p.now), h.message); err != nil {
-				p.tracef("  %s drops %d of %s: %v", modelNames[h.to], h.message.Seq, h.message.From, err)
+				p.tracef("  %s drops message %d of %s: %v", modelNames[h.to], h.message.Seq, h.message.From, err)
 			}
 		}
 	}
 	p.queue = rest
 }
 
-// round runs one instance's round.
+// round runs one instance's round and sends its messages.
 func (p *run) round(i int) {
 	x := &p.instances[i]
 	if p.leaveAt[i] > 0 && p.now == p.leaveAt[i] {
@@ -298,7 +308,7 @@
 		!x.allocator.flat, owned, lent, x.allotments, len(x.members))
 }
 
-// addArrivals adds the jobs of one tick.
+// addArrivals adds the jobs that arrive at instance i in one tick: 40 of each tenant that has demand there.
 func (p *run) addArrivals(i int) {
 	for k := range tenants {
 		tenant := 1
@@ -312,23 +322,23 @@
 	}
 }
 
-// checkAllotments returns a violation if more than a reservation is in use.
+// checkAllotments describes a violation if the allotments add up to more than a reservation, and is empty otherwise.
 func (p *run) checkAllotments() string {
 	for k := range tenants {
-		all := 0
+		total := 0
 		for j := range p.instances {
 			if o := &p.instances[j]; o.up && !p.isSuspended(j) && len(o.allotments) > 0 {
-				all += int(o.allotments[k])
+				total += int(o.allotments[k])
 			}
 		}
-		if all > FullReservation {
-			return fmt.Sprintf("tick %d: %d of tenant %d are in use", p.now, all, k)
+		if total > FullReservation {
+			return fmt.Sprintf("tick %d: allotments add up to %d of tenant %d", p.now, total, k)
 		}
 	}
 	return ""
 }
 
-// ledgers are what an instance owns of each tenant, and what it lends of that.
+// ledgers returns what an instance owns of each tenant, and what it lends of that, in millionths.
 func ledgers(a *Allocator) (owned, lent []uint32) {
 	for i := range a.tenants.list {
 		owned = append(owned, a.tenants.list[i].ledger.owned)
@@ -337,11 +347,11 @@
 	return owned, lent
 }
 
-// trace executes a run once more and returns its log.
+// trace executes a run again with tracing and returns its log.
 func (p *run) trace() string {
 	again := &run{scenario: p.scenario, disabled: p.disabled, faults: p.faults, restart: p.restart, tracing: true}
-	why := again.execute()
-	return fmt.Sprintf("%s, %d owners, faults %v, restart %v: %s\n%s", p.name, p.settings.Owners, p.faults, p.restart, why, strings.Join(again.log, "\n"))
+	violation := again.execute()
+	return fmt.Sprintf("%s, %d owners, faults %v, restart %v: %s\n%s", p.name, p.settings.Owners, p.faults, p.restart, violation, strings.Join(again.log, "\n"))
 }
 
 func nameHash(s string) uint64 { return xxhash.Sum64String(s) }
--- a/internal/cluster/quota/search_test.go
+++ b/internal/cluster/quota/search_test.go
@@ -13,11 +13,11 @@
 
 	mu        sync.Mutex
 	runs      int
-	violation *run // the first run that has more than a reservation in use
+	violation *run // the first run in which allotments exceed a reservation
 }
 
-// search runs a scenario with every placement of up to so many faults, one of which may be
-// a restart. It returns how many runs there were, and the first that is a violation.
+// search runs a scenario with every placement of up to maxFaults faults, one of which may be a restart if these are
+// enabled. It returns the number of runs, and the first one with a violation, nil if there is none.
 func search(s scenario, disabled safetyRules, maxFaults int, restarts bool) (n int, violation *run) {
 	x := &searcher{scenario: s, disabled: disabled}
 	for _, restart := range x.restarts(restarts) {
@@ -33,7 +33,7 @@
 	return x.runs, x.violation
 }
 
-// restarts are the instances and ticks of a restart; -1: none.
+// restarts returns the instance and tick of each possible restart, and first -1, -1 for no restart.
 func (x *searcher) restarts(enabled bool) [][2]int {
 	list := [][2]int{{-1, -1}}
 	if !enabled {
@@ -47,7 +47,7 @@
 	return list
 }
 
-// executeRun executes one run and returns how many things were sent that a fault may affect.
+// executeRun executes one run and returns how many messages and notices were sent that a fault may hit.
 func (x *searcher) executeRun(faults map[int]fault, restart [2]int) int {
 	p := &run{scenario: x.scenario, disabled: x.disabled, faults: faults, restart: restart}
 	violation := p.execute()
@@ -61,13 +61,14 @@
 	return p.sends
 }
 
+// violationFound reports whether a run had a violation, so that the search can end.
 func (x *searcher) violationFound() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.violation != nil
 }
 
-// placeFaults runs every placement of up to so many faults, on all processors.
+// placeFaults executes a run for every placement of up to the given number of faults, in parallel on all processors.
 func (x *searcher) placeFaults(restart [2]int, faults int) {
 	sends := x.executeRun(nil, restart)
 	if faults < 1 {
@@ -85,7 +86,7 @@
 	wait.Wait()
 }
 
-// placeAt runs every kind of fault at one place, and every second fault after it.
+// placeAt executes a run for every kind of fault at send i, and with two faults for every second fault after it.
 func (x *searcher) placeAt(i int, restart [2]int, faults int) {
 	for first := range faultKinds {
 		if x.violationFound() {
@@ -103,50 +104,51 @@
 	}
 }
 
-// No run with up to two faults, of which one may be a restart, has more than a reservation in use.
+// In no run with up to two faults, of which one may be a restart, do allotments add up to more than a reservation.
 func TestSearchNeverAboveReservation(t *testing.T) {
-	most := 2
+	maxFaults := 2
 	if testing.Short() {
-		most = 1
+		maxFaults = 1
 	}
 	for _, s := range scenarios() {
-		n, bad := search(s, safetyRules{}, most, true)
+		n, violation := search(s, safetyRules{}, maxFaults, true)
 		t.Logf("%s, %d owners: %d runs", s.name, s.settings.Owners, n)
-		if bad != nil {
-			t.Errorf("%s", bad.trace())
+		if violation != nil {
+			t.Errorf("%s", violation.trace())
 		}
 	}
 }
 
-// Without any one of the rules some run has more than a reservation in use.
+// Each safety rule is needed: with any one of them disabled, allotments exceed a reservation in some run.
 func TestSearchNeedsEachRule(t *testing.T) {
-	for name, without := range map[string]safetyRules{
-		"all count the same instances":                  {joining: joiningRules{matchingViews: true}},
-		"loans of larger parts are called back first":   {joining: joiningRules{loansCovered: true}},
-		"a silent one is not passed over":               {joining: joiningRules{silentPeers: true}},
-		"only an answer to this incarnation counts":     {joining: joiningRules{acknowledgement: true}},
-		"only a fresh answer counts":                    {joining: joiningRules{recentAck: true}},
-		"a leaver's loans are waited for":               {lending: lendingRules{leaverLoans: true}},
-		"what is lent is written off before it is sent": {lending: lendingRules{deductFirst: true}},
-		"a loan counts from when its echo was sent":     {lending: lendingRules{expiryFromSend: true}},
-		"what is taken back is confirmed first":         {lending: lendingRules{confirmedReturn: true}},
-		"what was overtaken is dropped":                 {receiving: receivingRules{messageOrder: true}},
-		"lives are told apart":                          {receiving: receivingRules{incarnations: true}},
-		"a suspended instance owns nothing":             {joining: joiningRules{suspension: true}},
-		"who was never seen is counted":                 {ownership: ownershipRules{unseenInstances: true}},
-		"who starts again has lent before":              {joining: joiningRules{pastLoans: true}},
-		"a change of mode gives everything up":          {ownership: ownershipRules{ownershipChange: true}},
+	for name, disabled := range map[string]safetyRules{
+		"all instances have the same view":                  {joining: joiningRules{matchingViews: true}},
+		"loans from larger parts are revoked first":         {joining: joiningRules{loansCovered: true}},
+		"a silent instance is waited for":                   {joining: joiningRules{silentPeers: true}},
+		"only an answer to this incarnation counts":         {joining: joiningRules{acknowledgement: true}},
+		"only a recent answer counts":                       {joining: joiningRules{recentAck: true}},
+		"loans of a leaving instance are waited for":        {lending: lendingRules{leaverLoans: true}},
+		"a loan is deducted before it is sent":              {lending: lendingRules{deductFirst: true}},
+		"a loan expires relative to the borrower's sending": {lending: lendingRules{expiryFromSend: true}},
+		"the return of a loan is confirmed first":           {lending: lendingRules{confirmedReturn: true}},
+		"a message is dropped after a later one":            {receiving: receivingRules{messageOrder: true}},
+		"incarnations are distinguished":                    {receiving: receivingRules{incarnations: true}},
+		"a suspended instance owns nothing":                 {joining: joiningRules{suspension: true}},
+		"instances that were never seen are counted":        {ownership: ownershipRules{unseenInstances: true}},
+		"loans of an earlier incarnation count as lent":     {joining: joiningRules{pastLoans: true}},
+		"a change of ownership mode gives up everything":    {ownership: ownershipRules{ownershipChange: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for most := 0; most <= 2; most++ {
+			for maxFaults := 0; maxFaults <= 2; maxFaults++ {
 				for _, s := range scenarios() {
-					if n, bad := search(s, without, most, true); bad != nil {
-						t.Logf("found: %s, %d owners, faults %v, restart %v, among %d", s.name, s.settings.Owners, bad.faults, bad.restart, n)
+					if n, violation := search(s, disabled, maxFaults, true); violation != nil {
+						t.Logf("violation found: %s, %d owners, faults %v, restart %v, %d runs",
+							s.name, s.settings.Owners, violation.faults, violation.restart, n)
 						return
 					}
 				}
 			}
-			t.Error("no run is a violation without this rule")
+			t.Error("no run has a violation when this rule is disabled")
 		})
 	}
 }
