--- a/internal/cluster/quota/earlier_build_messages_test.go
+++ b/internal/cluster/quota/earlier_build_messages_test.go
@@ -10,8 +10,8 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Message builds the next pages for one peer. Rows is what this life has
-// counted. What is lent here is off this instance's slice from now on.
+// Message builds this round's messages to one peer. Rows are the counts of this incarnation.
+// What the messages lend is deducted from this instance's allotments from now on.
 func (b *earlierAllocator) Message(now float64, to string, rows usage.Counts) []*earlierMessage {
 	p := b.peers[to]
 	if p == nil {
@@ -23,8 +23,8 @@
 			p.pendingDemands[r.Tenant] = struct{}{}
 		}
 	}
-	// A loan counts from the borrower's last message that was heard: the
-	// borrower sent that earlier, so by its clock the loan ends earlier as well.
+	// A loan lasts for Staleness seconds after the borrower's last message was received. On the
+	// borrower's clock it lasts as long after that message was sent, and so ends no later there.
 	until := p.lastReceived + b.Staleness
 	home := b.Home(now)
 	var grants []earlierPart
@@ -41,10 +41,10 @@
 	news = usage.Normalize(news)
 	var out []*earlierMessage
 	for _, pg := range paginate(b.needs, grants, news) {
-		if len(p.inFlight) == maxInFlightMessages { // the fate of the oldest will not be told any more
+		if len(p.inFlight) == maxInFlightMessages { // the oldest can no longer be acknowledged
 			p.requeue(&p.inFlight[0])
 			if p.inFlight[0].until > now && len(p.inFlight[0].grants) > 0 {
-				// Too many are open: no new loans until these are over.
+				// Too many messages are in flight: no new loans until theirs have expired.
 				for _, r := range pg.Counts {
 					p.pendingDemands[r.Tenant] = struct{}{}
 				}
@@ -74,7 +74,7 @@
 	return out
 }
 
-// paginate cuts what is to be told into messages of a size that fits a datagram.
+// paginate splits demands, grants and counts into messages that fit a datagram.
 func paginate(needs, grants []earlierPart, rows usage.Counts) (out []earlierMessage) {
 	var ids []uint64
 	for _, x := range needs {
@@ -123,8 +123,8 @@
 	return out
 }
 
-// grant decides what one peer gets: of what this instance does not need itself,
-// in proportion to what each lacks beyond its home.
+// lend decides what is lent to one peer: what this instance doesn't need itself is divided in
+// proportion to each peer's demand beyond its home.
 func (b *earlierAllocator) lend(p *peer, home uint32) (grants []earlierPart) {
 	for t, need := range p.demands {
 		i, ok := b.index[t]
@@ -136,9 +136,9 @@
 			continue
 		}
 		mine := float64(need - home)
-		lack := max(float64(b.lack[i]), mine) // it may have spoken since
+		lack := max(float64(b.lack[i]), mine) // a later message of the peer may have raised its demand
 		share := uint32(min(float64(home-keep)*mine/lack, mine))
-		// What others hold, or may still hold, can't be lent again.
+		// What other peers have borrowed, or may still use, can't be lent again.
 		others := b.lent[i] - min(p.lent[t], b.lent[i])
 		if others+keep >= home {
 			continue
@@ -165,11 +165,11 @@
 	Malformed        = "malformed"
 )
 
-// ErrOutOfOrder says that a message came twice, or after a later one.
+// ErrOutOfOrder is returned for a message that arrived twice, or after a later one.
 var ErrOutOfOrder = errors.New(OutOfOrder)
 
-// Receive takes in a message. It returns why the message was dropped, if it was. What it says of counts is the
-// caller's to merge, also when it is old: counts do not mind.
+// Hear processes a message, and returns an error with the reason if the message was dropped. The caller merges the
+// message's counts itself, even if the message is old: merging counts in any order gives the same result.
 func (b *earlierAllocator) Hear(now float64, m *earlierMessage) error {
 	b.came++
 	if why := b.hear(now, m); why != "" {
@@ -191,7 +191,7 @@
 		return OtherReceiver
 	case p == nil:
 		if life, gone := b.left[m.From]; gone && m.Incarnation > life && !m.Leaving {
-			delete(b.left, m.From) // it has started again
+			delete(b.left, m.From) // the instance has started again
 		}
 		return UnknownMember
 	case m.Seq == 0 || m.RangeStart > m.RangeEnd || m.Incarnation == 0:
@@ -199,8 +199,8 @@
 	case m.Incarnation < p.incarnation:
 		return EndedIncarnation
 	case m.Incarnation > p.incarnation:
-		// A new life: what the old one borrowed is over when its loans are, what
-		// it lent ended with it, for the new one counts its home as whole.
+		// A new incarnation. What the old one borrowed stays deducted until those loans expire. What
+		// the old one lent has ended, because the new one assumes that it has lent nothing.
 		p.incarnation, p.receivedSeq, p.receivedBits, p.receivedRound, p.acknowledges, p.resendAll = m.Incarnation, 0, 0, 0, false, true
 		clear(p.demands)
 		clear(p.borrowed)
@@ -209,7 +209,7 @@
 		return OutOfOrder
 	}
 	if now-p.lastReceived >= b.Staleness {
-		p.resendAll = true // it, or the way to it, was away
+		p.resendAll = true // the peer was down or unreachable
 	}
 	p.lastReceived, p.viewDigest, p.loansCovered, p.tableDigest = now, m.ViewDigest, m.LoansCovered, m.TableDigest
 	if m.Leaving {
@@ -235,8 +235,8 @@
 	return ""
 }
 
-// accept notes that a message was taken, and says whether it may be: not twice,
-// and not after one of a later round.
+// accept records that a message was accepted, and reports whether it may be: a message may
+// not be accepted twice, or after a message of a later round.
 func (p *peer) accept(m *earlierMessage) bool {
 	switch gap := m.Seq - p.receivedSeq; {
 	case m.Round < p.receivedRound:
@@ -252,10 +252,10 @@
 		}
 		p.receivedSeq, p.receivedRound = m.Seq, m.Round
 		return true
-	case m.Round > p.receivedRound: // no sender numbers its rounds backwards
+	case m.Round > p.receivedRound: // invalid: a later round has higher sequence numbers
 		return false
 	}
-	back := p.receivedSeq - m.Seq // within one round
+	back := p.receivedSeq - m.Seq // the message is of the same round
 	if back == 0 || back > 64 || p.receivedBits&(1<<(back-1)) != 0 {
 		return false
 	}
@@ -263,13 +263,13 @@
 	return true
 }
 
-// acknowledge settles the fate of messages: of those of earlier rounds than the
-// highest one taken, what was not taken never will be.
+// acked processes an acknowledgement: seq is the highest accepted sequence number, and bits those before it. A message
+// that was not accepted never will be if its round is earlier than that of seq.
 func (b *earlierAllocator) acked(p *peer, seq, bits uint64) {
-	const width = 64 // of an echo: what it says nothing of may have been taken
+	const width = 64 // of an acknowledgement's bits; earlier messages may have been accepted
 	told := p.sendTimes[seq%uint64(len(p.sendTimes))]
 	if told.seq != seq {
-		return // long ago
+		return // too long ago to know its round
 	}
 	for i := range p.inFlight {
 		m := &p.inFlight[i]
@@ -277,7 +277,7 @@
 		case m.seq > seq || m.acknowledged:
 		case m.seq == seq || seq-m.seq <= width && bits&(1<<(seq-m.seq-1)) != 0:
 			m.acknowledged = true
-		case m.round == told.round: // it may come yet
+		case m.round == told.round: // it may still arrive
 		default:
 			p.requeue(m)
 			m.requeued = true
@@ -286,7 +286,7 @@
 			}
 		}
 	}
-	// A loan ends when the borrower has taken a later word on the same tenants.
+	// A loan ends when the borrower has accepted a later message for the same tenants.
 	for i := range p.inFlight {
 		m := &p.inFlight[i]
 		if m.seq > seq {
@@ -306,8 +306,8 @@
 	})
 }
 
-// receiveGrants takes in what a peer lends, until as long after the echoed message
-// was sent as news keeps. Only this instance's own clock counts.
+// borrow records what a peer lends. A loan expires Staleness seconds after this instance sent
+// the message that the peer acknowledges, so that only this instance's own clock matters.
 func (b *earlierAllocator) borrow(p *peer, m *earlierMessage) {
 	for t := range p.borrowed {
 		if t >= m.RangeStart && t <= m.RangeEnd {
@@ -328,11 +328,11 @@
 	}
 }
 
-// ---- What this instance may use ----
+// ---- Allotments ----
 
-// Allotments are this instance's parts of the reservations now, in millionths by
-// rising tenant id, into buf. They hold until the next round, which must come
-// within two periods: a loan that might end before is left out.
+// Slices returns the parts of the reservations that this instance may use now, in millionths
+// by ascending tenant id, and overwrites buf. They are valid until the next round, which must
+// come within two periods: a loan that might expire before that is left out.
 func (b *earlierAllocator) Slices(now float64, buf []uint32) []uint32 {
 	home := b.Home(now)
 	buf = buf[:0]
--- a/internal/cluster/quota/earlier_build_test.go
+++ b/internal/cluster/quota/earlier_build_test.go
@@ -1,5 +1,6 @@
-// The allocator of an earlier build, debf7c9, before hashed ownership: the test of mixed builds runs it.
-// It is a frozen copy, but for the names of what it shares with this build.
+// This file and earlier_build_messages_test.go have the allocator of an earlier build, debf7c9, before hashed
+// ownership. TestMixedBuilds runs it beside the present one. Its code must not change, except for the names that it
+// shares with this build.
 package quota_test
 
 import (
@@ -13,30 +14,30 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// FullReservation is a reservation in the unit in which it is lent: millionths.
+// FullReservation is a complete reservation in the unit in which it is lent: millionths.
 const FullReservation = 1_000_000
 
-// Figures of the exchange that are no settings.
+// Constants of the exchange.
 const (
-	clockDriftRatio     = 0.001 // by which two machines' clocks may run apart within a lease
-	fastRateSeconds     = 1.0   // s over which a rise of demand is seen
-	slowRateSeconds     = 4.0   // s over which a fall of demand is believed
-	demandMargin        = 1.25  // times the demand that is kept or asked for
-	maxInFlightMessages = 128   // messages to one peer whose fate may be open
-	maxMessageEntries   = 100   // needs, grants and rows in one message: some 1,200 bytes
-	compactAfterSeconds = 600.0 // s that a past life must have been quiet to be folded
+	clockDriftRatio     = 0.001 // by which two machines' clocks may diverge within a lease
+	fastRateSeconds     = 1.0   // time constant of a rise of demand
+	slowRateSeconds     = 4.0   // time constant of a fall of demand
+	demandMargin        = 1.25  // multiple of the rate that is retained or demanded
+	maxInFlightMessages = 128   // unacknowledged messages to one peer
+	maxMessageEntries   = 100   // demands, grants and counts in one message: some 1,200 bytes
+	compactAfterSeconds = 600.0 // for which a past incarnation must not have grown to be compacted
 )
 
-// earlierSettings of the exchange. Times are in seconds.
+// earlierSettings are the settings of the exchange. Times are in seconds.
 type earlierSettings struct {
 	Period    float64 // between rounds of messages
 	Fanout    int     // peers written to in one round; 0 means 32
-	Staleness float64 // after which a loan that is not renewed ends: old news fades by then
-	Floor     float64 // part of its home that an instance never lends
-	Forget    float64 // after which a silent instance counts as gone for ever; 0 means never
-	Instances int     // that are expected: the size of a home until others are heard
-	Delay     float64 // of a message at most, one way, as the network is known
-	Loss      float64 // part of the messages that is lost, as the network is known
+	Staleness float64 // after which a loan that is not renewed expires
+	Floor     float64 // part of its home, which is its own part of a reservation, that an instance never lends
+	Forget    float64 // after which a silent instance is removed; 0 means never
+	Instances int     // that are expected: a reservation is divided among so many until more are known
+	Delay     float64 // upper bound of a message's delay, one way
+	Loss      float64 // part of the messages that is lost
 }
 
 type (
@@ -45,17 +46,17 @@
 	earlierMessage = quota.Message
 )
 
-// inFlightMessage is a message whose fate is open.
+// inFlightMessage is a message that may still arrive, or whose grants may still be in use.
 type inFlightMessage struct {
 	seq                  uint64
 	round                uint64
 	sentAt               float64
-	until                float64 // when its grants have ended for certain
+	until                float64 // time by which its grants have expired on the borrower's clock too
 	rangeStart, rangeEnd uint64
 	grants               []earlierPart
-	countTenants         []uint64 // tenants whose counts it carried
+	countTenants         []uint64 // tenants whose counts it has
 	acknowledged         bool
-	requeued             bool // its rows were put back
+	requeued             bool // its counts are to be sent again
 }
 
 type loan struct {
@@ -66,35 +67,35 @@
 type peer struct {
 	name                      string
 	incarnation               uint64
-	lastReceived              float64 // when last; -Inf: never
-	lastPresent               float64 // when it was last present
-	present                   bool    // membership says that it is there
-	receivedSeq, receivedBits uint64  // taken from it
-	receivedRound             uint64  // the latest that something was taken of
-	lastSentSeq               uint64  // sequence to it
+	lastReceived              float64 // time of the last message; -Inf: never
+	lastPresent               float64 // time at which membership last showed it
+	present                   bool    // membership shows it
+	receivedSeq, receivedBits uint64  // highest sequence number accepted from it, and the 64 before that
+	receivedRound             uint64  // latest round of which a message was accepted
+	lastSentSeq               uint64  // last sequence number sent to it
 	inFlight                  []inFlightMessage
-	pendingDemands            map[uint64]struct{} // tenants whose counts it has not got
-	resendAll                 bool                // it needs all rows: it is new or was away
+	pendingDemands            map[uint64]struct{} // tenants whose counts have to be sent to it
+	resendAll                 bool                // all counts have to be sent to it, because it is new or was silent
 	demands                   map[uint64]uint32
-	borrowed                  map[uint64]loan // from it
+	borrowed                  map[uint64]loan // from it, by tenant
 	viewDigest                uint64
 	loansCovered              bool
-	acknowledges              bool // it has taken a message of this life
+	acknowledges              bool // it has accepted a message of this incarnation
 	tableDigest               uint64
-	lent                      map[uint64]uint32 // to it, at most, as of the last look
+	lent                      map[uint64]uint32 // upper bound of what is lent to it by tenant, as of this round
 	sendTimes                 [2 * maxInFlightMessages]struct {
 		seq, round uint64
 		at         float64
-	} // when the last messages to it were sent
+	} // of the last messages to it, by sequence number modulo the length
 }
 
-// sendTime is when a message to the peer was sent, if that was not long ago.
+// sendTime returns when a message was sent to the peer, if it is among the last ones.
 func (p *peer) sendTime(seq uint64) (float64, bool) {
 	t := p.sendTimes[seq%uint64(len(p.sendTimes))]
 	return t.at, t.seq == seq
 }
 
-// earlierAllocator holds one instance's part of the exchange.
+// earlierAllocator decides what one instance may use of each tenant's reservation.
 type earlierAllocator struct {
 	earlierSettings
 	name        string
@@ -106,24 +107,24 @@
 	order       []string // of the peers, sorted
 	turn        int
 	began       float64
-	last        float64 // the last round
+	last        float64 // time of the last round
 	round       uint64
-	joined      bool // the others count this instance
+	joined      bool // every member counts this instance
 	leaving     bool
-	asked       []uint64 // by tenant, at the last round
+	asked       []uint64 // jobs by tenant that had arrived at the last round
 	quick, slow []float64
 	need        []uint32
-	lent        []uint32          // to all, by tenant
-	lack        []uint64          // what all peers need beyond a home, by tenant
-	needs       []earlierPart     // to be told in this round
+	lent        []uint32          // to all peers, by tenant
+	lack        []uint64          // what all peers demand beyond a home, by tenant
+	needs       []earlierPart     // demands to be sent in this round
 	settled     bool              // no more is lent than the home, as of this round
-	digest      uint64            // of the view
-	left        map[string]uint64 // said goodbye, by life: membership may still see them
+	digest      uint64            // of the instances that are counted
+	left        map[string]uint64 // incarnations that announced that they leave, by name; membership may still show them
 	drops       map[string]uint64
 	came        uint64
 }
 
-// newEarlier makes a book at time now.
+// newEarlier makes an allocator at time now.
 func newEarlier(s earlierSettings, name string, incarnation uint64, tenants []earlierTenant, now float64) *earlierAllocator {
 	if s.Fanout <= 0 {
 		s.Fanout = 32
@@ -149,10 +150,10 @@
 	return id ^ id>>29
 }
 
-// ---- Who is there ----
+// ---- Members ----
 
-// UpdateMemberNames takes in which instances membership sees now. One that it does not
-// see any more still counts, until it is forgotten or announced that it leaves.
+// Members updates which instances membership shows now. An instance that it doesn't show
+// any more still counts until it is forgotten or has announced that it leaves.
 func (b *earlierAllocator) Members(now float64, names []string) {
 	there := map[string]bool{}
 	for _, n := range names {
@@ -190,41 +191,41 @@
 	}
 }
 
-// Forgotten drops an instance that will not come back.
+// Forgotten removes an instance that is not expected to return.
 func (b *earlierAllocator) Forgotten(name string) {
 	delete(b.peers, name)
 	b.sort()
 }
 
-// viewDigest is the digest of the instances that count, this one among them.
+// view is the digest of the instances that are counted, including this one.
 func (b *earlierAllocator) view() uint64 { return b.digest }
 
-// ClusterSize is how many homes a reservation is divided into.
+// Size is the number of homes into which a reservation is divided.
 func (b *earlierAllocator) Size(now float64) int {
 	n := len(b.peers) + 1
 	if n < b.Instances && (b.Forget <= 0 || now-b.began < b.Forget) {
-		return b.Instances // those that never came may come yet
+		return b.Instances // expected instances that were never seen may still start
 	}
 	return n
 }
 
-// Home is this instance's own part of every reservation.
+// Home is the part of every reservation that this instance owns, in millionths.
 func (b *earlierAllocator) Home(now float64) uint32 {
 	if !b.joined || b.leaving {
-		return 0 // the others may count on all of it
+		return 0 // the other instances may own all of it
 	}
 	return uint32(FullReservation / b.Size(now))
 }
 
-// Joined says that this instance has a home of its own.
+// Joined reports whether this instance may own a part of every reservation.
 func (b *earlierAllocator) Joined() bool { return b.joined }
 
-// Leave gives the home back. What is said from now on says so.
+// Leave gives the home back. Messages announce that from now on.
 func (b *earlierAllocator) Leave() { b.leaving = true }
 
-// tryJoin looks whether the others count this instance and have called back what
-// they had lent of the larger homes they had before. An instance that hears
-// nobody for as long as news keeps takes the part that it was started with.
+// join joins once all peers count this instance and have revoked what they had lent
+// beyond the smaller homes that they have with it. An instance that has received no
+// message for Staleness seconds joins with the number of instances that is expected.
 func (b *earlierAllocator) join(now float64) {
 	if b.joined {
 		return
@@ -241,18 +242,18 @@
 			return
 		}
 	}
-	// Who has not been heard may hold loans of an earlier life of this name:
-	// these are over by then.
+	// Instances that sent nothing may hold loans of an earlier incarnation of this name,
+	// which have expired after Staleness seconds.
 	b.joined = heard+1 >= b.Instances || now-b.began >= b.Staleness
 }
 
 // ---- Rounds ----
 
-// Round begins a round: asked is how many jobs of each tenant came since the
-// start, in the order of the ids. It returns who is to be written to.
+// Round begins a round. Asked is the number of jobs of each tenant that have arrived
+// since the start, by ascending id. It returns the peers to which messages are to be sent.
 func (b *earlierAllocator) Round(now float64, asked []uint64) []string {
 	gap := now - b.last
-	if gap > b.Staleness { // this instance was held up, not the others
+	if gap > b.Staleness { // this instance was suspended, while the others may have run
 		b.began = now
 		b.joined = false
 		for _, p := range b.peers {
@@ -274,14 +275,14 @@
 	var to []string
 	for range min(b.Fanout, len(b.order)) {
 		b.turn = (b.turn + 1) % len(b.order)
-		// Also to those that membership does not see: a cut may be over before it notices.
+		// Also to peers that membership doesn't show: a partition may end before membership notices.
 		to = append(to, b.order[b.turn])
 	}
 	return to
 }
 
-// measureDemand follows the demand of each tenant, up fast and down slowly: a need
-// stated too high costs others nothing while they do not need it themselves.
+// measure tracks the demand of each tenant, rises fast and falls slowly: demand that is
+// stated too high costs other instances nothing unless they have demand themselves.
 func (b *earlierAllocator) measure(gap float64, asked []uint64) {
 	if gap <= 0 || len(asked) != len(b.tenants) {
 		return
@@ -299,7 +300,7 @@
 	copy(b.asked, asked)
 }
 
-// CountsChanged marks tenants whose counts have changed, so that all hear of it.
+// Counted marks tenants whose counts have changed, so that these are sent to all peers.
 func (b *earlierAllocator) Counted(tenants []uint64) {
 	for _, p := range b.peers {
 		if !p.resendAll {
@@ -310,7 +311,7 @@
 	}
 }
 
-// expireLoans drops messages whose loans are over and adds up what may be lent.
+// look drops messages whose loans have expired and adds up what may still be lent to each peer.
 func (b *earlierAllocator) look(now float64) {
 	clear(b.lent)
 	for _, n := range b.order {
@@ -326,7 +327,7 @@
 			m := &p.inFlight[i]
 			if !m.acknowledged && !m.requeued && now-m.sentAt > 3*b.Period+2*b.Delay {
 				p.requeue(m)
-				m.requeued = true // late it may be yet: its grants stay written off
+				m.requeued = true // it may still arrive late, so that its grants stay deducted
 			}
 			for _, g := range m.grants {
 				p.lent[g.Tenant] = max(p.lent[g.Tenant], g.Millionths)
@@ -338,8 +339,8 @@
 	}
 }
 
-// sumUnmetDemand adds up what all that were heard of late need beyond their homes, and
-// what this instance is to tell all in this round.
+// lacks adds up the demand beyond their homes of all peers that were not silent for Staleness
+// seconds, and sets the demands that this instance sends in this round.
 func (b *earlierAllocator) lacks(now float64) {
 	clear(b.lack)
 	home := b.Home(now)
@@ -362,7 +363,7 @@
 	}
 }
 
-// requeue puts the rows of a lost message in line again.
+// requeue marks the counts of a lost message to be sent again.
 func (p *peer) requeue(m *inFlightMessage) {
 	if !m.requeued && !m.acknowledged {
 		for _, t := range m.countTenants {
