--- a/internal/cluster/quota/allocator_test.go
+++ b/internal/cluster/quota/allocator_test.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// An instance with another tenant table is shown as such in the peers, and counts of tenants that are only in its table
-// are not kept.
+// Tenants with different settings have different ids, so that nothing is lent between them. An instance with another
+// tenant table is shown as such in the peers, and counts of tenants that are only in its table are not kept.
 func TestDifferentTenantTables(t *testing.T) {
 	c, check := flatCluster(t, 7, 2, 1, lossyNetwork)
 	// The third instance starts with two tenants, the others have one.
@@ -258,8 +258,8 @@
 	}
 }
 
-// An instance that starts beside one that has counted for 30 s is not charged for those 30 s: nothing is charged
-// until 0.5 s before LeaseDuration has passed, and from then on only jobs that start in that time.
+// An instance that starts beside one that has counted for 30 s must not charge tenants for those 30 s. It charges
+// nothing in its first 3.5 s, and then only jobs that are started meanwhile.
 func TestPastUsageIsNotCharged(t *testing.T) {
 	c, check := flatCluster(t, 9, 2, 1, lossyNetwork)
 	rate := 50.0
--- a/internal/cluster/quota/ownership_test.go
+++ b/internal/cluster/quota/ownership_test.go
@@ -161,7 +161,7 @@
 		}
 	}
 	if known < 3*4 {
-		t.Errorf("%d counts are known, want at least one at each of three owners of 4 tenants", known)
+		t.Errorf("%d counts are known, want at least 12: those of 4 tenants at three owners each", known)
 	}
 }
 
