--- a/internal/cluster/shard/export.go
+++ b/internal/cluster/shard/export.go
@@ -98,7 +98,7 @@
 func (o *Owner) recordsForTransfer(now float64) []JobRecord {
 	records := make([]JobRecord, 0, len(o.jobs))
 	for key, j := range o.jobs {
-		r := j.at(now)
+		r := j.recordAt(now)
 		if o.grants[key].Kind == Send {
 			r.Granted = true
 		}
--- a/internal/cluster/shard/model_delivery_test.go
+++ b/internal/cluster/shard/model_delivery_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-func (w *world) deliver(m message, on ruleset) {
+func (w *model) deliver(m message, on ruleset) {
 	switch body := m.body.(type) {
 	case proposal:
 		now := Map{w.ownership}
@@ -24,15 +24,15 @@
 	}
 }
 
-func (w *world) deliverToOrigin(m message, on ruleset) {
+func (w *model) deliverToOrigin(m message, on ruleset) {
 	switch body := m.body.(type) {
 	case Grant:
-		w.execute(body, on)
+		w.executeGrant(body, on)
 	case Revoke:
 		l := w.mutableLog()
 		w.observe(l, body.Epoch, on)
 		if s, err := l.Revoke(body); err == nil {
-			w.reply(s)
+			w.sendDecline(s)
 		}
 	case Ack:
 		l := w.mutableLog()
@@ -41,20 +41,20 @@
 	}
 }
 
-func (w *world) deliverToInstance(m message, on ruleset) {
-	x := w.mutable(m.to)
+func (w *model) deliverToInstance(m message, on ruleset) {
+	x := w.mutableInstance(m.to)
 	from := 1 - m.to
 	switch body := m.body.(type) {
 	case JobUpdate:
-		if h := x.owner.origins[body.Origin]; h != nil && !on.order {
+		if h := x.owner.origins[body.Origin]; h != nil && !on.updateNumbers {
 			body.First = h.next
-		} else if h == nil && !on.complete {
+		} else if h == nil && !on.removeUnconfirmed {
 			x.owner.origins[body.Origin] = &originStream{next: 1, snapshotComplete: true}
 		}
 		news, ack, err := x.owner.ApplyUpdate(0, body)
 		for _, n := range news {
 			if n.GrantUnused {
-				x.tag--
+				x.charged--
 			}
 		}
 		if err == nil {
@@ -66,12 +66,12 @@
 		}
 		for _, g := range x.owner.ApplyDecline(body) {
 			if g.Kind == Send {
-				x.tag--
+				x.charged--
 			}
 		}
 	case Chunk:
 		if !on.incarnations {
-			body.Target = x.who()
+			body.Target = x.incarnationName()
 		}
 		if !on.checksums {
 			body.Checksum = checksumOf(body.Records, body.Tags)
@@ -89,8 +89,8 @@
 	case Abort:
 		if d, _ := x.importing.HandleAbort(body); d != nil {
 			w.send(from, w.instances[from].incarnation, *d)
-			if !on.numbers { // nothing sends it from the next
-				x.importing = NewImportTransfer(0, x.who(), 9)
+			if !on.transferNumbers { // nothing sends it from the next
+				x.importing = NewImportTransfer(0, x.incarnationName(), 9)
 			}
 		}
 	case ChunkAck:
@@ -104,8 +104,8 @@
 	}
 }
 
-// reply sends a decline to the owner of the epoch.
-func (w *world) reply(s Decline) {
+// sendDecline sends a decline to the owner of the epoch.
+func (w *model) sendDecline(s Decline) {
 	for i, x := range w.instances {
 		if x.owner.epoch == s.Epoch && x.up {
 			w.send(i, x.incarnation, s)
@@ -113,8 +113,8 @@
 	}
 }
 
-// execute is a grant at the origin.
-func (w *world) execute(g Grant, on ruleset) {
+// executeGrant is a grant at the origin.
+func (w *model) executeGrant(g Grant, on ruleset) {
 	l := w.mutableLog()
 	j := l.jobs[g.ID]
 	old := g.Epoch
@@ -134,25 +134,25 @@
 	err := l.Accept(0, g)
 	i := int(g.ID[1] - '0')
 	switch {
-	case err == nil, !on.oneInFlight && errors.Is(err, AttemptInFlightError{}), !on.answered && errors.Is(err, JobFinishedError{}):
+	case err == nil, !on.oneInFlight && errors.Is(err, AttemptInFlightError{}), !on.singleAnswer && errors.Is(err, JobFinishedError{}):
 		if g.Kind == Reject {
 			w.answers[i]++
-			if w.ran[i] > 0 {
+			if w.mayHaveRun[i] > 0 {
 				w.fail("rejected what ran")
 			}
 			return
 		}
-		w.ran[i]++
-		w.out[i]++
-		w.starts[old]++
+		w.mayHaveRun[i]++
+		w.inFlight[i]++
+		w.startsByEpoch[old]++
 		for _, x := range w.instances {
-			if h := x.owner.origins[w.who()]; x.up && x.owner.state == StateOpen && x.owner.epoch > old && h != nil && h.snapshotComplete {
+			if h := x.owner.origins[w.originName()]; x.up && x.owner.state == StateOpen && x.owner.epoch > old && h != nil && h.snapshotComplete {
 				w.fail("a start that the new owner, which knows all of the origin, did not grant")
 			}
 		}
 	default:
 		if s, ok := l.Decline(g); ok {
-			w.reply(s)
+			w.sendDecline(s)
 		}
 	}
 }
--- a/internal/cluster/shard/model_state_test.go
+++ b/internal/cluster/shard/model_state_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-func entryKey(b []byte, e *JobRecord) []byte {
+func appendRecordKey(b []byte, e *JobRecord) []byte {
 	b = append(b, e.ID...)
 	b = append(append(b, e.Origin...), boolByte(e.Admitted), boolByte(e.Granted), boolByte(e.Finished))
 	for _, a := range e.Attempts {
@@ -16,21 +16,21 @@
 	return append(b, ';')
 }
 
-func byName(a, b JobKey) int { return strings.Compare(a.ID+a.Origin, b.ID+b.Origin) }
+func compareJobKeys(a, b JobKey) int { return strings.Compare(a.ID+a.Origin, b.ID+b.Origin) }
 
 func (x *instance) print() string {
-	b := append([]byte(nil), byte(x.incarnation), boolByte(x.up), boolByte(x.leased), boolByte(x.cut), byte(x.known), byte(x.born), byte(x.tag), byte(x.lineage))
+	b := append([]byte(nil), byte(x.incarnation), boolByte(x.up), boolByte(x.leased), boolByte(x.isolated), byte(x.knownEpoch), byte(x.startEpoch), byte(x.charged), byte(x.lineage))
 	s := x.owner
 	b = append(b, s.state[0], byte(s.epoch), byte(s.transfers), byte(s.lastGrant))
-	for _, k := range slices.SortedFunc(maps.Keys(s.jobs), byName) {
-		b = append(entryKey(b, &s.jobs[k].JobRecord), boolByte(s.jobs[k].confirmed), byte(s.grants[k].Number), byte(len(s.grants[k].Kind)))
+	for _, k := range slices.SortedFunc(maps.Keys(s.jobs), compareJobKeys) {
+		b = append(appendRecordKey(b, &s.jobs[k].JobRecord), boolByte(s.jobs[k].confirmed), byte(s.grants[k].Number), byte(len(s.grants[k].Kind)))
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.origins)) {
 		b = append(append(b, k...), byte(s.origins[k].next), boolByte(s.origins[k].snapshotComplete), boolByte(s.origins[k].lost))
 	}
 	copied := func(c *Snapshot) {
 		for i := range c.Records {
-			b = entryKey(b, &c.Records[i])
+			b = appendRecordKey(b, &c.Records[i])
 		}
 		for _, t := range c.Tags {
 			b = append(b, byte(t.Local), byte(t.Global))
@@ -47,7 +47,7 @@
 	return string(b)
 }
 
-func (w *world) key() string {
+func (w *model) key() string {
 	b := make([]byte, 0, 512)
 	for _, x := range w.instances {
 		if x.key == "" {
@@ -60,36 +60,36 @@
 		k := []byte{byte(l.epoch), byte(l.revokedThrough), byte(l.firstUnacknowledged), byte(l.snapshotSize), boolByte(l.announced), boolByte(l.acknowledged)}
 		for _, id := range slices.Sorted(maps.Keys(l.jobs)) {
 			j := l.jobs[id]
-			k = append(entryKey(k, &j.JobRecord), boolByte(j.queued), byte(j.lastNumber))
+			k = append(appendRecordKey(k, &j.JobRecord), boolByte(j.queued), byte(j.lastNumber))
 		}
 		w.logKey = string(k) + fmt.Sprint(l.unsent, l.unacknowledged)
 	}
 	b = append(append(b, w.logKey...), w.ownership.Name...)
-	b = append(append(b, w.stagedBy...), byte(w.ownership.Epoch), byte(w.incarnation), byte(w.taken))
-	for i := range w.ran {
-		b = append(b, byte(w.ran[i]), byte(w.out[i]), byte(w.answers[i]))
+	b = append(append(b, w.stagedBy...), byte(w.ownership.Epoch), byte(w.incarnation), byte(w.jobsAdded))
+	for i := range w.mayHaveRun {
+		b = append(b, byte(w.mayHaveRun[i]), byte(w.inFlight[i]), byte(w.answers[i]))
 	}
-	for _, n := range w.starts {
+	for _, n := range w.startsByEpoch {
 		b = append(b, byte(n))
 	}
-	n := w.left
-	b = append(b, byte(n.transfers), byte(n.aborts), byte(n.crashes), byte(n.stops), byte(n.loose), byte(n.corrupt))
-	for _, m := range w.messages {
+	n := w.budget
+	b = append(b, byte(n.transfers), byte(n.aborts), byte(n.crashes), byte(n.isolations), byte(n.delayed), byte(n.corrupt))
+	for _, m := range w.delayedMessages {
 		b = append(append(b, '|'), m.key...)
 	}
 	return string(b)
 }
 
-// violation looks for a broken promise that shows in the world as it stands.
-func (w *world) violation() string {
-	if w.broken != "" {
-		return w.broken
+// violatedInvariant looks for a broken promise that shows in the world as it stands.
+func (w *model) violatedInvariant() string {
+	if w.violated != "" {
+		return w.violated
 	}
-	for i := range w.ran {
+	for i := range w.mayHaveRun {
 		switch {
-		case w.ran[i] > 1:
+		case w.mayHaveRun[i] > 1:
 			return "an unsafe job ran twice"
-		case w.out[i] > 1:
+		case w.inFlight[i] > 1:
 			return "two attempts at once"
 		case w.answers[i] > 1:
 			return "two answers"
@@ -104,36 +104,36 @@
 			open++
 		}
 		sum := 0
-		for e, n := range w.starts {
+		for e, n := range w.startsByEpoch {
 			if x.lineage&(1<<e) != 0 {
 				sum += n
 			}
 		}
-		if sum > x.tag {
-			return fmt.Sprintf("uncharged: %d starts, %d charged at %s", sum, x.tag, x.who())
+		if sum > x.charged {
+			return fmt.Sprintf("uncharged: %d starts, %d charged at %s", sum, x.charged, x.incarnationName())
 		}
 	}
 	if open > 1 {
 		return "two open owners"
 	}
-	return w.missing()
+	return w.jobMismatch()
 }
 
-// missing compares what the owner of the newest epoch knows with the origin, where
+// jobMismatch compares what the owner of the newest epoch knows with the origin, where
 // the origin takes it to know all.
-func (w *world) missing() string {
+func (w *model) jobMismatch() string {
 	for _, x := range w.instances {
-		if !x.up || x.owner.state == StateClosed || x.owner.epoch != w.log.epoch || !w.log.Synced() || x.owner.origins[w.who()] == nil {
+		if !x.up || x.owner.state == StateClosed || x.owner.epoch != w.log.epoch || !w.log.Synced() || x.owner.origins[w.originName()] == nil {
 			continue
 		}
 		for id, j := range w.log.jobs {
-			e := x.owner.jobs[JobKey{w.who(), id}]
+			e := x.owner.jobs[JobKey{w.originName(), id}]
 			if e == nil || len(e.Attempts) != len(j.Attempts) || e.InFlight() != j.InFlight() {
 				return "job lost: " + id
 			}
 		}
 		for k := range x.owner.jobs {
-			if k.Origin == w.who() && w.log.jobs[k.ID] == nil {
+			if k.Origin == w.originName() && w.log.jobs[k.ID] == nil {
 				return "ghost: " + k.ID
 			}
 		}
--- a/internal/cluster/shard/model_steps_test.go
+++ b/internal/cluster/shard/model_steps_test.go
@@ -8,78 +8,78 @@
 	"example.org/bellstream/balance"
 )
 
-// step is a world that may follow; a fault is one that nobody wants.
-type step struct {
-	*world
+// successor is a world that may follow; a fault is one that nobody wants.
+type successor struct {
+	*model
 	fault bool
 }
 
-func (w *world) next(on ruleset) (all []step) {
-	add := func(fault bool, what string, f func(n *world)) {
+func (w *model) successors(on ruleset) (all []successor) {
+	add := func(fault bool, what string, f func(n *model)) {
 		n := *w
-		n.from, n.description = w, what
+		n.previous, n.description = w, what
 		f(&n)
-		n.spread(on, func(n *world) { all = append(all, step{n, fault || n.left.loose < w.left.loose}) })
+		n.deliverSent(on, func(n *model) { all = append(all, successor{n, fault || n.budget.delayed < w.budget.delayed}) })
 	}
-	for i, m := range w.messages {
-		add(false, "arrives "+m.key, func(n *world) {
-			n.messages = slices.Delete(slices.Clone(n.messages), i, i+1)
+	for i, m := range w.delayedMessages {
+		add(false, "arrives "+m.key, func(n *model) {
+			n.delayedMessages = slices.Delete(slices.Clone(n.delayedMessages), i, i+1)
 			n.deliver(m, on)
 		})
 	}
 	for i, x := range w.instances {
-		w.steps(i, x, on, add)
+		w.instanceSteps(i, x, on, add)
 	}
 	// A coordinator has a shard owned whose owner is dead, began anew or does not renew its lease.
 	for _, x := range w.instances {
-		if x.name == w.ownership.Name && (!x.up || x.cut || x.born >= w.ownership.Epoch) && w.ownership.Epoch < w.left.epochs {
+		if x.name == w.ownership.Name && (!x.up || x.isolated || x.startEpoch >= w.ownership.Epoch) && w.ownership.Epoch < w.budget.epochs {
 			for _, y := range w.instances {
-				if y.up && (x == y) == (x.up && !x.cut) {
-					add(false, "assign it to "+y.who(), func(n *world) { n.send(toAgreement, 0, proposal{OwnerChange{0, n.ownership.Epoch, y.name}, ""}) })
+				if y.up && (x == y) == (x.up && !x.isolated) {
+					add(false, "assign it to "+y.incarnationName(), func(n *model) { n.send(toAgreement, 0, proposal{OwnerChange{0, n.ownership.Epoch, y.name}, ""}) })
 				}
 			}
 		}
 	}
-	if w.taken < w.left.jobs {
-		add(false, "a job comes", func(n *world) {
-			n.mutableLog().Add(0, JobRecord{ID: fmt.Sprint("j", n.taken), Timeout: 9, AtMostOnce: true})
-			n.taken++
+	if w.jobsAdded < w.budget.jobs {
+		add(false, "a job comes", func(n *model) {
+			n.mutableLog().Add(0, JobRecord{ID: fmt.Sprint("j", n.jobsAdded), Timeout: 9, AtMostOnce: true})
+			n.jobsAdded++
 		})
 	}
 	if w.log.epoch < w.ownership.Epoch {
-		add(false, "the origin learns of the map", func(n *world) { n.observe(n.mutableLog(), n.ownership.Epoch, on) })
+		add(false, "the origin learns of the map", func(n *model) { n.observe(n.mutableLog(), n.ownership.Epoch, on) })
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.log.jobs)) {
 		j := w.log.jobs[id]
 		if i := int(id[1] - '0'); j.InFlight() && !j.Finished {
 			for _, o := range []balance.Outcome{balance.Served, balance.ConnectionLost, balance.Unreachable} {
-				add(false, string(o)+" "+id, func(n *world) {
+				add(false, string(o)+" "+id, func(n *model) {
 					n.mutableLog().FinishAttempt(0, id, AttemptResult{Outcome: o, MayHaveRun: o != balance.Unreachable, Answered: o == balance.Served})
-					n.out[i]--
+					n.inFlight[i]--
 					switch o {
 					case balance.Served:
 						n.answers[i]++
 					case balance.Unreachable:
-						n.ran[i]--
+						n.mayHaveRun[i]--
 					}
 				})
 			}
 		}
 	}
-	w.updates(add)
-	if w.left.crashOrigin && w.left.crashes > 0 {
-		add(true, "the origin dies", func(n *world) {
-			n.left.crashes--
+	w.updateSteps(add)
+	if w.budget.crashOrigin && w.budget.crashes > 0 {
+		add(true, "the origin dies", func(n *model) {
+			n.budget.crashes--
 			n.incarnation++
-			n.log, n.logKey = NewJobLog(0, n.who()), ""
-			n.out = [2]int{}
+			n.log, n.logKey = NewJobLog(0, n.originName()), ""
+			n.inFlight = [2]int{}
 		})
 	}
 	return all
 }
 
-// updates is what the origin says to the owner of the epoch that it knows.
-func (w *world) updates(add func(bool, string, func(*world))) {
+// updateSteps is what the origin says to the owner of the epoch that it knows.
+func (w *model) updateSteps(add func(bool, string, func(*model))) {
 	to := slices.IndexFunc(w.instances[:], func(x *instance) bool { return x.name == w.ownership.Name })
 	if to < 0 || w.log.epoch != w.ownership.Epoch || !w.instances[to].up || w.instances[to].owner.epoch != w.log.epoch {
 		return
@@ -98,7 +98,7 @@
 		} else if _, ok := next(n.mutableLog()); !ok {
 			continue
 		}
-		add(false, fmt.Sprint("the origin sends, again: ", again), func(n *world) {
+		add(false, fmt.Sprint("the origin sends, again: ", again), func(n *model) {
 			m, _ := next(n.mutableLog())
 			n.send(to, n.instances[to].incarnation, m)
 		})
@@ -106,15 +106,15 @@
 }
 
 // doFunc adds a step of one instance.
-type doFunc func(fault bool, what string, f func(n *world, x *instance))
+type doFunc func(fault bool, what string, f func(n *model, x *instance))
 
-// steps is what one of them may do.
-func (w *world) steps(i int, x *instance, on ruleset, add func(bool, string, func(*world))) {
-	do := func(fault bool, what string, f func(n *world, x *instance)) {
-		add(fault, x.who()+" "+what, func(n *world) { f(n, n.mutable(i)) })
+// instanceSteps is what one of them may do.
+func (w *model) instanceSteps(i int, x *instance, on ruleset, add func(bool, string, func(*model))) {
+	do := func(fault bool, what string, f func(n *model, x *instance)) {
+		add(fault, x.incarnationName()+" "+what, func(n *model) { f(n, n.mutableInstance(i)) })
 	}
 	if !x.up {
-		do(false, "starts again", func(n *world, x *instance) { n.instances[i] = newInstance(x.name, x.incarnation+1, n.ownership.Epoch) })
+		do(false, "starts again", func(n *model, x *instance) { n.instances[i] = newInstance(x.name, x.incarnation+1, n.ownership.Epoch) })
 		return
 	}
 	w.faultSteps(x, do)
@@ -131,94 +131,94 @@
 	}
 }
 
-func (w *world) faultSteps(x *instance, do doFunc) {
-	if w.left.crashes > 0 {
-		do(true, "dies", func(n *world, x *instance) { n.left.crashes--; x.up, x.leased, x.cut = false, false, false })
+func (w *model) faultSteps(x *instance, do doFunc) {
+	if w.budget.crashes > 0 {
+		do(true, "dies", func(n *model, x *instance) { n.budget.crashes--; x.up, x.leased, x.isolated = false, false, false })
 	}
-	if w.left.stops > 0 && !x.cut {
-		do(true, "is cut off", func(n *world, x *instance) { n.left.stops--; x.cut = true })
+	if w.budget.isolations > 0 && !x.isolated {
+		do(true, "is cut off", func(n *model, x *instance) { n.budget.isolations--; x.isolated = true })
 	}
-	if x.cut && x.leased {
-		do(false, "lapses", func(n *world, x *instance) { x.leased = false })
+	if x.isolated && x.leased {
+		do(false, "lapses", func(n *model, x *instance) { x.leased = false })
 	}
 }
 
-func (w *world) agreementSteps(i int, x *instance, on ruleset, do doFunc) {
+func (w *model) agreementSteps(i int, x *instance, on ruleset, do doFunc) {
 	other := w.instances[1-i]
-	mine := w.ownership.Name == x.name && x.owner.epoch < w.ownership.Epoch && (x.born < w.ownership.Epoch || !on.born)
-	if mine && on.lease { // accord's part: who acted on an older map knows better, or its lease has run out
-		mine = !other.up || !other.leased || other.known == w.ownership.Epoch
+	mine := w.ownership.Name == x.name && x.owner.epoch < w.ownership.Epoch && (x.startEpoch < w.ownership.Epoch || !on.startEpoch)
+	if mine && on.exclusiveLease { // accord's part: who acted on an older map knows better, or its lease has run out
+		mine = !other.up || !other.leased || other.knownEpoch == w.ownership.Epoch
 	}
-	if !x.leased || x.cut || x.known < w.ownership.Epoch || mine {
-		do(false, "learns of the map", func(n *world, x *instance) { n.learn(x, mine) })
+	if !x.leased || x.isolated || x.knownEpoch < w.ownership.Epoch || mine {
+		do(false, "learns of the map", func(n *model, x *instance) { n.adoptMap(x, mine) })
 	}
 	for _, k := range slices.Sorted(maps.Keys(x.owner.origins)) {
-		if k != w.who() && !x.owner.origins[k].lost {
-			do(false, "learns that the origin died", func(n *world, x *instance) { x.owner.OriginLost(k) })
+		if k != w.originName() && !x.owner.origins[k].lost {
+			do(false, "learns that the origin died", func(n *model, x *instance) { x.owner.OriginLost(k) })
 		}
 	}
 }
 
-func (w *world) ownerSteps(i int, x *instance, on ruleset, do doFunc) {
+func (w *model) ownerSteps(i int, x *instance, on ruleset, do doFunc) {
 	s := x.owner
 	other := w.instances[1-i]
 	few := s.lastGrant < 4 // an owner that never learns would go on for ever
-	for _, k := range slices.SortedFunc(maps.Keys(s.jobs), byName) {
-		if few && len(s.jobs[k].Attempts) < w.left.attempts {
-			do(false, "sends "+k.ID, func(n *world, x *instance) { n.grant(x, Send, k) })
+	for _, k := range slices.SortedFunc(maps.Keys(s.jobs), compareJobKeys) {
+		if few && len(s.jobs[k].Attempts) < w.budget.attempts {
+			do(false, "sends "+k.ID, func(n *model, x *instance) { n.grant(x, Send, k) })
 		}
-		if few && w.left.reject {
-			do(false, "rejects "+k.ID, func(n *world, x *instance) { n.grant(x, Reject, k) })
+		if few && w.budget.reject {
+			do(false, "rejects "+k.ID, func(n *model, x *instance) { n.grant(x, Reject, k) })
 		}
 	}
 	if len(s.grants) > 0 {
-		do(false, "sends grants again", func(n *world, x *instance) {
+		do(false, "sends grants again", func(n *model, x *instance) {
 			for _, g := range x.owner.PendingGrants(9) {
 				n.send(toOrigin, n.incarnation, g)
 			}
 		})
 	}
-	if w.left.transfers > 0 && other.up {
-		do(true, "begins a transfer", func(n *world, x *instance) {
-			n.left.transfers--
-			x.exporting, _ = x.owner.BeginTransfer(other.who())
+	if w.budget.transfers > 0 && other.up {
+		do(true, "begins a transfer", func(n *model, x *instance) {
+			n.budget.transfers--
+			x.exporting, _ = x.owner.BeginTransfer(other.incarnationName())
 			x.exporting.chunkSize = 1
-			if !on.numbers {
+			if !on.transferNumbers {
 				x.exporting.number = 1
 			}
 		})
 	}
 }
 
-func (w *world) exportSteps(i int, x *instance, on ruleset, do doFunc) {
+func (w *model) exportSteps(i int, x *instance, on ruleset, do doFunc) {
 	s := x.owner
 	switch x.exporting.Stage() {
 	case StageRevoking:
 		if len(s.grants) > 0 {
-			do(false, "revokes", func(n *world, x *instance) {
+			do(false, "revokes", func(n *model, x *instance) {
 				for _, r := range x.owner.Revokes() {
 					n.send(toOrigin, n.incarnation, r)
 				}
 			})
 		}
-		if len(s.grants) == 0 || w.left.waive {
-			do(false, "copies", func(n *world, x *instance) {
-				x.exporting.Freeze(0, []TenantTags{{"t", float64(x.tag), float64(x.lineage)}}, true)
-				n.sealed = maps.Clone(n.sealed)
-				n.sealed[[2]uint64{x.exporting.epoch, x.exporting.number}] = x.exporting.checksum
+		if len(s.grants) == 0 || w.budget.waive {
+			do(false, "copies", func(n *model, x *instance) {
+				x.exporting.Freeze(0, []TenantTags{{"t", float64(x.charged), float64(x.lineage)}}, true)
+				n.sealedChecksums = maps.Clone(n.sealedChecksums)
+				n.sealedChecksums[[2]uint64{x.exporting.epoch, x.exporting.number}] = x.exporting.checksum
 				if !on.sealing {
 					x.owner.state = StateOpen
 				}
 			})
 		}
 	case StageCopying:
-		do(false, "sends chunks", func(n *world, x *instance) {
+		do(false, "sends chunks", func(n *model, x *instance) {
 			for _, p := range x.exporting.Chunks(0, 1) {
 				n.send(1-i, n.instances[1-i].incarnation, p)
 			}
 		})
 	case StageAborting:
-		do(false, "sends the abort", func(n *world, x *instance) {
+		do(false, "sends the abort", func(n *model, x *instance) {
 			m, _ := x.exporting.AbortMessage()
 			n.send(1-i, n.instances[1-i].incarnation, m)
 		})
@@ -226,35 +226,35 @@
 }
 
 // abortSteps are those of an old owner that gives a transfer up.
-func (w *world) abortSteps(i int, x *instance, on ruleset, do doFunc) {
+func (w *model) abortSteps(i int, x *instance, on ruleset, do doFunc) {
 	o := x.exporting
 	other := w.instances[1-i]
-	if st := o.Stage(); st != StageDone && st != StageAborting && (w.left.aborts > 0 || o.target != other.who() || !other.up) {
-		do(true, "aborts", func(n *world, x *instance) {
-			n.left.aborts = max(0, n.left.aborts-1)
+	if st := o.Stage(); st != StageDone && st != StageAborting && (w.budget.aborts > 0 || o.target != other.incarnationName() || !other.up) {
+		do(true, "aborts", func(n *model, x *instance) {
+			n.budget.aborts = max(0, n.budget.aborts-1)
 			x.exporting.Abort()
-			if !on.aborted && x.exporting.stage == StageAborting {
+			if !on.reopenAfterAborted && x.exporting.stage == StageAborting {
 				x.exporting.reopen()
 			}
 		})
 	}
-	if c, ok := o.Reclaim(x.name); ok && (o.Stage() == StageAborting || o.target != other.who() || !other.up) && w.ownership.Epoch < w.left.epochs {
-		do(false, "reclaims", func(n *world, x *instance) { n.send(toAgreement, 0, proposal{c, ""}) })
+	if c, ok := o.Reclaim(x.name); ok && (o.Stage() == StageAborting || o.target != other.incarnationName() || !other.up) && w.ownership.Epoch < w.budget.epochs {
+		do(false, "reclaims", func(n *model, x *instance) { n.send(toAgreement, 0, proposal{c, ""}) })
 	}
 }
 
-func (w *world) importSteps(i int, x *instance, on ruleset, do doFunc) {
-	if w.left.epochs > w.ownership.Epoch {
-		do(false, "proposes", func(n *world, x *instance) {
+func (w *model) importSteps(i int, x *instance, on ruleset, do doFunc) {
+	if w.budget.epochs > w.ownership.Epoch {
+		do(false, "proposes", func(n *model, x *instance) {
 			if c, ok := x.importing.Propose(x.name); ok {
-				n.send(toAgreement, 0, proposal{c, x.who()})
+				n.send(toAgreement, 0, proposal{c, x.incarnationName()})
 			}
-			x.importing.proposed = x.importing.proposed && on.forward
+			x.importing.proposed = x.importing.proposed && on.noAbortAfterProposal
 		})
 	}
-	if w.left.aborts > 0 && !x.importing.proposed {
-		do(true, "aborts the import", func(n *world, x *instance) {
-			n.left.aborts--
+	if w.budget.aborts > 0 && !x.importing.proposed {
+		do(true, "aborts the import", func(n *model, x *instance) {
+			n.budget.aborts--
 			if d := x.importing.Abort("full"); d != nil {
 				n.send(1-i, n.instances[1-i].incarnation, *d)
 			}
@@ -262,18 +262,18 @@
 	}
 }
 
-func (w *world) grant(x *instance, kind Kind, k JobKey) {
+func (w *model) grant(x *instance, kind Kind, k JobKey) {
 	if g, err := x.owner.Grant(k, Decision{Kind: kind, Worker: "w"}); err == nil {
 		if kind == Send {
-			x.tag++
+			x.charged++
 		}
 		w.send(toOrigin, w.incarnation, g)
 	}
 }
 
 // applyRecord has an instance renew its lease and act on the map.
-func (w *world) learn(x *instance, mine bool) {
-	x.known, x.leased, x.cut = w.ownership.Epoch, true, false
+func (w *model) adoptMap(x *instance, mine bool) {
+	x.knownEpoch, x.leased, x.isolated = w.ownership.Epoch, true, false
 	x.owner.ObserveEpoch(w.ownership.Epoch)
 	if !mine {
 		x.importing.ObserveEpoch(w.ownership.Epoch)
@@ -283,23 +283,23 @@
 	c := x.importing.TakeSnapshot(w.ownership.Epoch)
 	switch {
 	case c != nil:
-		if w.sealed[[2]uint64{epoch, number}] != checksumOf(c.Records, c.Tags) {
+		if w.sealedChecksums[[2]uint64{epoch, number}] != checksumOf(c.Records, c.Tags) {
 			w.fail("the copy is not what was sealed")
 		}
 		x.owner.Open(w.ownership.Epoch, c)
-		x.tag, x.lineage = int(c.Tags[0].Local), int(c.Tags[0].Global)
-	case w.stagedBy == x.who():
+		x.charged, x.lineage = int(c.Tags[0].Local), int(c.Tags[0].Global)
+	case w.stagedBy == x.incarnationName():
 		w.fail("opened without what was staged")
 	case x.owner.Renew(w.ownership.Epoch) != nil:
 		x.owner.Open(w.ownership.Epoch, nil)
-		x.tag, x.lineage = 0, 0
+		x.charged, x.lineage = 0, 0
 	}
 	x.lineage |= 1 << w.ownership.Epoch
 }
 
 // observe has the origin learn an epoch.
-func (w *world) observe(l *JobLog, epoch uint64, on ruleset) {
-	if l.ObserveEpoch(epoch) && !on.updating {
+func (w *model) observe(l *JobLog, epoch uint64, on ruleset) {
+	if l.ObserveEpoch(epoch) && !on.resendForEpoch {
 		l.unsent, l.snapshotSize = nil, 0
 		for _, j := range l.jobs {
 			j.queued = false
--- a/internal/cluster/shard/model_test.go
+++ b/internal/cluster/shard/model_test.go
@@ -16,18 +16,18 @@
 
 // ruleset is what the search takes away, one at a time.
 type ruleset struct {
-	sealing, epochs, oneInFlight, attempts, atMostOnce, revocation, answered, checksums, updating, forward, aborted, numbers, lease, born, order, complete, declineOrder, incarnations bool
+	sealing, epochs, oneInFlight, attempts, atMostOnce, revocation, singleAnswer, checksums, resendForEpoch, noAbortAfterProposal, reopenAfterAborted, transferNumbers, exclusiveLease, startEpoch, updateNumbers, removeUnconfirmed, declineOrder, incarnations bool
 }
 
 // budget keeps a search small.
 type budget struct {
-	jobs, attempts                                    int
-	transfers, aborts, crashes, stops, loose, corrupt int
-	epochs                                            uint64
-	reject                                            bool // owners reject as well
-	assigned                                          bool // the first job is owned at the start
-	waive                                             bool // owners do not wait for the origin to settle
-	crashOrigin                                       bool // crashes strike the origin too
+	jobs, attempts                                           int
+	transfers, aborts, crashes, isolations, delayed, corrupt int
+	epochs                                                   uint64
+	reject                                                   bool // owners reject as well
+	assigned                                                 bool // the first job is owned at the start
+	waive                                                    bool // owners do not wait for the origin to settle
+	crashOrigin                                              bool // crashes strike the origin too
 }
 
 type message struct {
@@ -49,50 +49,50 @@
 }
 
 type instance struct {
-	name         string
-	incarnation  int
-	up, leased   bool
-	cut          bool   // it receives nothing of the agreement: its lease will lapse
-	known, born  uint64 // epochs of the map: as known, and as it was when this incarnation began
-	owner        *Owner
-	exporting    *ExportTransfer
-	importing    *ImportTransfer
-	tag, lineage int // starts charged, and the epochs whose starts they are
-	key          string
+	name                   string
+	incarnation            int
+	up, leased             bool
+	isolated               bool   // it receives nothing of the agreement: its lease will lapse
+	knownEpoch, startEpoch uint64 // epochs of the map: as known, and as it was when this incarnation began
+	owner                  *Owner
+	exporting              *ExportTransfer
+	importing              *ImportTransfer
+	charged, lineage       int // starts charged, and the epochs whose starts they are
+	key                    string
 }
 
-func (x *instance) who() string { return fmt.Sprint(x.name, "#", x.incarnation) }
+func (x *instance) incarnationName() string { return fmt.Sprint(x.name, "#", x.incarnation) }
 
-type world struct {
-	instances   [2]*instance
-	ownership   Ownership // the agreed map
-	stagedBy    string    // the incarnation whose staged transfer made it so
-	log         *JobLog
-	incarnation int // of the origin
-	logKey      string
-	taken       int
-	ran, out    [2]int // of each job: starts that ran or may have; attempts out
-	answers     [2]int
-	starts      [8]int // by epoch
-	sealed      map[[2]uint64]Checksum
-	messages    []message // on their way
-	sent        []message // in this step
-	left        budget
-	from        *world
-	description string
-	broken      string
+type model struct {
+	instances            [2]*instance
+	ownership            Ownership // the agreed map
+	stagedBy             string    // the incarnation whose staged transfer made it so
+	log                  *JobLog
+	incarnation          int // of the origin
+	logKey               string
+	jobsAdded            int
+	mayHaveRun, inFlight [2]int // of each job: starts that ran or may have; attempts out
+	answers              [2]int
+	startsByEpoch        [8]int // by epoch
+	sealedChecksums      map[[2]uint64]Checksum
+	delayedMessages      []message // on their way
+	undelivered          []message // in this step
+	budget               budget
+	previous             *model
+	description          string
+	violated             string
 }
 
-func (w *world) trace() string {
-	if w.from == nil {
+func (w *model) trace() string {
+	if w.previous == nil {
 		return ""
 	}
-	return w.from.trace() + "\n\t" + w.description
+	return w.previous.trace() + "\n\t" + w.description
 }
 
-func (w *world) fail(why string) {
-	if w.broken == "" {
-		w.broken = why
+func (w *model) fail(why string) {
+	if w.violated == "" {
+		w.violated = why
 	}
 }
 
@@ -110,8 +110,8 @@
 	return &n
 }
 
-// mutable gives the world an instance of its own.
-func (w *world) mutable(i int) *instance {
+// mutableInstance gives the world an instance of its own.
+func (w *model) mutableInstance(i int) *instance {
 	x := *w.instances[i]
 	x.key = ""
 	x.owner = x.owner.clone()
@@ -127,7 +127,7 @@
 	return &x
 }
 
-func (w *world) mutableLog() *JobLog {
+func (w *model) mutableLog() *JobLog {
 	l := *w.log
 	l.jobs = maps.Clone(l.jobs)
 	for k, j := range l.jobs {
@@ -139,57 +139,57 @@
 	return &l
 }
 
-func (w *world) who() string { return fmt.Sprint("h#", w.incarnation) }
+func (w *model) originName() string { return fmt.Sprint("h#", w.incarnation) }
 
-func (w *world) send(to, incarnation int, body any) {
-	w.sent = append(w.sent, message{"", to, incarnation, body})
+func (w *model) send(to, incarnation int, body any) {
+	w.undelivered = append(w.undelivered, message{"", to, incarnation, body})
 }
 
-// keep puts a message among those on their way.
-func (w *world) keep(m message) {
+// delay puts a message among those on their way.
+func (w *model) delay(m message) {
 	m.key = fmt.Sprintf("%d#%d %T%v", m.to, m.incarnation, m.body, m.body)
-	w.left.loose--
-	if at, ok := slices.BinarySearchFunc(w.messages, m, func(a, b message) int { return strings.Compare(a.key, b.key) }); !ok {
-		w.messages = slices.Insert(slices.Clone(w.messages), at, m)
+	w.budget.delayed--
+	if at, ok := slices.BinarySearchFunc(w.delayedMessages, m, func(a, b message) int { return strings.Compare(a.key, b.key) }); !ok {
+		w.delayedMessages = slices.Insert(slices.Clone(w.delayedMessages), at, m)
 	}
 }
 
-// spread hands over what was sent, in all ways that there are.
-func (w world) spread(on ruleset, take func(*world)) {
-	if len(w.sent) == 0 || w.broken != "" {
+// deliverSent hands over what was sent, in all ways that there are.
+func (w model) deliverSent(on ruleset, take func(*model)) {
+	if len(w.undelivered) == 0 || w.violated != "" {
 		take(&w)
 		return
 	}
-	m := w.sent[0]
-	w.sent = slices.Clone(w.sent[1:])
+	m := w.undelivered[0]
+	w.undelivered = slices.Clone(w.undelivered[1:])
 	now := w
 	now.deliver(m, on)
-	now.spread(on, take)
-	if w.left.loose > 0 {
+	now.deliverSent(on, take)
+	if w.budget.delayed > 0 {
 		later := w
-		later.keep(m)
-		later.spread(on, take)
+		later.delay(m)
+		later.deliverSent(on, take)
 		later.deliver(m, on)
-		later.spread(on, take)
+		later.deliverSent(on, take)
 	}
-	if p, ok := m.body.(Chunk); ok && w.left.corrupt > 0 && len(p.Records) > 0 {
-		w.left.corrupt--
+	if p, ok := m.body.(Chunk); ok && w.budget.corrupt > 0 && len(p.Records) > 0 {
+		w.budget.corrupt--
 		p.Records = nil
 		w.deliver(message{m.key, m.to, m.incarnation, p}, on)
-		w.spread(on, take)
+		w.deliverSent(on, take)
 	}
 }
 
 func newInstance(name string, incarnation int, born uint64) *instance {
-	x := &instance{name: name, incarnation: incarnation, up: true, born: born, owner: NewOwner(0, Limits{MaxJobs: 9})}
-	x.importing = NewImportTransfer(0, x.who(), 9)
+	x := &instance{name: name, incarnation: incarnation, up: true, startEpoch: born, owner: NewOwner(0, Limits{MaxJobs: 9})}
+	x.importing = NewImportTransfer(0, x.incarnationName(), 9)
 	return x
 }
 
-// settle plays on without faults and says what never comes to rest.
-func (w *world) settle(on ruleset) string {
+// runWithoutFaults plays on without faults and says what never comes to rest.
+func (w *model) runWithoutFaults(on ruleset) string {
 	seen := map[string]bool{w.key(): true}
-	w.left.epochs += 2
+	w.budget.epochs += 2
 	for range 400 {
 		for _, x := range w.instances {
 			if x.up && x.leased && x.owner.state == StateOpen && x.owner.epoch == w.ownership.Epoch && w.log.Synced() && w.log.epoch == w.ownership.Epoch &&
@@ -197,17 +197,17 @@
 				return ""
 			}
 		}
-		var to *world
-		for _, n := range w.next(on) {
+		var to *model
+		for _, n := range w.successors(on) {
 			if !n.fault && !seen[n.key()] {
-				to = n.world
+				to = n.model
 				break
 			}
 		}
 		if to == nil {
 			return "stuck"
 		}
-		if why := to.violation(); why != "" {
+		if why := to.violatedInvariant(); why != "" {
 			return why
 		}
 		w = to
@@ -219,10 +219,10 @@
 // search plays all that can happen, and returns the first broken promise and
 // how many worlds it has seen. Of each `every` worlds one is played to its end.
 func search(t *testing.T, b budget, on ruleset, most, every int) (string, int) {
-	start := &world{ownership: Ownership{"a", 1}, left: b, sealed: map[[2]uint64]Checksum{}, log: NewJobLog(0, "h#0")}
+	start := &model{ownership: Ownership{"a", 1}, budget: b, sealedChecksums: map[[2]uint64]Checksum{}, log: NewJobLog(0, "h#0")}
 	for i, name := range []string{"a", "b"} {
 		start.instances[i] = newInstance(name, 0, 0)
-		start.instances[i].known, start.instances[i].leased = 1, true
+		start.instances[i].knownEpoch, start.instances[i].leased = 1, true
 	}
 	start.instances[0].owner.Open(1, nil)
 	start.instances[0].lineage = 1 << 1
@@ -232,27 +232,27 @@
 		m, _ := start.log.NextUpdate(0)
 		_, ack, _ := start.instances[0].owner.ApplyUpdate(0, m)
 		start.log.Acknowledge(ack)
-		start.taken = 1
+		start.jobsAdded = 1
 	}
 	seen := map[[16]byte]bool{}
-	for queue := []*world{start}; len(queue) > 0; queue = queue[1:] {
+	for queue := []*model{start}; len(queue) > 0; queue = queue[1:] {
 		if len(seen) > most {
 			t.Fatalf("more than %d worlds", most)
 		}
-		for _, n := range queue[0].next(on) {
+		for _, n := range queue[0].successors(on) {
 			hash := sha256.Sum256([]byte(n.key()))
 			k := [16]byte(hash[:])
 			if seen[k] {
 				continue
 			}
-			if why := n.violation(); why != "" {
+			if why := n.violatedInvariant(); why != "" {
 				return why + n.trace(), len(seen)
 			}
 			seen[k] = true
-			queue = append(queue, n.world)
+			queue = append(queue, n.model)
 			if every > 0 && (int(k[0])<<8|int(k[1]))%every == 0 {
-				end := *n.world
-				if why := end.settle(on); why != "" {
+				end := *n.model
+				if why := end.runWithoutFaults(on); why != "" {
 					return why + n.trace(), len(seen)
 				}
 			}
@@ -262,33 +262,33 @@
 	return "", len(seen)
 }
 
-var all = ruleset{true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true}
+var allRules = ruleset{true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true}
 
 // BELLSTREAM_MODEL=full plays more that is loose, and more of everything together.
 func TestInvariantsInAnyOrder(t *testing.T) {
 	cases := map[string]budget{
-		"one transfer":            {jobs: 1, attempts: 1, transfers: 1, aborts: 1, loose: 1, epochs: 3},
-		"two transfers":           {jobs: 1, attempts: 1, transfers: 2, loose: 1, epochs: 3, assigned: true},
-		"attempts":                {jobs: 1, attempts: 2, loose: 2, epochs: 2, reject: true, assigned: true},
+		"one transfer":            {jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 1, epochs: 3},
+		"two transfers":           {jobs: 1, attempts: 1, transfers: 2, delayed: 1, epochs: 3, assigned: true},
+		"attempts":                {jobs: 1, attempts: 2, delayed: 2, epochs: 2, reject: true, assigned: true},
 		"two jobs":                {jobs: 2, attempts: 1, transfers: 1, corrupt: 1, epochs: 2, assigned: true},
 		"attempts and a transfer": {jobs: 1, attempts: 2, transfers: 1, epochs: 2, reject: true, assigned: true},
-		"crashes":                 {jobs: 1, attempts: 1, transfers: 1, crashes: 1, stops: 1, epochs: 2, assigned: true},
-		"late grants":             {jobs: 1, attempts: 1, crashes: 1, loose: 1, epochs: 3, assigned: true},
+		"crashes":                 {jobs: 1, attempts: 1, transfers: 1, crashes: 1, isolations: 1, epochs: 2, assigned: true},
+		"late grants":             {jobs: 1, attempts: 1, crashes: 1, delayed: 1, epochs: 3, assigned: true},
 		"origin":                  {jobs: 1, attempts: 1, transfers: 1, crashes: 1, epochs: 2, crashOrigin: true},
-		"waive":                   {jobs: 1, attempts: 1, transfers: 1, loose: 1, epochs: 2, waive: true, assigned: true},
+		"waive":                   {jobs: 1, attempts: 1, transfers: 1, delayed: 1, epochs: 2, waive: true, assigned: true},
 	}
 	if os.Getenv("BELLSTREAM_MODEL") == "full" {
 		maps.Copy(cases, map[string]budget{
-			"refuses":    {jobs: 1, attempts: 2, loose: 1, epochs: 2, reject: true, assigned: true},
-			"looser":     {jobs: 1, attempts: 1, transfers: 1, aborts: 1, loose: 2, epochs: 3},
-			"back":       {jobs: 1, attempts: 1, transfers: 2, aborts: 1, loose: 1, epochs: 3, assigned: true},
-			"everything": {jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, loose: 1, epochs: 3, assigned: true},
+			"refuses":    {jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true},
+			"looser":     {jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 2, epochs: 3},
+			"back":       {jobs: 1, attempts: 1, transfers: 2, aborts: 1, delayed: 1, epochs: 3, assigned: true},
+			"everything": {jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 3, assigned: true},
 		})
 	}
 	for name, b := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			broken, n := search(t, b, all, 6_000_000, 100)
+			broken, n := search(t, b, allRules, 6_000_000, 100)
 			t.Logf("%s: %d worlds", name, n)
 			if broken != "" {
 				t.Error(broken)
@@ -299,9 +299,9 @@
 
 // Each rule is needed: without it the same search finds what it guards against.
 func TestEachRuleIsNecessary(t *testing.T) {
-	move := budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, loose: 1, epochs: 3, assigned: true}
-	still := budget{jobs: 1, attempts: 2, loose: 1, epochs: 2, reject: true, assigned: true}
-	dies := budget{jobs: 1, attempts: 1, crashes: 1, stops: 1, loose: 1, epochs: 3, assigned: true}
+	move := budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 1, epochs: 3, assigned: true}
+	still := budget{jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true}
+	dies := budget{jobs: 1, attempts: 1, crashes: 1, isolations: 1, delayed: 1, epochs: 3, assigned: true}
 	for name, c := range map[string]struct {
 		off  func(*ruleset)
 		b    budget
@@ -313,22 +313,22 @@
 		"attempts are numbered":                 {func(r *ruleset) { r.attempts = false }, still, "uncharged"},
 		"what may have run does not run again":  {func(r *ruleset) { r.atMostOnce = false }, still, "an unsafe job ran twice"},
 		"what is revoked stays revoked":         {func(r *ruleset) { r.revocation = false }, move, "uncharged"},
-		"one answer at the origin":              {func(r *ruleset) { r.answered = false }, still, "two answers"},
+		"one answer at the origin":              {func(r *ruleset) { r.singleAnswer = false }, still, "two answers"},
 		"chunks have count and digest":          {func(r *ruleset) { r.checksums = false }, budget{jobs: 1, transfers: 1, corrupt: 1, epochs: 2, assigned: true}, "the copy is not"},
-		"origins update the new owner":          {func(r *ruleset) { r.updating = false }, dies, "job lost"},
-		"after the proposal only forward":       {func(r *ruleset) { r.forward = false }, move, "opened without"},
-		"open again when the other aborted it":  {func(r *ruleset) { r.aborted = false }, move, "uncharged"},
-		"transfers are numbered":                {func(r *ruleset) { r.numbers = false }, move, "uncharged"},
-		"no owner opens beside a lease":         {func(r *ruleset) { r.lease = false }, dies, "two open owners"},
-		"a new incarnation opens no old epoch":  {func(r *ruleset) { r.born = false }, dies, "uncharged"},
-		"updates are numbered":                  {func(r *ruleset) { r.order = false }, still, "ghost"},
-		"what is not sent is dropped":           {func(r *ruleset) { r.complete = false }, move, "ghost"},
+		"origins update the new owner":          {func(r *ruleset) { r.resendForEpoch = false }, dies, "job lost"},
+		"after the proposal only forward":       {func(r *ruleset) { r.noAbortAfterProposal = false }, move, "opened without"},
+		"open again when the other aborted it":  {func(r *ruleset) { r.reopenAfterAborted = false }, move, "uncharged"},
+		"transfers are numbered":                {func(r *ruleset) { r.transferNumbers = false }, move, "uncharged"},
+		"no owner opens beside a lease":         {func(r *ruleset) { r.exclusiveLease = false }, dies, "two open owners"},
+		"a new incarnation opens no old epoch":  {func(r *ruleset) { r.startEpoch = false }, dies, "uncharged"},
+		"updates are numbered":                  {func(r *ruleset) { r.updateNumbers = false }, still, "ghost"},
+		"what is not sent is dropped":           {func(r *ruleset) { r.removeUnconfirmed = false }, move, "ghost"},
 		"a decline waits for updates before it": {func(r *ruleset) { r.declineOrder = false }, move, "uncharged"},
-		"a transfer is to one incarnation":      {func(r *ruleset) { r.incarnations = false }, budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, loose: 1, epochs: 2, assigned: true}, "uncharged"},
+		"a transfer is to one incarnation":      {func(r *ruleset) { r.incarnations = false }, budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 2, assigned: true}, "uncharged"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			on := all
+			on := allRules
 			c.off(&on)
 			broken, n := search(t, c.b, on, 1_000_000, 0)
 			t.Logf("%s: %.40q after %d worlds", name, broken, n)
--- a/internal/cluster/shard/owner.go
+++ b/internal/cluster/shard/owner.go
@@ -95,17 +95,17 @@
 	if j == nil {
 		return JobRecord{}, false
 	}
-	return j.at(now), true
+	return j.recordAt(now), true
 }
 
 // ownership returns the record as of now.
-func (j *ownedJob) at(now float64) JobRecord { return j.advancedBy(now - j.asOf) }
+func (j *ownedJob) recordAt(now float64) JobRecord { return j.advancedBy(now - j.asOf) }
 
 // Jobs returns all jobs that it knows, as of now, by origin and order.
 func (o *Owner) Jobs(now float64) []JobRecord {
 	list := make([]JobRecord, 0, len(o.jobs))
 	for _, j := range o.jobs {
-		list = append(list, j.at(now))
+		list = append(list, j.recordAt(now))
 	}
 	slices.SortFunc(list, func(a, b JobRecord) int {
 		return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Order, b.Order))
--- a/internal/cluster/shard/placement_test.go
+++ b/internal/cluster/shard/placement_test.go
@@ -33,7 +33,7 @@
 
 // bounds of each member, worked out apart from Place by whole numbers: weights
 // and the tolerance, in hundredths, are whole.
-func bound(shards, weight, all, hundredths int) (low, high int) {
+func expectedBounds(shards, weight, all, hundredths int) (low, high int) {
 	low = shards * weight * (100 - hundredths) / (all * 100)
 	high = (shards*weight*(100+hundredths) + all*100 - 1) / (all * 100)
 	return low, high
@@ -80,7 +80,7 @@
 		}
 		over, under := 0, 0
 		for i, w := range weights {
-			low, high := bound(count, w, sum, hundredths)
+			low, high := expectedBounds(count, w, sum, hundredths)
 			over += max(0, load[who[i].Name]-high)
 			under += max(0, low-load[who[i].Name])
 		}
@@ -108,7 +108,7 @@
 			load[a.Name]++
 		}
 		for i, w := range weights {
-			low, high := bound(count, w, sum, hundredths)
+			low, high := expectedBounds(count, w, sum, hundredths)
 			if n := load[fmt.Sprint("i", i)]; n < low || n > high {
 				t.Fatalf("i%d of weight %d owners %d, bounds %d and %d", i, w, n, low, high)
 			}
@@ -178,8 +178,8 @@
 	}
 }
 
-// third is the map of 300 instances after a third of them died.
-func third(instances, count int) (Map, []Member) {
+// mapAfterThirdLost is the map of 300 instances after a third of them died.
+func mapAfterThirdLost(instances, count int) (Map, []Member) {
 	m := make(Map, count)
 	for s := range m {
 		m[s] = Ownership{fmt.Sprintf("i%03d", s%instances), 1}
@@ -188,14 +188,14 @@
 }
 
 func BenchmarkPlaceThirdLost(b *testing.B) {
-	m, who := third(300, 4096)
+	m, who := mapAfterThirdLost(300, 4096)
 	for b.Loop() {
 		Place(m, who, nil, nil, Bounds{0.1, 64})
 	}
 }
 
 func BenchmarkPlaceGrowth(b *testing.B) {
-	m, _ := third(6, 4096)
+	m, _ := mapAfterThirdLost(6, 4096)
 	who := members(300)
 	for b.Loop() {
 		Place(m, who, nil, nil, Bounds{0.1, 64})
--- a/internal/cluster/shard/reconcile_test.go
+++ b/internal/cluster/shard/reconcile_test.go
@@ -20,7 +20,7 @@
 		} else if d, differs := p.owner.Compare(c); differs {
 			rt.Fatalf("%v differ in an owner that is right", d.Buckets)
 		}
-		ids := slices.SortedFunc(maps.Keys(p.owner.jobs), func(a, b JobKey) int { return byName(a, b) })
+		ids := slices.SortedFunc(maps.Keys(p.owner.jobs), func(a, b JobKey) int { return compareJobKeys(a, b) })
 		damage := 0
 		for i, k := range ids {
 			switch rapid.IntRange(0, 20).Draw(rt, "damage") {
--- a/internal/cluster/shard/wire/encode.go
+++ b/internal/cluster/shard/wire/encode.go
@@ -11,44 +11,44 @@
 func envelope(message shard.Message) (*Envelope, error) {
 	switch m := message.(type) {
 	case shard.Grant:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_Grant{grantMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_Grant{grantMessage(m)}), nil
 	case shard.JobUpdate:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_JobUpdate{jobUpdateMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_JobUpdate{jobUpdateMessage(m)}), nil
 	case shard.Ack:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_Ack{&AckMessage{Next: m.Next}}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_Ack{&AckMessage{Next: m.Next}}), nil
 	case shard.Revoke:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_Revoke{&RevokeMessage{Through: m.Through}}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_Revoke{&RevokeMessage{Through: m.Through}}), nil
 	case shard.Decline:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_Decline{declineMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_Decline{declineMessage(m)}), nil
 	case shard.Digest:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_Digest{digestMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_Digest{digestMessage(m)}), nil
 	case shard.DigestMismatch:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_DigestMismatch{mismatchMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_DigestMismatch{mismatchMessage(m)}), nil
 	case shard.BucketContents:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_BucketContents{contentsMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_BucketContents{contentsMessage(m)}), nil
 	case shard.ResendRequest:
-		return fromOrigin(m.Shard, m.Epoch, m.Origin, &Envelope_ResendRequest{resendMessage(m)}), nil
+		return originEnvelope(m.Shard, m.Epoch, m.Origin, &Envelope_ResendRequest{resendMessage(m)}), nil
 	case shard.Chunk:
-		return ofTransfer(m.Shard, m.Epoch, &Envelope_Chunk{chunkMessage(m)}), nil
+		return transferEnvelope(m.Shard, m.Epoch, &Envelope_Chunk{chunkMessage(m)}), nil
 	case shard.ChunkAck:
-		return ofTransfer(m.Shard, m.Epoch, &Envelope_ChunkAck{chunkAckMessage(m)}), nil
+		return transferEnvelope(m.Shard, m.Epoch, &Envelope_ChunkAck{chunkAckMessage(m)}), nil
 	case shard.Abort:
-		return ofTransfer(m.Shard, m.Epoch, &Envelope_Abort{abortMessage(m)}), nil
+		return transferEnvelope(m.Shard, m.Epoch, &Envelope_Abort{abortMessage(m)}), nil
 	case shard.Aborted:
-		return ofTransfer(m.Shard, m.Epoch, &Envelope_Aborted{abortedMessage(m)}), nil
+		return transferEnvelope(m.Shard, m.Epoch, &Envelope_Aborted{abortedMessage(m)}), nil
 	}
 	return nil, fmt.Errorf("%w: %T", ErrCorrupt, message)
 }
 
-// fromOrigin wraps a message between an origin and the owner.
-func fromOrigin(number int, epoch uint64, origin string, body isEnvelope_Body) *Envelope {
-	e := ofTransfer(number, epoch, body)
+// originEnvelope wraps a message between an origin and the owner.
+func originEnvelope(number int, epoch uint64, origin string, body isEnvelope_Body) *Envelope {
+	e := transferEnvelope(number, epoch, body)
 	e.Origin = []byte(origin)
 	return e
 }
 
-// ofTransfer wraps a message between two owners.
-func ofTransfer(number int, epoch uint64, body isEnvelope_Body) *Envelope {
+// transferEnvelope wraps a message between two owners.
+func transferEnvelope(number int, epoch uint64, body isEnvelope_Body) *Envelope {
 	return &Envelope{
 		Shard: uint32(number),
 		Epoch: epoch,
--- a/internal/cluster/shard/wire/golden_test.go
+++ b/internal/cluster/shard/wire/golden_test.go
@@ -17,8 +17,8 @@
 
 const goldenCluster = 0x1122334455667788
 
-// goldenEntry has a distinct value in every field.
-var goldenEntry = shard.JobRecord{
+// goldenRecord has a distinct value in every field.
+var goldenRecord = shard.JobRecord{
 	ID:         "job-\xff",
 	Class:      "interactive",
 	Tenant:     "tenant-1",
@@ -40,7 +40,7 @@
 	},
 }
 
-func goldenSums() []shard.Checksum {
+func goldenChecksums() []shard.Checksum {
 	sums := make([]shard.Checksum, shard.BucketCount)
 	for i := range sums {
 		sums[i] = shard.Checksum{Count: uint64(i + 1), Digest: 0xabcdef00 + uint64(i)}
@@ -58,7 +58,7 @@
 	"grant-empty":  shard.Grant{Epoch: 1, Kind: shard.Send, Origin: "a", ID: "j"},
 
 	"tell": shard.JobUpdate{Shard: 7, Epoch: 3, Origin: "a#11", First: 4, SnapshotSize: 8,
-		Records: []shard.JobRecord{goldenEntry, {ID: "job-2", Origin: "a#11", Finished: true}}},
+		Records: []shard.JobRecord{goldenRecord, {ID: "job-2", Origin: "a#11", Finished: true}}},
 	"tell-empty":    shard.JobUpdate{Epoch: 1, Origin: "a"},
 	"ack":           shard.Ack{Shard: 7, Epoch: 3, Origin: "a#11", Next: 5},
 	"ack-empty":     shard.Ack{Epoch: 1, Origin: "a"},
@@ -67,7 +67,7 @@
 	"settled":       shard.Decline{Shard: 7, Epoch: 3, Origin: "a#11", Number: 9, ID: "job-1", LastUpdate: 4},
 	"settled-empty": shard.Decline{Epoch: 1, Origin: "a"},
 	"piece": shard.Chunk{Shard: 7, Epoch: 3, TransferNumber: 2, Target: "b#12", Index: 1, Count: 4, Age: 0.25,
-		Records:       []shard.JobRecord{goldenEntry},
+		Records:       []shard.JobRecord{goldenRecord},
 		Tags:          []shard.TenantTags{{Tenant: "tenant-1", Local: -1.5, Global: 2.75}},
 		Checksum:      shard.Checksum{Count: 2, Digest: 5},
 		TotalChecksum: shard.Checksum{Count: 258, Digest: 6}},
@@ -78,7 +78,7 @@
 	"off-empty":     shard.Abort{Epoch: 1, Target: "b"},
 	"dropped":       shard.Aborted{Shard: 7, Epoch: 3, TransferNumber: 2, Reason: "full"},
 	"dropped-empty": shard.Aborted{Epoch: 1},
-	"check":         shard.Digest{Shard: 7, Epoch: 3, Origin: "a#11", LastUpdate: 4, Checksums: goldenSums()},
+	"check":         shard.Digest{Shard: 7, Epoch: 3, Origin: "a#11", LastUpdate: 4, Checksums: goldenChecksums()},
 	"check-empty":   shard.Digest{Epoch: 1, Origin: "a", Checksums: make([]shard.Checksum, shard.BucketCount)},
 	"differs":       shard.DigestMismatch{Shard: 7, Epoch: 3, Origin: "a#11", Buckets: []int{0, 5, 63}},
 	"differs-empty": shard.DigestMismatch{Epoch: 1, Origin: "a"},
@@ -89,7 +89,7 @@
 	"want-empty": shard.ResendRequest{Epoch: 1, Origin: "a"},
 }
 
-func golden(t *testing.T, name string, made []byte) []byte {
+func compareGolden(t *testing.T, name string, made []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".bin")
 	if *updateGolden {
@@ -117,7 +117,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		raw := golden(t, name, made)
+		raw := compareGolden(t, name, made)
 		got, err := Decode(goldenCluster, raw)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%s: decoded\n%+v, %v\nwant\n%+v", name, got, err, m)
@@ -202,7 +202,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw := golden(t, name, made)
+		raw := compareGolden(t, name, made)
 		got, err := Decode(goldenCluster, raw)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%s: decoded\n%+v, %v\nwant\n%+v", name, got, err, m)
