--- a/internal/cluster/shard/errors.go
+++ b/internal/cluster/shard/errors.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Each error names what happened, what follows from it and what is to be done.
-// errors.Is finds an error of the same type, whatever it names.
+// The text of each error says what happened, the consequence, and what the
+// operator has to do. errors.Is matches any error of the same type, whatever its
+// fields hold.
 
-// StaleEpochError is the error of a message or call that belongs to a past epoch.
+// StaleEpochError reports a message or call that belongs to a past epoch.
 type StaleEpochError struct {
 	Shard int
 	Epoch uint64
@@ -13,151 +14,153 @@
 }
 
 func (e StaleEpochError) Error() string {
-	return fmt.Sprintf("shard %d: of epoch %d, while epoch %d is known: dropped, nothing to do; "+
-		"if it goes on for longer than a lease, one instance does not receive the agreed configuration "+
+	return fmt.Sprintf("shard %d: message or call of epoch %d dropped, because epoch %d is known: nothing to do; "+
+		"if this lasts for longer than a lease, one instance does not receive the agreed configuration "+
 		"(docs/operators/shards.md, \"Mend\")", e.Shard, e.Epoch, e.Known)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (StaleEpochError) Is(err error) bool { _, ok := err.(StaleEpochError); return ok }
 
-// AttemptInFlightError is the error of a grant for a job whose attempt is in flight.
+// AttemptInFlightError reports a grant for a job that has an attempt in flight.
 type AttemptInFlightError struct {
 	Shard int
 	ID    string
 }
 
 func (e AttemptInFlightError) Error() string {
-	return fmt.Sprintf("shard %d: an attempt of job %q is in flight: the grant is not carried out, nothing to do",
+	return fmt.Sprintf("shard %d: an attempt of job %q is in flight: the grant is not executed, nothing to do",
 		e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (AttemptInFlightError) Is(err error) bool { _, ok := err.(AttemptInFlightError); return ok }
 
-// DuplicateJobError is the error of accepting a job whose id is known already.
+// DuplicateJobError reports a job whose id the origin already has in its log.
 type DuplicateJobError struct {
 	Shard int
 	ID    string
 }
 
 func (e DuplicateJobError) Error() string {
-	return fmt.Sprintf("shard %d: job %q is here already: an id is accepted once and the second request is rejected "+
-		"with 409: nothing to do here; have the client use distinct ids", e.Shard, e.ID)
+	return fmt.Sprintf("shard %d: job id %q is already in use: each id is accepted once and the second request is "+
+		"rejected with 409: nothing to do on this instance; have the client use distinct ids", e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (DuplicateJobError) Is(err error) bool { _, ok := err.(DuplicateJobError); return ok }
 
-// JobFinishedError is the error of a grant for a job that has its answer.
+// JobFinishedError reports a grant for a job that is already answered.
 type JobFinishedError struct {
 	Shard int
 	ID    string
 }
 
 func (e JobFinishedError) Error() string {
-	return fmt.Sprintf("shard %d: job %q has its answer: the grant is not carried out, nothing to do", e.Shard, e.ID)
+	return fmt.Sprintf("shard %d: job %q is already answered: the grant is not executed, nothing to do", e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (JobFinishedError) Is(err error) bool { _, ok := err.(JobFinishedError); return ok }
 
-// NotFoundError is the error of a job, or of an origin's incarnation, that is not known.
+// NotFoundError reports that a job, or the incarnation of an origin, is not
+// known. ID names the job or the incarnation.
 type NotFoundError struct {
 	Shard int
 	ID    string
 }
 
 func (e NotFoundError) Error() string {
-	return fmt.Sprintf("shard %d: %q is not here: a grant is not carried out, nothing to do; "+
-		"the next comparison repairs it", e.Shard, e.ID)
+	return fmt.Sprintf("shard %d: %q is not known: a grant for it is not executed, nothing to do; "+
+		"the next reconciliation repairs the difference", e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (NotFoundError) Is(err error) bool { _, ok := err.(NotFoundError); return ok }
 
-// StaleAttemptError is the error of a grant that counts a job's attempts
-// otherwise than its origin.
+// StaleAttemptError reports a grant whose attempt number does not match the
+// number of attempts that the job's origin has begun.
 type StaleAttemptError struct {
 	Shard   int
 	ID      string
-	Attempt int // that the grant names
-	Begun   int // attempts that have begun
+	Attempt int // attempt number in the grant
+	Begun   int // number of attempts begun
 }
 
 func (e StaleAttemptError) Error() string {
-	return fmt.Sprintf("shard %d: a grant names attempt %d of job %q, of which %d have begun: it is not carried out, "+
-		"nothing to do", e.Shard, e.Attempt, e.ID, e.Begun)
+	return fmt.Sprintf("shard %d: a grant names attempt %d of job %q, but %d attempts have begun: the grant is "+
+		"not executed, nothing to do", e.Shard, e.Attempt, e.ID, e.Begun)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (StaleAttemptError) Is(err error) bool { _, ok := err.(StaleAttemptError); return ok }
 
-// MayHaveRunError is the error of a grant that would start again, or reject as
-// never run, what may have run.
+// MayHaveRunError reports a grant that would start an at-most-once job again, or
+// reject it as never run, although the job may have run.
 type MayHaveRunError struct {
 	Shard int
 	ID    string
 }
 
 func (e MayHaveRunError) Error() string {
-	return fmt.Sprintf("shard %d: job %q may have run: it is neither started again nor rejected; if it recurs, "+
+	return fmt.Sprintf("shard %d: job %q may have run: it is neither started again nor rejected; if this recurs, "+
 		"compare the classes' \"semantics\" in the platform's configurations of the job's origin and of the shard's "+
 		"owner (docs/operators/shards.md, \"Read\")", e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (MayHaveRunError) Is(err error) bool { _, ok := err.(MayHaveRunError); return ok }
 
-// GrantRevokedError is the error of a grant that its owner has revoked.
+// GrantRevokedError reports a grant that its owner has revoked.
 type GrantRevokedError struct {
 	Shard  int
 	Number uint64
 }
 
 func (e GrantRevokedError) Error() string {
-	return fmt.Sprintf("shard %d: grant %d was revoked by its owner: it is not carried out, nothing to do",
+	return fmt.Sprintf("shard %d: grant %d was revoked by its owner: it is not executed, nothing to do",
 		e.Shard, e.Number)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (GrantRevokedError) Is(err error) bool { _, ok := err.(GrantRevokedError); return ok }
 
-// GrantPendingError is the error of a grant for a job whose last grant is still
-// pending.
+// GrantPendingError reports a second grant for a job whose previous grant is
+// still pending.
 type GrantPendingError struct {
 	Shard int
 	ID    string
 }
 
 func (e GrantPendingError) Error() string {
-	return fmt.Sprintf("shard %d: the last grant for job %q is still pending: it is decided again once its origin has "+
-		"reported, nothing to do", e.Shard, e.ID)
+	return fmt.Sprintf("shard %d: the last grant for job %q is still pending: the job is decided again after its "+
+		"origin has reported, nothing to do", e.Shard, e.ID)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (GrantPendingError) Is(err error) bool { _, ok := err.(GrantPendingError); return ok }
 
-// NotOwnerError is the error of calling an owner that is not open for what only
-// an open one does.
+// NotOwnerError reports a call that the shard's owner on this instance cannot
+// serve in its current state.
 type NotOwnerError struct {
 	Shard int
 	State State
 }
 
 func (e NotOwnerError) Error() string {
-	return fmt.Sprintf("shard %d: its owner here is %s: try again; if it lasts for longer than a lease, "+
+	return fmt.Sprintf("shard %d: its owner on this instance is %s: try again; if this lasts for longer than a lease, "+
 		"see docs/operators/shards.md, \"Mend\"", e.Shard, e.State)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (NotOwnerError) Is(err error) bool { _, ok := err.(NotOwnerError); return ok }
 
-// OwnerFullError is the error of a job that its owner could not release in time.
+// OwnerFullError reports a job that its owner does not admit: the owner is full,
+// or would not release the job before the client's timeout.
 type OwnerFullError struct {
 	Shard      int
 	Tenant     string
-	Jobs       int     // at the owner
+	Jobs       int     // jobs that the owner knows
 	RetryAfter float64 // seconds
 }
 
@@ -167,11 +170,11 @@
 		e.Shard, e.Jobs, e.Tenant, e.RetryAfter)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (OwnerFullError) Is(err error) bool { _, ok := err.(OwnerFullError); return ok }
 
-// TransferRejectedError is the error of a transfer, or of a message of one, that
-// does not go on.
+// TransferRejectedError reports that a transfer, or a message of a transfer, was
+// rejected, and why.
 type TransferRejectedError struct {
 	Shard          int
 	Epoch          uint64
@@ -180,21 +183,21 @@
 }
 
 func (e TransferRejectedError) Error() string {
-	return fmt.Sprintf("shard %d: transfer %d of epoch %d does not go on: %s: the owner stays or the next message "+
-		"repairs it, nothing to do; if it recurs, see docs/operators/shards.md, \"Mend\"",
+	return fmt.Sprintf("shard %d: transfer %d of epoch %d is rejected: %s: the owner does not change or the next "+
+		"message repairs it, nothing to do; if this recurs, see docs/operators/shards.md, \"Mend\"",
 		e.Shard, e.TransferNumber, e.Epoch, e.Reason)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (TransferRejectedError) Is(err error) bool { _, ok := err.(TransferRejectedError); return ok }
 
-// NoMembersError is the error of placing shards where no instance may own any.
+// NoMembersError reports that shards cannot be placed because no instance may own any.
 type NoMembersError struct{ Shards int }
 
 func (e NoMembersError) Error() string {
-	return fmt.Sprintf("%d shards and no instance that may own one: start an instance, "+
+	return fmt.Sprintf("no instance may own any of the %d shards: start an instance, "+
 		"or see docs/operators/shards.md, \"Switch on\"", e.Shards)
 }
 
-// Is matches any error of the type.
+// Is reports whether err has the same type.
 func (NoMembersError) Is(err error) bool { _, ok := err.(NoMembersError); return ok }
--- a/internal/cluster/shard/export.go
+++ b/internal/cluster/shard/export.go
@@ -8,43 +8,45 @@
 // Stage is the progress of a transfer at the old owner.
 type Stage string
 
-// The stages of a transfer. The map may change while it is in StageStaged alone,
-// and only the new owner proposes that.
+// The stages of a transfer at the old owner. The new owner proposes the change of
+// the map, and only once it has all records.
 const (
-	StageRevoking Stage = "sealed" // grants are revoked
-	StageCopying  Stage = "copied" // records are sent in chunks
-	StageStaged   Stage = "staged" // the new owner has all of them
-	StageAborting Stage = "called off"
-	StageDone     Stage = "over" // the owner is open again, or closed
+	StageRevoking Stage = "sealed"     // the owner is sealed and its pending grants are being revoked
+	StageCopying  Stage = "copied"     // records are being sent in chunks
+	StageStaged   Stage = "staged"     // the new owner has acknowledged all chunks
+	StageAborting Stage = "called off" // aborted here, not yet confirmed by the new owner
+	StageDone     Stage = "over"       // the old owner is open again, or closed
 )
 
-// ExportTransfer is a transfer at the old owner.
+// ExportTransfer is the old owner's side of a transfer.
 type ExportTransfer struct {
 	owner         *Owner
 	epoch         uint64
 	number        uint64
 	target        string
-	chunkSize     int // records of a chunk
+	chunkSize     int // records per chunk
 	stage         Stage
-	lastChunkMade bool // the new owner may be staged
+	lastChunkMade bool // the last chunk may have been sent: the new owner may have all records
 	snapshot      Snapshot
 	chunkCount    int
-	nextChunk     int // that the new owner expects
+	nextChunk     int // index of the chunk that the new owner expects
 	checksum      Checksum
 }
 
-// Snapshot is what an owner had when it was sealed, as it is at the time AsOf.
+// Snapshot holds the jobs and tags of a sealed owner. Their times are relative to
+// AsOf, in seconds of the holder's own clock.
 type Snapshot struct {
 	AsOf    float64
 	Records []JobRecord
 	Tags    []TenantTags
 }
 
-// BeginTransfer seals the owner for a transfer to an incarnation of another
-// instance. It is rejected while one is under way or the owner is not open.
+// BeginTransfer seals the owner and begins a transfer to target, an incarnation
+// of another instance. It returns a TransferRejectedError if the owner is not
+// open, as during another transfer.
 func (o *Owner) BeginTransfer(target string) (*ExportTransfer, error) {
 	if o.state != StateOpen {
-		return nil, TransferRejectedError{o.shard, o.epoch, o.transfers, "the owner here is " + string(o.state)}
+		return nil, TransferRejectedError{o.shard, o.epoch, o.transfers, "this instance's owner is " + string(o.state)}
 	}
 	o.transfers++
 	o.state = StateSealed
@@ -66,17 +68,18 @@
 	return t.stage
 }
 
-// Freeze takes the snapshot of the sealed owner, with the tags of its tenants as
-// distances from now, once no grant is pending (Owner.Revokes,
-// Owner.ApplyDecline). With waive it does not wait for origins that do not
-// answer: what was granted to them is transferred as Granted, charged, and is
-// settled by what they send to the new owner.
+// Freeze takes the snapshot of the sealed owner, with the tags of its tenants in
+// seconds relative to now. It returns a TransferRejectedError while grants are
+// pending (see Owner.Revokes and Owner.ApplyDecline), unless waive is set. With
+// waive it does not wait for origins that do not answer: jobs with a pending Send
+// are transferred as Granted, their charges stay, and the updates of the origins
+// to the new owner settle these grants.
 func (t *ExportTransfer) Freeze(now float64, tags []TenantTags, waive bool) error {
 	if t.Stage() != StageRevoking {
-		return t.rejected("it is " + string(t.Stage()))
+		return t.rejected("its stage is " + string(t.Stage()))
 	}
 	if len(t.owner.grants) > 0 && !waive {
-		return t.rejected("grants are not settled yet")
+		return t.rejected("grants are still pending")
 	}
 	records := t.owner.recordsForTransfer(now)
 	t.snapshot = Snapshot{
@@ -94,7 +97,7 @@
 	return TransferRejectedError{t.owner.shard, t.epoch, t.number, reason}
 }
 
-// recordsForTransfer returns all jobs by origin and id, with pending sends marked as Granted.
+// recordsForTransfer returns all jobs sorted by origin and id; those with a pending Send are marked as Granted.
 func (o *Owner) recordsForTransfer(now float64) []JobRecord {
 	records := make([]JobRecord, 0, len(o.jobs))
 	for key, j := range o.jobs {
@@ -112,8 +115,8 @@
 
 func ceilDiv(n, size int) int { return (n + size - 1) / size }
 
-// Chunks returns the next ones that the new owner expects, at most n, whether
-// they were sent before or not.
+// Chunks returns at most n chunks, from the one that the new owner expects next,
+// including chunks that were sent before; none unless the stage is StageCopying.
 func (t *ExportTransfer) Chunks(now float64, n int) []Chunk {
 	if t.Stage() != StageCopying {
 		return nil
@@ -144,12 +147,13 @@
 	}
 }
 
-// chunkOf returns the part of a list that belongs to a chunk; it may be empty.
+// chunkOf returns the part of a list that belongs to the chunk with the index; it may be empty.
 func chunkOf[T any](list []T, index, size int) []T {
 	return list[min(index*size, len(list)):min((index+1)*size, len(list))]
 }
 
-// Acknowledge records how far the new owner is.
+// Acknowledge records which chunk the new owner expects next. When it has all,
+// the transfer is staged.
 func (t *ExportTransfer) Acknowledge(ack ChunkAck) {
 	if t.Stage() != StageCopying || !t.matches(ack.Shard, ack.Epoch, ack.TransferNumber) || ack.Next > t.chunkCount {
 		return
@@ -165,9 +169,10 @@
 	return shard == t.owner.shard && epoch == t.epoch && number == t.number
 }
 
-// Abort ends the transfer. While the new owner can't have all of it the old one
-// opens again at once, at the same epoch; otherwise the new one has to confirm
-// with Aborted first, and AbortMessage is to be sent to it until then.
+// Abort ends the transfer. If the last chunk was never made, the new owner cannot
+// have all records, and the old owner opens again at once, at the same epoch.
+// Otherwise the new owner has to confirm with Aborted first, and the caller sends
+// it the AbortMessage until then.
 func (t *ExportTransfer) Abort() {
 	switch t.Stage() {
 	case StageDone:
@@ -182,8 +187,8 @@
 	}
 }
 
-// AbortMessage returns what the new owner is to receive of an aborted transfer;
-// false: the transfer is not aborting.
+// AbortMessage returns the message that asks the new owner to abort the transfer;
+// false: the transfer is not in StageAborting.
 func (t *ExportTransfer) AbortMessage() (Abort, bool) {
 	return Abort{
 		Shard:          t.owner.shard,
@@ -193,8 +198,9 @@
 	}, t.Stage() == StageAborting
 }
 
-// HandleAborted takes in that the new owner has aborted the transfer: the old
-// one opens again at the same epoch. It reports whether it did.
+// HandleAborted handles the new owner's confirmation that it has aborted the
+// transfer: the old owner opens again at the same epoch. It returns false, with
+// no effect, if the transfer is done or the message belongs to another one.
 func (t *ExportTransfer) HandleAborted(m Aborted) bool {
 	if t.Stage() == StageDone || !t.matches(m.Shard, m.Epoch, m.TransferNumber) {
 		return false
@@ -208,10 +214,11 @@
 	t.owner.state = StateOpen
 }
 
-// Reclaim returns what the old owner proposes when the new one's incarnation has
-// ended or it does not answer: that the map names the old one again. If it takes
-// effect the owner is renewed. Before the new owner can have all, Abort is
-// enough.
+// Reclaim returns the change that the old owner proposes if the new owner's
+// incarnation has ended or does not answer: the map names the old owner, self,
+// again, at the next epoch. If it takes effect, the caller calls Owner.Renew.
+// Reclaim returns false if the transfer is done, or if the last chunk was never
+// made: then Abort is enough.
 func (t *ExportTransfer) Reclaim(self string) (OwnerChange, bool) {
 	return OwnerChange{
 		Shard: t.owner.shard,
--- a/internal/cluster/shard/grants.go
+++ b/internal/cluster/shard/grants.go
@@ -5,23 +5,26 @@
 	"slices"
 )
 
-// PendingCount returns how many grants are pending.
+// PendingCount returns the number of pending grants.
 func (o *Owner) PendingCount() int { return len(o.grants) }
 
-// PendingGrant returns a job's pending grant.
+// PendingGrant returns a job's pending grant; false: the job has none.
 func (o *Owner) PendingGrant(key JobKey) (Grant, bool) {
 	g, ok := o.grants[key]
 	return g, ok
 }
 
-// Decision is what an owner grants for a job.
+// Decision is the content of a grant: what the origin is to do with the job.
 type Decision struct {
 	Kind       Kind
 	Worker     string  // for Send
-	RetryAfter float64 // for Reject: seconds; 0: no advice
+	RetryAfter float64 // for Reject: seconds until the client may retry; 0: no advice
 }
 
-// Grant numbers a decision. A job has one pending grant at most.
+// Grant records a decision as a pending grant and assigns it the next number of
+// the epoch. A job has at most one pending grant. Grant returns a NotOwnerError,
+// NotFoundError, GrantPendingError, StaleAttemptError or AttemptInFlightError if
+// the decision cannot be granted.
 func (o *Owner) Grant(key JobKey, d Decision) (Grant, error) {
 	if err := o.checkDecision(key, d.Kind); err != nil {
 		return Grant{}, err
@@ -65,7 +68,8 @@
 }
 
 // PendingGrants returns at most n pending grants, oldest first, for a caller
-// that has waited for their origins in vain; none while it is sealed.
+// that resends them because their origins have not reported in time. It returns
+// none unless the owner is open.
 func (o *Owner) PendingGrants(n int) []Grant {
 	if o.state != StateOpen {
 		return nil
@@ -83,9 +87,10 @@
 	return list
 }
 
-// ApplyDecline removes the grants that will never be carried out and returns
-// them: they are as if never made, and their charges are to be returned. It is
-// dropped if an update that the origin sent before it is missing.
+// ApplyDecline removes and returns the grants that the origin will never
+// execute; the caller has to refund their charges. A decline of another epoch is
+// dropped, and so is one for which an update that the origin sent earlier is
+// missing.
 func (o *Owner) ApplyDecline(d Decline) []Grant {
 	stream := o.origins[d.Origin]
 	if d.Epoch != o.epoch || o.state == StateClosed || stream == nil || stream.next <= d.LastUpdate {
@@ -114,7 +119,8 @@
 	return []Grant{g}
 }
 
-// Revokes returns what a sealed owner sends to the origins of pending grants.
+// Revokes returns the messages, one per origin with pending grants, by which a
+// sealed owner revokes these grants; none if the owner is not sealed.
 func (o *Owner) Revokes() []Revoke {
 	if o.state != StateSealed {
 		return nil
@@ -134,7 +140,7 @@
 	return revokes
 }
 
-// settleGrant removes a job's grant if the record shows that it was carried out.
+// settleGrant removes a job's pending grant if the record shows that it was executed.
 func (o *Owner) settleGrant(now float64, key JobKey, r *JobRecord) {
 	g, pending := o.grants[key]
 	if !pending || !g.reflectedIn(r) {
@@ -146,7 +152,7 @@
 	}
 }
 
-// reflectedIn reports whether a record shows that the grant was carried out.
+// reflectedIn reports whether a record shows that the grant was executed.
 func (g Grant) reflectedIn(r *JobRecord) bool {
 	switch g.Kind {
 	case Send:
--- a/internal/cluster/shard/import.go
+++ b/internal/cluster/shard/import.go
@@ -2,25 +2,25 @@
 
 import "cmp"
 
-// ImportTransfer is what an incarnation of an instance has of a shard that is
-// transferred to it.
+// ImportTransfer is the new owner's side of the transfers of one shard to one
+// incarnation of an instance.
 type ImportTransfer struct {
 	shard       int
 	incarnation string
 	maxRecords  int
-	knownEpoch  uint64 // of the map as known here
-	epoch       uint64 // of the newest transfer known
-	number      uint64 // of that transfer
+	knownEpoch  uint64 // epoch of the shard in the map, as far as known on this instance
+	epoch       uint64 // epoch of the newest transfer known
+	number      uint64 // number of that transfer
 	nextChunk   int
 	chunkCount  int
 	checksum    Checksum
 	snapshot    Snapshot
 	proposed    bool
-	abortReason string // empty: it was not aborted
+	abortReason string // empty: not aborted
 }
 
-// NewImportTransfer expects a shard at an incarnation of an instance, with at
-// most maxRecords records.
+// NewImportTransfer returns an ImportTransfer for a shard at an incarnation of an
+// instance. It accepts at most maxRecords records, and no more than MaxRecords.
 func NewImportTransfer(shard int, incarnation string, maxRecords int) *ImportTransfer {
 	return &ImportTransfer{
 		shard:       shard,
@@ -29,7 +29,7 @@
 	}
 }
 
-// restart forgets the transfer for the one that a message names.
+// restart discards the state of the current transfer and sets the epoch and number of another.
 func (t *ImportTransfer) restart(epoch, number uint64) {
 	*t = ImportTransfer{
 		shard:       t.shard,
@@ -41,9 +41,9 @@
 	}
 }
 
-// ObserveEpoch records that the map has reached an epoch: transfers of older
-// ones neither go on nor are aborted any more, and their records are of use for
-// the next epoch alone.
+// ObserveEpoch records that the map has reached an epoch. Transfers of older
+// epochs are neither continued nor aborted any more. The records of a transfer
+// are kept for the epoch that follows its own, and discarded after that.
 func (t *ImportTransfer) ObserveEpoch(epoch uint64) {
 	t.knownEpoch = max(t.knownEpoch, epoch)
 	if t.knownEpoch > t.epoch+1 {
@@ -52,12 +52,12 @@
 	}
 }
 
-// Staged reports whether all of the newest transfer is here.
+// Staged reports whether all chunks of the newest transfer have arrived and it was not aborted.
 func (t *ImportTransfer) Staged() bool {
 	return t.chunkCount > 0 && t.nextChunk == t.chunkCount && t.abortReason == ""
 }
 
-// compareTo orders a message's transfer against the newest one.
+// compareTo orders a message's transfer against the newest known: negative if older, positive if newer.
 func (t *ImportTransfer) compareTo(epoch, number uint64) int {
 	return cmp.Or(cmp.Compare(epoch, t.epoch), cmp.Compare(number, t.number))
 }
@@ -66,11 +66,11 @@
 	return TransferRejectedError{t.shard, epoch, number, reason}
 }
 
-// Reasons for which a transfer is rejected or aborted.
+// Reasons for rejecting or aborting a transfer.
 const (
 	reasonOtherIncarnation = "it is for another incarnation of this instance"
-	reasonSuperseded       = "a newer one has begun"
-	reasonChunkChecksum    = "a chunk does not match its count and digest"
+	reasonSuperseded       = "a newer transfer has begun"
+	reasonChunkChecksum    = "a chunk does not match its count or digest"
 	reasonTotalChecksum    = "the chunks together do not match count and digest"
 	reasonTooLarge         = "more records than this instance accepts"
 	reasonProposed         = "the change of the map is proposed"
@@ -78,8 +78,11 @@
 	reasonOpened           = "it has been opened"
 )
 
-// AddChunk takes a chunk in and returns which it expects next. The error is why
-// the chunk was not taken; with Aborted the old owner may open again.
+// AddChunk adds a chunk to the transfer and returns the acknowledgement, with the
+// chunk expected next. A repeated chunk, or one after a gap, is ignored and
+// acknowledged. The error says why the chunk was rejected: a
+// TransferRejectedError or a StaleEpochError. If the transfer is aborted, Aborted
+// is set; it is to be sent to the old owner, which may then open again.
 func (t *ImportTransfer) AddChunk(now float64, c Chunk) (ChunkAck, *Aborted, error) {
 	if err := t.checkTransfer(c.Target, c.Epoch, c.TransferNumber); err != nil {
 		return ChunkAck{}, nil, err
@@ -99,7 +102,7 @@
 		Next:           t.nextChunk,
 	}
 	if c.Index != t.nextChunk {
-		return ack, nil, nil // a repeat, or after a gap
+		return ack, nil, nil // repeated, or after a gap
 	}
 	if c.Count != t.chunkCount || c.TotalChecksum != t.checksum || checksumOf(c.Records, c.Tags) != c.Checksum {
 		return ack, nil, t.rejected(c.Epoch, c.TransferNumber, reasonChunkChecksum)
@@ -115,8 +118,8 @@
 	return ack, nil, nil
 }
 
-// checkTransfer returns why a message of a transfer can't be taken, for its
-// target, its epoch or its number.
+// checkTransfer returns an error if the target, epoch or number of a transfer's
+// message rules it out.
 func (t *ImportTransfer) checkTransfer(target string, epoch, number uint64) error {
 	switch {
 	case target != t.incarnation:
@@ -134,7 +137,8 @@
 }
 
 func (t *ImportTransfer) addRecords(now float64, c Chunk) {
-	// Of several chunks, the one that was the shortest time under way gives the best time.
+	// The delay of a chunk on the network makes its AsOf too late, so the earliest
+	// AsOf is the most accurate one.
 	if asOf := now - c.Age; t.nextChunk == 0 || asOf < t.snapshot.AsOf {
 		t.snapshot.AsOf = asOf
 	}
@@ -154,9 +158,10 @@
 	}
 }
 
-// Propose returns the change that the new owner proposes to the agreed map, once
-// it is staged; from then on it does not abort the transfer. It may be proposed
-// again.
+// Propose returns the change of the agreed map that the new owner, name, has to
+// propose. It returns false unless the transfer is staged and of the map's current
+// epoch. After Propose the new owner does not abort the transfer any more. Propose
+// may be called repeatedly.
 func (t *ImportTransfer) Propose(name string) (OwnerChange, bool) {
 	if !t.Staged() || t.epoch < t.knownEpoch {
 		return OwnerChange{}, false
@@ -169,14 +174,14 @@
 	}, true
 }
 
-// HandleAbort aborts a transfer as the old owner asks. It is rejected once the
-// change was proposed or the map has changed: from then on the transfer only
-// goes forward, and the old owner may Reclaim.
+// HandleAbort aborts a transfer at the request of the old owner. It returns an
+// error once the change was proposed or the map has changed: from then on the
+// transfer cannot be aborted, and the old owner may only Reclaim the shard.
 func (t *ImportTransfer) HandleAbort(m Abort) (*Aborted, error) {
 	if err := t.checkTransfer(m.Target, m.Epoch, m.TransferNumber); err != nil {
 		return nil, err
 	}
-	if t.compareTo(m.Epoch, m.TransferNumber) > 0 { // its chunks that are on their way must not be staged later
+	if t.compareTo(m.Epoch, m.TransferNumber) > 0 { // its chunks still in flight must not be staged later
 		t.restart(m.Epoch, m.TransferNumber)
 	} else if t.proposed {
 		return nil, t.rejected(m.Epoch, m.TransferNumber, reasonProposed)
@@ -184,8 +189,9 @@
 	return t.abort(reasonAborted), nil
 }
 
-// Abort aborts the newest transfer for a reason of this instance's own; nil: it
-// is proposed, or there is none.
+// Abort aborts the newest transfer for a reason of this instance. It returns nil,
+// with no effect, if there is no transfer, its change was proposed, or the map has
+// passed its epoch.
 func (t *ImportTransfer) Abort(reason string) *Aborted {
 	if t.number == 0 || t.proposed || t.epoch < t.knownEpoch {
 		return nil
@@ -193,8 +199,9 @@
 	return t.abort(reason)
 }
 
-// TakeSnapshot returns what the owner opens with at an epoch that the map names
-// this instance for; nil: nothing was transferred for it. It is returned once.
+// TakeSnapshot returns the snapshot with which the owner opens at an epoch at
+// which the map names this instance; nil: no staged transfer leads to that epoch.
+// It returns a snapshot only once.
 func (t *ImportTransfer) TakeSnapshot(epoch uint64) *Snapshot {
 	t.ObserveEpoch(epoch)
 	if !t.Staged() || t.epoch+1 != epoch {
--- a/internal/cluster/shard/joblog.go
+++ b/internal/cluster/shard/joblog.go
@@ -7,38 +7,37 @@
 	"example.org/bellstream/balance"
 )
 
-// JobLog is an origin's record of its jobs in one shard. It alone decides
-// whether a grant is carried out, so that no two owners, whatever they believe,
-// run a job twice, and it sends all that it has to the owner of the newest
-// epoch.
+// JobLog is an origin's record of its jobs in one shard. Only the JobLog decides
+// whether a grant is executed, so that two instances that both act as owner cannot
+// make a job run twice. It sends all its jobs to the owner of the newest epoch.
 type JobLog struct {
 	shard          int
 	origin         string
 	epoch          uint64
 	revokedThrough uint64 // grants of the epoch up to this number are revoked
-	lastOrder      uint64 // of the jobs accepted so far
+	lastOrder      uint64 // Order of the job accepted last
 	jobs           map[string]*loggedJob
 
-	// Updates are numbered, and each number belongs to one id. A record is sent
-	// as it is at that time, so a number that is sent again may carry a later
-	// state, never an earlier one.
-	unsent              []string // changed since they were sent, each id once
-	unacknowledged      []string // sent: numbers from firstUnacknowledged on
+	// The records of updates are numbered; each number belongs to one job id. A
+	// record is sent in its current state, so a number that is resent may carry a
+	// later state, but never an earlier one.
+	unsent              []string // ids of jobs changed since they were last sent, each once
+	unacknowledged      []string // ids sent under the numbers from firstUnacknowledged on
 	firstUnacknowledged uint64
 	snapshotSize        uint64
-	announced           bool // the epoch's first update was made
-	acknowledged        bool // and acknowledged
+	announced           bool // the first update of the epoch was made
+	acknowledged        bool // an Ack of the epoch was received
 }
 
 type loggedJob struct {
 	JobRecord
-	asOf       float64 // when the record's times were as they stand
+	asOf       float64 // time to which the record's times refer
 	queued     bool    // its id is in unsent
-	lastNumber uint64  // the number it was last sent under
+	lastNumber uint64  // number under which it was last sent
 }
 
-// NewJobLog returns an empty log for a shard. The origin is named by its
-// incarnation.
+// NewJobLog returns an empty log for a shard. origin is the incarnation of the
+// instance.
 func NewJobLog(shard int, origin string) *JobLog {
 	return &JobLog{
 		shard:               shard,
@@ -48,10 +47,10 @@
 	}
 }
 
-// Epoch returns the highest epoch known; 0: none.
+// Epoch returns the highest epoch known; 0: none is known.
 func (l *JobLog) Epoch() uint64 { return l.epoch }
 
-// OpenJobs returns how many jobs are owed an answer.
+// OpenJobs returns the number of jobs that are not answered yet.
 func (l *JobLog) OpenJobs() int {
 	open := 0
 	for _, j := range l.jobs {
@@ -62,9 +61,9 @@
 	return open
 }
 
-// ObserveEpoch records that the shard has reached an epoch, by the agreed map or
-// by a message of its owner, and reports whether the epoch is new. For a new
-// epoch all jobs are sent from the start.
+// ObserveEpoch records that the shard has reached an epoch, as learned from the
+// agreed map or from a message of the owner, and reports whether the epoch is new.
+// In a new epoch all open jobs are sent again, numbered from 1.
 func (l *JobLog) ObserveEpoch(epoch uint64) bool {
 	if epoch <= l.epoch {
 		return false
@@ -75,7 +74,8 @@
 	l.firstUnacknowledged = 1
 	l.announced = false
 	l.acknowledged = false
-	// A finished job that was not sent is left out of the snapshot, which means the same.
+	// Finished jobs are not part of the snapshot: the owner removes jobs that the
+	// snapshot does not contain.
 	maps.DeleteFunc(l.jobs, func(_ string, j *loggedJob) bool { return j.Finished })
 	l.unsent = slices.Sorted(maps.Keys(l.jobs))
 	for _, j := range l.jobs {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Add accepts a job. Its times are distances from now. An id that is in the log,
-// answered or not, is a DuplicateJobError.
+// Add accepts a job whose times are relative to now. It returns a
+// DuplicateJobError if the id is in the log, answered or not.
 func (l *JobLog) Add(now float64, record JobRecord) error {
 	if l.jobs[record.ID] != nil {
 		return DuplicateJobError{l.shard, record.ID}
@@ -112,15 +112,15 @@
 	}
 }
 
-// advanceTo brings the job's times up to now.
+// advanceTo makes the job's times relative to now.
 func (j *loggedJob) advanceTo(now float64) {
 	j.JobRecord = j.advancedBy(now - j.asOf)
 	j.asOf = now
 }
 
-// Accept decides whether this origin carries a grant out now. If it returns nil
-// the grant is recorded as carried out; otherwise the owner is to receive the
-// result of Decline.
+// Accept decides whether this origin executes a grant now. If it returns nil, the
+// grant is recorded as executed and the caller has to execute it. If it returns an
+// error, the caller has to send the owner the result of Decline.
 func (l *JobLog) Accept(now float64, g Grant) error {
 	if g.Epoch < l.epoch {
 		return StaleEpochError{l.shard, g.Epoch, l.epoch}
@@ -175,18 +175,19 @@
 	begun := len(j.Attempts)
 	j.Attempts = append(slices.Clone(j.Attempts), Attempt{Worker: worker})
 	if begun > 0 {
-		j.Attempts[begun-1].Report = nil // the owner has decided on it
+		j.Attempts[begun-1].Report = nil // the owner has already used it for its decision
 	}
 }
 
-// lastAttempt returns the newest attempt for writing: earlier copies of the
-// record keep theirs.
+// lastAttempt returns the newest attempt for writing. It clones the slice first,
+// because copies of the record share the old one.
 func (j *loggedJob) lastAttempt() *Attempt {
 	j.Attempts = slices.Clone(j.Attempts)
 	return &j.Attempts[len(j.Attempts)-1]
 }
 
 // MarkStarted records that the worker of the attempt in flight has started the job.
+// It returns a NotFoundError if the job has no attempt in flight.
 func (l *JobLog) MarkStarted(now float64, id string) error {
 	j := l.jobs[id]
 	if j == nil || !j.InFlight() {
@@ -198,15 +199,16 @@
 	return nil
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome    balance.Outcome
 	MayHaveRun bool
-	Answered   bool      // the job has its answer by it
-	Report     []float64 // the worker's load report, if one came along; one of more than MaxReportValues is left out
+	Answered   bool      // the attempt answered the job
+	Report     []float64 // load report sent with the result, if any; ignored if longer than MaxReportValues
 }
 
-// FinishAttempt records the end of the attempt in flight.
+// FinishAttempt records the end of the attempt in flight. It returns a
+// NotFoundError if the job has no attempt in flight.
 func (l *JobLog) FinishAttempt(now float64, id string, result AttemptResult) error {
 	j := l.jobs[id]
 	if j == nil || !j.InFlight() {
@@ -224,8 +226,9 @@
 	return nil
 }
 
-// FinishJob records that no answer is owed any more: the client disconnected, or
-// the origin has answered by itself, as it does at the deadline.
+// FinishJob records that the job needs no answer any more: the client has
+// disconnected, or the origin has answered without an attempt, as at the deadline.
+// It returns a NotFoundError if the job is not in the log or already finished.
 func (l *JobLog) FinishJob(id string) error {
 	j := l.jobs[id]
 	if j == nil || j.Finished {
@@ -236,9 +239,10 @@
 	return nil
 }
 
-// Revoke makes sure that no grant of the epoch up to the number is carried out
-// from now on. Its result, like that of Decline, is to be sent after all
-// updates: the owner drops it while it lacks any.
+// Revoke ensures that no grant of the epoch with a number up to r.Through is
+// executed from now on. The caller sends the result, like that of Decline, after
+// all updates, because the owner drops it while it lacks any of them. Revoke
+// returns a StaleEpochError for a past epoch.
 func (l *JobLog) Revoke(r Revoke) (Decline, error) {
 	if r.Epoch < l.epoch {
 		return Decline{}, StaleEpochError{l.shard, r.Epoch, l.epoch}
@@ -248,9 +252,10 @@
 	return l.decline(l.epoch, r.Through, ""), nil
 }
 
-// Decline returns what the owner is to receive of a grant that Accept rejected.
-// It is false for a grant of a past epoch, whose update numbers are void: what
-// the owner of the next epoch receives settles those.
+// Decline returns the message to send to the owner for a grant that Accept
+// rejected. It returns false for a grant of a past epoch, whose update numbers are
+// no longer valid: the updates to the owner of the current epoch settle such a
+// grant.
 func (l *JobLog) Decline(g Grant) (Decline, bool) {
 	return l.decline(g.Epoch, g.Number, g.ID), g.Epoch == l.epoch
 }
@@ -266,14 +271,15 @@
 	}
 }
 
-// lastUpdate is the number under which the last of what is known now is sent.
+// lastUpdate returns the number under which the last change known now was or will be sent.
 func (l *JobLog) lastUpdate() uint64 {
 	return l.firstUnacknowledged + uint64(len(l.unacknowledged)+len(l.unsent)) - 1
 }
 
-// NextUpdate returns at most MaxChunkRecords records that have changed and were
-// not sent yet. It is false if there are none, no owner is known, or
-// MaxUnacknowledged are not acknowledged.
+// NextUpdate returns an update with at most MaxChunkRecords changed records that
+// were not sent yet. The first update of an epoch may be empty. NextUpdate returns
+// false if there is nothing to send, no epoch is known, or MaxUnacknowledged
+// records await their acknowledgement.
 func (l *JobLog) NextUpdate(now float64) (JobUpdate, bool) {
 	n := min(MaxChunkRecords, len(l.unsent), MaxUnacknowledged-len(l.unacknowledged))
 	if l.epoch == 0 || n == 0 && l.announced {
@@ -291,8 +297,9 @@
 	return l.update(now, first, l.unacknowledged[len(l.unacknowledged)-n:]), true
 }
 
-// Resend returns the oldest records that were sent and not acknowledged, at most
-// MaxChunkRecords, for a caller that has waited for an Ack in vain.
+// Resend returns an update with the oldest unacknowledged records, at most
+// MaxChunkRecords, for a caller that has received no Ack in time. It returns false
+// if all that was sent is acknowledged.
 func (l *JobLog) Resend(now float64) (JobUpdate, bool) {
 	if !l.announced || l.acknowledged && len(l.unacknowledged) == 0 {
 		return JobUpdate{}, false
@@ -317,8 +324,8 @@
 	}
 }
 
-// Acknowledge records what the owner has. An Ack of a higher epoch announces
-// that epoch.
+// Acknowledge records which updates the owner has received. An Ack of a higher
+// epoch also makes that epoch known.
 func (l *JobLog) Acknowledge(a Ack) {
 	l.ObserveEpoch(a.Epoch)
 	end := l.firstUnacknowledged + uint64(len(l.unacknowledged))
@@ -330,7 +337,7 @@
 	for _, id := range l.unacknowledged[:n] {
 		j := l.jobs[id]
 		if j == nil {
-			continue // finished, and sent twice in what is acknowledged now
+			continue // finished and already deleted: this Ack covers two numbers of the job
 		}
 		j.Admitted = true
 		if j.Finished && !j.queued && j.lastNumber < a.Next {
@@ -344,7 +351,7 @@
 	}
 }
 
-// Synced reports whether the owner has acknowledged all that is known here.
+// Synced reports whether the owner has acknowledged the current state of all jobs.
 func (l *JobLog) Synced() bool {
 	return l.acknowledged && len(l.unacknowledged) == 0 && len(l.unsent) == 0
 }
--- a/internal/cluster/shard/messages.go
+++ b/internal/cluster/shard/messages.go
@@ -1,53 +1,54 @@
 package shard
 
-// Message is one of the types below: what origins and owners of a shard send to
-// each other.
+// Message is a message between an origin and an owner of a shard, or between two
+// owners: one of the types below.
 type Message interface {
 	// ShardNumber returns the shard that the message is about.
 	ShardNumber() int
 }
 
-// Kind is the action that a grant asks of the job's origin.
+// Kind is the action that a grant requests from the job's origin.
 type Kind string
 
-// The kinds of grants, each an action of package balance.
+// The kinds of grants. Each corresponds to an action of package balance.
 const (
 	Send   Kind = "send"   // start an attempt
-	Reject Kind = "refuse" // answer: not served, a retry is harmless
-	Fail   Kind = "fail"   // answer: not served, the effect unknown
+	Reject Kind = "refuse" // answer the client: not served, a retry is harmless
+	Fail   Kind = "fail"   // answer the client: not served, the job may have run
 	Cancel Kind = "cancel" // stop waiting for an attempt
 )
 
-// Grant is an owner's decision on one job. An origin may receive it late, more
-// than once or never.
+// Grant is an owner's decision on one job. The origin may receive it late,
+// several times or never.
 type Grant struct {
 	Shard  int
 	Epoch  uint64
-	Number uint64 // in its epoch, from 1; a grant that is sent again keeps it
+	Number uint64 // within the epoch, from 1; a grant that is resent keeps its number
 	Kind   Kind
 	Origin string
 	ID     string
-	// Attempt is the one that Send starts, counted from 0, or the one that Cancel
-	// stops; for other kinds it is how many have begun, as the owner knows.
+	// Attempt is the index, from 0, of the attempt that Send starts or Cancel
+	// stops. For the other kinds it is the number of attempts begun that the owner
+	// knows of.
 	Attempt    int
 	Worker     string  // for Send
 	RetryAfter float64 // for Reject: seconds until the client may retry; 0: no advice
 }
 
-// JobUpdate carries from an origin to the owner the records numbered First,
-// First+1 and so on, of what changed in this epoch. The first SnapshotSize
-// numbers of an epoch are all jobs that the origin had when it learned of the
-// epoch.
+// JobUpdate carries changed job records from an origin to the owner. Within an
+// epoch the records are numbered; those of this message have the numbers First,
+// First+1 and so on. The first SnapshotSize numbers of an epoch belong to the
+// jobs that the origin had when it learned of the epoch.
 type JobUpdate struct {
 	Shard        int
 	Epoch        uint64
 	Origin       string
 	First        uint64
 	SnapshotSize uint64
-	Records      []JobRecord // as they are now, which may be later than when they got their numbers
+	Records      []JobRecord // in their state at sending, which may be later than when they were numbered
 }
 
-// Ack names the number that an owner expects next from an origin.
+// Ack carries the record number that an owner expects next from an origin.
 type Ack struct {
 	Shard  int
 	Epoch  uint64
@@ -55,8 +56,8 @@
 	Next   uint64
 }
 
-// Revoke takes back all grants of an epoch up to a number that are not carried
-// out yet.
+// Revoke revokes all grants of an epoch with numbers up to Through that the
+// origin has not executed yet.
 type Revoke struct {
 	Shard   int
 	Epoch   uint64
@@ -64,9 +65,9 @@
 	Through uint64
 }
 
-// Decline promises that a job's grant will never be carried out, unless the
-// updates up to LastUpdate show that it was. Without an ID it does so for all
-// grants up to Number.
+// Decline promises that the origin will never execute a job's grant with the
+// number Number, unless the updates up to LastUpdate show that it did. If ID is
+// empty the promise covers all grants with numbers up to Number.
 type Decline struct {
 	Shard      int
 	Epoch      uint64
@@ -76,23 +77,23 @@
 	LastUpdate uint64
 }
 
-// Chunk is a part of a sealed shard, from the old owner to the new one.
+// Chunk carries a part of a sealed shard from the old owner to the new one.
 type Chunk struct {
 	Shard          int
-	Epoch          uint64  // of the old owner
-	TransferNumber uint64  // of the old owner, from 1 in each epoch
-	Target         string  // incarnation of the instance that it is for
+	Epoch          uint64  // epoch of the old owner
+	TransferNumber uint64  // counted by the old owner, from 1 in each epoch
+	Target         string  // incarnation of the new owner
 	Index          int     // from 0
-	Count          int     // chunks of the transfer
-	Age            float64 // seconds since the records and tags were as they are sent
+	Count          int     // number of chunks of the transfer
+	Age            float64 // seconds since the snapshot of the records and tags was taken
 	Records        []JobRecord
 	Tags           []TenantTags
 	Checksum       Checksum // of this chunk
 	TotalChecksum  Checksum // of all chunks
 }
 
-// ChunkAck names the chunk that the new owner expects next; the count of chunks
-// once it has all.
+// ChunkAck carries the index of the chunk that the new owner expects next, which
+// is the number of chunks once it has all of them.
 type ChunkAck struct {
 	Shard          int
 	Epoch          uint64
@@ -109,8 +110,8 @@
 	Target         string
 }
 
-// Aborted confirms that the new owner has nothing of a transfer and will never
-// propose it.
+// Aborted confirms that the new owner has discarded a transfer and will never
+// propose the change of ownership for it.
 type Aborted struct {
 	Shard          int
 	Epoch          uint64
@@ -118,8 +119,8 @@
 	Reason         string
 }
 
-// Digest is what an origin has open, by buckets of ids, once the owner has all
-// updates up to LastUpdate.
+// Digest summarises the jobs of an origin by buckets of ids. It is comparable
+// when the owner has applied exactly the updates up to LastUpdate.
 type Digest struct {
 	Shard      int
 	Epoch      uint64
@@ -128,7 +129,7 @@
 	Checksums  []Checksum // BucketCount of them
 }
 
-// DigestMismatch lists the buckets in which the owner has something else.
+// DigestMismatch lists the buckets in which the owner differs from the origin.
 type DigestMismatch struct {
 	Shard   int
 	Epoch   uint64
@@ -136,26 +137,26 @@
 	Buckets []int
 }
 
-// BucketContents lists what an origin has open in one bucket, from one id up to
-// another, once it has sent all updates up to LastUpdate.
+// BucketContents lists the jobs of an origin in one bucket and one range of ids,
+// after all updates up to LastUpdate.
 type BucketContents struct {
 	Shard      int
 	Epoch      uint64
 	Origin     string
 	LastUpdate uint64
 	Bucket     int
-	From       string // the first id of the range
-	To         string // the first id behind the range; empty: it has no end
+	From       string // start of the range, inclusive
+	To         string // end of the range, exclusive; empty: unbounded
 	Jobs       []JobStatus
 }
 
-// JobStatus is an id and the digest of the job's progress.
+// JobStatus is the id of a job and the digest of its progress.
 type JobStatus struct {
 	ID     string
 	Digest uint64
 }
 
-// ResendRequest asks an origin to send jobs again.
+// ResendRequest asks an origin to send the records of jobs again.
 type ResendRequest struct {
 	Shard  int
 	Epoch  uint64
--- a/internal/cluster/shard/owner.go
+++ b/internal/cluster/shard/owner.go
@@ -11,63 +11,63 @@
 
 // The states of an owner.
 const (
-	StateClosed State = "closed" // of no epoch, or of a past one
-	StateOpen   State = "open"   // it grants
-	StateSealed State = "sealed" // it takes updates in and grants nothing, as a transfer is under way
+	StateClosed State = "closed" // never opened, or its epoch is past
+	StateOpen   State = "open"   // takes updates and grants
+	StateSealed State = "sealed" // takes updates but does not grant, because a transfer is under way
 )
 
-// Limits bound what an owner admits. It knows more jobs than that only while
-// rejections are on their way, and after a transfer, which rejects none that was
-// admitted before.
+// Limits bound the jobs that an owner admits. It knows more jobs only until the
+// origins of rejected jobs have reported them finished, and after a change of
+// owner, because jobs that were admitted before are never rejected for the limit.
 type Limits struct {
-	MaxJobs int // at once; 1 to MaxRecords
+	MaxJobs int // jobs at a time; 1 to MaxRecords
 }
 
-// JobKey names a job: an id is unique for its origin alone.
+// JobKey identifies a job. An id is unique only within its origin.
 type JobKey struct {
 	Origin string
 	ID     string
 }
 
-// Update is what an owner has learned of a job.
+// Update is a change that an owner has learned about a job.
 type Update struct {
 	JobRecord
-	New          bool  // it was not known
-	GrantUnused  bool  // the grant of a former owner was never carried out: its charge is returned
-	RejectReason error // an OwnerFullError: it is not admitted, and is to be rejected
+	New          bool  // the job was not known before
+	GrantUnused  bool  // the grant of a former owner was never executed: its charge is refunded
+	RejectReason error // an OwnerFullError: the job is not admitted and is to be rejected; nil: admitted
 }
 
-// Owner is one shard at the instance that owns it. It knows the shard's jobs as
-// their origins send them, and the grants that are pending. What to grant is
-// decided elsewhere. The caller lets an owner grant only while its instance may
-// act as one: the lease is current, and the table that it covers, fallback or in
-// force, names the instance.
+// Owner is the state of one shard on the instance that owns it: the shard's jobs
+// as their origins report them, and the pending grants. The caller decides what to
+// grant. It lets an Owner grant only while the instance may act as owner: its
+// lease is current, and the table that the lease covers (fallback or in force)
+// names the instance.
 type Owner struct {
 	shard     int
 	limits    Limits
 	epoch     uint64
 	state     State
-	transfers uint64 // begun in this epoch
+	transfers uint64 // number of transfers begun in this epoch
 	lastGrant uint64 // number of the last grant
 
 	jobs              map[JobKey]*ownedJob
-	grants            map[JobKey]Grant // of this epoch, pending
+	grants            map[JobKey]Grant // pending grants of this epoch
 	origins           map[string]*originStream
 	tenants           map[string]*releaseRate
-	tenantsAfterSweep int // how many were left when those without jobs were last dropped
+	tenantsAfterSweep int // size of tenants after tenants without waiting jobs were last removed
 }
 
 type ownedJob struct {
 	JobRecord
 	asOf      float64
-	confirmed bool // received from its origin in this epoch, not merely copied
+	confirmed bool // received from its origin in this epoch, not only from the former owner
 }
 
-// originStream is what was received from one origin in this epoch.
+// originStream is the state of the updates received from one origin in this epoch.
 type originStream struct {
-	next             uint64
-	snapshotComplete bool // all that it had at the epoch's start is here
-	lost             bool // its incarnation has ended
+	next             uint64 // number of the record expected next
+	snapshotComplete bool   // all jobs that the origin had at the start of the epoch were received
+	lost             bool   // the origin's incarnation has ended
 }
 
 // NewOwner returns an owner in StateClosed.
@@ -83,13 +83,13 @@
 // State returns the owner's state.
 func (o *Owner) State() State { return o.state }
 
-// Epoch returns the epoch of the map at which it was last opened.
+// Epoch returns the epoch at which the owner was last opened or renewed; 0: never.
 func (o *Owner) Epoch() uint64 { return o.epoch }
 
-// JobCount returns how many jobs it knows.
+// JobCount returns the number of jobs that the owner knows.
 func (o *Owner) JobCount() int { return len(o.jobs) }
 
-// Job returns what is known of a job, as of now.
+// Job returns the record of a job with times relative to now; false: the job is not known.
 func (o *Owner) Job(now float64, key JobKey) (JobRecord, bool) {
 	j := o.jobs[key]
 	if j == nil {
@@ -98,10 +98,10 @@
 	return j.recordAt(now), true
 }
 
-// ownership returns the record as of now.
+// recordAt returns the record with times relative to now.
 func (j *ownedJob) recordAt(now float64) JobRecord { return j.advancedBy(now - j.asOf) }
 
-// Jobs returns all jobs that it knows, as of now, by origin and order.
+// Jobs returns the records of all jobs, with times relative to now, sorted by origin and Order.
 func (o *Owner) Jobs(now float64) []JobRecord {
 	list := make([]JobRecord, 0, len(o.jobs))
 	for _, j := range o.jobs {
@@ -113,11 +113,13 @@
 	return list
 }
 
-// Open opens the owner at an epoch that the agreed map names it for, with a
-// transferred snapshot; nil: with nothing but what origins send. The caller
-// guarantees that the map is in force under its lease, and that the epoch came
-// into force in this incarnation of the instance, as a former one may have
-// opened an older epoch.
+// Open opens the owner at an epoch at which the agreed map names this instance. It
+// starts from a transferred snapshot, or without jobs if snapshot is nil. Open
+// returns a StaleEpochError unless the epoch is newer than the owner's.
+//
+// The caller guarantees that the map is in force under its lease, and that the
+// epoch came into force during this incarnation of the instance: for an older
+// epoch, a former incarnation may have opened the owner already.
 func (o *Owner) Open(epoch uint64, snapshot *Snapshot) error {
 	if epoch <= o.epoch {
 		return StaleEpochError{o.shard, epoch, o.epoch}
@@ -133,8 +135,9 @@
 	return nil
 }
 
-// Renew opens it with what it has, at the epoch after its own. It is for an
-// owner that the map names again, with no other in between.
+// Renew opens the owner with its current jobs at the epoch after its own. It is
+// for an owner that the map names again without another owner in between. It
+// returns a StaleEpochError for any other epoch, or if the owner was never opened.
 func (o *Owner) Renew(epoch uint64) error {
 	if epoch != o.epoch+1 || o.epoch == 0 {
 		return StaleEpochError{o.shard, epoch, o.epoch}
@@ -156,20 +159,22 @@
 	o.origins = map[string]*originStream{}
 }
 
-// ObserveEpoch records that the map in force has reached an epoch: an owner of
-// an older one is closed for good, whatever it was doing. A map that is not in
-// force yet may be withdrawn; its epoch must not be passed here, to a JobLog or
-// to an ImportTransfer.
+// ObserveEpoch records that the map in force has reached an epoch. An owner of an
+// older epoch is closed, even during a transfer, until Open or Renew. A map that is
+// not in force yet may be withdrawn: its epoch must not be passed to any
+// ObserveEpoch of this package.
 func (o *Owner) ObserveEpoch(epoch uint64) {
 	if epoch > o.epoch && o.state != StateClosed {
 		o.state = StateClosed
 	}
 }
 
-// ApplyUpdate takes an origin's update in and returns what is new in it. Numbers
-// that were received before are skipped, those after a gap are dropped: the Ack
-// makes the origin send them again. A closed owner, or one of another epoch,
-// takes nothing in; the error's epochs are for the origin to observe.
+// ApplyUpdate applies an origin's update and returns the changes. Records whose
+// numbers were received before are skipped. Records after a gap are dropped; the
+// Ack makes the origin send them again. ApplyUpdate applies nothing and returns a
+// NotOwnerError if the owner is closed, a StaleEpochError with an Ack of the
+// owner's epoch if the update is of another epoch, and a NotFoundError if the
+// origin is lost.
 func (o *Owner) ApplyUpdate(now float64, u JobUpdate) ([]Update, Ack, error) {
 	if o.state == StateClosed {
 		return nil, Ack{}, NotOwnerError{o.shard, o.state}
@@ -202,7 +207,7 @@
 	return updates, ack, nil
 }
 
-// applyRecord takes a job's newest state in.
+// applyRecord applies a job's newest record and appends the change to updates.
 func (o *Owner) applyRecord(now float64, r JobRecord, updates []Update) []Update {
 	key := JobKey{r.Origin, r.ID}
 	known := o.jobs[key]
@@ -238,7 +243,7 @@
 	}
 }
 
-// removeWhere removes the jobs of an origin that match, and appends their updates.
+// removeWhere removes the jobs of an origin that match and appends their updates, sorted by id.
 func (o *Owner) removeWhere(origin string, match func(*ownedJob) bool, updates []Update) []Update {
 	var keys []JobKey
 	for key, j := range o.jobs {
@@ -253,13 +258,13 @@
 		delete(o.grants, key)
 		record := j.JobRecord
 		record.Finished = true
-		// GrantUnused stays false: a job that a former owner granted may have begun and ended since.
+		// GrantUnused stays false: a job that a former owner granted may have begun and ended in the meantime.
 		updates = append(updates, Update{JobRecord: record})
 	}
 	return updates
 }
 
-// Origins returns those of whom the owner has jobs.
+// Origins returns the origins of the known jobs, sorted.
 func (o *Owner) Origins() []string {
 	all := map[string]bool{}
 	for key := range o.jobs {
@@ -268,10 +273,10 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// OriginLost drops the jobs of an origin whose incarnation has ended, as nobody
-// is left to answer its clients, and ignores its updates that are still on their
-// way. Pending grants to it count as carried out. After Open the caller has to
-// check whether all Origins are alive.
+// OriginLost removes the jobs of an origin whose incarnation has ended, because no
+// instance can answer their clients any more. Later updates of this incarnation
+// are rejected. Pending grants to it count as executed. After Open the caller has
+// to check whether all Origins are alive.
 func (o *Owner) OriginLost(origin string) []Update {
 	o.origins[origin] = &originStream{lost: true}
 	maps.DeleteFunc(o.grants, func(key JobKey, _ Grant) bool { return key.Origin == origin })
--- a/internal/cluster/shard/placement.go
+++ b/internal/cluster/shard/placement.go
@@ -9,52 +9,54 @@
 // Member is an instance that may own shards.
 type Member struct {
 	Name   string
-	Weight float64 // its part of the shards against the others'; 0: it gives all away, as one that drains
+	Weight float64 // its share of the shards relative to the other members; 0: its shards move away, as for draining
 }
 
 // Bounds limit the placement.
 type Bounds struct {
-	Tolerance    float64 // part of a member's mean by which it may deviate before anything moves; 0 to below 1
-	MaxTransfers int     // under way at a time, at least 1
+	Tolerance    float64 // fraction of its mean by which a member may deviate without transfers; from 0 to below 1
+	MaxTransfers int     // concurrent transfers, at least 1
 }
 
-// Assignment names the owner of a shard that has none.
+// Assignment names a new owner for a shard that has none.
 type Assignment struct {
 	Shard int
 	To    string
 }
 
-// Transfer moves a shard between owners that live. It travels as JSON.
+// Transfer moves a shard between two live owners. It is sent as JSON.
 type Transfer struct {
 	Shard int    `json:"Shard"`
 	From  string `json:"From"`
 	To    string `json:"To"`
 }
 
-// Plan is what is to be done next.
+// Plan lists the next changes of owners.
 type Plan struct {
-	Assignments []Assignment // without a snapshot; all at once
-	Transfers   []Transfer   // those that may begin now
-	Deferred    int          // transfers that wait until others have ended
+	Assignments []Assignment // take effect at once, without a snapshot
+	Transfers   []Transfer   // may begin now
+	Deferred    int          // number of transfers that have to wait for others
 }
 
-// roundingSlack keeps what floating point adds from making a whole number one
-// more or one less.
+// roundingSlack is far below 1: it keeps floating-point errors from rounding an
+// integral bound to the next integer.
 const roundingSlack = 1e-9
 
-// noOwner stands for the index of an owner that is no member.
+// noOwner is the index of the owner of a shard whose owner is not a member.
 const noOwner = -1
 
-// Place decides which shards need another owner. Those whose owner is no member,
-// and those in lost (whose owner has restarted since it opened them), come
-// first: while there are any nothing else begins. The rest moves only where a
-// member deviates from its mean by more than the tolerance, and then in as few
-// transfers as bring all within it. The running transfers count as done, and
-// against MaxTransfers.
+// Place decides which shards need another owner. Shards whose owner is not a
+// member, and the shards in lost (whose owner has restarted since it opened them),
+// are assigned first; while there are any, no transfer begins. Other shards move
+// only if a member deviates from its mean by more than the tolerance, and then by
+// the smallest number of transfers that brings all members within the bounds.
+// Running transfers count as completed, and against MaxTransfers. Place returns a
+// NoMembersError if no member has a weight above 0, or the sum of the weights is
+// not finite.
 //
-// With mean m = shards x weight / all weights, a member within the bounds owns
-// from floor(m x (1 - tolerance)) to ceil(m x (1 + tolerance)). The same input
-// gives the same plan on any machine.
+// With mean m = shards x weight / sum of weights, a member within the bounds owns
+// from floor(m x (1 - tolerance)) to ceil(m x (1 + tolerance)) shards. The same
+// input gives the same plan on any machine.
 func Place(owners Map, members []Member, lost []int, running []Transfer, bounds Bounds) (Plan, error) {
 	p := placement{
 		moved: make([]bool, len(owners)),
@@ -71,14 +73,14 @@
 	return plan, nil
 }
 
-// placement is the work of one Place.
+// placement is the working state of one call of Place.
 type placement struct {
-	loads []memberLoad   // by name
-	index map[string]int // of a name in loads
-	moved []bool         // by shard: it moves already
+	loads []memberLoad   // sorted by member name
+	index map[string]int // index in loads by member name
+	moved []bool         // by shard: a transfer of it is running or planned
 }
 
-// memberLoad is a member with the shards that it owns.
+// memberLoad is a member with its shards and its bounds, in shards.
 type memberLoad struct {
 	name   string
 	mean   float64
@@ -91,7 +93,7 @@
 func (l *memberLoad) deficit() int       { return l.low - len(l.shards) }
 func (l *memberLoad) deviation() float64 { return float64(len(l.shards)) - l.mean }
 
-// movableShard returns a shard that has not moved yet, or -1.
+// movableShard returns a shard of the member that has no transfer yet, or -1.
 func (l *memberLoad) movableShard(moved []bool) int {
 	for _, s := range slices.Backward(l.shards) {
 		if !moved[s] {
@@ -101,7 +103,8 @@
 	return -1
 }
 
-// addMembers fills the loads, each name once; false: nobody may own a shard.
+// addMembers fills loads, with each name once. It returns false if no member may
+// own a shard.
 func (p *placement) addMembers(members []Member, shards int, tolerance float64) bool {
 	totalWeight := 0.0
 	byName := func(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
@@ -144,7 +147,7 @@
 	return ownerOf
 }
 
-// applyRunning counts running transfers as done and returns how many there are.
+// applyRunning treats the running transfers as completed and returns their number.
 func (p *placement) applyRunning(ownerOf []int, running []Transfer) int {
 	started := 0
 	for _, t := range running {
@@ -159,7 +162,7 @@
 	return started
 }
 
-// distribute gives each member its shards and returns those without an owner.
+// distribute adds each shard to the load of its owner and returns the shards without an owner.
 func (p *placement) distribute(ownerOf []int) []int {
 	var unowned []int
 	for s, i := range ownerOf {
@@ -182,8 +185,9 @@
 	return assignments
 }
 
-// balance adds transfers until all members are within their bounds; those beyond
-// the limit are deferred.
+// balance plans transfers until all members are within their bounds. Transfers
+// beyond the limit are counted as deferred, and so are all while the plan has
+// assignments.
 func (p *placement) balance(plan *Plan, limit int) {
 	for {
 		from := p.donor()
@@ -204,9 +208,10 @@
 	}
 }
 
-// receiver takes the next shard: a member below its lower bound first, then one
-// that is not at its upper one. There always is one, as the upper bounds add up
-// to all shards at least.
+// receiver returns the member that receives the next shard: first one below its
+// lower bound, then one below its upper bound, among these the one furthest below
+// its mean. There always is one, because the upper bounds add up to at least the
+// number of shards.
 func (p *placement) receiver() *memberLoad {
 	best := &p.loads[0]
 	for i := range p.loads {
@@ -219,7 +224,7 @@
 	return best
 }
 
-// receiverRank orders members as receivers, the lowest first.
+// receiverRank returns the priority of a member as receiver; the lowest is first.
 func (l *memberLoad) receiverRank() int {
 	switch {
 	case l.deficit() > 0:
@@ -230,8 +235,9 @@
 	return 2
 }
 
-// donor gives the next shard: a member above its upper bound first, then one
-// that is not at its lower one; nil: there is none.
+// donor returns the member that gives up the next shard: first one above its upper
+// bound, then one above its lower bound, among these the one furthest above its
+// mean; nil: there is none.
 func (p *placement) donor() *memberLoad {
 	var best *memberLoad
 	for i := range p.loads {
@@ -243,7 +249,7 @@
 	return best
 }
 
-// donatesBefore reports whether l gives a shard rather than best.
+// donatesBefore reports whether l has priority over best as donor.
 func (l *memberLoad) donatesBefore(best *memberLoad) bool {
 	if best == nil {
 		return true
--- a/internal/cluster/shard/rate.go
+++ b/internal/cluster/shard/rate.go
@@ -3,23 +3,24 @@
 import "maps"
 
 const (
-	// alwaysAdmitted is how many jobs of a tenant may wait whatever its rate: too
-	// few to measure one.
+	// alwaysAdmitted is the number of waiting jobs up to which a tenant's jobs are
+	// admitted regardless of its release rate, because so few do not give a usable
+	// rate.
 	alwaysAdmitted = 16
-	// minTenants is how many tenants an owner remembers at least though none of
-	// their jobs waits.
+	// minTenants is the number of tenants up to which an owner keeps the release
+	// rates of tenants without waiting jobs.
 	minTenants = 1024
-	// rateWindow is the number of releases that the mean interval averages over.
+	// rateWindow is the number of releases over which the mean interval is averaged.
 	rateWindow = 64
-	// minRetryAfterSeconds is the shortest wait that a rejected client is given.
+	// minRetryAfterSeconds is the shortest Retry-After of a rejected job.
 	minRetryAfterSeconds = 1
 )
 
-// releaseRate measures how fast the jobs of a tenant are released while any wait.
+// releaseRate measures how fast the jobs of a tenant are released while some are waiting.
 type releaseRate struct {
 	waiting      int
-	lastRelease  float64 // or when the first of those that wait came, if that is later
-	meanInterval float64 // seconds between releases; 0: not known
+	lastRelease  float64 // time of the last release, or when the queue last became non-empty, if that is later
+	meanInterval float64 // mean seconds between releases; 0: unknown
 }
 
 func (r *releaseRate) enqueue(now float64) {
@@ -38,8 +39,8 @@
 	r.lastRelease = now
 }
 
-// expectedWait returns the seconds that one more job would wait. A release that
-// is overdue counts as if it came now.
+// expectedWait returns how many seconds one more job would wait. An overdue
+// release counts as if it happened now.
 func (r *releaseRate) expectedWait(now float64) float64 {
 	interval := r.meanInterval
 	if sinceLast := now - r.lastRelease; sinceLast > interval {
@@ -48,8 +49,8 @@
 	return interval * float64(r.waiting+1)
 }
 
-// rateOf returns the rate of a tenant. Tenants' names come from clients, so the
-// table is swept as it grows.
+// rateOf returns the release rate of a tenant. Clients choose the tenants' names,
+// so the table is swept as it grows, to bound its size.
 func (o *Owner) rateOf(tenant string) *releaseRate {
 	if r := o.tenants[tenant]; r != nil {
 		return r
@@ -63,8 +64,9 @@
 	return r
 }
 
-// admissionError returns why a job can't be admitted: the owner is full, or would
-// not release the job before its client gives up.
+// admissionError returns an OwnerFullError if a job cannot be admitted because the
+// owner is full or would not release the job before the client's timeout, and nil
+// if it can.
 func (o *Owner) admissionError(now float64, r *JobRecord) error {
 	rate := o.rateOf(r.Tenant)
 	wait := rate.expectedWait(now)
--- a/internal/cluster/shard/reconcile.go
+++ b/internal/cluster/shard/reconcile.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Reconciliation is a safety net under the updates: origin and owner compare
-// what is open by count and digest, and repair a difference by ids. It should
-// never find any.
+// Reconciliation is a safety net for the updates: origin and owner compare their
+// open jobs by count and digest, and repair differences job by job. Without a
+// fault in the updates it finds none.
 
-// BucketCount is how many parts of the ids are compared by themselves.
+// BucketCount is the number of buckets of job ids that are compared separately.
 const BucketCount = 64
 
-// digestBufferSize is enough for the encoded status of most jobs.
+// digestBufferSize is the size, in bytes, that the encoded status of most jobs fits into.
 const digestBufferSize = 256
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % BucketCount) }
 
-// Digest returns what the owner is to compare. It is false while something was
-// not sent or not acknowledged, so that there is nothing to compare yet.
+// Digest returns the digest that the owner compares with its own. It returns false
+// while updates are unsent or unacknowledged: then the owner cannot compare yet.
 func (l *JobLog) Digest() (Digest, bool) {
 	if !l.Synced() {
 		return Digest{}, false
@@ -39,7 +39,9 @@
 	}, true
 }
 
-// BucketContents lists the buckets that differ, at most MaxChunkRecords jobs a message.
+// BucketContents lists the jobs of the buckets that differ, at most
+// MaxChunkRecords per message. It returns none for a past epoch, or while updates
+// are unsent or unacknowledged.
 func (l *JobLog) BucketContents(mismatch DigestMismatch) []BucketContents {
 	if mismatch.Epoch != l.epoch || !l.Synced() {
 		return nil
@@ -66,7 +68,7 @@
 	return statuses
 }
 
-// appendContents splits one bucket into messages whose id ranges touch.
+// appendContents splits one bucket into messages whose id ranges are contiguous.
 func (l *JobLog) appendContents(contents []BucketContents, bucket int, jobs []JobStatus) []BucketContents {
 	slices.SortFunc(jobs, func(a, b JobStatus) int { return cmp.Compare(a.ID, b.ID) })
 	from := ""
@@ -93,7 +95,7 @@
 	}
 }
 
-// QueueResend queues the jobs that the owner requests again and returns how many.
+// QueueResend queues the jobs that the owner requests again and returns their number.
 func (l *JobLog) QueueResend(request ResendRequest) int {
 	queued := 0
 	for _, id := range request.IDs {
@@ -105,16 +107,17 @@
 	return queued
 }
 
-// inSyncWith reports whether the owner has exactly the updates that an origin
-// had sent with its message.
+// inSyncWith reports whether the owner has applied exactly the updates up to
+// lastUpdate of an origin, so that its message can be compared.
 func (o *Owner) inSyncWith(epoch, lastUpdate uint64, origin string) bool {
 	stream := o.origins[origin]
 	return o.state != StateClosed && epoch == o.epoch &&
 		stream != nil && stream.snapshotComplete && stream.next == lastUpdate+1
 }
 
-// Compare returns the buckets in which the owner differs from an origin. It is
-// false if there are none, or if later updates make the comparison meaningless.
+// Compare returns the buckets in which the owner differs from an origin. It returns
+// false if there are none, or if the owner has not applied exactly the updates that
+// the digest covers.
 func (o *Owner) Compare(d Digest) (DigestMismatch, bool) {
 	if !o.inSyncWith(d.Epoch, d.LastUpdate, d.Origin) || len(d.Checksums) != BucketCount {
 		return DigestMismatch{}, false
@@ -135,9 +138,9 @@
 	return mismatch, len(mismatch.Buckets) > 0
 }
 
-// Reconcile drops the jobs that the origin does not have and requests those that
-// the owner lacks or has in another state. The caller counts both, updates and
-// ids.
+// Reconcile removes the jobs that the origin does not have and requests those that
+// the owner lacks or has in another state. The caller counts both as differences:
+// the updates and the requested ids.
 func (o *Owner) Reconcile(contents BucketContents) ([]Update, ResendRequest) {
 	request := ResendRequest{Shard: o.shard, Epoch: o.epoch, Origin: contents.Origin}
 	if !o.inSyncWith(contents.Epoch, contents.LastUpdate, contents.Origin) {
@@ -156,7 +159,7 @@
 	return o.removeWhere(contents.Origin, unlisted, nil), request
 }
 
-// covers reports whether an id belongs to the listed range.
+// covers reports whether an id belongs to the bucket and the range of the message.
 func (c *BucketContents) covers(id string) bool {
 	return bucketOf(id) == c.Bucket && id >= c.From && (c.To == "" || id < c.To)
 }
--- a/internal/cluster/shard/record.go
+++ b/internal/cluster/shard/record.go
@@ -15,14 +15,14 @@
 	Worker     string
 	Outcome    balance.Outcome // empty while it is in flight
 	MayHaveRun bool
-	Elapsed    float64   // seconds since it began
-	Started    bool      // its worker has reported that the job runs
-	RunningFor float64   // seconds since then
-	Report     []float64 // load report that came with its end; set on the last attempt alone, never written to again
+	Elapsed    float64   // seconds since the attempt began
+	Started    bool      // the worker has reported that the job runs
+	RunningFor float64   // seconds since the worker reported that
+	Report     []float64 // load report received with the result; only on the last attempt; never modified in place
 }
 
-// JobRecord is a job as its origin sends it and owners copy it. Its times are
-// distances from the moment at which the message that carries it was made.
+// JobRecord is a job as its origin reports it and as owners transfer it. Its times
+// are relative to the moment at which the message with the record was made.
 type JobRecord struct {
 	ID         string
 	Class      string
@@ -32,14 +32,14 @@
 	Memory     float64
 	Timeout    float64   // seconds until the client gives up
 	Age        float64   // seconds since the origin accepted it
-	Order      uint64    // of its arrival, among its origin's jobs of the shard
-	Retry      bool      // the client has tried before
-	StartsNow  bool      // its age counts from now, whatever of its timeout has passed
-	AtMostOnce bool      // it must not begin twice
-	Admitted   bool      // some owner has admitted it: it is not rejected for lack of capacity any more
-	Granted    bool      // a former owner granted the next attempt, and the origin has not reported whether it began
-	Finished   bool      // no answer is owed any more
-	Attempts   []Attempt // oldest first; a slice that is never written to again
+	Order      uint64    // order of arrival among its origin's jobs of the shard
+	Retry      bool      // the client has sent the request before
+	StartsNow  bool      // its age counts from now, even if a part of its timeout has passed
+	AtMostOnce bool      // it must not run twice
+	Admitted   bool      // an owner has admitted it: it is not rejected for lack of capacity any more
+	Granted    bool      // a former owner granted the next attempt; the origin has not reported yet whether it began
+	Finished   bool      // it needs no answer any more
+	Attempts   []Attempt // oldest first; never modified in place
 }
 
 // InFlight reports whether an attempt is in flight.
@@ -47,12 +47,12 @@
 	return len(r.Attempts) > 0 && r.Attempts[len(r.Attempts)-1].Outcome == ""
 }
 
-// MayHaveRun reports whether an attempt that has ended may have run.
+// MayHaveRun reports whether the job may have run in an attempt that has ended.
 func (r *JobRecord) MayHaveRun() bool {
 	return slices.ContainsFunc(r.Attempts, func(a Attempt) bool { return a.MayHaveRun })
 }
 
-// advancedBy returns the record as it is some seconds later.
+// advancedBy returns the record with its times as they are some seconds later.
 func (r JobRecord) advancedBy(seconds float64) JobRecord {
 	r.Timeout -= seconds
 	r.Age += seconds
@@ -70,15 +70,15 @@
 	return r
 }
 
-// TenantTags are a tenant's positions in its shard's queue order, as seconds
-// from now; a negative one is past.
+// TenantTags are a tenant's positions in its shard's queue order, in seconds
+// relative to now; negative values are in the past.
 type TenantTags struct {
 	Tenant string
 	Local  float64
 	Global float64
 }
 
-// Checksum is a count and a digest that does not depend on the order of what is added.
+// Checksum is the number of added items and a digest that does not depend on their order.
 type Checksum struct {
 	Count  uint64
 	Digest uint64
@@ -89,7 +89,7 @@
 	s.Digest += hash
 }
 
-// checksumOf covers all content of a chunk.
+// checksumOf returns the checksum of the records and tags of a chunk or a snapshot.
 func checksumOf(records []JobRecord, tags []TenantTags) Checksum {
 	var sum Checksum
 	buffer := make([]byte, 0, 256)
@@ -102,7 +102,7 @@
 	return sum
 }
 
-// statusDigest covers what origin and owner must agree on: the job and its progress.
+// statusDigest covers what origin and owner must agree on: the identity and progress of the job.
 func (r *JobRecord) statusDigest(buffer []byte) uint64 {
 	b := appendString(buffer[:0], r.ID)
 	b = appendString(b, r.Origin)
@@ -115,7 +115,7 @@
 	return xxhash.Sum64(b)
 }
 
-// contentDigest covers every field of a record.
+// contentDigest covers every field of the record.
 func (r *JobRecord) contentDigest(buffer []byte) uint64 {
 	b := buffer[:0]
 	for _, s := range []string{r.ID, r.Class, r.Tenant, r.Origin} {
