--- a/internal/cluster/shard/model_delivery_test.go
+++ b/internal/cluster/shard/model_delivery_test.go
@@ -51,8 +51,8 @@
 		} else if h == nil && !on.removeUnconfirmed {
 			x.owner.origins[body.Origin] = &originStream{next: 1, snapshotComplete: true}
 		}
-		news, ack, err := x.owner.ApplyUpdate(0, body)
-		for _, n := range news {
+		updates, ack, err := x.owner.ApplyUpdate(0, body)
+		for _, n := range updates {
 			if n.GrantUnused {
 				x.charged--
 			}
@@ -80,16 +80,16 @@
 				body.TotalChecksum = x.importing.checksum
 			}
 		}
-		took, dropped, err := x.importing.AddChunk(0, body)
-		if dropped != nil {
-			w.send(from, w.instances[from].incarnation, *dropped)
+		ack, aborted, err := x.importing.AddChunk(0, body)
+		if aborted != nil {
+			w.send(from, w.instances[from].incarnation, *aborted)
 		} else if err == nil {
-			w.send(from, w.instances[from].incarnation, took)
+			w.send(from, w.instances[from].incarnation, ack)
 		}
 	case Abort:
 		if d, _ := x.importing.HandleAbort(body); d != nil {
 			w.send(from, w.instances[from].incarnation, *d)
-			if !on.transferNumbers { // nothing sends it from the next
+			if !on.transferNumbers { // a new import accepts the chunks of any transfer
 				x.importing = NewImportTransfer(0, x.incarnationName(), 9)
 			}
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-// sendDecline sends a decline to the owner of the epoch.
+// sendDecline sends a decline to the owner of its epoch.
 func (w *model) sendDecline(s Decline) {
 	for i, x := range w.instances {
 		if x.owner.epoch == s.Epoch && x.up {
@@ -113,11 +113,11 @@
 	}
 }
 
-// executeGrant is a grant at the origin.
+// executeGrant handles a grant at the origin: it starts an attempt, rejects the job or declines the grant.
 func (w *model) executeGrant(g Grant, on ruleset) {
 	l := w.mutableLog()
 	j := l.jobs[g.ID]
-	old := g.Epoch
+	grantEpoch := g.Epoch
 	w.observe(l, g.Epoch, on)
 	if !on.epochs {
 		g.Epoch = max(g.Epoch, l.epoch)
@@ -138,16 +138,16 @@
 		if g.Kind == Reject {
 			w.answers[i]++
 			if w.mayHaveRun[i] > 0 {
-				w.fail("rejected what ran")
+				w.fail("rejected a job that may have run")
 			}
 			return
 		}
 		w.mayHaveRun[i]++
 		w.inFlight[i]++
-		w.startsByEpoch[old]++
+		w.startsByEpoch[grantEpoch]++
 		for _, x := range w.instances {
-			if h := x.owner.origins[w.originName()]; x.up && x.owner.state == StateOpen && x.owner.epoch > old && h != nil && h.snapshotComplete {
-				w.fail("a start that the new owner, which knows all of the origin, did not grant")
+			if h := x.owner.origins[w.originName()]; x.up && x.owner.state == StateOpen && x.owner.epoch > grantEpoch && h != nil && h.snapshotComplete {
+				w.fail("a start that the new owner, which has the origin's full snapshot, did not grant")
 			}
 		}
 	default:
--- a/internal/cluster/shard/model_state_test.go
+++ b/internal/cluster/shard/model_state_test.go
@@ -28,7 +28,7 @@
 	for _, k := range slices.Sorted(maps.Keys(s.origins)) {
 		b = append(append(b, k...), byte(s.origins[k].next), boolByte(s.origins[k].snapshotComplete), boolByte(s.origins[k].lost))
 	}
-	copied := func(c *Snapshot) {
+	appendSnapshot := func(c *Snapshot) {
 		for i := range c.Records {
 			b = appendRecordKey(b, &c.Records[i])
 		}
@@ -39,11 +39,11 @@
 	if o := x.exporting; o != nil && o.Stage() != StageDone {
 		b = append(append(b, 'o', byte(o.number), boolByte(o.lastChunkMade), byte(o.nextChunk)), o.stage...)
 		b = append(b, o.target...)
-		copied(&o.snapshot)
+		appendSnapshot(&o.snapshot)
 	}
 	in := x.importing
 	b = append(b, 'i', byte(in.knownEpoch), byte(in.epoch), byte(in.number), byte(in.nextChunk), byte(in.chunkCount), boolByte(in.proposed), byte(len(in.abortReason)))
-	copied(&in.snapshot)
+	appendSnapshot(&in.snapshot)
 	return string(b)
 }
 
@@ -80,7 +80,7 @@
 	return string(b)
 }
 
-// violatedInvariant looks for a broken promise that shows in the world as it stands.
+// violatedInvariant returns the invariant that the state violates; "": none.
 func (w *model) violatedInvariant() string {
 	if w.violated != "" {
 		return w.violated
@@ -90,9 +90,9 @@
 		case w.mayHaveRun[i] > 1:
 			return "an unsafe job ran twice"
 		case w.inFlight[i] > 1:
-			return "two attempts at once"
+			return "two attempts of a job in flight"
 		case w.answers[i] > 1:
-			return "two answers"
+			return "two answers to a job"
 		}
 	}
 	open := 0
@@ -119,8 +119,8 @@
 	return w.jobMismatch()
 }
 
-// jobMismatch compares what the owner of the newest epoch knows with the origin, where
-// the origin takes it to know all.
+// jobMismatch compares the jobs of the owner of the origin's epoch with the origin's, if the origin considers that owner
+// to be in sync. It returns a difference; "": none.
 func (w *model) jobMismatch() string {
 	for _, x := range w.instances {
 		if !x.up || x.owner.state == StateClosed || x.owner.epoch != w.log.epoch || !w.log.Synced() || x.owner.origins[w.originName()] == nil {
@@ -134,7 +134,7 @@
 		}
 		for k := range x.owner.jobs {
 			if k.Origin == w.originName() && w.log.jobs[k.ID] == nil {
-				return "ghost: " + k.ID
+				return "job only at the owner: " + k.ID
 			}
 		}
 	}
--- a/internal/cluster/shard/model_steps_test.go
+++ b/internal/cluster/shard/model_steps_test.go
@@ -8,7 +8,7 @@
 	"example.org/bellstream/balance"
 )
 
-// successor is a world that may follow; a fault is one that nobody wants.
+// successor is a state that may follow; fault marks one that follows by a fault, which runWithoutFaults avoids.
 type successor struct {
 	*model
 	fault bool
@@ -22,7 +22,7 @@
 		n.deliverSent(on, func(n *model) { all = append(all, successor{n, fault || n.budget.delayed < w.budget.delayed}) })
 	}
 	for i, m := range w.delayedMessages {
-		add(false, "arrives "+m.key, func(n *model) {
+		add(false, "delayed message arrives: "+m.key, func(n *model) {
 			n.delayedMessages = slices.Delete(slices.Clone(n.delayedMessages), i, i+1)
 			n.deliver(m, on)
 		})
@@ -30,18 +30,18 @@
 	for i, x := range w.instances {
 		w.instanceSteps(i, x, on, add)
 	}
-	// A coordinator has a shard owned whose owner is dead, began anew or does not renew its lease.
+	// A coordinator assigns a shard whose owner is down, has restarted or does not renew its lease.
 	for _, x := range w.instances {
 		if x.name == w.ownership.Name && (!x.up || x.isolated || x.startEpoch >= w.ownership.Epoch) && w.ownership.Epoch < w.budget.epochs {
 			for _, y := range w.instances {
 				if y.up && (x == y) == (x.up && !x.isolated) {
-					add(false, "assign it to "+y.incarnationName(), func(n *model) { n.send(toAgreement, 0, proposal{OwnerChange{0, n.ownership.Epoch, y.name}, ""}) })
+					add(false, "the coordinator assigns the shard to "+y.incarnationName(), func(n *model) { n.send(toAgreement, 0, proposal{OwnerChange{0, n.ownership.Epoch, y.name}, ""}) })
 				}
 			}
 		}
 	}
 	if w.jobsAdded < w.budget.jobs {
-		add(false, "a job comes", func(n *model) {
+		add(false, "the origin accepts a job", func(n *model) {
 			n.mutableLog().Add(0, JobRecord{ID: fmt.Sprint("j", n.jobsAdded), Timeout: 9, AtMostOnce: true})
 			n.jobsAdded++
 		})
@@ -68,7 +68,7 @@
 	}
 	w.updateSteps(add)
 	if w.budget.crashOrigin && w.budget.crashes > 0 {
-		add(true, "the origin dies", func(n *model) {
+		add(true, "the origin crashes", func(n *model) {
 			n.budget.crashes--
 			n.incarnation++
 			n.log, n.logKey = NewJobLog(0, n.originName()), ""
@@ -78,7 +78,7 @@
 	return all
 }
 
-// updateSteps is what the origin says to the owner of the epoch that it knows.
+// updateSteps adds the updates that the origin can send to the owner of its epoch.
 func (w *model) updateSteps(add func(bool, string, func(*model))) {
 	to := slices.IndexFunc(w.instances[:], func(x *instance) bool { return x.name == w.ownership.Name })
 	if to < 0 || w.log.epoch != w.ownership.Epoch || !w.instances[to].up || w.instances[to].owner.epoch != w.log.epoch {
@@ -98,7 +98,7 @@
 		} else if _, ok := next(n.mutableLog()); !ok {
 			continue
 		}
-		add(false, fmt.Sprint("the origin sends, again: ", again), func(n *model) {
+		add(false, fmt.Sprint("the origin sends an update, resent: ", again), func(n *model) {
 			m, _ := next(n.mutableLog())
 			n.send(to, n.instances[to].incarnation, m)
 		})
@@ -108,13 +108,13 @@
 // doFunc adds a step of one instance.
 type doFunc func(fault bool, what string, f func(n *model, x *instance))
 
-// instanceSteps is what one of them may do.
+// instanceSteps adds the steps of one instance.
 func (w *model) instanceSteps(i int, x *instance, on ruleset, add func(bool, string, func(*model))) {
 	do := func(fault bool, what string, f func(n *model, x *instance)) {
 		add(fault, x.incarnationName()+" "+what, func(n *model) { f(n, n.mutableInstance(i)) })
 	}
 	if !x.up {
-		do(false, "starts again", func(n *model, x *instance) { n.instances[i] = newInstance(x.name, x.incarnation+1, n.ownership.Epoch) })
+		do(false, "restarts", func(n *model, x *instance) { n.instances[i] = newInstance(x.name, x.incarnation+1, n.ownership.Epoch) })
 		return
 	}
 	w.faultSteps(x, do)
@@ -133,20 +133,20 @@
 
 func (w *model) faultSteps(x *instance, do doFunc) {
 	if w.budget.crashes > 0 {
-		do(true, "dies", func(n *model, x *instance) { n.budget.crashes--; x.up, x.leased, x.isolated = false, false, false })
+		do(true, "crashes", func(n *model, x *instance) { n.budget.crashes--; x.up, x.leased, x.isolated = false, false, false })
 	}
 	if w.budget.isolations > 0 && !x.isolated {
-		do(true, "is cut off", func(n *model, x *instance) { n.budget.isolations--; x.isolated = true })
+		do(true, "is isolated", func(n *model, x *instance) { n.budget.isolations--; x.isolated = true })
 	}
 	if x.isolated && x.leased {
-		do(false, "lapses", func(n *model, x *instance) { x.leased = false })
+		do(false, "loses its lease", func(n *model, x *instance) { x.leased = false })
 	}
 }
 
 func (w *model) agreementSteps(i int, x *instance, on ruleset, do doFunc) {
 	other := w.instances[1-i]
 	mine := w.ownership.Name == x.name && x.owner.epoch < w.ownership.Epoch && (x.startEpoch < w.ownership.Epoch || !on.startEpoch)
-	if mine && on.exclusiveLease { // accord's part: who acted on an older map knows better, or its lease has run out
+	if mine && on.exclusiveLease { // guaranteed by the agreement: the instance that acted on an older map has the new one, or its lease has expired
 		mine = !other.up || !other.leased || other.knownEpoch == w.ownership.Epoch
 	}
 	if !x.leased || x.isolated || x.knownEpoch < w.ownership.Epoch || mine {
@@ -154,7 +154,7 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(x.owner.origins)) {
 		if k != w.originName() && !x.owner.origins[k].lost {
-			do(false, "learns that the origin died", func(n *model, x *instance) { x.owner.OriginLost(k) })
+			do(false, "learns that the origin has crashed", func(n *model, x *instance) { x.owner.OriginLost(k) })
 		}
 	}
 }
@@ -162,17 +162,17 @@
 func (w *model) ownerSteps(i int, x *instance, on ruleset, do doFunc) {
 	s := x.owner
 	other := w.instances[1-i]
-	few := s.lastGrant < 4 // an owner that never learns would go on for ever
+	fewGrants := s.lastGrant < 4 // bounds the grants of an owner that never receives an update
 	for _, k := range slices.SortedFunc(maps.Keys(s.jobs), compareJobKeys) {
-		if few && len(s.jobs[k].Attempts) < w.budget.attempts {
+		if fewGrants && len(s.jobs[k].Attempts) < w.budget.attempts {
 			do(false, "sends "+k.ID, func(n *model, x *instance) { n.grant(x, Send, k) })
 		}
-		if few && w.budget.reject {
+		if fewGrants && w.budget.reject {
 			do(false, "rejects "+k.ID, func(n *model, x *instance) { n.grant(x, Reject, k) })
 		}
 	}
 	if len(s.grants) > 0 {
-		do(false, "sends grants again", func(n *model, x *instance) {
+		do(false, "resends grants", func(n *model, x *instance) {
 			for _, g := range x.owner.PendingGrants(9) {
 				n.send(toOrigin, n.incarnation, g)
 			}
@@ -202,7 +202,7 @@
 			})
 		}
 		if len(s.grants) == 0 || w.budget.waive {
-			do(false, "copies", func(n *model, x *instance) {
+			do(false, "freezes", func(n *model, x *instance) {
 				x.exporting.Freeze(0, []TenantTags{{"t", float64(x.charged), float64(x.lineage)}}, true)
 				n.sealedChecksums = maps.Clone(n.sealedChecksums)
 				n.sealedChecksums[[2]uint64{x.exporting.epoch, x.exporting.number}] = x.exporting.checksum
@@ -225,7 +225,7 @@
 	}
 }
 
-// abortSteps are those of an old owner that gives a transfer up.
+// abortSteps adds the steps by which an old owner aborts a transfer or reclaims the shard.
 func (w *model) abortSteps(i int, x *instance, on ruleset, do doFunc) {
 	o := x.exporting
 	other := w.instances[1-i]
@@ -271,7 +271,7 @@
 	}
 }
 
-// applyRecord has an instance renew its lease and act on the map.
+// adoptMap makes an instance renew its lease and act on the map; mine says that it may open as the owner.
 func (w *model) adoptMap(x *instance, mine bool) {
 	x.knownEpoch, x.leased, x.isolated = w.ownership.Epoch, true, false
 	x.owner.ObserveEpoch(w.ownership.Epoch)
@@ -284,12 +284,12 @@
 	switch {
 	case c != nil:
 		if w.sealedChecksums[[2]uint64{epoch, number}] != checksumOf(c.Records, c.Tags) {
-			w.fail("the copy is not what was sealed")
+			w.fail("the copy is not the sealed snapshot")
 		}
 		x.owner.Open(w.ownership.Epoch, c)
 		x.charged, x.lineage = int(c.Tags[0].Local), int(c.Tags[0].Global)
 	case w.stagedBy == x.incarnationName():
-		w.fail("opened without what was staged")
+		w.fail("opened without the staged snapshot")
 	case x.owner.Renew(w.ownership.Epoch) != nil:
 		x.owner.Open(w.ownership.Epoch, nil)
 		x.charged, x.lineage = 0, 0
@@ -297,7 +297,7 @@
 	x.lineage |= 1 << w.ownership.Epoch
 }
 
-// observe has the origin learn an epoch.
+// observe makes the origin learn an epoch; without resendForEpoch it then sends none of its jobs.
 func (w *model) observe(l *JobLog, epoch uint64, on ruleset) {
 	if l.ObserveEpoch(epoch) && !on.resendForEpoch {
 		l.unsent, l.snapshotSize = nil, 0
--- a/internal/cluster/shard/model_test.go
+++ b/internal/cluster/shard/model_test.go
@@ -10,29 +10,31 @@
 	"testing"
 )
 
-// The model plays the package's own code: one shard, two instances that can own it, one
-// origin, an agreed map. A message arrives at once, or is loose: it arrives
-// at any later time, or at once and once more, or never. What is loose is bounded.
+// The model checks the package's own code: it searches the reachable states of one shard, two instances that can own
+// it, one origin and an agreed map. A message is delivered at once, or is delayed: it is delivered at any later time, or
+// at once and again later, or never. The budget bounds the number of delayed messages.
 
-// ruleset is what the search takes away, one at a time.
+// ruleset holds the rules of the protocol; TestEachRuleIsNecessary disables one at a time.
 type ruleset struct {
-	sealing, epochs, oneInFlight, attempts, atMostOnce, revocation, singleAnswer, checksums, resendForEpoch, noAbortAfterProposal, reopenAfterAborted, transferNumbers, exclusiveLease, startEpoch, updateNumbers, removeUnconfirmed, declineOrder, incarnations bool
+	sealing, epochs, oneInFlight, attempts, atMostOnce, revocation, singleAnswer, checksums, resendForEpoch,
+	noAbortAfterProposal, reopenAfterAborted, transferNumbers, exclusiveLease, startEpoch, updateNumbers,
+	removeUnconfirmed, declineOrder, incarnations bool
 }
 
-// budget keeps a search small.
+// budget bounds how often each event happens, to keep a search small.
 type budget struct {
 	jobs, attempts                                           int
 	transfers, aborts, crashes, isolations, delayed, corrupt int
 	epochs                                                   uint64
-	reject                                                   bool // owners reject as well
-	assigned                                                 bool // the first job is owned at the start
-	waive                                                    bool // owners do not wait for the origin to settle
-	crashOrigin                                              bool // crashes strike the origin too
+	reject                                                   bool // owners also reject jobs
+	assigned                                                 bool // the owner knows the first job at the start
+	waive                                                    bool // transfers do not wait until pending grants are settled
+	crashOrigin                                              bool // the origin crashes too
 }
 
 type message struct {
 	key         string
-	to          int // instance, or origin, or agreed
+	to          int // index of an instance, toOrigin or toAgreement
 	incarnation int
 	body        any
 }
@@ -42,7 +44,7 @@
 	toAgreement = 3
 )
 
-// proposal is a Change and the incarnation that staged a transfer for it; "": no transfer.
+// proposal is an OwnerChange and the incarnation that has staged a transfer for it; "": no transfer.
 type proposal struct {
 	OwnerChange
 	by string
@@ -52,12 +54,12 @@
 	name                   string
 	incarnation            int
 	up, leased             bool
-	isolated               bool   // it receives nothing of the agreement: its lease will lapse
-	knownEpoch, startEpoch uint64 // epochs of the map: as known, and as it was when this incarnation began
+	isolated               bool   // cut off from the agreement: its lease will expire
+	knownEpoch, startEpoch uint64 // epochs of the map: known to the instance, and at the start of this incarnation
 	owner                  *Owner
 	exporting              *ExportTransfer
 	importing              *ImportTransfer
-	charged, lineage       int // starts charged, and the epochs whose starts they are
+	charged, lineage       int // number of starts charged, and a bit set of the epochs of these starts
 	key                    string
 }
 
@@ -66,17 +68,17 @@
 type model struct {
 	instances            [2]*instance
 	ownership            Ownership // the agreed map
-	stagedBy             string    // the incarnation whose staged transfer made it so
+	stagedBy             string    // incarnation whose staged transfer led to this ownership; "": none
 	log                  *JobLog
 	incarnation          int // of the origin
 	logKey               string
 	jobsAdded            int
-	mayHaveRun, inFlight [2]int // of each job: starts that ran or may have; attempts out
+	mayHaveRun, inFlight [2]int // per job: starts that ran or may have run, and attempts in flight
 	answers              [2]int
-	startsByEpoch        [8]int // by epoch
+	startsByEpoch        [8]int // starts by the epoch of their grant
 	sealedChecksums      map[[2]uint64]Checksum
-	delayedMessages      []message // on their way
-	undelivered          []message // in this step
+	delayedMessages      []message // sorted by key
+	undelivered          []message // sent in this step
 	budget               budget
 	previous             *model
 	description          string
@@ -90,9 +92,9 @@
 	return w.previous.trace() + "\n\t" + w.description
 }
 
-func (w *model) fail(why string) {
+func (w *model) fail(reason string) {
 	if w.violated == "" {
-		w.violated = why
+		w.violated = reason
 	}
 }
 
@@ -110,7 +112,7 @@
 	return &n
 }
 
-// mutableInstance gives the world an instance of its own.
+// mutableInstance replaces an instance by a copy that this state may change, and returns the copy.
 func (w *model) mutableInstance(i int) *instance {
 	x := *w.instances[i]
 	x.key = ""
@@ -145,7 +147,7 @@
 	w.undelivered = append(w.undelivered, message{"", to, incarnation, body})
 }
 
-// delay puts a message among those on their way.
+// delay adds a message to the delayed ones.
 func (w *model) delay(m message) {
 	m.key = fmt.Sprintf("%d#%d %T%v", m.to, m.incarnation, m.body, m.body)
 	w.budget.delayed--
@@ -154,7 +156,8 @@
 	}
 }
 
-// deliverSent hands over what was sent, in all ways that there are.
+// deliverSent calls take with each state that can result from the messages sent in this step: delivered, delayed,
+// delivered twice or corrupted.
 func (w model) deliverSent(on ruleset, take func(*model)) {
 	if len(w.undelivered) == 0 || w.violated != "" {
 		take(&w)
@@ -180,13 +183,14 @@
 	}
 }
 
-func newInstance(name string, incarnation int, born uint64) *instance {
-	x := &instance{name: name, incarnation: incarnation, up: true, startEpoch: born, owner: NewOwner(0, Limits{MaxJobs: 9})}
+func newInstance(name string, incarnation int, startEpoch uint64) *instance {
+	x := &instance{name: name, incarnation: incarnation, up: true, startEpoch: startEpoch, owner: NewOwner(0, Limits{MaxJobs: 9})}
 	x.importing = NewImportTransfer(0, x.incarnationName(), 9)
 	return x
 }
 
-// runWithoutFaults plays on without faults and says what never comes to rest.
+// runWithoutFaults takes steps without faults until an owner of the newest epoch is open and in sync with the origin. It
+// returns why it cannot reach such a state, or the violated invariant; "": it has reached one.
 func (w *model) runWithoutFaults(on ruleset) string {
 	seen := map[string]bool{w.key(): true}
 	w.budget.epochs += 2
@@ -205,19 +209,20 @@
 			}
 		}
 		if to == nil {
-			return "stuck"
+			return "no step without a fault is left"
 		}
-		if why := to.violatedInvariant(); why != "" {
-			return why
+		if violation := to.violatedInvariant(); violation != "" {
+			return violation
 		}
 		w = to
 		seen[w.key()] = true
 	}
-	return "never at rest"
+	return "no open and synced owner after 400 steps"
 }
 
-// search plays all that can happen, and returns the first broken promise and
-// how many worlds it has seen. Of each `every` worlds one is played to its end.
+// search visits all reachable states and returns the first violated invariant with the steps to it, and the number of
+// states seen. It fails the test above most states. From about one in `every` states it also runs on without faults; 0:
+// from none.
 func search(t *testing.T, b budget, on ruleset, most, every int) (string, int) {
 	start := &model{ownership: Ownership{"a", 1}, budget: b, sealedChecksums: map[[2]uint64]Checksum{}, log: NewJobLog(0, "h#0")}
 	for i, name := range []string{"a", "b"} {
@@ -237,7 +242,7 @@
 	seen := map[[16]byte]bool{}
 	for queue := []*model{start}; len(queue) > 0; queue = queue[1:] {
 		if len(seen) > most {
-			t.Fatalf("more than %d worlds", most)
+			t.Fatalf("the search exceeds %d states", most)
 		}
 		for _, n := range queue[0].successors(on) {
 			hash := sha256.Sum256([]byte(n.key()))
@@ -245,15 +250,15 @@
 			if seen[k] {
 				continue
 			}
-			if why := n.violatedInvariant(); why != "" {
-				return why + n.trace(), len(seen)
+			if violation := n.violatedInvariant(); violation != "" {
+				return violation + n.trace(), len(seen)
 			}
 			seen[k] = true
 			queue = append(queue, n.model)
 			if every > 0 && (int(k[0])<<8|int(k[1]))%every == 0 {
 				end := *n.model
-				if why := end.runWithoutFaults(on); why != "" {
-					return why + n.trace(), len(seen)
+				if violation := end.runWithoutFaults(on); violation != "" {
+					return violation + n.trace(), len(seen)
 				}
 			}
 		}
@@ -264,76 +269,78 @@
 
 var allRules = ruleset{true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true, true}
 
-// BELLSTREAM_MODEL=full plays more that is loose, and more of everything together.
+// TestInvariantsInAnyOrder searches for a violated invariant with all rules enabled. BELLSTREAM_MODEL=full adds larger
+// searches, with more delayed messages and with all kinds of faults together.
 func TestInvariantsInAnyOrder(t *testing.T) {
 	cases := map[string]budget{
 		"one transfer":            {jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 1, epochs: 3},
 		"two transfers":           {jobs: 1, attempts: 1, transfers: 2, delayed: 1, epochs: 3, assigned: true},
-		"attempts":                {jobs: 1, attempts: 2, delayed: 2, epochs: 2, reject: true, assigned: true},
+		"two attempts":            {jobs: 1, attempts: 2, delayed: 2, epochs: 2, reject: true, assigned: true},
 		"two jobs":                {jobs: 2, attempts: 1, transfers: 1, corrupt: 1, epochs: 2, assigned: true},
 		"attempts and a transfer": {jobs: 1, attempts: 2, transfers: 1, epochs: 2, reject: true, assigned: true},
 		"crashes":                 {jobs: 1, attempts: 1, transfers: 1, crashes: 1, isolations: 1, epochs: 2, assigned: true},
 		"late grants":             {jobs: 1, attempts: 1, crashes: 1, delayed: 1, epochs: 3, assigned: true},
-		"origin":                  {jobs: 1, attempts: 1, transfers: 1, crashes: 1, epochs: 2, crashOrigin: true},
-		"waive":                   {jobs: 1, attempts: 1, transfers: 1, delayed: 1, epochs: 2, waive: true, assigned: true},
+		"origin crashes":          {jobs: 1, attempts: 1, transfers: 1, crashes: 1, epochs: 2, crashOrigin: true},
+		"waived grants":           {jobs: 1, attempts: 1, transfers: 1, delayed: 1, epochs: 2, waive: true, assigned: true},
 	}
 	if os.Getenv("BELLSTREAM_MODEL") == "full" {
 		maps.Copy(cases, map[string]budget{
-			"refuses":    {jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true},
-			"looser":     {jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 2, epochs: 3},
-			"back":       {jobs: 1, attempts: 1, transfers: 2, aborts: 1, delayed: 1, epochs: 3, assigned: true},
-			"everything": {jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 3, assigned: true},
+			"rejections":                 {jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true},
+			"more delayed messages":      {jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 2, epochs: 3},
+			"two transfers and an abort": {jobs: 1, attempts: 1, transfers: 2, aborts: 1, delayed: 1, epochs: 3, assigned: true},
+			"everything":                 {jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 3, assigned: true},
 		})
 	}
 	for name, b := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			broken, n := search(t, b, allRules, 6_000_000, 100)
-			t.Logf("%s: %d worlds", name, n)
-			if broken != "" {
-				t.Error(broken)
+			violated, n := search(t, b, allRules, 6_000_000, 100)
+			t.Logf("%s: %d states", name, n)
+			if violated != "" {
+				t.Error(violated)
 			}
 		})
 	}
 }
 
-// Each rule is needed: without it the same search finds what it guards against.
+// TestEachRuleIsNecessary checks that the search finds the expected violation when one rule is disabled, so that the
+// search would notice if the code broke that rule.
 func TestEachRuleIsNecessary(t *testing.T) {
-	move := budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 1, epochs: 3, assigned: true}
-	still := budget{jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true}
-	dies := budget{jobs: 1, attempts: 1, crashes: 1, isolations: 1, delayed: 1, epochs: 3, assigned: true}
+	transfer := budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, delayed: 1, epochs: 3, assigned: true}
+	noTransfer := budget{jobs: 1, attempts: 2, delayed: 1, epochs: 2, reject: true, assigned: true}
+	crash := budget{jobs: 1, attempts: 1, crashes: 1, isolations: 1, delayed: 1, epochs: 3, assigned: true}
 	for name, c := range map[string]struct {
-		off  func(*ruleset)
-		b    budget
-		want string
+		disable func(*ruleset)
+		b       budget
+		want    string
 	}{
-		"the old owner is sealed":               {func(r *ruleset) { r.sealing = false }, move, "uncharged"},
-		"epochs at the origin":                  {func(r *ruleset) { r.epochs = false }, dies, "a start that the new owner"},
-		"one attempt in flight at the origin":   {func(r *ruleset) { r.oneInFlight = false }, move, "an unsafe job ran twice"},
-		"attempts are numbered":                 {func(r *ruleset) { r.attempts = false }, still, "uncharged"},
-		"what may have run does not run again":  {func(r *ruleset) { r.atMostOnce = false }, still, "an unsafe job ran twice"},
-		"what is revoked stays revoked":         {func(r *ruleset) { r.revocation = false }, move, "uncharged"},
-		"one answer at the origin":              {func(r *ruleset) { r.singleAnswer = false }, still, "two answers"},
-		"chunks have count and digest":          {func(r *ruleset) { r.checksums = false }, budget{jobs: 1, transfers: 1, corrupt: 1, epochs: 2, assigned: true}, "the copy is not"},
-		"origins update the new owner":          {func(r *ruleset) { r.resendForEpoch = false }, dies, "job lost"},
-		"after the proposal only forward":       {func(r *ruleset) { r.noAbortAfterProposal = false }, move, "opened without"},
-		"open again when the other aborted it":  {func(r *ruleset) { r.reopenAfterAborted = false }, move, "uncharged"},
-		"transfers are numbered":                {func(r *ruleset) { r.transferNumbers = false }, move, "uncharged"},
-		"no owner opens beside a lease":         {func(r *ruleset) { r.exclusiveLease = false }, dies, "two open owners"},
-		"a new incarnation opens no old epoch":  {func(r *ruleset) { r.startEpoch = false }, dies, "uncharged"},
-		"updates are numbered":                  {func(r *ruleset) { r.updateNumbers = false }, still, "ghost"},
-		"what is not sent is dropped":           {func(r *ruleset) { r.removeUnconfirmed = false }, move, "ghost"},
-		"a decline waits for updates before it": {func(r *ruleset) { r.declineOrder = false }, move, "uncharged"},
-		"a transfer is to one incarnation":      {func(r *ruleset) { r.incarnations = false }, budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 2, assigned: true}, "uncharged"},
+		"the old owner is sealed":                  {func(r *ruleset) { r.sealing = false }, transfer, "uncharged"},
+		"epochs at the origin":                     {func(r *ruleset) { r.epochs = false }, crash, "a start that the new owner"},
+		"one attempt in flight at the origin":      {func(r *ruleset) { r.oneInFlight = false }, transfer, "an unsafe job ran twice"},
+		"attempts are numbered":                    {func(r *ruleset) { r.attempts = false }, noTransfer, "uncharged"},
+		"jobs that may have run do not run again":  {func(r *ruleset) { r.atMostOnce = false }, noTransfer, "an unsafe job ran twice"},
+		"revoked grants are not executed":          {func(r *ruleset) { r.revocation = false }, transfer, "uncharged"},
+		"one answer by the origin":                 {func(r *ruleset) { r.singleAnswer = false }, noTransfer, "two answers"},
+		"chunks have a count and digest":           {func(r *ruleset) { r.checksums = false }, budget{jobs: 1, transfers: 1, corrupt: 1, epochs: 2, assigned: true}, "the copy is not"},
+		"origins update the new owner":             {func(r *ruleset) { r.resendForEpoch = false }, crash, "job lost"},
+		"no abort after the proposal":              {func(r *ruleset) { r.noAbortAfterProposal = false }, transfer, "opened without"},
+		"reopen only after Aborted":                {func(r *ruleset) { r.reopenAfterAborted = false }, transfer, "uncharged"},
+		"transfers are numbered":                   {func(r *ruleset) { r.transferNumbers = false }, transfer, "uncharged"},
+		"no owner opens during another lease":      {func(r *ruleset) { r.exclusiveLease = false }, crash, "two open owners"},
+		"a new incarnation opens no old epoch":     {func(r *ruleset) { r.startEpoch = false }, crash, "uncharged"},
+		"updates are numbered":                     {func(r *ruleset) { r.updateNumbers = false }, noTransfer, "job only at the owner"},
+		"jobs missing in the snapshot are removed": {func(r *ruleset) { r.removeUnconfirmed = false }, transfer, "job only at the owner"},
+		"a decline waits for updates before it":    {func(r *ruleset) { r.declineOrder = false }, transfer, "uncharged"},
+		"a transfer is for one incarnation":        {func(r *ruleset) { r.incarnations = false }, budget{jobs: 1, attempts: 1, transfers: 1, aborts: 1, crashes: 1, delayed: 1, epochs: 2, assigned: true}, "uncharged"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			on := allRules
-			c.off(&on)
-			broken, n := search(t, c.b, on, 1_000_000, 0)
-			t.Logf("%s: %.40q after %d worlds", name, broken, n)
-			if !strings.HasPrefix(broken, c.want) {
-				t.Errorf("found %q, want %q", broken, c.want)
+			c.disable(&on)
+			violated, n := search(t, c.b, on, 1_000_000, 0)
+			t.Logf("%s: %.40q after %d states", name, violated, n)
+			if !strings.HasPrefix(violated, c.want) {
+				t.Errorf("found violation %q, want prefix %q", violated, c.want)
 			}
 		})
 	}
--- a/internal/cluster/shard/placement_test.go
+++ b/internal/cluster/shard/placement_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-// applyPlan applies a plan as a coordinator would, with all transfers done.
+// applyPlan applies a plan as a coordinator would, with all transfers completed.
 func applyPlan(m Map, p Plan) Map {
 	m = slices.Clone(m)
 	for _, x := range p.Assignments {
@@ -31,8 +31,8 @@
 	return m
 }
 
-// bounds of each member, worked out apart from Place by whole numbers: weights
-// and the tolerance, in hundredths, are whole.
+// expectedBounds returns the bounds of a member. Unlike Place it calculates in
+// integers; hundredths is the tolerance in hundredths.
 func expectedBounds(shards, weight, all, hundredths int) (low, high int) {
 	low = shards * weight * (100 - hundredths) / (all * 100)
 	high = (shards*weight*(100+hundredths) + all*100 - 1) / (all * 100)
@@ -55,7 +55,7 @@
 		unowned := 0
 		var lost []int
 		for s := range m {
-			// One in len+1 has no owner, one in len+1 an owner that is no member.
+			// -1: the shard has no owner; len(weights): its owner is not a member.
 			at := rapid.IntRange(-1, len(weights)).Draw(t, "owner")
 			if at >= 0 {
 				m[s] = Ownership{fmt.Sprint("i", at), uint64(1 + s%3)}
@@ -74,7 +74,7 @@
 		p, err := Place(m, who, lost, nil, b)
 		if sum == 0 {
 			if !errors.Is(err, NoMembersError{}) {
-				t.Fatalf("no weight: %v", err)
+				t.Fatalf("all weights are 0: got error %v, want NoMembersError", err)
 			}
 			return
 		}
@@ -86,19 +86,19 @@
 		}
 		fewest := max(over, under-unowned)
 		if err != nil || len(p.Assignments) != unowned || len(p.Transfers)+p.Deferred != max(0, fewest) {
-			t.Fatalf("%d owned of %d, %d transfers and %d more, fewest %d: %v", len(p.Assignments), unowned, len(p.Transfers), p.Deferred, fewest, err)
+			t.Fatalf("%d assignments for %d unowned shards; %d transfers and %d deferred, want %d in all: %v", len(p.Assignments), unowned, len(p.Transfers), p.Deferred, fewest, err)
 		}
 		if unowned > 0 && len(p.Transfers) > 0 || len(p.Transfers) > b.MaxTransfers {
-			t.Fatalf("%d transfers beside %d unowned, at once %d", len(p.Transfers), unowned, b.MaxTransfers)
+			t.Fatalf("%d transfers with %d unowned shards, MaxTransfers %d", len(p.Transfers), unowned, b.MaxTransfers)
 		}
 		slices.Reverse(who)
 		if q, _ := Place(m, who, lost, nil, b); !reflect.DeepEqual(p, q) {
-			t.Fatal("the order of members matters")
+			t.Fatal("the plan depends on the order of the members")
 		}
-		// Carried out, round after round, it ends within the bounds and stays.
+		// Plans applied round by round end within the bounds, with an empty plan.
 		for round := 0; len(p.Assignments)+len(p.Transfers) > 0; round++ {
 			if round > 2+fewest {
-				t.Fatal("it never comes to rest")
+				t.Fatal("the plans do not converge")
 			}
 			m = applyPlan(m, p)
 			p, _ = Place(m, who, nil, nil, b)
@@ -110,13 +110,13 @@
 		for i, w := range weights {
 			low, high := expectedBounds(count, w, sum, hundredths)
 			if n := load[fmt.Sprint("i", i)]; n < low || n > high {
-				t.Fatalf("i%d of weight %d owners %d, bounds %d and %d", i, w, n, low, high)
+				t.Fatalf("i%d of weight %d owns %d shards, want %d to %d", i, w, n, low, high)
 			}
 		}
 	})
 }
 
-// Transfers that are under way count as done and against the bound.
+// TestPlaceWhileMoving checks that running transfers count as completed and against MaxTransfers.
 func TestPlaceWhileMoving(t *testing.T) {
 	who := members(3)
 	m := make(Map, 30)
@@ -124,61 +124,61 @@
 		m[s] = Ownership{"i000", 1}
 	}
 	b := Bounds{0.1, 4}
-	var moving []Transfer
+	var running []Transfer
 	seen := map[int]bool{}
 	for round := 0; ; round++ {
-		p, err := Place(m, who, nil, moving, b)
-		if err != nil || len(p.Transfers)+len(moving) > 4 {
-			t.Fatalf("%v with %v: %v", p, moving, err)
+		p, err := Place(m, who, nil, running, b)
+		if err != nil || len(p.Transfers)+len(running) > 4 {
+			t.Fatalf("plan %v with running transfers %v: error %v, want at most 4 transfers", p, running, err)
 		}
-		if len(p.Transfers) == 0 && len(moving) == 0 {
+		if len(p.Transfers) == 0 && len(running) == 0 {
 			break
 		}
 		for _, x := range p.Transfers {
 			if seen[x.Shard] {
-				t.Fatalf("shard %d transfers twice", x.Shard)
+				t.Fatalf("shard %d is transferred twice", x.Shard)
 			}
 			seen[x.Shard] = true
 		}
-		moving = append(moving, p.Transfers...)
-		// The oldest ends.
-		m.Apply(OwnerChange{moving[0].Shard, m[moving[0].Shard].Epoch, moving[0].To})
-		moving = moving[1:]
+		running = append(running, p.Transfers...)
+		// The oldest transfer ends.
+		m.Apply(OwnerChange{running[0].Shard, m[running[0].Shard].Epoch, running[0].To})
+		running = running[1:]
 	}
-	if len(seen) != 19 { // from 30 down to 11
-		t.Errorf("%d transfers", len(seen))
+	if len(seen) != 19 { // i000 goes from 30 shards down to 11
+		t.Errorf("got %d transfers, want 19", len(seen))
 	}
-	// A shard whose old owner dies on the way is unowned: it comes before the others.
+	// A shard whose old owner fails during the transfer is unowned and assigned before transfers.
 	p, _ := Place(m, who[1:], nil, []Transfer{{Shard: 0, From: "i000", To: "i001"}}, b)
 	if len(p.Transfers) != 0 || len(p.Assignments) == 0 || p.Assignments[0].Shard != slices.IndexFunc(m, func(a Ownership) bool { return a.Name == "i000" }) {
-		t.Errorf("got %+v", p)
+		t.Errorf("got plan %+v, want assignments without transfers", p)
 	}
 }
 
-func TestOf(t *testing.T) {
+func TestForTenant(t *testing.T) {
 	load := make([]int, 64)
 	for i := range 64_000 {
 		load[ForTenant(fmt.Sprint("tenant", i), 64)]++
 	}
 	if slices.Min(load) < 850 || slices.Max(load) > 1150 {
-		t.Errorf("from %d to %d of 1000", slices.Min(load), slices.Max(load))
+		t.Errorf("shards have from %d to %d tenants, want 850 to 1150", slices.Min(load), slices.Max(load))
 	}
-	// Written down: another build must not place tenants elsewhere.
+	// Fixed values: every build must assign tenants to the same shards.
 	if got := []int{ForTenant("bergvik", 4096), ForTenant("", 4096), ForTenant("a", 1), ForTenant("a", 0)}; !slices.Equal(got, []int{898, 3828, 0, 0}) {
-		t.Errorf("got %v", got)
+		t.Errorf("got shards %v", got)
 	}
 }
 
-// A table's owners are a map, field by field.
+// TestMapConvertsToConfig checks that Ownership and config.ShardOwner convert to each other without loss.
 func TestMapConvertsToConfig(t *testing.T) {
 	for _, x := range []config.ShardOwner{{Name: "a", Epoch: 3}, {}} {
 		if got := config.ShardOwner(Ownership(x)); got != x {
-			t.Errorf("%+v became %+v", x, got)
+			t.Errorf("%+v converted to %+v", x, got)
 		}
 	}
 }
 
-// mapAfterThirdLost is the map of 300 instances after a third of them died.
+// mapAfterThirdLost returns a map over all instances, and the members that are left after a third of them failed.
 func mapAfterThirdLost(instances, count int) (Map, []Member) {
 	m := make(Map, count)
 	for s := range m {
--- a/internal/cluster/shard/shard_test.go
+++ b/internal/cluster/shard/shard_test.go
@@ -12,7 +12,7 @@
 	"example.org/bellstream/balance"
 )
 
-// originAndOwner is an origin and an owner that receive each other's messages at once.
+// originAndOwner is an origin and an owner of shard 3; sync exchanges their messages without loss.
 type originAndOwner struct {
 	t     *testing.T
 	log   *JobLog
@@ -34,19 +34,19 @@
 	return p
 }
 
-// sync carries all updates over.
+// sync delivers all updates and their acknowledgements, and returns the changes at the owner.
 func (p originAndOwner) sync(now float64) (all []Update) {
 	for {
 		m, ok := p.log.NextUpdate(now)
 		if !ok {
 			return all
 		}
-		news, ack, err := p.owner.ApplyUpdate(now, m)
+		updates, ack, err := p.owner.ApplyUpdate(now, m)
 		if err != nil {
 			p.t.Fatal(err)
 		}
 		p.log.Acknowledge(ack)
-		all = append(all, news...)
+		all = append(all, updates...)
 	}
 }
 
@@ -63,12 +63,12 @@
 	p.log.jobs["j0"].AtMostOnce = true
 	g := p.grant(Send, "j0")
 	if _, err := p.owner.Grant(JobKey{"h#1", "j0"}, Decision{Kind: Send, Worker: "w"}); !errors.Is(err, GrantPendingError{}) {
-		t.Errorf("second grant: %v", err)
+		t.Errorf("second grant: got error %v, want GrantPendingError", err)
 	}
 	accept := func(g Grant, want error) {
 		t.Helper()
 		if err := p.log.Accept(2, g); want == nil && err != nil || want != nil && !errors.Is(err, want) {
-			t.Errorf("%+v: %v, want %T", g, err, want)
+			t.Errorf("Accept of %+v: got error %v, want %T", g, err, want)
 		}
 	}
 	with := func(f func(g *Grant)) Grant { x := g; f(&x); return x }
@@ -89,93 +89,93 @@
 	accept(with(func(g *Grant) { g.Kind = Reject; g.Attempt = 1 }), MayHaveRunError{})
 	accept(with(func(g *Grant) { g.Kind = Fail; g.Attempt = 1 }), nil)
 	accept(with(func(g *Grant) { g.Attempt = 1 }), JobFinishedError{})
-	if news := p.sync(4); len(news) != 1 || !news[0].Finished || p.owner.PendingCount() != 0 || p.log.jobs["j0"] != nil {
-		t.Errorf("got %+v", news)
+	if updates := p.sync(4); len(updates) != 1 || !updates[0].Finished || p.owner.PendingCount() != 0 || p.log.jobs["j0"] != nil {
+		t.Errorf("got updates %+v, want one that is finished, and the job deleted", updates)
 	}
-	// A grant of a higher epoch is how an origin may learn of it first.
+	// An origin may learn of an epoch first by a grant.
 	accept(with(func(g *Grant) { g.ID, g.Epoch = "j1", 2 }), nil)
 	if p.log.Epoch() != 2 {
-		t.Errorf("epoch %d", p.log.Epoch())
+		t.Errorf("got epoch %d, want 2", p.log.Epoch())
 	}
 	if err := p.log.Add(4, JobRecord{ID: "j1"}); !errors.Is(err, DuplicateJobError{}) {
 		t.Error(err)
 	}
 }
 
-// What the owner's module needs of an attempt comes with it: when it started, and the
-// report of its end until the next one begins.
+// TestAttemptProgressIsSent checks that updates carry what decisions need of an attempt: when it started, and the load
+// report received at its end, until the next attempt begins.
 func TestAttemptProgressIsSent(t *testing.T) {
 	p := newOriginAndOwner(t, 1)
 	before, _ := p.owner.Job(1, JobKey{"h#1", "j0"})
 	p.log.Accept(1, p.grant(Send, "j0"))
 	p.log.MarkStarted(2, "j0")
-	now := func() Attempt {
+	latestAttempt := func() Attempt {
 		p.sync(5)
 		e, _ := p.owner.Job(5, JobKey{"h#1", "j0"})
 		if e.statusDigest(nil) == before.statusDigest(nil) || e.contentDigest(nil) == before.contentDigest(nil) {
-			t.Errorf("no digest shows %+v", e)
+			t.Errorf("status or content digest unchanged by %+v", e)
 		}
 		before = e
 		return e.Attempts[0]
 	}
-	if a := now(); !a.Started || a.RunningFor != 3 || a.Elapsed != 4 {
-		t.Errorf("got %+v", a)
+	if a := latestAttempt(); !a.Started || a.RunningFor != 3 || a.Elapsed != 4 {
+		t.Errorf("got attempt %+v", a)
 	}
 	p.log.FinishAttempt(5, "j0", AttemptResult{Outcome: balance.Overloaded, Report: []float64{1, 2}})
-	if a := now(); a.Outcome != balance.Overloaded || len(a.Report) != 2 {
-		t.Errorf("got %+v", a)
+	if a := latestAttempt(); a.Outcome != balance.Overloaded || len(a.Report) != 2 {
+		t.Errorf("got attempt %+v", a)
 	}
-	// A class that may be repeated is rejected though it may have run: a retry is harmless.
+	// A job that is not at-most-once may be rejected though it may have run: a retry is harmless.
 	p.log.Accept(5, p.grant(Send, "j0"))
-	if a := now(); a.Report != nil {
-		t.Errorf("an old report receives on: %+v", a)
+	if a := latestAttempt(); a.Report != nil {
+		t.Errorf("the report is still sent after the next attempt began: %+v", a)
 	}
 	p.log.FinishAttempt(5, "j0", AttemptResult{Outcome: balance.ConnectionLost, MayHaveRun: true, Report: make([]float64, MaxReportValues+1)})
-	if now(); len(before.Attempts[1].Report) > 0 {
-		t.Error("a report without bound")
+	if latestAttempt(); len(before.Attempts[1].Report) > 0 {
+		t.Error("a report longer than MaxReportValues is kept")
 	}
 	if err := p.log.Accept(5, p.grant(Reject, "j0")); err != nil {
 		t.Error(err)
 	}
 }
 
-// Tells that are lost, doubled or late neither lose a job nor bring one back.
+// TestUpdatesInAnyOrder checks that lost, duplicate and late updates neither lose a job nor bring a finished one back.
 func TestUpdatesInAnyOrder(t *testing.T) {
 	p := newOriginAndOwner(t, 2)
 	p.log.Add(1, JobRecord{ID: "j2", Tenant: "t", Timeout: 10})
 	first, _ := p.log.NextUpdate(1)
 	p.log.FinishJob("j0")
 	second, _ := p.log.NextUpdate(1)
-	for _, m := range []JobUpdate{second, second} { // a gap: nothing is taken in
-		if news, ack, err := p.owner.ApplyUpdate(1, m); err != nil || news != nil || ack.Next != 3 {
-			t.Errorf("%v %v %v", news, ack, err)
+	for _, m := range []JobUpdate{second, second} { // after a gap: nothing is applied
+		if updates, ack, err := p.owner.ApplyUpdate(1, m); err != nil || updates != nil || ack.Next != 3 {
+			t.Errorf("update after a gap: got updates %v, ack %v, error %v; want none and Next 3", updates, ack, err)
 		}
 	}
-	again, _ := p.log.Resend(2)
-	if len(again.Records) != 2 || again.Records[0].Timeout != 9 {
-		t.Errorf("again %+v", again)
+	resent, _ := p.log.Resend(2)
+	if len(resent.Records) != 2 || resent.Records[0].Timeout != 9 {
+		t.Errorf("resent update: got %+v, want 2 records, the first with a timeout of 9 s", resent)
 	}
-	_, ack, _ := p.owner.ApplyUpdate(2, again)
-	for _, m := range []JobUpdate{first, second, again} {
-		if news, _, _ := p.owner.ApplyUpdate(2, m); news != nil {
-			t.Errorf("again: %v", news)
+	_, ack, _ := p.owner.ApplyUpdate(2, resent)
+	for _, m := range []JobUpdate{first, second, resent} {
+		if updates, _, _ := p.owner.ApplyUpdate(2, m); updates != nil {
+			t.Errorf("repeated update: got updates %v, want none", updates)
 		}
 	}
 	p.log.Acknowledge(ack)
 	p.log.Acknowledge(Ack{3, 1, "h#1", 2})
 	p.log.Acknowledge(Ack{3, 1, "h#1", 99})
 	if !p.log.Synced() || p.owner.JobCount() != 2 || p.log.OpenJobs() != 2 || len(p.log.jobs) != 2 {
-		t.Errorf("%d records, %d open", p.owner.JobCount(), p.log.OpenJobs())
+		t.Errorf("the owner has %d jobs, the origin %d open; want 2 each, synced", p.owner.JobCount(), p.log.OpenJobs())
 	}
-	if news := p.owner.OriginLost("h#1"); len(news) != 2 || p.owner.JobCount() != 0 {
-		t.Errorf("lost %v", news)
+	if updates := p.owner.OriginLost("h#1"); len(updates) != 2 || p.owner.JobCount() != 0 {
+		t.Errorf("OriginLost: got updates %v, want 2 and no job left", updates)
 	}
 	if _, _, err := p.owner.ApplyUpdate(3, first); !errors.Is(err, NotFoundError{}) {
 		t.Error(err)
 	}
 }
 
-// number plays a whole transfer of p's shard to the incarnation b#1 and opens it there.
+// move transfers p's shard to the incarnation b#1 and returns the owner opened there.
 func (p originAndOwner) move(now float64, tags []TenantTags) *Owner {
 	o, err := p.owner.BeginTransfer("b#1")
 	if err != nil {
@@ -192,17 +192,17 @@
 	in := NewImportTransfer(3, "b#1", MaxRecords)
 	for o.Stage() == StageCopying {
 		for _, x := range o.Chunks(now, 4) {
-			took, _, err := in.AddChunk(now, x)
+			ack, _, err := in.AddChunk(now, x)
 			if err != nil {
 				p.t.Fatal(err)
 			}
-			o.Acknowledge(took)
+			o.Acknowledge(ack)
 		}
 	}
 	m := make(Map, 4)
 	m[3] = Ownership{"a", 1}
 	if c, ok := in.Propose("b"); !ok || !m.Apply(c) || m.Apply(c) || m[3] != (Ownership{"b", 2}) {
-		p.t.Fatalf("map %v", m)
+		p.t.Fatalf("map %v, want shard 3 owned by b at epoch 2", m)
 	}
 	p.owner.ObserveEpoch(2)
 	b := NewOwner(3, Limits{MaxJobs: 100_000})
@@ -214,8 +214,8 @@
 
 func TestTransfer(t *testing.T) {
 	p := newOriginAndOwner(t, 1000)
-	carried, lost := p.grant(Send, "j1"), p.grant(Send, "j2")
-	if err := p.log.Accept(1, carried); err != nil {
+	executed, lost := p.grant(Send, "j1"), p.grant(Send, "j2")
+	if err := p.log.Accept(1, executed); err != nil {
 		t.Fatal(err)
 	}
 	var tags []TenantTags
@@ -224,56 +224,57 @@
 	}
 	b := p.move(2, tags)
 	if err := p.log.Accept(3, lost); !errors.Is(err, GrantRevokedError{}) {
-		t.Errorf("a grant that was revoked: %v", err)
+		t.Errorf("revoked grant: got error %v, want GrantRevokedError", err)
 	}
 	if _, err := p.owner.Grant(JobKey{"h#1", "j3"}, Decision{Kind: Send, Worker: "w"}); !errors.Is(err, NotOwnerError{}) {
-		t.Errorf("the old owner: %v", err)
+		t.Errorf("Grant by the old owner: got error %v, want NotOwnerError", err)
 	}
 	if _, _, err := p.owner.ApplyUpdate(3, JobUpdate{Epoch: 2}); !errors.Is(err, NotOwnerError{}) {
-		t.Errorf("the old owner takes updates in: %v", err)
+		t.Errorf("ApplyUpdate by the old owner: got error %v, want NotOwnerError", err)
 	}
 	if e, ok := b.Job(4, JobKey{"h#1", "j1"}); !ok || !e.InFlight() || e.Timeout != 6 || e.Age != 4 || e.Attempts[0].Elapsed != 3 {
-		t.Errorf("got %+v", e)
+		t.Errorf("transferred job: got %+v", e)
 	}
-	// Before the origin has sent, the copy is what there is; its word then wins.
+	// Until the origin has sent its updates, the owner uses the transferred record; then the origin's record replaces it.
 	p.log.FinishJob("j9")
 	g, err := b.Grant(JobKey{"h#1", "j9"}, Decision{Kind: Send, Worker: "w"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := p.log.Accept(4, g); !errors.Is(err, NotFoundError{}) || p.log.Epoch() != 2 {
-		t.Errorf("epoch %d: %v", p.log.Epoch(), err)
+		t.Errorf("grant for a finished job: origin at epoch %d, error %v; want 2 and NotFoundError", p.log.Epoch(), err)
 	}
 	p.owner = b
-	gone := 0
+	finished := 0
 	for _, n := range p.sync(5) {
 		if n.New || n.GrantUnused {
-			t.Errorf("updates %+v", n)
+			t.Errorf("got update %+v, want neither New nor GrantUnused", n)
 		}
 		if n.Finished {
-			gone++
+			finished++
 		}
 	}
-	if gone != 1 || b.JobCount() != 999 || b.PendingCount() != 0 || !p.log.Synced() {
-		t.Errorf("%d gone, %d records, %d granted", gone, b.JobCount(), b.PendingCount())
+	if finished != 1 || b.JobCount() != 999 || b.PendingCount() != 0 || !p.log.Synced() {
+		t.Errorf("%d jobs finished, %d known, %d grants pending; want 1, 999 and 0, synced", finished, b.JobCount(), b.PendingCount())
 	}
 }
 
-// What a silent origin was granted goes over as granted, and comes to light.
+// TestTransferWithPendingGrants checks that pending grants of an origin that does not answer are transferred as Granted,
+// and that its updates to the new owner settle them.
 func TestTransferWithPendingGrants(t *testing.T) {
 	p := newOriginAndOwner(t, 3)
 	p.log.Accept(1, p.grant(Send, "j0"))
 	p.grant(Send, "j1")
 	o, _ := p.owner.BeginTransfer("b#1")
 	if err := o.Freeze(1, nil, false); !errors.Is(err, TransferRejectedError{}) {
-		t.Errorf("with grants out: %v", err)
+		t.Errorf("Freeze with pending grants: got error %v, want TransferRejectedError", err)
 	}
 	if err := o.Freeze(1, nil, true); err != nil {
 		t.Fatal(err)
 	}
 	in := NewImportTransfer(3, "b#1", 10)
-	took, _, _ := in.AddChunk(2, o.Chunks(2, 1)[0])
-	o.Acknowledge(took)
+	ack, _, _ := in.AddChunk(2, o.Chunks(2, 1)[0])
+	o.Acknowledge(ack)
 	in.Propose("b")
 	b := NewOwner(3, Limits{MaxJobs: 10})
 	b.Open(2, in.TakeSnapshot(2))
@@ -282,12 +283,12 @@
 	}
 	p.owner = b
 	p.log.ObserveEpoch(2)
-	back := map[string]bool{}
+	unused := map[string]bool{}
 	for _, n := range p.sync(3) {
-		back[n.ID] = n.GrantUnused
+		unused[n.ID] = n.GrantUnused
 	}
-	if !reflect.DeepEqual(back, map[string]bool{"j0": false, "j1": true, "j2": false}) {
-		t.Errorf("back %v", back)
+	if !reflect.DeepEqual(unused, map[string]bool{"j0": false, "j1": true, "j2": false}) {
+		t.Errorf("GrantUnused by job: got %v, want only j1", unused)
 	}
 	p.grant(Send, "j1")
 }
@@ -296,9 +297,9 @@
 	p := newOriginAndOwner(t, 3)
 	o, _ := p.owner.BeginTransfer("b#1")
 	if _, err := p.owner.BeginTransfer("c#1"); !errors.Is(err, TransferRejectedError{}) {
-		t.Errorf("two transfers at once: %v", err)
+		t.Errorf("second transfer at a time: got error %v, want TransferRejectedError", err)
 	}
-	o.Abort() // nothing was sent
+	o.Abort() // no chunk was sent
 	if p.owner.State() != StateOpen || o.Stage() != StageDone {
 		t.Fatal(p.owner.State(), o.Stage())
 	}
@@ -316,52 +317,52 @@
 	bad := old
 	bad.Records = bad.Records[1:]
 	if _, _, err := in.AddChunk(1, bad); !errors.Is(err, TransferRejectedError{}) || in.Staged() {
-		t.Errorf("a chunk that lacks an record: %v", err)
+		t.Errorf("chunk without one of its records: got error %v, want TransferRejectedError", err)
 	}
 	in.AddChunk(1, old)
 	o.Abort()
 	if p.owner.State() != StateSealed {
-		t.Error("open while the new owner may have all")
+		t.Error("the old owner is open while the new owner may have all records")
 	}
-	off, _ := o.AbortMessage()
-	d, err := in.HandleAbort(off)
+	abort, _ := o.AbortMessage()
+	d, err := in.HandleAbort(abort)
 	if err != nil || !o.HandleAborted(*d) || p.owner.State() != StateOpen || in.Staged() {
 		t.Fatal(d, err)
 	}
 	o, next := begin()
 	if _, d, err := in.AddChunk(2, old); d == nil || err == nil {
-		t.Errorf("a chunk of a transfer that was dropped: %v", err)
+		t.Errorf("chunk of an aborted transfer: got error %v, want an error and Aborted", err)
 	}
-	took, _, err := in.AddChunk(2, next)
+	ack, _, err := in.AddChunk(2, next)
 	if _, _, old := in.AddChunk(2, old); err != nil || !errors.Is(old, TransferRejectedError{}) {
 		t.Error(err, old)
 	}
-	o.Acknowledge(took)
+	o.Acknowledge(ack)
 	if _, ok := in.Propose("b"); !ok || o.Stage() != StageStaged {
-		t.Fatal("not staged")
+		t.Fatal("the transfer is not staged")
 	}
 	o.Abort()
-	off, _ = o.AbortMessage()
-	if d, err := in.HandleAbort(off); d != nil || !errors.Is(err, TransferRejectedError{}) || in.Abort("full") != nil {
-		t.Errorf("aborted after it was proposed: %v %v", d, err)
+	abort, _ = o.AbortMessage()
+	if d, err := in.HandleAbort(abort); d != nil || !errors.Is(err, TransferRejectedError{}) || in.Abort("full") != nil {
+		t.Errorf("abort after the proposal: got %v and error %v, want TransferRejectedError", d, err)
 	}
-	// The old owner has its own way back, by the map.
+	// The old owner may still reclaim the shard by a change of the map.
 	c, ok := o.Reclaim("a")
 	if !ok || c != (OwnerChange{3, 1, "a"}) {
-		t.Errorf("%+v", c)
+		t.Errorf("Reclaim: got %+v, want a change to a at epoch 1", c)
 	}
 	if err := p.owner.Renew(2); err != nil || in.TakeSnapshot(3) != nil {
 		t.Error(err)
 	}
 	if err := p.owner.Renew(2); !errors.Is(err, StaleEpochError{}) || p.owner.Open(1, nil) == nil {
-		t.Error("an epoch came twice")
+		t.Error("Renew or Open accepted an epoch that is not newer")
 	}
-	// One that is too large is dropped by the new owner.
+	// The new owner aborts a transfer that is too large.
 	p.log.ObserveEpoch(2)
 	p.sync(3)
 	o, next = begin()
 	if _, d, err := NewImportTransfer(3, "b#1", 2).AddChunk(2, next); err == nil || !o.HandleAborted(*d) || p.owner.State() != StateOpen {
-		t.Errorf("too large: %v", err)
+		t.Errorf("transfer above maxRecords: got error %v, want an error and the old owner open", err)
 	}
 }
 
@@ -371,9 +372,9 @@
 	l.ObserveEpoch(1)
 	p := originAndOwner{t, l, s}
 	now := 0.0
-	refused := func(tenant string, n int, left float64) (full int) {
+	rejected := func(tenant string, n int, timeout float64) (full int) {
 		for range n {
-			l.Add(now, JobRecord{ID: fmt.Sprint(tenant, now, full, s.JobCount()), Tenant: tenant, Timeout: left})
+			l.Add(now, JobRecord{ID: fmt.Sprint(tenant, now, full, s.JobCount()), Tenant: tenant, Timeout: timeout})
 			for _, x := range p.sync(now) {
 				if errors.Is(x.RejectReason, OwnerFullError{}) {
 					full++
@@ -384,10 +385,10 @@
 		}
 		return full
 	}
-	if n := refused("slow", 20, 4); n != 0 {
-		t.Errorf("%d rejected before anything is known", n)
+	if n := rejected("slow", 20, 4); n != 0 {
+		t.Errorf("%d jobs rejected before the release rate is known, want 0", n)
 	}
-	// One a second comes out: of 20 that wait, the last after 20 s.
+	// One job is released per second: with 20 waiting, the last one waits 20 s.
 	for k := range s.jobs {
 		if now++; now > 4 {
 			break
@@ -396,26 +397,26 @@
 		l.Accept(now, g)
 		p.sync(now)
 	}
-	if n := refused("slow", 5, 4); n != 5 {
-		t.Errorf("%d of 5 rejected that would wait 17 s and have 4", n)
+	if n := rejected("slow", 5, 4); n != 5 {
+		t.Errorf("%d of 5 jobs rejected that would wait 17 s with a timeout of 4 s, want all", n)
 	}
-	if n := refused("slow", 5, 40); n != 0 {
-		t.Errorf("%d rejected that have the time", n)
+	if n := rejected("slow", 5, 40); n != 0 {
+		t.Errorf("%d jobs rejected whose timeout is long enough, want 0", n)
 	}
-	if n := refused("quick", 10, 4); n != 0 {
-		t.Errorf("%d of another tenant rejected", n)
+	if n := rejected("quick", 10, 4); n != 0 {
+		t.Errorf("%d jobs of another tenant rejected, want 0", n)
 	}
-	if n := refused("quick", 60, 400); s.JobCount() != 60 || n != 35 {
-		t.Errorf("%d records, %d rejected", s.JobCount(), n)
+	if n := rejected("quick", 60, 400); s.JobCount() != 60 || n != 35 {
+		t.Errorf("%d jobs known, %d rejected; want 60 and 35", s.JobCount(), n)
 	}
-	// Tenants that come and go leave nothing behind.
+	// Tenants without waiting jobs are removed.
 	for i := range 3 * minTenants {
 		s.rateOf(fmt.Sprint("gone", i))
 	}
 	if len(s.tenants) > 2*minTenants || s.tenants["slow"] == nil {
-		t.Errorf("%d tenants remembered", len(s.tenants))
+		t.Errorf("%d tenants kept, or the one with waiting jobs removed", len(s.tenants))
 	}
-	// What an owner has taken in before is never rejected.
+	// Jobs that an owner has admitted before are never rejected.
 	s = NewOwner(0, Limits{MaxJobs: 1})
 	s.Open(2, nil)
 	p.owner = s
@@ -427,23 +428,24 @@
 	}
 }
 
-// Every error says what to do, and the pages it names have the part it names.
+// TestErrorsNameTheRemedy checks that every error says what to do, and that the pages it names have the section it
+// names.
 func TestErrorsNameTheRemedy(t *testing.T) {
 	page := regexp.MustCompile(`(docs/\S+\.md), "(\w[\w ]*)"`)
 	for _, err := range []error{StaleEpochError{}, AttemptInFlightError{}, DuplicateJobError{}, JobFinishedError{}, NotFoundError{}, StaleAttemptError{}, MayHaveRunError{}, GrantRevokedError{}, GrantPendingError{},
 		NotOwnerError{State: StateClosed}, OwnerFullError{}, TransferRejectedError{}, NoMembersError{}} {
 		text := err.Error()
 		if !strings.Contains(text, "nothing to do") && !regexp.MustCompile(`try again|give|start|compare|have the client`).MatchString(text) {
-			t.Errorf("%T says nothing to do: %s", err, text)
+			t.Errorf("%T does not say what to do: %s", err, text)
 		}
 		for _, m := range page.FindAllStringSubmatch(text, -1) {
 			raw, bad := os.ReadFile("../../../" + m[1])
 			if bad != nil || !strings.Contains(string(raw), "\n## "+m[2]+"\n") {
-				t.Errorf("%T names %s", err, m[0])
+				t.Errorf("%T names %s, which does not exist", err, m[0])
 			}
 		}
 		if !errors.Is(fmt.Errorf("x: %w", err), err) || errors.Is(err, os.ErrClosed) {
-			t.Errorf("%T: errors.Is", err)
+			t.Errorf("%T: errors.Is does not match the type alone", err)
 		}
 	}
 }
@@ -463,8 +465,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "accepts/s")
 }
 
-// BenchmarkRelease is all that origin and owner do for one job without its bytes:
-// sent, granted, accepted, sent, answered, sent.
+// BenchmarkRelease measures all that origin and owner do for one job, without encoding: update, grant, accept, update,
+// answer, update.
 func BenchmarkRelease(b *testing.B) {
 	l, s := NewJobLog(0, "h#1"), NewOwner(0, Limits{MaxJobs: 10})
 	s.Open(1, nil)
