--- a/internal/cluster/shard/model_delivery_test.go
+++ b/internal/cluster/shard/model_delivery_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-func (w *world) deliver(m message, on ruleset) {
+func (w *model) deliver(m message, on ruleset) {
 	switch body := m.body.(type) {
 	case proposal:
 		now := Map{w.ownership}
@@ -24,15 +24,15 @@
 	}
 }
 
-func (w *world) deliverToOrigin(m message, on ruleset) {
+func (w *model) deliverToOrigin(m message, on ruleset) {
 	switch body := m.body.(type) {
 	case Grant:
-		w.execute(body, on)
+		w.executeGrant(body, on)
 	case Revoke:
 		l := w.mutableLog()
 		w.observe(l, body.Epoch, on)
 		if s, err := l.Revoke(body); err == nil {
-			w.reply(s)
+			w.sendDecline(s)
 		}
 	case Ack:
 		l := w.mutableLog()
@@ -41,20 +41,20 @@
 	}
 }
 
-func (w *world) deliverToInstance(m message, on ruleset) {
-	x := w.mutable(m.to)
+func (w *model) deliverToInstance(m message, on ruleset) {
+	x := w.mutableInstance(m.to)
 	from := 1 - m.to
 	switch body := m.body.(type) {
 	case JobUpdate:
-		if h := x.owner.origins[body.Origin]; h != nil && !on.order {
+		if h := x.owner.origins[body.Origin]; h != nil && !on.updateNumbers {
 			body.First = h.next
-		} else if h == nil && !on.complete {
+		} else if h == nil && !on.removeUnconfirmed {
 			x.owner.origins[body.Origin] = &originStream{next: 1, snapshotComplete: true}
 		}
-		news, ack, err := x.owner.ApplyUpdate(0, body)
-		for _, n := range news {
+		updates, ack, err := x.owner.ApplyUpdate(0, body)
+		for _, n := range updates {
 			if n.GrantUnused {
-				x.tag--
+				x.charged--
 			}
 		}
 		if err == nil {
@@ -66,12 +66,12 @@
 		}
 		for _, g := range x.owner.ApplyDecline(body) {
 			if g.Kind == Send {
-				x.tag--
+				x.charged--
 			}
 		}
 	case Chunk:
 		if !on.incarnations {
-			body.Target = x.who()
+			body.Target = x.incarnationName()
 		}
 		if !on.checksums {
 			body.Checksum = checksumOf(body.Records, body.Tags)
@@ -80,17 +80,17 @@
 				body.TotalChecksum = x.importing.checksum
 			}
 		}
-		took, dropped, err := x.importing.AddChunk(0, body)
-		if dropped != nil {
-			w.send(from, w.instances[from].incarnation, *dropped)
+		ack, aborted, err := x.importing.AddChunk(0, body)
+		if aborted != nil {
+			w.send(from, w.instances[from].incarnation, *aborted)
 		} else if err == nil {
-			w.send(from, w.instances[from].incarnation, took)
+			w.send(from, w.instances[from].incarnation, ack)
 		}
 	case Abort:
 		if d, _ := x.importing.HandleAbort(body); d != nil {
 			w.send(from, w.instances[from].incarnation, *d)
-			if !on.numbers { // nothing sends it from the next
-				x.importing = NewImportTransfer(0, x.who(), 9)
+			if !on.transferNumbers { // a new import accepts the chunks of any transfer
+				x.importing = NewImportTransfer(0, x.incarnationName(), 9)
 			}
 		}
 	case ChunkAck:
@@ -104,8 +104,8 @@
 	}
 }
 
-// reply sends a decline to the owner of the epoch.
-func (w *world) reply(s Decline) {
+// sendDecline sends a decline to the owner of its epoch.
+func (w *model) sendDecline(s Decline) {
 	for i, x := range w.instances {
 		if x.owner.epoch == s.Epoch && x.up {
 			w.send(i, x.incarnation, s)
@@ -113,11 +113,11 @@
 	}
 }
 
-// execute is a grant at the origin.
-func (w *world) execute(g Grant, on ruleset) {
+// executeGrant handles a grant at the origin: it starts an attempt, rejects the job or declines the grant.
+func (w *model) executeGrant(g Grant, on ruleset) {
 	l := w.mutableLog()
 	j := l.jobs[g.ID]
-	old := g.Epoch
+	grantEpoch := g.Epoch
 	w.observe(l, g.Epoch, on)
 	if !on.epochs {
 		g.Epoch = max(g.Epoch, l.epoch)
@@ -134,25 +134,25 @@
 	err := l.Accept(0, g)
 	i := int(g.ID[1] - '0')
 	switch {
-	case err == nil, !on.oneInFlight && errors.Is(err, AttemptInFlightError{}), !on.answered && errors.Is(err, JobFinishedError{}):
+	case err == nil, !on.oneInFlight && errors.Is(err, AttemptInFlightError{}), !on.singleAnswer && errors.Is(err, JobFinishedError{}):
 		if g.Kind == Reject {
 			w.answers[i]++
-			if w.ran[i] > 0 {
-				w.fail("rejected what ran")
+			if w.mayHaveRun[i] > 0 {
+				w.fail("rejected a job that may have run")
 			}
 			return
 		}
-		w.ran[i]++
-		w.out[i]++
-		w.starts[old]++
+		w.mayHaveRun[i]++
+		w.inFlight[i]++
+		w.startsByEpoch[grantEpoch]++
 		for _, x := range w.instances {
-			if h := x.owner.origins[w.who()]; x.up && x.owner.state == StateOpen && x.owner.epoch > old && h != nil && h.snapshotComplete {
-				w.fail("a start that the new owner, which knows all of the origin, did not grant")
+			if h := x.owner.origins[w.originName()]; x.up && x.owner.state == StateOpen && x.owner.epoch > grantEpoch && h != nil && h.snapshotComplete {
+				w.fail("a start that the new owner, which has the origin's full snapshot, did not grant")
 			}
 		}
 	default:
 		if s, ok := l.Decline(g); ok {
-			w.reply(s)
+			w.sendDecline(s)
 		}
 	}
 }
