--- a/internal/cluster/shardrouter/balancing.go
+++ b/internal/cluster/shardrouter/balancing.go
@@ -9,31 +9,31 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// unsetTagSeconds stands for a tag that is not set, as messages carry no
-// infinite number.
+// unsetTagSeconds, negated, represents a tag that is not set, as messages can't
+// contain infinite numbers.
 const unsetTagSeconds = 1e9
 
-// notStarted is the age of the start of an attempt that has not started.
+// notStarted is the StartedAge of an attempt that has not started.
 const notStarted = -1
 
-// savedTags are a tenant's queue tags as distances from a moment, and its tokens.
+// savedTags are a tenant's queue tags and tokens at a point in time.
 type savedTags struct {
-	asOf         float64
-	local        float64
-	global       float64
+	asOf         float64 // the time of the values below, in seconds
+	local        float64 // the local tag, in seconds relative to asOf
+	global       float64 // the global tag, in seconds relative to asOf
 	tokens       float64
-	tokensAge    float64
+	tokensAge    float64 // seconds
 	quotaDivisor float64 // 0: the tokens are not known
 }
 
-// updateBalancing makes the balancer decide for a shard whose owner is open
-// here, and for no other. The shard's lock is held.
+// updateBalancing starts balancing for a shard whose owner is open here, and stops
+// it for any other. The shard's lock is held.
 func (sh *shardState) updateBalancing(now float64) {
 	want := sh.table.mayOpen && sh.owner.State() == shard.StateOpen
 	switch {
 	case sh.owned.balancing && !want:
 		sh.stopBalancing()
-	case want && !sh.owned.balancing && sh.owned.tenantsYielding == 0:
+	case want && !sh.owned.balancing && sh.owned.tenantsToExport == 0:
 		sh.startBalancing(now)
 	}
 }
@@ -47,28 +47,29 @@
 	for tenant := range sh.owned.tenants {
 		r.batch.pending = append(r.batch.pending, balance.ExportTenant{Tenant: tenant})
 	}
-	sh.owned.tenantsYielding = len(sh.owned.tenants)
+	sh.owned.tenantsToExport = len(sh.owned.tenants)
 	r.needsStep = true
 }
 
-// tenantExported keeps the tags of a tenant that the balancer has exported. Its
-// jobs are those that the owner knows.
+// tenantExported saves the tags of a tenant that the balancer has exported. The
+// exported sharded jobs are not needed, as the owner has their records.
 func (r *Router) tenantExported(now float64, state balance.TenantState) {
 	sh := r.shardOf(state.Tenant)
 	sh.Lock()
 	defer sh.Unlock()
-	sh.owned.tenantsYielding--
+	sh.owned.tenantsToExport--
 	sh.saveTags(now, state)
 	r.batch.pending = append(r.batch.pending, balance.QuotaUpdate{Tenant: state.Tenant})
-	r.keepUnsharded(state)
-	if sh.owned.tenantsYielding == 0 {
+	r.reimportUnsharded(state)
+	if sh.owned.tenantsToExport == 0 {
 		clear(sh.owned.jobViews)
 		sh.updateBalancing(now)
 		r.schedule(sh)
 	}
 }
 
-// saveTags keeps a tenant's tags if they belong to the owner's epoch.
+// saveTags saves a tenant's tags if they are valid in the owner's epoch and at
+// least one of them is set.
 func (sh *shardState) saveTags(now float64, state balance.TenantState) {
 	isSet := state.LocalTag > unsetTag || state.GlobalTag > unsetTag
 	if sh.owned.tagsEpoch != sh.owner.Epoch() || !isSet {
@@ -84,8 +85,9 @@
 	}
 }
 
-// keepUnsharded returns jobs to the balancer that came before there were shards.
-func (r *Router) keepUnsharded(state balance.TenantState) {
+// reimportUnsharded imports those of an exported tenant's jobs into the balancer again
+// that arrived before there were shards.
+func (r *Router) reimportUnsharded(state balance.TenantState) {
 	var unsharded []balance.JobState
 	for _, job := range state.Jobs {
 		if _, _, ok := r.parseJobKey(job.ID); !ok {
@@ -98,8 +100,8 @@
 	}
 }
 
-// startBalancing gives the balancer the shard: its jobs as the owner knows them,
-// its tags as they were saved.
+// startBalancing imports the shard's tenants into the balancer, with the jobs that
+// the owner knows and the saved tags.
 func (sh *shardState) startBalancing(now float64) {
 	r := sh.router
 	sh.owned.balancing = true
@@ -121,7 +123,8 @@
 	r.counters.add(countShardsStarted, 1)
 }
 
-// addKnownTenants adds the tenants with saved tags, and those of the settings.
+// addKnownTenants adds the tenants with saved tags and the configured tenants of
+// the shard to the shard's tenants.
 func (sh *shardState) addKnownTenants() {
 	r := sh.router
 	for tenant := range sh.owned.tags {
@@ -150,7 +153,7 @@
 	return state
 }
 
-// restore sets a tenant's tags as they are now.
+// restore sets the tags and tokens of a tenant's state, adjusted to now.
 func (t savedTags) restore(now float64, state *balance.TenantState) {
 	elapsed := now - t.asOf
 	if t.local > -unsetTagSeconds {
@@ -164,8 +167,8 @@
 	state.TokensAge = t.tokensAge + elapsed
 }
 
-// jobStates returns jobs as the balancer imports them: by age, and in their
-// origins' order.
+// jobStates returns the states of jobs for the balancer, sorted from the oldest to
+// the youngest. Jobs of one origin keep their order.
 func (sh *shardState) jobStates(records []shard.JobRecord) []balance.JobState {
 	var states []balance.JobState
 	youngest := math.Inf(1)
@@ -175,7 +178,8 @@
 			youngest = math.Inf(1)
 			origin = record.Origin
 		}
-		// Jobs that came at once have the same age but for a rounding error.
+		// The ages of jobs that arrived at the same time may differ by rounding errors. An age
+		// above that of the job before it would change the order.
 		youngest = min(youngest, record.Age)
 		record.Age = youngest
 		if state, ok := sh.jobState(record); ok {
@@ -186,8 +190,9 @@
 	return states
 }
 
-// jobState returns a job as the balancer imports it, and records what the
-// balancer then knows; false: the job waits for its answer to be carried out.
+// jobState returns a job's state for the balancer and records the balancer's view
+// of the job. It reports false if a Reject or Fail for the job is granted and
+// pending, as the balancer then has nothing left to decide.
 func (sh *shardState) jobState(record shard.JobRecord) (balance.JobState, bool) {
 	r := sh.router
 	key := shard.JobKey{Origin: record.Origin, ID: record.ID}
@@ -217,7 +222,8 @@
 	return job, true
 }
 
-// jobState returns a record without its attempts.
+// jobState converts a record, without its attempts, to the balancer's state of a
+// job.
 func (s *settings) jobState(record *shard.JobRecord) balance.JobState {
 	job := balance.JobState{
 		Class:           record.Class,
@@ -235,7 +241,8 @@
 	return job
 }
 
-// addAttempt adds the i-th attempt of a record.
+// addAttempt adds the i-th attempt of a record to the balancer's state of a job,
+// and updates the view.
 func (s *settings) addAttempt(job *balance.JobState, view *jobView, record *shard.JobRecord, i int) {
 	a := &record.Attempts[i]
 	state := balance.AttemptState{
@@ -266,8 +273,9 @@
 	job.Attempts = append(job.Attempts, state)
 }
 
-// addGrantedAttempt adds an attempt that is granted and not known to have begun.
-// The choice of a former owner is not known.
+// addGrantedAttempt adds an attempt that was granted and is not known to have
+// begun. If the grant is not pending at this owner, a former owner made it and its
+// worker is unknown.
 func addGrantedAttempt(job *balance.JobState, view *jobView, workerID string, pending bool) {
 	worker := balance.WorkerInfo{ID: workerID, State: balance.Running}
 	if !pending {
--- a/internal/cluster/shardrouter/counters.go
+++ b/internal/cluster/shardrouter/counters.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Names of counters. They are keys of the admin status, so they stay as they are.
+// Names of counters. They are keys of the admin status and must not change.
 const (
 	countAnsweredLocally     = "answered without a seat"
 	countAttemptsNotGranted  = "attempts not granted here"
@@ -21,7 +21,7 @@
 	countExpiredJobs         = "jobs of silent holders"
 	countIncarnations        = "lives begun"
 	countReconciled          = "mended"
-	countInvalidMessages     = "messages " // the kind of error follows
+	countInvalidMessages     = "messages " // prefix; the kind of error is appended
 	countMessagesNotEncoded  = "messages not written"
 	countMessagesUnknownPeer = "messages to nobody"
 	countMessagesDropped     = "messages too many"
@@ -40,7 +40,7 @@
 	countRejectedOnArrival   = "turned away as they came"
 )
 
-// counters count what has happened, by name. The zero value is ready to use.
+// counters count events by name. The zero value is ready to use.
 type counters struct {
 	mu     sync.Mutex
 	values map[string]uint64
--- a/internal/cluster/shardrouter/export.go
+++ b/internal/cluster/shardrouter/export.go
@@ -9,7 +9,7 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// UnknownPeerError is the error of a transfer to an instance from which nothing
+// UnknownPeerError is returned for a transfer to an instance from which no frame
 // was received yet.
 type UnknownPeerError struct {
 	Shard int
@@ -17,18 +17,18 @@
 }
 
 func (e UnknownPeerError) Error() string {
-	return fmt.Sprintf("shard %d: nothing was received from %q, so that it can't be transferred there: "+
-		"a hello is requested now, try again; if it lasts, see whether it runs and is reached "+
+	return fmt.Sprintf("shard %d: can't be transferred to %q: no frame was received from that instance yet; "+
+		"one is requested now, try again; if the error persists, check that the instance runs and is reachable "+
 		"(docs/operators/shards.md, \"Mend\")", e.Shard, e.Name)
 }
 
 // Is matches any error of the type.
 func (UnknownPeerError) Is(err error) bool { _, ok := err.(UnknownPeerError); return ok }
 
-// Transfer begins to transfer a shard from this instance to another. The
-// transfer goes on by itself, to its end, which shows in the agreed map, or until
-// it is aborted. Errors are shard.NotOwnerError, shard.TransferRejectedError and
-// UnknownPeerError.
+// Transfer begins to transfer a shard from this instance to another. The transfer
+// continues in the background until the agreed map names the new owner or the
+// transfer is aborted. Errors are shard.NotOwnerError, shard.TransferRejectedError
+// and UnknownPeerError.
 func (r *Router) Transfer(number int, to string) error {
 	all := r.allShards()
 	if number < 0 || number >= len(all) {
@@ -52,7 +52,7 @@
 	defer sh.Unlock()
 	r := sh.router
 	if to == r.Name {
-		return shard.TransferRejectedError{Shard: sh.number, Epoch: sh.owner.Epoch(), Reason: "it is here already"}
+		return shard.TransferRejectedError{Shard: sh.number, Epoch: sh.owner.Epoch(), Reason: "already owned here"}
 	}
 	if !sh.owned.balancing || sh.owner.State() != shard.StateOpen || !r.tableIsCurrent() {
 		return shard.NotOwnerError{Shard: sh.number, State: sh.owner.State()}
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// advanceExport is the old owner's part of a transfer.
+// advanceExport advances a transfer from this instance to another.
 func (sh *shardState) advanceExport(now float64) {
 	transfer := sh.outgoing.transfer
 	if transfer == nil {
 		return
 	}
 	sh.checkExportTimeout(now)
-	if transfer.Stage() == shard.StageRevoking && !sh.owned.balancing && sh.owned.tenantsYielding == 0 {
+	if transfer.Stage() == shard.StageRevoking && !sh.owned.balancing && sh.owned.tenantsToExport == 0 {
 		sh.revokeGrants(now)
 	}
 	switch transfer.Stage() {
@@ -93,7 +93,7 @@
 		sh.sendAbort(now)
 	case shard.StageDone:
 		sh.outgoing.transfer = nil
-		sh.router.markReady(sh) // the loop goes on with it, if it is open again
+		sh.router.markReady(sh) // the loop starts balancing again if the shard has been reopened here
 	}
 }
 
@@ -111,8 +111,8 @@
 	out.resendAt = 0
 }
 
-// revokeGrants settles the pending grants, and freezes the snapshot once that is
-// done or has taken too long.
+// revokeGrants revokes the pending grants. It freezes the snapshot when all are
+// settled, or after RevokeTimeout without those that are not.
 func (sh *shardState) revokeGrants(now float64) {
 	r := sh.router
 	out := &sh.outgoing
@@ -153,7 +153,7 @@
 	if sent {
 		out.nextChunk = 0
 	}
-	if out.nextChunk <= out.ackedChunk+chunkWindow/2 { // to make chunks takes time
+	if out.nextChunk <= out.ackedChunk+chunkWindow/2 { // limits how often chunks are made, which takes time
 		for _, chunk := range out.transfer.Chunks(now, chunkWindow) {
 			if chunk.Index >= out.nextChunk {
 				sh.router.send(out.to, chunk)
@@ -168,8 +168,8 @@
 	}
 }
 
-// sendAbort sends the abort until it is confirmed, and reclaims the shard by the
-// map if that takes too long.
+// sendAbort sends the abort again until it is confirmed. If that takes longer than
+// twice TransferTimeout, it proposes to reclaim the shard in the agreed map.
 func (sh *shardState) sendAbort(now float64) {
 	r := sh.router
 	out := &sh.outgoing
@@ -189,7 +189,7 @@
 		return
 	}
 	out.activeAt = now
-	if ack.Next == out.ackedChunk && ack.Next < out.nextChunk { // a chunk was lost or overtaken
+	if ack.Next == out.ackedChunk && ack.Next < out.nextChunk { // a chunk was lost or arrived out of order
 		out.resendAt = min(out.resendAt, out.sentAt+minResendSeconds)
 	}
 	out.ackedChunk = max(out.ackedChunk, ack.Next)
@@ -201,12 +201,12 @@
 	if out.transfer == nil || !out.transfer.HandleAborted(aborted) {
 		return
 	}
-	sh.router.Log("shard %d: the transfer to %s ends: %s", sh.number, out.to, aborted.Reason)
+	sh.router.Log("shard %d: the transfer to %s was aborted: %s", sh.number, out.to, aborted.Reason)
 	sh.router.counters.add(countTransfersAborted, 1)
 }
 
-// exportTags returns the tags as they go to another owner. Those that are past,
-// of tenants without a job, have no meaning.
+// exportTags returns the tags for the new owner, relative to now. It omits tenants
+// that have no job and whose tags lie in the past, as those have no effect.
 func (sh *shardState) exportTags(now float64) []shard.TenantTags {
 	busy := map[string]bool{}
 	for _, record := range sh.owner.Jobs(now) {
--- a/internal/cluster/shardrouter/grants.go
+++ b/internal/cluster/shardrouter/grants.go
@@ -8,8 +8,8 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// acceptGrant carries a grant of an owner elsewhere out, or declines it. The
-// shard's lock is held.
+// acceptGrant executes a grant from an owner on another instance, or declines it.
+// The shard's lock is held.
 func (r *Router) acceptGrant(now float64, sh *shardState, g receivedGrant) {
 	sh.observeEpoch(g.Epoch, g.sender)
 	if err := sh.jobLog.Accept(now, g.Grant); err == nil {
@@ -18,12 +18,12 @@
 	}
 	r.counters.add(countGrantsDeclined, 1)
 	if decline, ok := sh.jobLog.Decline(g.Grant); ok {
-		sh.sendUpdates(now) // the owner drops a decline while it lacks any
+		sh.sendUpdates(now) // the owner ignores a decline while it lacks earlier updates
 		r.send(g.sender, decline)
 	}
 }
 
-// executeGrant turns a grant into the loop's action.
+// executeGrant adds the action of an accepted grant to the actions of this step.
 func (r *Router) executeGrant(g shard.Grant) {
 	job := r.localJobs[g.ID]
 	if job == nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// handleAction turns an action of the balancer for a job of a shard into a
-// grant; others are the loop's as they are.
+// handleAction turns an action of the balancer for a sharded job into a grant. It
+// passes other actions on to the loop unchanged.
 func (r *Router) handleAction(now float64, a balance.Action) {
 	granted := false
 	switch a := a.(type) {
@@ -66,7 +66,9 @@
 	}
 }
 
-// grantAction grants a decision; false: the job belongs to no shard.
+// grantAction grants a decision for the job with a job key, or undoes it if the
+// owner can't grant. It reports false if id is no job key: the job belongs to no
+// shard.
 func (r *Router) grantAction(now float64, id string, decision shard.Decision) bool {
 	sh, key, ok := r.parseJobKey(id)
 	if !ok {
@@ -76,7 +78,7 @@
 	defer sh.Unlock()
 	view := sh.owned.jobViews[key]
 	if view == nil {
-		return true // the job has ended since
+		return true // the job has ended meanwhile
 	}
 	if decision.Kind == shard.Send {
 		view.attempts++
@@ -103,8 +105,8 @@
 	return sh.owner.Grant(key, decision)
 }
 
-// grantLocally carries out a grant for a job of this instance. The shard's lock
-// is held.
+// grantLocally executes a grant for a job of this instance, or declines it. The
+// shard's lock is held.
 func (r *Router) grantLocally(now float64, sh *shardState, g shard.Grant) {
 	if err := sh.jobLog.Accept(now, g); err == nil {
 		r.executeGrant(g)
@@ -119,9 +121,9 @@
 	}
 }
 
-// undoDecision makes the balancer take back a decision that was not carried out:
-// a Send at once, an answer by introducing the job again as its origin has
-// reported it.
+// undoDecision makes the balancer revert a decision that was not granted. A Send
+// is aborted in the next step. After a Reject or a Fail the balancer, which has
+// dropped the job, receives the job again as its owner knows it.
 func (r *Router) undoDecision(sh *shardState, key shard.JobKey, view *jobView, kind shard.Kind) {
 	switch kind {
 	case shard.Send:
@@ -136,31 +138,35 @@
 	}
 }
 
-// rejection is a job that an owner here rejects without the balancer.
+// rejection is a job that an owner on this instance rejects without passing it to
+// the balancer. retryAfter is in seconds.
 type rejection struct {
 	shard      *shardState
 	key        shard.JobKey
 	retryAfter float64
 }
 
-// rejectUnadmitted grants the rejections of this step.
-func (r *Router) rejectUnadmitted(now float64) {
+// grantRejections grants the rejections of jobs that owners did not admit in this
+// step.
+func (r *Router) grantRejections(now float64) {
 	for _, x := range r.rejections {
 		r.grantAction(now, r.jobKey(x.shard, x.key), shard.Decision{Kind: shard.Reject, RetryAfter: x.retryAfter})
 	}
 	r.rejections = r.rejections[:0]
 }
 
-// keySeparator stands between the parts of a job key. No client can make one, as
-// no id contains it.
+// keySeparator separates the parts of a job key. validNames rejects ids that
+// contain it, so that no client can forge a job key.
 const keySeparator = "\x00"
 
-// jobKey returns a job's id at the balancer.
+// jobKey returns the id that the balancer uses for a sharded job: its origin, its
+// shard's number and its own id.
 func (r *Router) jobKey(sh *shardState, key shard.JobKey) string {
 	return key.Origin + keySeparator + strconv.Itoa(sh.number) + keySeparator + key.ID
 }
 
-// parseJobKey returns the shard and the job of a job key; false: it is none.
+// parseJobKey returns the shard and the job of a job key. It reports false if key
+// is no job key of a shard here.
 func (r *Router) parseJobKey(key string) (*shardState, shard.JobKey, bool) {
 	origin, rest, ok := strings.Cut(key, keySeparator)
 	if !ok {
--- a/internal/cluster/shardrouter/import.go
+++ b/internal/cluster/shardrouter/import.go
@@ -2,7 +2,8 @@
 
 import "example.org/bellstream/internal/cluster/shard"
 
-// advanceImport is the new owner's part of a transfer.
+// advanceImport advances a transfer to this instance: it proposes the change of the
+// map, or aborts the transfer after a timeout.
 func (sh *shardState) advanceImport(now float64) {
 	in := &sh.incoming
 	switch {
@@ -17,8 +18,8 @@
 	}
 }
 
-// proposeImport proposes the change of the map, and confirms the last chunk until
-// it takes effect.
+// proposeImport proposes the change of the map, and repeats the proposal and the
+// last acknowledgement until the change takes effect.
 func (sh *shardState) proposeImport(now float64) {
 	in := &sh.incoming
 	r := sh.router
@@ -34,7 +35,8 @@
 	}
 }
 
-// importTransfer returns the transfer to this instance, a new one if there is none.
+// importTransfer returns the transfer to this instance, and creates it if there is
+// none.
 func (sh *shardState) importTransfer() *shard.ImportTransfer {
 	in := &sh.incoming
 	if in.transfer == nil {
@@ -58,8 +60,8 @@
 	sh.router.send(sender, ack)
 }
 
-// receiveAbort aborts the transfer, or one whose chunks are still on their way,
-// so that they are not staged later.
+// receiveAbort aborts a transfer to this instance, even if none of its chunks has
+// arrived yet, so that chunks that arrive later are not staged.
 func (sh *shardState) receiveAbort(now float64, sender string, abort shard.Abort) {
 	transfer := sh.importTransfer()
 	sh.incoming.from = sender
--- a/internal/cluster/shardrouter/localjobs.go
+++ b/internal/cluster/shardrouter/localjobs.go
@@ -8,19 +8,19 @@
 	"example.org/bellstream/internal/cluster/shard/wire"
 )
 
-// localJob is a job of a shard that this instance accepted.
+// localJob is a sharded job that this instance accepted.
 type localJob struct {
 	shard       *shardState
 	id          string
 	deadline    float64 // when its client gives up
-	retryIsSafe bool    // even if it may have run
-	mayHaveRun  bool    // by an attempt that ended
+	retryIsSafe bool    // a retry is safe even if the job may have run
+	mayHaveRun  bool    // an ended attempt may have run
 	inFlight    bool    // an attempt is in flight
-	finished    bool    // no answer is owed any more
+	finished    bool    // the client has been answered or has disconnected
 }
 
-// handleArrival accepts a job for its shard, or rejects it where no owner could
-// learn of it.
+// handleArrival accepts a job for its shard, or rejects it if it can't be reported
+// to the shard's owner.
 func (r *Router) handleArrival(now float64, sh *shardState, e balance.JobArrived) {
 	if r.localJobs[e.ID] != nil {
 		return
@@ -34,7 +34,7 @@
 	r.actions = append(r.actions, balance.Reject{ID: e.ID, RetryAfter: r.settings.retryAfter(r.RetryAfter)})
 }
 
-// accept adds a job to its shard's log; false: it can't be accepted.
+// accept adds a job to its shard's log, and reports whether it could.
 func (r *Router) accept(now float64, sh *shardState, e balance.JobArrived) bool {
 	if !validNames(e) || r.shuttingDown || sh.origin.ownerUnresponsive || r.withoutLease() {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// validNames reports whether a message can carry a job's names, and a job key
-// its id.
+// validNames reports whether a job's id, class and tenant fit in a message, and
+// whether its id can be part of a job key.
 func validNames(e balance.JobArrived) bool {
 	longest := max(len(e.ID), len(e.Class), len(e.Tenant))
 	return e.ID != "" && longest <= wire.MaxName && !strings.Contains(e.ID, keySeparator)
@@ -78,10 +78,10 @@
 	job.shard.Unlock()
 }
 
-// endJob records that no answer is owed to a job any more, for its owner too.
-// Its shard's lock is held.
+// endJob records that a job needs no further answer, both here and in the log for
+// the job's owner. The lock of the job's shard is held.
 func (r *Router) endJob(job *localJob) {
-	_ = job.shard.jobLog.FinishJob(job.id) // not found: the log has finished it already
+	_ = job.shard.jobLog.FinishJob(job.id) // an error means that the log has finished the job already
 	r.finishJob(job)
 	r.markChanged(job.shard)
 }
@@ -91,12 +91,12 @@
 		return
 	}
 	job.shard.Lock()
-	_ = job.shard.jobLog.MarkStarted(now, job.id) // not found: the attempt has ended already
+	_ = job.shard.jobLog.MarkStarted(now, job.id) // an error means that the attempt has ended already
 	job.shard.Unlock()
 	r.markChanged(job.shard)
 }
 
-// mayHaveRun reports whether an attempt with an outcome may have run.
+// mayHaveRun reports whether an attempt with the given outcome may have run.
 func (s *settings) mayHaveRun(outcome balance.Outcome) bool {
 	switch outcome {
 	case balance.Unreachable, balance.NotSent, balance.Blocked:
@@ -114,7 +114,7 @@
 	sh := job.shard
 	sh.Lock()
 	defer sh.Unlock()
-	_ = sh.jobLog.FinishAttempt(now, e.ID, shard.AttemptResult{ // not found: the log has ended it already
+	_ = sh.jobLog.FinishAttempt(now, e.ID, shard.AttemptResult{ // an error means that the attempt has ended already
 		Outcome:    e.Outcome,
 		MayHaveRun: mayHaveRun,
 		Answered:   answered || job.finished,
@@ -133,7 +133,8 @@
 	}
 }
 
-// noFurtherAttempt reports whether a job can't wait for its owner's next grant.
+// noFurtherAttempt reports whether a job can't wait for another grant of its
+// owner, so that this instance has to answer it.
 func (r *Router) noFurtherAttempt(now float64, job *localJob, outcome balance.Outcome) bool {
 	origin := &job.shard.origin
 	if origin.ownerUnresponsive || r.shuttingDown || r.withoutLease() {
@@ -142,8 +143,8 @@
 	return origin.ownerName != r.Name && outcome == balance.TimedOut && now >= job.deadline
 }
 
-// finishJob records that no answer is owed to a job any more. Its shard's lock
-// is held.
+// finishJob records that a job needs no further answer, and drops it if no attempt
+// is in flight. The lock of the job's shard is held.
 func (r *Router) finishJob(job *localJob) {
 	if !job.finished {
 		job.finished = true
@@ -154,8 +155,8 @@
 	}
 }
 
-// answerLocally answers a job without its owner: it is rejected where a retry is
-// safe. Its shard's lock is held.
+// answerLocally answers a job without a grant of its owner: it rejects the job if
+// a retry is safe, otherwise it fails the job. The lock of the job's shard is held.
 func (r *Router) answerLocally(job *localJob) {
 	if (job.mayHaveRun || job.inFlight) && !job.retryIsSafe {
 		r.actions = append(r.actions, balance.Fail{ID: job.id})
@@ -166,10 +167,12 @@
 	r.endJob(job)
 }
 
-// answerUnresponsive answers jobs whose owner does not respond: all where there
-// is no lease or the owner's time is over, otherwise those that are about to
-// reach their deadline.
-func (r *Router) answerUnresponsive(now float64, all bool) {
+// answerOverdueJobs answers jobs that have no attempt in flight and whose owner
+// does not respond: all jobs of an owner that has exceeded OwnerTimeout, otherwise
+// those close to their deadline. With all set, which is the case without a lease,
+// it answers the jobs of every owner. Without it, it scans the jobs at most once per
+// TickInterval.
+func (r *Router) answerOverdueJobs(now float64, all bool) {
 	if !all && now < r.lastScan+r.Timing.TickInterval {
 		return
 	}
@@ -179,14 +182,16 @@
 			continue
 		}
 		job.shard.Lock()
-		if all || job.waitsInVain(now) {
+		if all || job.isOverdue(now) {
 			r.answerLocally(job)
 		}
 		job.shard.Unlock()
 	}
 }
 
-func (j *localJob) waitsInVain(now float64) bool {
+// isOverdue reports whether a job can't wait for its owner any longer: the owner is
+// unresponsive, or has not responded yet and the deadline is near.
+func (j *localJob) isOverdue(now float64) bool {
 	origin := &j.shard.origin
 	return origin.ownerUnresponsive || origin.unansweredSince > 0 && now >= j.deadline-answerMarginSeconds
 }
--- a/internal/cluster/shardrouter/locks.go
+++ b/internal/cluster/shardrouter/locks.go
@@ -2,9 +2,10 @@
 
 import "sync"
 
-// The order of locks: a shard's, then the table of peers, then a peer's, then a
-// list's. Whoever holds one takes only later ones, so never two of shards.
-// Options.Wake is called with none held.
+// The lock order: a shard, then the table of peers, then a peer's outbox, then a
+// list. A goroutine that holds a lock may acquire only locks of a higher rank, so
+// it never holds the locks of two shards. Options.Wake is called with no lock
+// held.
 const (
 	rankShard = 1 + iota
 	rankPeers
@@ -12,14 +13,14 @@
 	rankLists
 )
 
-// rankedMutex is a mutex with its place in the order.
+// rankedMutex is a mutex with a rank in the lock order.
 type rankedMutex struct {
 	sync.Mutex
 	rank int
 }
 
-// lockObserver is called for each lock that is acquired or released; nil but in
-// tests.
+// lockObserver is called before a lock is acquired and after it is released. Only
+// tests set it.
 var lockObserver func(rank int, acquired bool)
 
 // Lock acquires the mutex.
--- a/internal/cluster/shardrouter/origin.go
+++ b/internal/cluster/shardrouter/origin.go
@@ -2,7 +2,8 @@
 
 import "example.org/bellstream/internal/cluster/shard"
 
-// advanceOrigin does what an origin has to do towards the shard's owner.
+// advanceOrigin sends or applies the origin's updates for the shard's owner, and
+// checks whether the owner responds.
 func (sh *shardState) advanceOrigin(now float64) {
 	switch {
 	case sh.jobLog.Epoch() == 0 || sh.origin.ownerName == "":
@@ -15,15 +16,16 @@
 	sh.checkOwnerTimeout(now)
 }
 
-// expectResponseForJobs records that the owner owes a response, if there are
-// jobs that need one.
+// expectResponseForJobs calls expectResponse if this instance has unanswered jobs
+// of the shard.
 func (sh *shardState) expectResponseForJobs(now float64) {
 	if sh.origin.localJobs > 0 {
 		sh.expectResponse(now)
 	}
 }
 
-// expectResponse records that the owner owes a response.
+// expectResponse records that this origin waits for a response of the owner from
+// now on, unless it already waits.
 func (sh *shardState) expectResponse(now float64) {
 	if sh.origin.unansweredSince == 0 {
 		sh.origin.unansweredSince = now
@@ -36,7 +38,7 @@
 	sh.compareIfDue(now)
 }
 
-// sendUpdates sends all updates that the log gives out now.
+// sendUpdates sends all updates that the log allows to be sent now.
 func (sh *shardState) sendUpdates(now float64) {
 	for {
 		update, ok := sh.jobLog.NextUpdate(now)
@@ -67,7 +69,8 @@
 	}
 }
 
-// resend sends the oldest of what was not acknowledged; false: there is nothing.
+// resend sends the oldest unacknowledged update again, and reports whether there
+// was one.
 func (sh *shardState) resend(now float64) bool {
 	update, ok := sh.jobLog.Resend(now)
 	if ok {
@@ -91,7 +94,9 @@
 	sh.expectResponse(now)
 }
 
-// checkOwnerTimeout decides whether the owner has not responded for too long.
+// checkOwnerTimeout marks the owner as unresponsive after OwnerTimeout without a
+// response. After four tick intervals it lets the loop answer jobs that are close
+// to their deadline.
 func (sh *shardState) checkOwnerTimeout(now float64) {
 	o := &sh.origin
 	r := sh.router
@@ -101,15 +106,16 @@
 	if !o.ownerUnresponsive && now > o.unansweredSince+r.Timing.OwnerTimeout {
 		o.ownerUnresponsive = true
 		r.counters.add(countOwnersUnresponsive, 1)
-		r.Log("shard %d: no response from its owner (%q) for %.1f s: "+
-			"its local jobs are answered here, with Retry-After", sh.number, o.ownerName, now-o.unansweredSince)
+		r.Log("shard %d: no response from its owner (%q) for %.1f s: jobs of this instance are "+
+			"rejected with Retry-After, or failed if a retry is not safe",
+			sh.number, o.ownerName, now-o.unansweredSince)
 	}
 	if o.localJobs > 0 && now > o.unansweredSince+4*r.Timing.TickInterval {
-		r.markReady(sh) // the loop answers the jobs that are due
+		r.markReady(sh) // the loop answers the jobs that are close to their deadline
 	}
 }
 
-// ownerResponded records a sign of life of the owner.
+// ownerResponded records a response of the owner.
 func (sh *shardState) ownerResponded() {
 	if sh.origin.ownerUnresponsive {
 		sh.router.Log("shard %d: its owner (%s) responds again", sh.number, sh.origin.ownerName)
@@ -118,8 +124,9 @@
 	sh.origin.ownerUnresponsive = false
 }
 
-// updateLocalOwner applies updates to an owner here, by calls, at most some;
-// false: there are more.
+// updateLocalOwner applies at most limit updates to the owner on this instance,
+// without messages. It reports false if there may be more, and true if there are
+// none or the owner can't apply them now.
 func (sh *shardState) updateLocalOwner(now float64, limit int) bool {
 	if sh.owner.State() == shard.StateClosed || sh.owner.Epoch() != sh.jobLog.Epoch() {
 		sh.expectResponseForJobs(now)
@@ -141,14 +148,16 @@
 	return false
 }
 
-// observeEpoch takes in an epoch that a message names: its sender owns the shard.
+// observeEpoch records the epoch of a message from an owner. If the epoch is new,
+// the sender is the shard's owner in it.
 func (sh *shardState) observeEpoch(epoch uint64, sender string) {
 	if sh.jobLog.ObserveEpoch(epoch) {
 		sh.startEpoch(sender)
 	}
 }
 
-// startEpoch prepares to send all jobs to the owner of a new epoch.
+// startEpoch resets the state towards the owner at the beginning of an epoch. The
+// log sends all jobs to the new owner.
 func (sh *shardState) startEpoch(ownerName string) {
 	o := &sh.origin
 	o.ownerName = ownerName
@@ -172,14 +181,14 @@
 	case ack.Next > o.lastAcked:
 		o.lastAcked = ack.Next
 		sh.continueResend(now)
-	case !sh.jobLog.Synced() && now >= o.gapResendAt: // an update was lost or overtaken
+	case !sh.jobLog.Synced() && now >= o.gapResendAt: // an update was lost or arrived out of order
 		o.gapResendAt = now + minResendSeconds
 		o.resending = sh.resend(now)
 	}
 }
 
-// continueResend goes on with what has to be sent again, after some of it was
-// acknowledged.
+// continueResend sends the next unacknowledged update again if a resend is in
+// progress. It is called when an acknowledgement has advanced.
 func (sh *shardState) continueResend(now float64) {
 	o := &sh.origin
 	o.resendDelay = sh.router.Timing.RetryInterval
@@ -208,7 +217,7 @@
 	if err != nil {
 		return
 	}
-	sh.sendUpdates(now) // the owner drops a decline while it lacks any
+	sh.sendUpdates(now) // the owner ignores a decline while it lacks earlier updates
 	sh.router.send(sender, decline)
 }
 
--- a/internal/cluster/shardrouter/outbox.go
+++ b/internal/cluster/shardrouter/outbox.go
@@ -8,20 +8,21 @@
 	"example.org/bellstream/internal/cluster/shard/wire"
 )
 
-// peer is another instance: its newest known incarnation, and what waits to be
-// sent to it.
+// peer is another instance.
 type peer struct {
 	rankedMutex
 	name         string
-	incarnation  string
-	pendingFrame []byte // nil: nothing waits
-	dirty        bool   // it is listed in dirtyPeers
+	incarnation  string // the newest known incarnation; empty: none
+	pendingFrame []byte // messages to be sent; nil: none
+	dirty        bool   // the peer is listed in dirtyPeers
 }
 
-// maxPeers bounds how many instances are known; more than any agreed table names.
+// maxPeers is the largest number of other instances that the router records. It is
+// more than any agreed table names.
 const maxPeers = 4096
 
-// peerByName returns an instance; nil: there are too many.
+// peerByName returns the peer with a name, and adds it if it is new. It returns
+// nil if it is new and there are maxPeers already.
 func (r *Router) peerByName(name string) *peer {
 	r.peers.Lock()
 	defer r.peers.Unlock()
@@ -34,7 +35,8 @@
 	return p
 }
 
-// incarnationOf returns the newest known incarnation of an instance; empty: none.
+// incarnationOf returns the newest known incarnation of an instance, or "" if none
+// is known.
 func (r *Router) incarnationOf(name string) string {
 	p := r.peerByName(name)
 	if p == nil {
@@ -45,8 +47,8 @@
 	return p.incarnation
 }
 
-// send puts a message into an instance's outbox. It is sent with the next flush,
-// sooner if there is much.
+// send adds a message to the pending frame for an instance. The frame is sent by
+// the next flushPeers, or immediately if it has reached flushBytes.
 func (r *Router) send(to string, m shard.Message) {
 	raw, err := wire.Encode(r.clusterDigest, m)
 	if err != nil {
@@ -66,8 +68,8 @@
 	}
 }
 
-// enqueue adds a message to a peer's frame and reports whether the peer has to
-// be listed in dirtyPeers.
+// enqueue adds a message to a peer's pending frame and reports whether the caller
+// has to list the peer in dirtyPeers.
 func (r *Router) enqueue(p *peer, message []byte) bool {
 	p.Lock()
 	defer p.Unlock()
@@ -85,8 +87,8 @@
 	return true
 }
 
-// sendFrame sends a peer's frame. Its lock is held, so that frames keep their
-// order.
+// sendFrame sends a peer's pending frame. The peer's lock is held, so that frames
+// are sent in order.
 func (r *Router) sendFrame(p *peer) {
 	if p.pendingFrame == nil {
 		return
@@ -98,7 +100,7 @@
 	}
 }
 
-// flushPeers sends what waits in the outboxes.
+// flushPeers sends all pending frames.
 func (r *Router) flushPeers() {
 	r.dirtyPeers.Lock()
 	list := r.dirtyPeers.list
@@ -112,12 +114,12 @@
 	}
 }
 
-// requestHello asks an instance for a frame.
+// requestHello asks an instance to send a frame, which shows its incarnation.
 func (r *Router) requestHello(name string) { r.Send(name, newFrame(r.incarnation, flagReply)) }
 
-// Receive takes a frame in. The sender's name is that of the connection; a frame
-// of another incarnation of it than the newest is dropped. It may be called from
-// any goroutine.
+// Receive handles a frame. The sender's name, from, is that of its connection. A
+// frame is dropped if it is corrupt, names another instance, or comes from a former
+// incarnation of the sender. Receive may be called from any goroutine.
 func (r *Router) Receive(from string, raw []byte) {
 	f, err := parseFrame(raw)
 	if err != nil || instanceOf(f.incarnation) != from || from == r.Name {
@@ -148,8 +150,8 @@
 	}
 }
 
-// deliver puts a message into a shard's inbox. News of an incarnation always
-// fits.
+// deliver adds an envelope to a shard's inbox. If the inbox is full, it drops
+// messages, but not announcements of a new incarnation.
 func (r *Router) deliver(sh *shardState, e envelope) {
 	sh.Lock()
 	fits := e.newIncarnation != "" || len(sh.inbox) < maxInbox
@@ -163,8 +165,9 @@
 	r.schedule(sh)
 }
 
-// observeIncarnation records the incarnation of an instance, and delivers a new
-// one to all shards; false: a newer one is known.
+// observeIncarnation records the incarnation of an instance, and announces it to
+// all shards if it is new. It reports false if a newer one is known or there are
+// too many instances.
 func (r *Router) observeIncarnation(from, incarnation string) bool {
 	known, ok := r.recordIncarnation(from, incarnation)
 	if !ok || known == incarnation {
@@ -177,8 +180,9 @@
 	return true
 }
 
-// recordIncarnation returns which incarnation was known; false: a newer one is,
-// or there are too many instances.
+// recordIncarnation records the incarnation of an instance and returns the one
+// that was known before. It reports false, and records nothing, if a newer one is
+// known or there are too many instances.
 func (r *Router) recordIncarnation(from, incarnation string) (known string, ok bool) {
 	p := r.peerByName(from)
 	if p == nil {
@@ -199,7 +203,8 @@
 	return n
 }
 
-// errorKind returns an error's text up to its figures.
+// errorKind returns an error's text up to the first colon. The rest contains
+// values that differ from error to error.
 func errorKind(err error) string {
 	text, _, _ := strings.Cut(err.Error(), ":")
 	return text
--- a/internal/cluster/shardrouter/owner.go
+++ b/internal/cluster/shardrouter/owner.go
@@ -2,8 +2,8 @@
 
 import "example.org/bellstream/internal/cluster/shard"
 
-// advanceOwner does what the owner has to do: pending grants are sent again, and
-// jobs of an origin that does not respond are forgotten.
+// advanceOwner sends pending grants again and expires jobs of origins that do not
+// respond, if the shard is open and balanced here.
 func (sh *shardState) advanceOwner(now float64) {
 	if sh.owner.State() != shard.StateOpen || !sh.owned.balancing || !sh.router.tableIsCurrent() {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// sweepIfDue expires the jobs whose client has long given up and whose origin
-// does not report so.
+// sweepIfDue expires the jobs of other origins that are not answered although
+// their deadline has passed by more than OriginGrace.
 func (sh *shardState) sweepIfDue(now float64) {
 	r := sh.router
 	if now < sh.owned.sweepAt {
@@ -61,8 +61,8 @@
 	}
 }
 
-// queueUpdates queues what the owner has learned for the balancer, if that
-// decides for the shard; otherwise it receives all jobs when it does.
+// queueUpdates queues updates from origins for the balancer if it schedules the
+// shard. Otherwise they are not needed: startBalancing passes all jobs on to it.
 func (sh *shardState) queueUpdates(updates []shard.Update) {
 	if !sh.owned.balancing || len(updates) == 0 {
 		return
@@ -73,7 +73,8 @@
 	sh.router.markReady(sh)
 }
 
-// queueReturnedGrants queues grants that were not carried out for the balancer.
+// queueReturnedGrants queues grants that were not executed for the balancer, if it
+// schedules the shard.
 func (sh *shardState) queueReturnedGrants(grants []shard.Grant) {
 	if !sh.owned.balancing {
 		return
@@ -84,8 +85,8 @@
 	}
 }
 
-// receive handles a message. Package shard ignores what is late, duplicated or
-// of another epoch.
+// receive handles a message or a new incarnation of its sender. Package shard
+// ignores messages that are late, duplicated or of another epoch.
 func (sh *shardState) receive(now float64, e envelope) {
 	if e.newIncarnation != "" {
 		sh.receiveIncarnation(e.sender, e.newIncarnation)
@@ -113,8 +114,8 @@
 	}
 }
 
-// receiveAsOrigin handles a message to an origin. One to another incarnation of
-// this instance is dropped.
+// receiveAsOrigin handles a message to an origin. It drops messages to another
+// incarnation of this instance.
 func (sh *shardState) receiveAsOrigin(now float64, e envelope) {
 	self := sh.router.incarnation
 	switch m := e.message.(type) {
@@ -160,12 +161,12 @@
 	r := sh.router
 	if mismatch, differs := sh.owner.Compare(digest); differs {
 		r.counters.add(countMismatches, 1)
-		r.Log("shard %d: the jobs of %s differ from those of its owner here, in %d of %d buckets: they are reconciled",
+		r.Log("shard %d: jobs of origin %s differ from the records of the owner here in %d of %d buckets; reconciling",
 			sh.number, digest.Origin, len(mismatch.Buckets), shard.BucketCount)
 		r.send(sender, mismatch)
 	}
 	if sh.owner.State() != shard.StateClosed && digest.Epoch == sh.owner.Epoch() {
-		r.send(sender, shard.Ack{ // a sign of life
+		r.send(sender, shard.Ack{ // shows the origin that its owner responds
 			Shard:  sh.number,
 			Epoch:  digest.Epoch,
 			Origin: digest.Origin,
@@ -183,8 +184,7 @@
 	}
 }
 
-// receiveIncarnation drops the jobs of former incarnations of an instance, which
-// have all ended.
+// receiveIncarnation drops the jobs of former incarnations of the sender.
 func (sh *shardState) receiveIncarnation(sender, incarnation string) {
 	for _, origin := range sh.owner.Origins() {
 		former := instanceOf(origin) == sender && incarnationNumber(origin) < incarnationNumber(incarnation)
--- a/internal/cluster/shardrouter/router.go
+++ b/internal/cluster/shardrouter/router.go
@@ -1,13 +1,16 @@
-// Package shardrouter runs shards inside a dispatcher: it stands between the
-// dispatcher's loop and its balancer, and carries jobs of tenants in shards to
-// the owner of their shard and grants back. Package balance makes the decisions;
-// package shard decides who may make them, and what an origin carries out.
-// docs/design/shards.md shows how the two meet here, with the order of locks.
+// Package shardrouter runs shards inside a dispatcher. It sits between the
+// dispatcher's loop and its balancer: it reports jobs of sharded tenants to the
+// owner of their shard, and executes the grants that the owner sends back.
+// Package balance makes the scheduling decisions; package shard determines which
+// instance may make them, and which grants an origin executes.
+// docs/design/shards.md describes how the two packages work together here, and
+// the lock order.
 //
-// Three parties work on one table of shards. The dispatcher's loop calls Step:
-// it records its own jobs, passes events to its balancer and carries grants out.
-// A pool of workers handles and sends messages, each shard by one worker at a
-// time, in order. A ticker visits the shards that wait for something.
+// Three kinds of goroutines share the table of shards. The dispatcher's loop calls
+// Step, which records this instance's jobs, passes events to its balancer and
+// executes grants. A pool of workers handles and sends messages; at most one
+// worker at a time handles a shard, and it handles the messages in order. A
+// ticker schedules the shards that have work pending.
 package shardrouter
 
 import (
@@ -25,19 +28,20 @@
 	"example.org/bellstream/internal/cluster/shard/wire"
 )
 
-// Router is the scheduler between a loop and its balancer. Make one with New.
+// Router is the scheduler that a dispatcher's loop uses in place of its balancer.
+// Create one with New.
 type Router struct {
 	Options
-	incarnation   string // this instance as an origin: its name and incarnation
+	incarnation   string // this instance's name as an origin: "NAME#INCARNATION"
 	clusterDigest uint64
 	balancer      *balance.Balancer
 	counters      counters
-	loopTable     atomic.Pointer[config.Table] // activeTable, for other goroutines
-	manual        bool                         // tests: no goroutine, the caller runs the shards
+	loopTable     atomic.Pointer[config.Table] // copy of activeTable for other goroutines
+	manual        bool                         // set by tests: no goroutines are started, the caller runs the shards
 
-	// Set once, when the first table with shards is acted on.
+	// Set once, when the loop applies the first table that has shards.
 	shards     atomic.Pointer[[]*shardState]
-	runQueue   chan *shardState // each once at most
+	runQueue   chan *shardState // contains each shard at most once
 	wakeups    chan struct{}
 	done       chan struct{}
 	goroutines sync.WaitGroup
@@ -51,7 +55,7 @@
 	loopState
 }
 
-// readyList holds the shards that have something for the loop.
+// readyList holds the shards that have grants or owner events for the loop.
 type readyList struct {
 	rankedMutex
 	list []*shardState
@@ -63,53 +67,54 @@
 	byName map[string]*peer
 }
 
-// peerList holds peers with something in their outboxes.
+// peerList holds the peers with a pending frame.
 type peerList struct {
 	rankedMutex
 	list []*peer
 }
 
-// proposalList holds changes that are to be proposed.
+// proposalList holds the ownership changes that the next tick proposes.
 type proposalList struct {
 	rankedMutex
 	list []shard.OwnerChange
 }
 
-// loopState belongs to the loop's goroutine.
+// loopState is accessed by the loop's goroutine only.
 type loopState struct {
 	activeTable   *config.Table
-	everLeased    bool // some table has been acted on under a lease
+	everLeased    bool // a table has been applied under a lease
 	settings      settings
 	localJobs     map[string]*localJob
 	batch         stepBatch
 	actions       []balance.Action
-	rejections    []rejection // of jobs that owners here can't admit
+	rejections    []rejection // for jobs that owners on this instance can't admit
 	changedShards []*shardState
 	needsStep     bool    // another Step is needed soon
-	lastScan      float64 // of the jobs whose owners do not respond
+	lastScan      float64 // time of the last scan for jobs whose owner does not respond
 	shuttingDown  bool
 }
 
-// stepBatch collects the balancer's events, in the order of its fields.
+// stepBatch collects the events of a step for the balancer. The balancer receives
+// undo, then pending, then local.
 type stepBatch struct {
-	undo    []balance.Event // take decisions back
-	pending []balance.Event // move tenants in and out of the balancer
-	local   []balance.Event // do not belong to shards
-	events  []balance.Event // all of these, and what owners have learned
+	undo    []balance.Event // revert decisions that were not granted
+	pending []balance.Event // move tenants into and out of the balancer
+	local   []balance.Event // events that belong to no shard
+	events  []balance.Event // all of the above, and the events from owners
 }
 
-// settings are what the router uses of the balancer's configuration.
+// settings are the parts of the balancer's configuration that the router uses.
 type settings struct {
 	classes              map[string]balance.Class
 	overloadedMayHaveRun bool // an Overloaded outcome does not prove that a job never ran
 	startNotifications   bool
-	maxRetryAfter        float64            // seconds that clients honour
-	tenants              []string           // those in shards
-	longestTimeout       map[string]float64 // by class, the longest seen
+	maxRetryAfter        float64            // the longest Retry-After that clients honour, in seconds
+	tenants              []string           // the configured tenants that are in shards
+	longestTimeout       map[string]float64 // by class: the longest timeout seen, in seconds
 }
 
-// New puts a Router around a balancer. Nothing runs until a table with shards is
-// acted on.
+// New returns a Router for a balancer. It starts no goroutines: Step starts them
+// when it applies the first table that has shards.
 func New(o Options, b *balance.Balancer) *Router {
 	o.setDefaults()
 	r := &Router{
@@ -148,33 +153,34 @@
 	}
 }
 
-// atMostOnce reports whether a job of a class must not begin twice; one of an
-// unknown class must not.
+// atMostOnce reports whether a job of a class must not run twice. It is true for
+// an unknown class.
 func (s *settings) atMostOnce(class string) bool {
 	c, known := s.classes[class]
 	return !known || c.Idempotence == balance.NonIdempotent
 }
 
-// retryIsSafe reports whether a client may retry a job that may have run, on
-// any instance.
+// retryIsSafe reports whether a client may retry a job of a class on any
+// instance, even if the job may have run.
 func (s *settings) retryIsSafe(class string) bool {
 	c := s.classes[class]
 	return c.Idempotence == balance.Idempotent ||
 		c.Idempotence == balance.IdempotentWithKey && c.DedupScope == balance.ScopeAll
 }
 
-// recordTimeout records how long a client of a class waits, from which the
-// balancer too derives how old a job is.
+// recordTimeout records a job's timeout as the longest of its class if it is.
+// The balancer too derives the age of a job's first request from the longest
+// timeout of its class.
 func (s *settings) recordTimeout(class string, timeout float64) {
 	if _, known := s.classes[class]; known {
 		s.longestTimeout[class] = max(s.longestTimeout[class], timeout)
 	}
 }
 
-// retryAfter limits a wait to what clients honour.
+// retryAfter limits a Retry-After to the longest one that clients honour.
 func (s *settings) retryAfter(seconds float64) float64 { return min(seconds, s.maxRetryAfter) }
 
-// startShards makes the shards and the goroutines that work on them.
+// startShards creates the shards and starts the router's goroutines.
 func (r *Router) startShards(count int) {
 	all := make([]*shardState, count)
 	for i := range all {
@@ -192,7 +198,7 @@
 	r.goroutines.Go(r.tickLoop)
 }
 
-// work runs the shards that are scheduled.
+// work handles scheduled shards until the router is closed.
 func (r *Router) work() {
 	for {
 		select {
@@ -228,14 +234,14 @@
 	}
 }
 
-// Close ends what Step has started and waits for it. Step must not be called any
-// more.
+// Close stops the goroutines that Step has started and waits for them. Step must
+// not be called afterwards.
 func (r *Router) Close() {
 	r.closeOnce.Do(func() { close(r.done) })
 	r.goroutines.Wait()
 }
 
-// allShards returns the shards; none before there are any.
+// allShards returns the shards, or nil before a table with shards was applied.
 func (r *Router) allShards() []*shardState {
 	if p := r.shards.Load(); p != nil {
 		return *p
@@ -243,7 +249,7 @@
 	return nil
 }
 
-// shardOf returns a tenant's shard; nil: it is in none.
+// shardOf returns a tenant's shard, or nil if the tenant is in no shard.
 func (r *Router) shardOf(tenant string) *shardState {
 	all := r.allShards()
 	if all == nil || !r.InShards(tenant) {
@@ -252,8 +258,8 @@
 	return all[shard.ForTenant(tenant, len(all))]
 }
 
-// tick schedules the shards that wait for something, sends proposals, and wakes
-// the loop if the table has changed.
+// tick schedules the active shards, sends proposals, and wakes the loop if the
+// table has changed.
 func (r *Router) tick() {
 	for _, sh := range r.allShards() {
 		if sh.active.Load() {
@@ -281,7 +287,7 @@
 // schedule queues a shard for a worker.
 func (r *Router) schedule(sh *shardState) {
 	if sh.scheduled.CompareAndSwap(false, true) {
-		r.runQueue <- sh // there is space for each once
+		r.runQueue <- sh // never blocks: the queue has space for each shard once
 	}
 }
 
@@ -292,8 +298,8 @@
 	}
 }
 
-// markReady lists a shard as one that has something for the loop. Its lock is
-// held.
+// markReady adds a shard to the list of those that have grants or owner events
+// for the loop. The shard's lock is held.
 func (r *Router) markReady(sh *shardState) {
 	if sh.ready {
 		return
@@ -304,7 +310,7 @@
 	r.ready.Unlock()
 }
 
-// takeReady returns the shards that have something for the loop.
+// takeReady removes and returns the shards that are listed as ready.
 func (r *Router) takeReady() []*shardState {
 	r.ready.Lock()
 	defer r.ready.Unlock()
@@ -313,7 +319,7 @@
 	return list
 }
 
-// instanceOf returns the name of the instance of an incarnation.
+// instanceOf returns the instance name of an incarnation "NAME#NUMBER".
 func instanceOf(incarnation string) string {
 	if i := strings.LastIndexByte(incarnation, '#'); i >= 0 {
 		return incarnation[:i]
@@ -321,5 +327,5 @@
 	return incarnation
 }
 
-// unsetTag is a queue tag of the balancer that is not set.
+// unsetTag is the value of a queue tag that the balancer has not set.
 var unsetTag = math.Inf(-1)
--- a/internal/cluster/shardrouter/state.go
+++ b/internal/cluster/shardrouter/state.go
@@ -6,21 +6,21 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// shardState is what this instance has of one shard, as an origin and as its
+// shardState is this instance's state of one shard, both as an origin and as an
 // owner.
 type shardState struct {
 	rankedMutex
 	router    *Router
 	number    int
-	scheduled atomic.Bool // for a worker
-	active    atomic.Bool // it waits for something: visited with each tick
+	scheduled atomic.Bool // the shard is in Router.runQueue
+	active    atomic.Bool // the shard has work pending, and each tick schedules it
 
-	// These belong to the loop.
-	changed       bool // in this step
-	ownerIsRemote bool // a worker has to send the updates
+	// Accessed by the loop only.
+	changed       bool // the shard is in Router.changedShards of this step
+	ownerIsRemote bool // a worker has to send the updates of this step
 
-	// All below is guarded by the lock.
-	ready     bool // for the loop
+	// The fields below are guarded by the lock.
+	ready     bool // the shard is in Router.ready
 	inbox     []envelope
 	jobLog    *shard.JobLog
 	owner     *shard.Owner
@@ -29,58 +29,57 @@
 	owned     ownedState
 	outgoing  exportState
 	incoming  importState
-	proposeAt float64 // the next proposal of a change
+	proposeAt float64 // the earliest time of the next proposal
 }
 
-// tableState is what the active table determines for a shard.
+// tableState is what the active table says about a shard.
 type tableState struct {
 	namesSelf    bool   // the table names this instance as the owner
-	mayOpen      bool   // and did not when this incarnation began
-	initialEpoch uint64 // epoch of the map as this incarnation began
-	epoch        uint64 // epoch of the map as acted on
+	mayOpen      bool   // namesSelf, at an epoch after initialEpoch
+	initialEpoch uint64 // the shard's epoch in the map when this incarnation started
+	epoch        uint64 // the shard's highest epoch in the maps applied so far
 }
 
-// originState is the state of an origin towards the shard's owner. Times are 0
-// where none is set.
+// originState is an origin's view of the shard's owner. A time of 0 is not set.
 type originState struct {
-	ownerName         string          // the owner as far as is known; empty: none
-	grants            []receivedGrant // to be carried out
-	localJobs         int             // accepted here and not answered
+	ownerName         string          // the last known owner; empty: unknown
+	grants            []receivedGrant // grants that are not executed yet
+	localJobs         int             // jobs that were accepted here and not answered
 	resendAt          float64         // when unacknowledged updates are sent again
-	resendDelay       float64         // until then, doubled with each time
-	lastAcked         uint64          // the highest number that was acknowledged in this epoch
-	resending         bool            // updates were sent again, and more may have to
-	gapResendAt       float64         // until then no gap is filled again
-	unansweredSince   float64         // since when the owner owes a response
-	compareAt         float64         // the next comparison
-	ownerUnresponsive bool            // it has owed a response for too long
+	resendDelay       float64         // delay before the next resend; doubled by each resend
+	lastAcked         uint64          // the highest Next of an acknowledgement in this epoch
+	resending         bool            // updates were sent again, and more may follow
+	gapResendAt       float64         // the earliest time of the next resend that fills a gap
+	unansweredSince   float64         // when this origin began to wait for a response of the owner
+	compareAt         float64         // the earliest time of the next comparison
+	ownerUnresponsive bool            // the owner has not responded for OwnerTimeout
 }
 
 // ownedState is the state of a shard that this instance owns.
 type ownedState struct {
-	balancing       bool                      // the balancer decides for it
-	tenantsYielding int                       // tenants that the balancer still has to export
-	tags            map[string]savedTags      // of its tenants, while the balancer does not have them
-	tagsEpoch       uint64                    // the epoch that they belong to
-	tenants         map[string]bool           // its tenants
-	jobViews        map[shard.JobKey]*jobView // what the balancer knows of its jobs
-	updates         []ownerEvent              // for the balancer
+	balancing       bool                      // the balancer schedules the shard's jobs
+	tenantsToExport int                       // tenants that the balancer still has to export
+	tags            map[string]savedTags      // by tenant: the tags that startBalancing restores
+	tagsEpoch       uint64                    // the epoch in which exported tags are valid
+	tenants         map[string]bool           // the shard's tenants
+	jobViews        map[shard.JobKey]*jobView // the balancer's view of the shard's jobs
+	updates         []ownerEvent              // queued for the balancer
 	resendAt        float64                   // when pending grants are sent again
-	resendDelay     float64                   // how long after
-	oldestGrant     uint64                    // number of the oldest of them then; 0: none was pending
-	sweepAt         float64                   // the next look for jobs whose origin does not respond
+	resendDelay     float64                   // delay before the next resend of pending grants
+	oldestGrant     uint64                    // number of the oldest pending grant at the last check; 0: none
+	sweepAt         float64                   // the next search for jobs whose origin does not respond
 }
 
 // exportState is a transfer to another instance.
 type exportState struct {
 	transfer   *shard.ExportTransfer // nil: none
 	to         string
-	activeAt   float64 // the new owner's last response, or the beginning
+	activeAt   float64 // time of the new owner's last response, or of the transfer's beginning
 	sealedAt   float64
 	resendAt   float64 // when messages are sent again
-	nextChunk  int     // the next that was not sent
-	ackedChunk int     // the next that the new owner expects
-	sentAt     float64 // when some were last sent
+	nextChunk  int     // index of the next chunk to send
+	ackedChunk int     // index of the next chunk that the new owner expects
+	sentAt     float64 // when chunks were last sent
 }
 
 // importState is a transfer to this instance.
@@ -88,14 +87,14 @@
 	transfer *shard.ImportTransfer // nil: none
 	ack      shard.ChunkAck
 	from     string
-	activeAt float64 // the old owner's last message
+	activeAt float64 // time of the old owner's last message
 	resendAt float64 // when the ack is sent again
 }
 
-// envelope is a message and its sender. One without a message announces a new
-// incarnation of the sender.
+// envelope is a message and its sender. If newIncarnation is set, there is no
+// message: the envelope announces a new incarnation of the sender.
 type envelope struct {
-	sender         string // an instance
+	sender         string // name of an instance
 	message        shard.Message
 	newIncarnation string
 }
@@ -106,14 +105,14 @@
 	sender string
 }
 
-// jobView is what the balancer knows of a job of a shard that is owned here.
+// jobView is the balancer's view of a job in a shard that this instance owns.
 type jobView struct {
 	tenant   string
-	attempts int     // those included that are granted and not known to have begun
-	started  int     // those up to which it knows of their start
-	finished int     // those up to which it knows of their end
-	answered bool    // it has given the job's last answer
-	deadline float64 // when its client gives up
+	attempts int     // number of attempts, including granted ones that may not have begun
+	started  int     // the starts of the attempts below this index were passed to the balancer
+	finished int     // the ends of the attempts below this index were passed to the balancer
+	answered bool    // the balancer has decided the job's answer, or the job has expired
+	deadline float64 // when the job's client gives up
 }
 
 func newShardState(r *Router, number int) *shardState {
@@ -133,7 +132,8 @@
 	return sh
 }
 
-// runShard is a worker's turn at a shard.
+// runShard handles some of a shard's messages and sends those that are due. A
+// worker calls it.
 func (r *Router) runShard(sh *shardState) {
 	sh.scheduled.Store(false)
 	sh.Lock()
@@ -148,9 +148,10 @@
 	}
 }
 
-// drainInbox handles some messages: the loop may wait for the lock.
+// drainInbox handles at most maxMessagesPerRun messages, as the loop may be waiting
+// for the lock.
 func (sh *shardState) drainInbox(now float64) {
-	n := min(len(sh.inbox), messagesPerTurn)
+	n := min(len(sh.inbox), maxMessagesPerRun)
 	for _, e := range sh.inbox[:n] {
 		sh.receive(now, e)
 	}
@@ -162,7 +163,7 @@
 	}
 }
 
-// advance sends what is due, for the first time or again.
+// advance sends the messages that are due, including those to be sent again.
 func (sh *shardState) advance(now float64) {
 	sh.advanceOrigin(now)
 	sh.advanceOwner(now)
@@ -175,18 +176,18 @@
 			To:    sh.router.Name,
 		})
 	}
-	sh.active.Store(sh.waits())
+	sh.active.Store(sh.needsTick())
 }
 
-// needsNewEpoch reports whether the map names this instance for what a former
-// incarnation of it opened. What that one granted is not known here, so that
-// only a new epoch helps.
+// needsNewEpoch reports whether the map names this instance at an epoch in which
+// a former incarnation of it may have been the owner. The grants of that
+// incarnation are not known here, so the owner can only open at a new epoch.
 func (sh *shardState) needsNewEpoch() bool {
 	return sh.table.namesSelf && sh.table.epoch <= sh.table.initialEpoch
 }
 
-// waits reports whether the shard has to be visited with each tick.
-func (sh *shardState) waits() bool {
+// needsTick reports whether each tick has to schedule the shard.
+func (sh *shardState) needsTick() bool {
 	switch {
 	case !sh.jobLog.Synced() && sh.jobLog.Epoch() > 0:
 		return true
@@ -202,8 +203,9 @@
 	return sh.needsNewEpoch()
 }
 
-// propose queues a change for the agreed map; it is called again and again while
-// the change is needed.
+// propose queues a change of the agreed map. Callers repeat the call while the
+// change is needed; calls within two retry intervals of the last one queued have
+// no effect.
 func (sh *shardState) propose(now float64, change shard.OwnerChange) {
 	if now < sh.proposeAt {
 		return
--- a/internal/cluster/shardrouter/status.go
+++ b/internal/cluster/shardrouter/status.go
@@ -2,20 +2,21 @@
 
 import "example.org/bellstream/internal/cluster/shard"
 
-// Status is what the admin interface shows of the router.
+// Status is the router's part of the admin status.
 type Status struct {
 	Incarnation        string            `json:"life"`
 	Shards             int               `json:"shards"`
-	Owned              int               `json:"seated"`  // here, granting
-	Sealed             int               `json:"sealed"`  // here, under transfer
-	Jobs               int               `json:"entries"` // at owners here
-	PendingGrants      int               `json:"grants"`  // of owners here
-	LocalJobs          int               `json:"held"`    // that this instance accepted and has not answered
+	Owned              int               `json:"seated"`  // shards that this instance owns and grants for
+	Sealed             int               `json:"sealed"`  // shards that are sealed for a transfer from here
+	Jobs               int               `json:"entries"` // jobs known to owners on this instance
+	PendingGrants      int               `json:"grants"`  // pending grants of owners on this instance
+	LocalJobs          int               `json:"held"`    // jobs that this instance accepted and has not answered
 	UnresponsiveOwners int               `json:"silent"`  // shards whose owner does not respond to this instance
 	Counters           map[string]uint64 `json:"counts"`
 }
 
-// Status visits every shard; it is for operators, not for each job.
+// Status returns the router's status. It locks every shard in turn, so it must
+// not be called for each job.
 func (r *Router) Status() Status {
 	s := Status{
 		Incarnation: r.incarnation,
@@ -29,7 +30,7 @@
 	return s
 }
 
-// addTo adds a shard to the status. Its lock is held.
+// addTo adds a shard to the status. The shard's lock is held.
 func (sh *shardState) addTo(s *Status) {
 	s.Shards++
 	if sh.owned.balancing {
--- a/internal/cluster/shardrouter/step.go
+++ b/internal/cluster/shardrouter/step.go
@@ -2,9 +2,10 @@
 
 import "example.org/bellstream/balance"
 
-// Step takes events of this instance and returns the actions to carry out here,
-// as the balancer's does. The loop alone calls it. Without shards in the table it
-// is the balancer's own.
+// Step handles events of this instance and returns the actions to execute here,
+// like balance.Balancer.Step. Only the loop may call it. Until a table has shards,
+// it passes the events on to the balancer and returns the balancer's actions. The
+// returned slice may be overwritten by the next call.
 func (r *Router) Step(now float64, events []balance.Event) []balance.Action {
 	r.actions = r.actions[:0]
 	r.batch.local = r.batch.local[:0]
@@ -18,13 +19,13 @@
 		r.handleEvent(now, e)
 	}
 	if r.activeTable != former && r.withoutLease() {
-		r.answerUnresponsive(now, true)
+		r.answerOverdueJobs(now, true)
 	}
 	r.collectEvents(now)
 	for _, a := range r.balancer.Step(now, r.batch.events) {
 		r.handleAction(now, a)
 	}
-	r.rejectUnadmitted(now)
+	r.grantRejections(now)
 	r.flushPeers()
 	r.scheduleChanged()
 	if r.needsStep || len(r.batch.undo) > 0 || len(r.batch.pending) > 0 {
@@ -42,7 +43,7 @@
 	return r.balancer.Step(now, events)
 }
 
-// collectEvents gathers the balancer's events in their order.
+// collectEvents collects the events of this step for the balancer, in order.
 func (r *Router) collectEvents(now float64) {
 	b := &r.batch
 	b.events = append(b.events[:0], b.undo...)
@@ -52,11 +53,12 @@
 	b.pending = b.pending[:0]
 	r.updateLocalOwners(now)
 	r.collectReady(now)
-	b.events = append(b.events, b.pending...) // of shards that began or ceased to be decided here meanwhile
+	b.events = append(b.events, b.pending...) // of shards whose balancing collectReady started or stopped
 	b.pending = b.pending[:0]
 }
 
-// updateLocalOwners applies some updates to owners here; workers do the rest.
+// updateLocalOwners applies updates of changed shards to owners on this instance,
+// at most maxInlineUpdates per shard. Workers apply the rest.
 func (r *Router) updateLocalOwners(now float64) {
 	for _, sh := range r.changedShards {
 		sh.Lock()
@@ -65,8 +67,8 @@
 	}
 }
 
-// collectReady takes in what workers have for the loop: grants, and what owners
-// here have learned.
+// collectReady handles the grants and owner events that workers have queued for
+// the loop.
 func (r *Router) collectReady(now float64) {
 	unanswered := false
 	for _, sh := range r.takeReady() {
@@ -75,12 +77,12 @@
 		sh.Unlock()
 	}
 	if unanswered {
-		r.answerUnresponsive(now, false)
+		r.answerOverdueJobs(now, false)
 	}
 }
 
-// collectShard takes in what a shard has for the loop, and reports whether jobs
-// wait for its owner's response. The shard's lock is held.
+// collectShard handles a shard's queued grants and owner events, and reports
+// whether local jobs wait for a response of the owner. The shard's lock is held.
 func (r *Router) collectShard(now float64, sh *shardState) bool {
 	sh.ready = false
 	sh.updateBalancing(now)
@@ -97,7 +99,7 @@
 	return unanswered
 }
 
-// markChanged records that a shard has updates of this step.
+// markChanged records that this step added updates to a shard's log.
 func (r *Router) markChanged(sh *shardState) {
 	if !sh.changed {
 		sh.changed = true
@@ -105,7 +107,7 @@
 	}
 }
 
-// scheduleChanged has workers send the updates of this step.
+// scheduleChanged schedules the changed shards whose updates workers have to send.
 func (r *Router) scheduleChanged() {
 	for _, sh := range r.changedShards {
 		sh.changed = false
@@ -116,8 +118,8 @@
 	r.changedShards = r.changedShards[:0]
 }
 
-// handleEvent records an event of a job of this instance that belongs to a
-// shard; others go to the balancer as they are.
+// handleEvent handles an event of a job that belongs to a shard. It queues other
+// events unchanged for the balancer.
 func (r *Router) handleEvent(now float64, e balance.Event) {
 	switch e := e.(type) {
 	case balance.JobArrived:
@@ -142,7 +144,7 @@
 		}
 	case balance.QuotaUpdate:
 		if r.shardOf(e.Tenant) != nil {
-			return // its reservation is undivided, at its owner
+			return // the owner of the tenant's shard uses the complete reservation
 		}
 	case balance.ConfigChanged:
 		r.handleConfigChanged(e)
@@ -161,8 +163,9 @@
 	}
 }
 
-// quotaUpdate returns how much of a tenant's reservation the balancer here may
-// use: all or nothing.
+// quotaUpdate returns the part of a tenant's reservation that the balancer here
+// may use: all of it if the balancer schedules the tenant's shard, otherwise
+// none.
 func (r *Router) quotaUpdate(tenant string) balance.QuotaUpdate {
 	sh := r.shardOf(tenant)
 	sh.Lock()
@@ -173,8 +176,9 @@
 	return balance.QuotaUpdate{Tenant: tenant}
 }
 
-// handleShutdown closes all owners and answers all jobs of this instance. The
-// tenants of its owners leave the balancer before that answers all its jobs.
+// handleShutdown stops balancing for all shards and answers all sharded jobs of
+// this instance. The balancer exports the shards' tenants before it handles the
+// Shutdown event, so that it does not answer their jobs.
 func (r *Router) handleShutdown(now float64) {
 	r.shuttingDown = true
 	for _, sh := range r.allShards() {
--- a/internal/cluster/shardrouter/table.go
+++ b/internal/cluster/shardrouter/table.go
@@ -6,15 +6,16 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// tableIsCurrent reports whether the table that the loop acts on still holds. It
-// is checked right before anything leaves an owner: a process that was stopped
-// wakes up anywhere.
+// tableIsCurrent reports whether the table that the loop acts on is still valid.
+// Owners check it immediately before they grant, as the process may have been
+// paused at any point and the lease may have ended meanwhile.
 func (r *Router) tableIsCurrent() bool { return r.loopTable.Load() == r.Table() }
 
-// withoutLease reports that nothing may be decided here that needs agreement.
+// withoutLease reports whether the instance has no lease, so that its owners may
+// not grant and it accepts no sharded jobs.
 func (r *Router) withoutLease() bool { return r.activeTable == nil || r.activeTable.Strict }
 
-// adoptTable acts on the table that holds now.
+// adoptTable applies the current table if it has changed.
 func (r *Router) adoptTable(now float64) {
 	table := r.Table()
 	if table == r.activeTable {
@@ -26,31 +27,32 @@
 		table = &config.Table{Strict: true}
 	}
 	if r.allShards() == nil && len(table.ShardOwners) > 0 {
-		r.switchOn(len(table.ShardOwners))
+		r.enableSharding(len(table.ShardOwners))
 	}
 	for _, sh := range r.allShards() {
 		sh.Lock()
 		if len(table.ShardOwners) == len(r.allShards()) {
 			sh.applyTable(now, table.ShardOwners[sh.number], table.Strict)
 		} else {
-			sh.disown(now)
+			sh.clearOwner(now)
 		}
 		sh.Unlock()
 	}
 	r.everLeased = r.everLeased || !table.Strict
 }
 
-// switchOn makes the shards, whose tenants' reservations leave the balancer here.
-func (r *Router) switchOn(count int) {
+// enableSharding starts the shards and sets the allotments of their tenants in the
+// balancer here to 0.
+func (r *Router) enableSharding(count int) {
 	r.startShards(count)
 	for _, tenant := range r.settings.tenants {
 		r.batch.pending = append(r.batch.pending, balance.QuotaUpdate{Tenant: tenant})
 	}
 }
 
-// disown closes a shard here where the table has no shards any more, or another
-// number of them. Its lock is held.
-func (sh *shardState) disown(now float64) {
+// clearOwner stops balancing for a shard, and unsets its owner, if the table no longer
+// has shards or has a different number of them. The shard's lock is held.
+func (sh *shardState) clearOwner(now float64) {
 	sh.table.namesSelf = false
 	sh.table.mayOpen = false
 	sh.origin.ownerName = ""
@@ -58,7 +60,7 @@
 	sh.router.schedule(sh)
 }
 
-// applyTable acts on the owner that the table names. The loop calls it, with the
+// applyTable applies the table's entry for the shard. The loop calls it with the
 // shard's lock held.
 func (sh *shardState) applyTable(now float64, named config.ShardOwner, strict bool) {
 	r := sh.router
@@ -76,9 +78,9 @@
 	r.schedule(sh)
 }
 
-// observeTable records the epoch and the owner that the table names.
+// observeTable records the epoch and the owner in the table's entry.
 func (sh *shardState) observeTable(named config.ShardOwner, strict bool) {
-	if !sh.router.everLeased { // a former incarnation of this instance may have acted in these epochs
+	if !sh.router.everLeased { // a former incarnation of this instance may have granted in these epochs
 		sh.table.initialEpoch = max(sh.table.initialEpoch, named.Epoch)
 	}
 	sh.table.epoch = max(sh.table.epoch, named.Epoch)
@@ -90,7 +92,7 @@
 	}
 }
 
-// openOwner opens the owner at an epoch that the table names this instance for.
+// openOwner opens the owner at an epoch for which the table names this instance.
 func (sh *shardState) openOwner(epoch uint64) {
 	if sh.owned.balancing {
 		sh.stopBalancing()
@@ -101,7 +103,7 @@
 	}
 	sh.outgoing.transfer = nil
 	if snapshot == nil && sh.owner.Renew(epoch) == nil {
-		sh.owned.tagsEpoch = epoch // no other owner was in between: the tags hold
+		sh.owned.tagsEpoch = epoch // there was no other owner in between, so the tags are still valid
 		sh.router.counters.add(countRenewed, 1)
 	} else if err := sh.owner.Open(epoch, snapshot); err == nil {
 		sh.restoreTags(snapshot)
@@ -111,11 +113,12 @@
 	sh.owned.resendAt = 0
 }
 
-// restoreTags takes the tags from a snapshot; nil: there is none.
+// restoreTags replaces the saved tags by those of a snapshot. Without a snapshot
+// (nil) there are none.
 func (sh *shardState) restoreTags(snapshot *shard.Snapshot) {
 	clear(sh.owned.tags)
 	clear(sh.owned.tenants)
-	sh.owned.tagsEpoch = 0 // what the balancer still has to export belongs to a past order
+	sh.owned.tagsEpoch = 0 // tags that the balancer still has to export belong to a former epoch and are dropped
 	if snapshot == nil {
 		sh.router.counters.add(countOpened, 1)
 		return
@@ -130,7 +133,7 @@
 	sh.router.counters.add(countOpenedWithSnapshot, 1)
 }
 
-// dropFormerOrigins drops the jobs of origins whose incarnation has ended.
+// dropFormerOrigins drops the jobs of former incarnations of other instances.
 func (sh *shardState) dropFormerOrigins() {
 	r := sh.router
 	for _, origin := range sh.owner.Origins() {
--- a/internal/cluster/shardrouter/updates.go
+++ b/internal/cluster/shardrouter/updates.go
@@ -7,28 +7,29 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// ownerEvent is something that an owner here has learned, on its way to the
+// ownerEvent is an event of an owner on this instance that is queued for the
 // balancer.
 type ownerEvent interface {
-	// apply turns it into events of the balancer. The shard's lock is held.
+	// apply converts it to events for the balancer. The shard's lock is held.
 	apply(now float64, sh *shardState)
 }
 
-// jobUpdated is a job's state as its origin has sent it.
+// jobUpdated is a job's state as reported by its origin.
 type jobUpdated struct{ shard.Update }
 
-// grantReturned is a grant that was not carried out.
+// grantReturned is a grant that was not executed.
 type grantReturned struct{ shard.Grant }
 
-// jobReintroduced is a job that the balancer has to receive again.
+// jobReintroduced is a job that has to be imported into the balancer again.
 type jobReintroduced struct{ key shard.JobKey }
 
-// jobExpired is a job whose client has long given up and whose origin does not
-// report so.
+// jobExpired is a job whose deadline has passed by more than OriginGrace without a
+// report from its origin.
 type jobExpired struct{ key shard.JobKey }
 
-// updateBalancer turns what an owner here has learned into events of the
-// balancer. The shard's lock is held.
+// updateBalancer converts the queued events of an owner on this instance to events
+// for the balancer, and discards them if the balancer does not schedule the shard.
+// The shard's lock is held.
 func (r *Router) updateBalancer(now float64, sh *shardState) {
 	list := sh.owned.updates
 	sh.owned.updates = nil
@@ -48,7 +49,7 @@
 	switch {
 	case view == nil && u.Finished:
 	case u.RejectReason != nil:
-		sh.rejectFull(now, key, u.Update)
+		sh.queueRejection(now, key, u.Update)
 	case view == nil && u.New && !u.Admitted && len(u.Attempts) == 0:
 		sh.introduceNewJob(now, key, u.Update)
 	case view == nil:
@@ -58,7 +59,7 @@
 	}
 }
 
-// introduceNewJob gives the balancer a job that no owner has had before.
+// introduceNewJob passes a job to the balancer that no owner has admitted before.
 func (sh *shardState) introduceNewJob(now float64, key shard.JobKey, u shard.Update) {
 	r := sh.router
 	sh.owned.jobViews[key] = &jobView{tenant: u.Tenant, deadline: now + u.Timeout}
@@ -77,11 +78,11 @@
 	})
 }
 
-// updateJob gives the balancer what is new of a job that it knows.
+// updateJob passes the changes of a job that the balancer knows on to it.
 func (sh *shardState) updateJob(now float64, key shard.JobKey, view *jobView, u shard.Update) {
 	r := sh.router
 	id := r.jobKey(sh, key)
-	if !view.answered && len(u.Attempts) > view.attempts { // nobody here has granted the last one
+	if !view.answered && len(u.Attempts) > view.attempts { // the last attempt was not granted by this owner
 		r.counters.add(countAttemptsNotGranted, 1)
 		r.forgetJob(id, view)
 		delete(sh.owned.jobViews, key)
@@ -98,14 +99,15 @@
 	if !u.Finished {
 		return
 	}
-	if view.attempts > unused { // its grant was not carried out
+	if view.attempts > unused { // the last grant was not executed
 		r.abortSend(id, view)
 	}
 	r.forgetJob(id, view)
 	delete(sh.owned.jobViews, key)
 }
 
-// updateAttempts gives the balancer the starts and ends that are new.
+// updateAttempts passes the starts and ends of attempts that the balancer does not
+// know yet on to it.
 func (r *Router) updateAttempts(id string, view *jobView, u shard.Update) {
 	for i := range u.Attempts {
 		a := &u.Attempts[i]
@@ -127,14 +129,15 @@
 	}
 }
 
-// abortSend takes the last attempt back, which was granted and never began.
+// abortSend removes the last attempt, which was granted and never began, from the
+// view and the balancer.
 func (r *Router) abortSend(id string, view *jobView) {
 	view.attempts--
 	r.addEvent(balance.SendAborted{ID: id, Attempt: view.attempts})
 }
 
-// forgetJob has the balancer forget a job: no answer is owed, and what is in
-// flight ends without an event of its own.
+// forgetJob removes a job from the balancer. It reports the attempts that have not
+// ended as cancelled, as no events for them follow.
 func (r *Router) forgetJob(id string, view *jobView) {
 	for ; view.finished < view.attempts; view.finished++ {
 		r.addEvent(balance.AttemptDone{
@@ -179,8 +182,8 @@
 	r.counters.add(countExpiredJobs, 1)
 }
 
-// rejectFull rejects a job that its owner can't admit.
-func (sh *shardState) rejectFull(now float64, key shard.JobKey, u shard.Update) {
+// queueRejection queues the rejection of a job that its owner can't admit.
+func (sh *shardState) queueRejection(now float64, key shard.JobKey, u shard.Update) {
 	r := sh.router
 	r.counters.add(countRejectedByFullOwner, 1)
 	retryAfter := r.RetryAfter
@@ -195,7 +198,8 @@
 	})
 }
 
-// introduceJob gives the balancer a job as the owner knows it.
+// introduceJob imports a job into the balancer with the state that the owner
+// knows.
 func (sh *shardState) introduceJob(now float64, key shard.JobKey) {
 	record, ok := sh.owner.Job(now, key)
 	if !ok || record.Finished || sh.owned.jobViews[key] != nil {
@@ -216,8 +220,8 @@
 	}
 }
 
-// ensureTenant gives the balancer a tenant of the shard, and reports whether it
-// was there before.
+// ensureTenant adds a tenant to the shard and gives the balancer the tenant's
+// complete reservation. It reports whether the shard had the tenant before.
 func (sh *shardState) ensureTenant(tenant string) bool {
 	if sh.owned.tenants[tenant] {
 		return true
