--- a/internal/cluster/shardrouter/bench_test.go
+++ b/internal/cluster/shardrouter/bench_test.go
@@ -9,18 +9,18 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// bench is one or two routers that receive each other's frames by calls; "a" owns the only shard.
-type bench struct {
-	now  float64
-	r    map[string]*Router
-	sent map[string][][]byte
+// routerGroup is one or two routers that exchange frames by direct calls. Router "a" owns the only shard.
+type routerGroup struct {
+	now     float64
+	routers map[string]*Router
+	sent    map[string][][]byte
 }
 
-func newBench(b *testing.B, names ...string) *bench {
-	was := lockObserver
+func newRouterGroup(b *testing.B, names ...string) *routerGroup {
+	observer := lockObserver
 	lockObserver = nil
-	b.Cleanup(func() { lockObserver = was })
-	x := &bench{now: 1000, r: map[string]*Router{}, sent: map[string][][]byte{}}
+	b.Cleanup(func() { lockObserver = observer })
+	x := &routerGroup{now: 1000, routers: map[string]*Router{}, sent: map[string][][]byte{}}
 	table := &config.Table{Version: 1}
 	cfg := testConfig()
 	cfg.HealthChecks, cfg.Dispatchers, cfg.ReportFields = false, 1, []string{balance.FieldFreeSlots}
@@ -34,26 +34,27 @@
 			Propose: func(list []shard.OwnerChange) {}, Limits: shard.Limits{MaxJobs: shard.MaxRecords}, Log: b.Logf}, bal)
 		r.manual = true
 		r.Step(x.now, []balance.Event{balance.EndpointUpdate{Kind: balance.EndpointsSnapshot, Workers: []balance.WorkerInfo{{ID: "v", State: balance.Running}, {ID: "w", State: balance.Running}}}})
-		x.r[name] = r
+		x.routers[name] = r
 	}
 	table = &config.Table{Version: 2, ShardOwners: []config.ShardOwner{{Name: "a", Epoch: 1}}}
-	x.talk(nil)
+	x.settle(nil)
 	return x
 }
 
-// updateLocalOwner has all say what they have to say, and says what is to be done at each.
-func (x *bench) talk(act func(name string, a balance.Action) balance.Event) {
-	for quiet := false; !quiet; {
-		quiet = true
-		for name, r := range x.r {
+// settle runs all routers until no router has frames or wakeups left. It calls act, unless nil, with each action; an
+// event that act returns is passed to the same router.
+func (x *routerGroup) settle(act func(name string, a balance.Action) balance.Event) {
+	for idle := false; !idle; {
+		idle = true
+		for name, r := range x.routers {
 			var events []balance.Event
-			for again := true; again; {
-				acts := r.Step(x.now, events)
-				events, again = nil, false
-				for _, a := range acts {
+			for repeat := true; repeat; {
+				actions := r.Step(x.now, events)
+				events, repeat = nil, false
+				for _, a := range actions {
 					if act != nil {
 						if e := act(name, a); e != nil {
-							events, again = append(events, e), true
+							events, repeat = append(events, e), true
 						}
 					}
 				}
@@ -63,23 +64,23 @@
 			}
 			select {
 			case <-r.wakeups:
-				quiet = false
+				idle = false
 			default:
 			}
 		}
 		for name, frames := range x.sent {
 			for _, f := range frames {
-				for from, r := range x.r {
+				for from, r := range x.routers {
 					if from != name {
-						x.r[name].Receive(from, f)
+						x.routers[name].Receive(from, f)
 						_ = r
 					}
 				}
-				quiet = false
+				idle = false
 			}
 			delete(x.sent, name)
 		}
-		for _, r := range x.r {
+		for _, r := range x.routers {
 			for len(r.runQueue) > 0 {
 				r.runShard(<-r.runQueue)
 			}
@@ -87,8 +88,8 @@
 	}
 }
 
-// BenchmarkJob is a job from its arrival to its end at a worker with room: at a Balancer alone, by way of an owner in the
-// same process, and of one elsewhere (both processes' work, messages included, no network).
+// BenchmarkJob measures a job from its arrival to its end at a worker with a free slot: with only a Balancer, with an
+// owner in the same process, and with an owner in another one (the work of both, including messages, but no network).
 func BenchmarkJob(b *testing.B) {
 	ids := make([]string, 1<<16)
 	for i := range ids {
@@ -117,8 +118,8 @@
 		}
 	})
 	b.Run("owner here", func(b *testing.B) {
-		x := newBench(b, "a")
-		r, sent := x.r["a"], 0
+		x := newRouterGroup(b, "a")
+		r, sent := x.routers["a"], 0
 		b.ReportAllocs()
 		events := make([]balance.Event, 0, 2)
 		for i := 0; b.Loop(); i++ {
@@ -131,17 +132,17 @@
 			}
 		}
 		if sent < b.N*9/10 {
-			b.Errorf("%d of %d sent", sent, b.N)
+			b.Errorf("sent %d of %d jobs, want at least nine in ten", sent, b.N)
 		}
 	})
 	b.Run("owner elsewhere", func(b *testing.B) {
-		x := newBench(b, "a", "b")
+		x := newRouterGroup(b, "a", "b")
 		sent := 0
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			x.now += 0.001
-			x.r["b"].Step(x.now, []balance.Event{arrive(i)})
-			x.talk(func(name string, a balance.Action) balance.Event {
+			x.routers["b"].Step(x.now, []balance.Event{arrive(i)})
+			x.settle(func(name string, a balance.Action) balance.Event {
 				if s, ok := a.(balance.Send); ok {
 					sent++
 					return done(s.ID, s.Worker)
@@ -150,12 +151,12 @@
 			})
 		}
 		if sent < b.N*9/10 {
-			b.Errorf("%d of %d sent", sent, b.N)
+			b.Errorf("sent %d of %d jobs, want at least nine in ten", sent, b.N)
 		}
 	})
-	// As busy as it gets: 64 jobs a step, so that messages carry many.
+	// Maximum load: 64 jobs per step, so that each message carries many.
 	b.Run("owner elsewhere, 64 at once", func(b *testing.B) {
-		x := newBench(b, "a", "b")
+		x := newRouterGroup(b, "a", "b")
 		sent := 0
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
@@ -164,10 +165,10 @@
 			for k := range 64 {
 				events = append(events, arrive(64*i+k))
 			}
-			x.r["b"].Step(x.now, events)
+			x.routers["b"].Step(x.now, events)
 			for range 2 {
 				x.now += 0.001
-				x.talk(func(name string, a balance.Action) balance.Event {
+				x.settle(func(name string, a balance.Action) balance.Event {
 					if s, ok := a.(balance.Send); ok {
 						sent++
 						return done(s.ID, s.Worker)
@@ -181,11 +182,11 @@
 	})
 }
 
-// BenchmarkMove is a whole transfer of a shard with 20,000 jobs between two processes, from sealing to the new owner's Balancer
-// having them, without the agreement.
-func BenchmarkMove(b *testing.B) {
+// BenchmarkTransfer measures a transfer of a shard with 20,000 jobs between two processes, from sealing until the new
+// owner's Balancer has the jobs, without the time for agreement.
+func BenchmarkTransfer(b *testing.B) {
 	const jobs = 20_000
-	for k := 1; b.Loop(); k++ {
+	for rounds := 1; b.Loop(); rounds++ {
 		b.StopTimer()
 		cfg := testConfig()
 		cfg.Classes = []balance.Class{{Name: "read", LatencyObjective: 1000, ObjectiveStretch: 2, Deadline: 4000, LateWeightFraction: 1, Idempotence: balance.Idempotent}}
@@ -200,50 +201,51 @@
 			}
 		}
 		s.run(0.01)
-		a, c := s.nodes[0].r.allShards()[0], s.nodes[1].r.allShards()[0]
-		if a.owner.JobCount() < jobs*9/10 {
-			b.Fatalf("%d jobs at the owner", a.owner.JobCount())
+		oldOwner, newOwner := s.nodes[0].r.allShards()[0], s.nodes[1].r.allShards()[0]
+		if oldOwner.owner.JobCount() < jobs*9/10 {
+			b.Fatalf("the owner has %d jobs, want at least 18000", oldOwner.owner.JobCount())
 		}
-		n, was := a.owner.JobCount(), lockObserver
+		n, observer := oldOwner.owner.JobCount(), lockObserver
 		lockObserver = nil
 		b.StartTimer()
 		if err := s.nodes[0].r.Transfer(0, "b"); err != nil {
 			b.Fatal(err)
 		}
-		s.nodes[0].work()
-		for i := 0; !c.owned.balancing; i++ {
+		s.nodes[0].runWorkers()
+		for i := 0; !newOwner.owned.balancing; i++ {
 			if s.run(0.001); i > 3000 {
-				b.Fatal("no end")
+				b.Fatal("the transfer did not end within 3 s of simulated time")
 			}
 		}
-		lockObserver = was
-		b.ReportMetric(float64(n*k)/b.Elapsed().Seconds(), "entries/s")
+		lockObserver = observer
+		b.ReportMetric(float64(n*rounds)/b.Elapsed().Seconds(), "entries/s")
 	}
 }
 
-// What origins and owners say to each other, without a connection's own frame: at rest an instance and second, and for
-// a job beyond that, with ten shards an instance. Each instance is an origin and an owner.
-func BenchmarkCarried(b *testing.B) {
+// BenchmarkMessageVolume measures the frames and bytes that origins and owners exchange, without the framing of a
+// connection: at idle per instance and second, and per job in addition to that. There are ten shards per instance, and
+// each instance is both an origin and an owner.
+func BenchmarkMessageVolume(b *testing.B) {
 	const span, rate = 20.0, 40.0
 	for _, n := range []int{2, 4, 8, 16} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			for seed := uint64(0); b.Loop(); seed++ {
 				s := newSim(b, seed, n, 10*n, testConfig())
-				s.flawless = true
+				s.reliableWorkers = true
 				s.run(5)
 				frames, bytes := s.frames, s.bytes
 				s.run(span)
-				atRest, rest := (s.frames-frames)/span, (s.bytes-bytes)/span
+				idleFrames, idleBytes := (s.frames-frames)/span, (s.bytes-bytes)/span
 				frames, bytes = s.frames, s.bytes
-				s.load(rate, span)
+				s.generateLoad(rate, span)
 				s.run(span + 10)
-				jobs, over := float64(len(s.jobs)), span+10
-				b.ReportMetric(rest/float64(n), "rest-B/s/instance")
-				b.ReportMetric(atRest/float64(n), "rest-frames/s/instance")
-				b.ReportMetric((s.bytes-bytes-rest*over)/jobs, "B/job")
-				b.ReportMetric((s.frames-frames-atRest*over)/jobs, "frames/job")
+				jobs, elapsed := float64(len(s.jobs)), span+10
+				b.ReportMetric(idleBytes/float64(n), "rest-B/s/instance")
+				b.ReportMetric(idleFrames/float64(n), "rest-frames/s/instance")
+				b.ReportMetric((s.bytes-bytes-idleBytes*elapsed)/jobs, "B/job")
+				b.ReportMetric((s.frames-frames-idleFrames*elapsed)/jobs, "frames/job")
 				b.ReportMetric(0, "ns/op")
-				s.over()
+				s.verify()
 			}
 		})
 	}
--- a/internal/cluster/shardrouter/faults_test.go
+++ b/internal/cluster/shardrouter/faults_test.go
@@ -15,132 +15,140 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
+// TestJobsThroughOwners checks that every job gets exactly one answer through its shard's owner if no messages are
+// lost and no instance fails.
 func TestJobsThroughOwners(t *testing.T) {
 	s := newSim(t, 1, 3, 8, testConfig())
-	s.load(100, 10)
+	s.generateLoad(100, 10)
 	s.run(30)
-	s.over()
-	served, hops := 0, 0
+	s.verify()
+	served, attempts := 0, 0
 	for _, j := range s.jobs {
-		hops += j.hops
-		if j.ran > 0 {
+		attempts += j.attempts
+		if j.runs > 0 {
 			served++
 		}
 	}
-	t.Log(len(s.jobs), served, hops, s.count(countUpdatesResent), s.count(countGrantsResent), s.count(countGrantsDeclined))
+	t.Log(len(s.jobs), served, attempts, s.counterTotal(countUpdatesResent), s.counterTotal(countGrantsResent), s.counterTotal(countGrantsDeclined))
 }
 
-// faults plays a drawn schedule of crashes, stops, cuts and transfers under load, on a network that loses, repeats and reorders.
-func faults(t testing.TB, seed uint64, d float64, change func(*sim)) *sim {
+// runFaultSchedule simulates duration seconds of load with random crashes, pauses, partitions and transfers, on a
+// network that loses, duplicates and reorders messages. change may modify the simulation before it starts. The
+// returned simulation has run for another 25 s without message loss, and its final state is checked.
+func runFaultSchedule(t testing.TB, seed uint64, duration float64, change func(*sim)) *sim {
 	s := newSim(t, seed, 5, 16, testConfig())
 	change(s)
 	s.loss, s.repeat, s.delay = 0.05, 0.05, 0.02
-	s.load(60, d)
-	end := s.now + d
+	s.generateLoad(60, duration)
+	end := s.now + duration
 	var next func()
 	next = func() {
 		if s.now >= end {
 			return
 		}
 		n := s.nodes[s.rng.IntN(len(s.nodes))]
-		well := n.up && !n.stopped && !n.cut
+		healthy := n.up && !n.paused && !n.isolated
 		switch x := s.rng.IntN(60); {
-		case x < 2 && well:
+		case x < 2 && healthy:
 			n.crash()
-			s.at(s.now+0.2+2*s.rng.Float64(), n.start)
-		case x < 4 && well:
-			n.stop()
-			inc := n.inc
-			s.at(s.now+3*s.rng.Float64(), func() {
-				if n.inc == inc {
-					n.goOn()
+			s.schedule(s.now+0.2+2*s.rng.Float64(), n.start)
+		case x < 4 && healthy:
+			n.pause()
+			incarnation := n.incarnation
+			s.schedule(s.now+3*s.rng.Float64(), func() {
+				if n.incarnation == incarnation {
+					n.resume()
 				}
 			})
-		case x < 6 && well:
-			n.cut = true
-			s.at(s.now+3*s.rng.Float64(), func() { n.cut = false })
-		case well:
-			s.anyMove(n)
+		case x < 6 && healthy:
+			n.isolated = true
+			s.schedule(s.now+3*s.rng.Float64(), func() { n.isolated = false })
+		case healthy:
+			s.transferRandomShard(n)
 		}
-		s.at(s.now+0.1*s.rng.Float64(), next)
+		s.schedule(s.now+0.1*s.rng.Float64(), next)
 	}
 	next()
-	s.place(end)
-	s.run(d)
+	s.reassignShards(end)
+	s.run(duration)
 	s.loss, s.repeat = 0, 0
 	s.run(25)
-	s.judgeRest()
+	s.checkFinalState()
 	return s
 }
 
-// anyMove transfers a shard that the instance owns to another one.
-func (s *sim) anyMove(n *node) {
+// transferRandomShard begins to transfer a random shard that n owns to a random other instance.
+func (s *sim) transferRandomShard(n *node) {
 	for _, i := range s.rng.Perm(len(s.table.ShardOwners)) {
 		if to := s.nodes[s.rng.IntN(len(s.nodes))]; to != n && s.table.ShardOwners[i].Name == n.name && n.r.allShards() != nil {
 			n.r.Transfer(i, to.name)
-			n.work()
+			n.runWorkers()
 			return
 		}
 	}
 }
 
-// place has dead instances' shards owned elsewhere, as the lead's coordinator does.
-func (s *sim) place(end float64) {
-	down := map[*node]float64{}
-	var look func()
-	look = func() {
+// reassignShards proposes new owners for the shards of instances that have been down, paused or isolated for more than
+// 1.5 s, as the leader's coordinator does. It checks every 0.5 s until 5 s after end.
+func (s *sim) reassignShards(end float64) {
+	lastHealthy := map[*node]float64{}
+	var check func()
+	check = func() {
 		for _, n := range s.nodes {
-			if n.up && !n.stopped && !n.cut {
-				down[n] = s.now
+			if n.up && !n.paused && !n.isolated {
+				lastHealthy[n] = s.now
 			}
 		}
 		for i, x := range s.table.ShardOwners {
-			if n := s.node(x.Name); n != nil && s.now > down[n]+1.5 {
-				s.wishes = append(s.wishes, shard.OwnerChange{Shard: i, Epoch: x.Epoch, To: s.nodes[s.rng.IntN(len(s.nodes))].name})
+			if n := s.node(x.Name); n != nil && s.now > lastHealthy[n]+1.5 {
+				s.proposals = append(s.proposals, shard.OwnerChange{Shard: i, Epoch: x.Epoch, To: s.nodes[s.rng.IntN(len(s.nodes))].name})
 			}
 		}
 		if s.now < end+5 {
-			s.at(s.now+0.5, look)
+			s.schedule(s.now+0.5, check)
 		}
 	}
-	look()
+	check()
 }
 
+// TestFaults checks that random fault schedules violate no guarantee of the simulation and cause no event that
+// only a bug can cause, and that they do cause the events that they are meant to test.
 func TestFaults(t *testing.T) {
-	jobs, guarded := 0, 0
+	jobs, fallbackAnswers := 0, 0
 	total := map[string]uint64{}
 	for seed := range uint64(4) {
-		s := faults(t, seed, 12, func(*sim) {})
-		jobs, guarded = jobs+len(s.jobs), guarded+s.guarded
+		s := runFaultSchedule(t, seed, 12, func(*sim) {})
+		jobs, fallbackAnswers = jobs+len(s.jobs), fallbackAnswers+s.fallbackAnswers
 		for _, n := range s.nodes {
 			for k, v := range n.r.Status().Counters {
 				total[k] += v
 			}
 		}
-		if len(s.bad) > 0 {
-			t.Fatalf("seed %d:\n%s", seed, strings.Join(s.bad, "\n"))
+		if len(s.failures) > 0 {
+			t.Fatalf("seed %d:\n%s", seed, strings.Join(s.failures, "\n"))
 		}
 	}
-	t.Log(jobs, guarded, total)
-	for _, what := range []string{countReconciled, countAttemptsNotGranted, countMessagesNotEncoded, countCorruptFrames} {
-		if total[what] > 0 {
-			t.Errorf("%d %q", total[what], what)
+	t.Log(jobs, fallbackAnswers, total)
+	for _, counter := range []string{countReconciled, countAttemptsNotGranted, countMessagesNotEncoded, countCorruptFrames} {
+		if total[counter] > 0 {
+			t.Errorf("counted %d %q, want 0", total[counter], counter)
 		}
 	}
-	for _, what := range []string{countTransfersBegun, countOpenedWithSnapshot, countRenewed, countIncarnations, countGrantsDeclined, countUpdatesResent, countAnsweredLocally} {
-		if total[what] == 0 {
-			t.Errorf("the schedules had no %q", what)
+	for _, counter := range []string{countTransfersBegun, countOpenedWithSnapshot, countRenewed, countIncarnations, countGrantsDeclined, countUpdatesResent, countAnsweredLocally} {
+		if total[counter] == 0 {
+			t.Errorf("no fault schedule caused any %q", counter)
 		}
 	}
 }
 
-// Without shards in the table, and for tenants that are in none, the actions are the Balancer's own.
+// TestWithoutShards checks that the actions of the Router are those of its Balancer if the table has no shards or
+// no tenant is in a shard.
 func TestWithoutShards(t *testing.T) {
 	for _, table := range []*config.Table{nil, {Version: 1}, {Version: 2, ShardOwners: []config.ShardOwner{{Name: "other", Epoch: 1}}}} {
-		alone, _ := balance.New(testConfig(), 3)
-		inside, _ := balance.New(testConfig(), 3)
+		reference, _ := balance.New(testConfig(), 3)
+		routed, _ := balance.New(testConfig(), 3)
 		r := New(Options{Name: "a", Incarnation: 1, Config: testConfig(), Table: func() *config.Table { return table }, Now: func() float64 { return 0 },
-			Send: func(string, []byte) bool { return true }, Wake: func() {}, InShards: func(string) bool { return false }, Log: t.Logf}, inside)
+			Send: func(string, []byte) bool { return true }, Wake: func() {}, InShards: func(string) bool { return false }, Log: t.Logf}, routed)
 		r.manual = true
 		rng := rand.New(rand.NewPCG(1, 1))
 		sent := 0
@@ -151,13 +159,13 @@
 			if i == 0 {
 				events = append(events, balance.EndpointUpdate{Kind: balance.EndpointsSnapshot, Workers: []balance.WorkerInfo{{ID: "w", State: balance.Running}, {ID: "v", State: balance.Running}}})
 			}
-			want := fmt.Sprintf("%#v", alone.Step(now, slices.Clone(events)))
-			acts := r.Step(now, events)
-			if got := fmt.Sprintf("%#v", acts); got != want {
+			want := fmt.Sprintf("%#v", reference.Step(now, slices.Clone(events)))
+			actions := r.Step(now, events)
+			if got := fmt.Sprintf("%#v", actions); got != want {
 				t.Fatalf("step %d:\n%s\nwant\n%s", i, got, want)
 			}
 			events = nil
-			for _, a := range acts {
+			for _, a := range actions {
 				switch a := a.(type) {
 				case balance.Send:
 					sent++
@@ -168,267 +176,274 @@
 			}
 		}
 		if sent < 1000 {
-			t.Errorf("%d sent", sent)
+			t.Errorf("sent %d jobs, want at least 1000", sent)
 		}
 		r.Close()
 	}
 }
 
-// A tenant that enters through one of six instances gets its whole reservation, and a sixth where there are no shards.
+// TestCompleteReservation checks that a tenant whose requests all arrive at one of six instances gets its complete
+// reservation of 20 jobs per second with shards. Without shards it gets only part of it, as each instance has a
+// sixth.
 func TestCompleteReservation(t *testing.T) {
 	rate := func(count int) float64 {
 		cfg := testConfig()
 		cfg.Tenants = []balance.Tenant{{Name: "a", Quota: 20, Weight: 0.01}, {Name: "b", Quota: 0, Weight: 10}}
 		s := newSim(t, 3, 6, count, cfg)
-		s.flawless = true
+		s.reliableWorkers = true
 		for w := range s.workers {
-			s.workers[w].free = 1 // 80 jobs a second
+			s.workers[w].free = 1 // 8 workers with one slot each: 80 jobs per second
 		}
 		end := s.now + 20
 		for at := s.now; at < end; at += 0.01 {
-			s.at(at, func() { s.nodes[0].arrive("read", "a", 2) }) // 100 a second
+			s.schedule(at, func() { s.nodes[0].arrive("read", "a", 2) }) // 100 per second
 			for range 2 {
-				s.at(at, func() { s.nodes[s.rng.IntN(6)].arrive("read", "b", 2) }) // 200
+				s.schedule(at, func() { s.nodes[s.rng.IntN(6)].arrive("read", "b", 2) }) // 200 per second
 			}
 		}
 		s.run(30)
-		s.over()
+		s.verify()
 		got := 0
 		for _, j := range s.jobs {
-			if j.tenant == "a" && j.ran > 0 {
+			if j.tenant == "a" && j.runs > 0 {
 				got++
 			}
 		}
 		return float64(got) / 20
 	}
 	with, without := rate(8), rate(0)
-	t.Logf("%.1f jobs a second of 20 with shards, %.1f without", with, without)
+	t.Logf("%.1f of 20 jobs per second with shards, %.1f without", with, without)
 	if with < 19 || without > 8 {
-		t.Errorf("%.1f jobs a second of 20 with shards, %.1f without", with, without)
+		t.Errorf("got %.1f of 20 jobs per second with shards, want at least 19; got %.1f without, want at most 8", with, without)
 	}
 }
 
-// Transfers change neither the order within a tenant nor what tenants get by their tags.
-func TestOrderAcrossMoves(t *testing.T) {
+// TestOrderAcrossTransfers checks that transfers of a shard change neither the order in which a tenant's jobs are
+// sent nor the shares of the tenants, which their tags determine.
+func TestOrderAcrossTransfers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []balance.Class{{Name: "read", LatencyObjective: 100, ObjectiveStretch: 2, Deadline: 400, LateWeightFraction: 1, Idempotence: balance.Idempotent}}
 	cfg.Tenants = []balance.Tenant{{Name: "a", Quota: 10, Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 1}}
-	play := func(move bool) map[string]int {
-		s := newSim(t, 4, 3, 1, cfg) // one shard: all tenants in it
-		s.flawless, s.delay = true, 0
+	sentByTenant := func(withTransfers bool) map[string]int {
+		s := newSim(t, 4, 3, 1, cfg) // one shard, which contains all tenants
+		s.reliableWorkers, s.delay = true, 0
 		for w := range s.workers {
 			s.workers[w].free = 1
 		}
-		moves := 0
-		next := func() {
+		transfers := 0
+		transferToNext := func() {
 			for _, n := range s.nodes {
-				if n.name == s.table.ShardOwners[0].Name && s.next == nil {
+				if n.name == s.table.ShardOwners[0].Name && s.nextTable == nil {
 					if n.r.Transfer(0, s.nodes[(int(n.name[0]-'a')+1)%3].name) == nil {
-						moves++
+						transfers++
 					}
-					n.work()
+					n.runWorkers()
 				}
 			}
 		}
-		for range 3 { // each has to have learnt how long jobs run
+		for range 3 { // each instance owns the shard once, so that its balancer learns the service time
 			for range 40 {
 				s.nodes[0].arrive("read", "a", 300)
 				s.run(0.05)
 			}
-			next()
+			transferToNext()
 			s.run(3)
 		}
-		s.order, moves = nil, 0
+		s.grantOrder, transfers = nil, 0
 		for i := range 3000 {
-			s.at(s.now+0.005*float64(i), func() { s.nodes[i%3].arrive("read", []string{"a", "b", "c"}[s.rng.IntN(3)], 300) })
+			s.schedule(s.now+0.005*float64(i), func() { s.nodes[i%3].arrive("read", []string{"a", "b", "c"}[s.rng.IntN(3)], 300) })
 		}
-		for at := s.now + 1; move && at < s.now+14; at += 1.1 {
-			s.at(at, next)
+		for at := s.now + 1; withTransfers && at < s.now+14; at += 1.1 {
+			s.schedule(at, transferToNext)
 		}
 		s.run(14)
-		got, last := map[string]int{}, map[string]float64{}
-		slices.SortStableFunc(s.order, func(x, y string) int { // what goes out in one step goes out at once
-			return cmp.Or(cmp.Compare(s.jobs[x].granted, s.jobs[y].granted), cmp.Compare(s.jobs[x].at, s.jobs[y].at))
+		got, latestArrival := map[string]int{}, map[string]float64{}
+		slices.SortStableFunc(s.grantOrder, func(x, y string) int { // jobs of one step are sent at the same time
+			return cmp.Or(cmp.Compare(s.jobs[x].grantedAt, s.jobs[y].grantedAt), cmp.Compare(s.jobs[x].arrivedAt, s.jobs[y].arrivedAt))
 		})
-		for _, id := range s.order {
+		for _, id := range s.grantOrder {
 			j := s.jobs[id]
 			got[j.tenant]++
-			if j.at < last[j.tenant] {
-				t.Errorf("transfers %v: %s of tenant %s, come at %.3f, goes out at %.3f after one of %.3f", move, id, j.tenant, j.at, j.granted, last[j.tenant])
+			if j.arrivedAt < latestArrival[j.tenant] {
+				t.Errorf("transfers %v: %s of tenant %s, arrived at %.3f, was sent at %.3f after a job that arrived at %.3f", withTransfers, id, j.tenant, j.arrivedAt, j.grantedAt, latestArrival[j.tenant])
 			}
-			last[j.tenant] = max(last[j.tenant], j.at)
+			latestArrival[j.tenant] = max(latestArrival[j.tenant], j.arrivedAt)
 		}
 		s.run(60)
-		s.over()
-		if copies := s.count(countOpenedWithSnapshot); move && (moves < 10 || copies < 13) {
-			t.Errorf("%d transfers, %d copies", moves, copies)
+		s.verify()
+		if copies := s.counterTotal(countOpenedWithSnapshot); withTransfers && (transfers < 10 || copies < 13) {
+			t.Errorf("got %d transfers, want at least 10; got %d owners opened with a snapshot, want at least 13", transfers, copies)
 		}
 		return got
 	}
-	for _, move := range []bool{false, true} {
-		got := play(move)
+	for _, withTransfers := range []bool{false, true} {
+		got := sentByTenant(withTransfers)
 		t.Log(got)
 		if got["a"] < 140 || math.Abs(float64(got["b"])/float64(got["c"])-2) > 0.1 {
-			t.Errorf("with transfers: %v; %v go out; want 10 a second of a, twice as many of b as of c", move, got)
+			t.Errorf("transfers %v: sent %v by tenant; want 10 per second of a, and twice as many of b as of c", withTransfers, got)
 		}
 	}
 }
 
-// A crash or a stop of each party at each message of a transfer.
-func TestEachStepOfATransfer(t *testing.T) {
-	messages := map[string]reflect.Type{
+// TestFaultsDuringTransfer injects a crash or a pause of the old owner, the new owner or an origin at each step of
+// a transfer, and checks that every job still gets exactly one answer.
+func TestFaultsDuringTransfer(t *testing.T) {
+	messageTypes := map[string]reflect.Type{
 		"revoke":    reflect.TypeFor[shard.Revoke](),
 		"decline":   reflect.TypeFor[shard.Decline](),
 		"chunk":     reflect.TypeFor[shard.Chunk](),
 		"chunk ack": reflect.TypeFor[shard.ChunkAck](),
 	}
 	for _, kind := range []string{"none", "revoke", "decline", "chunk", "chunk ack", "change", "open"} {
-		for party := range 3 { // old owner, new owner, an origin
-			for _, dies := range []bool{true, false} {
+		for party := range 3 { // 0: the old owner, 1: the new owner, 2: an origin
+			for _, crash := range []bool{true, false} {
 				s := newSim(t, uint64(party), 3, 1, testConfig())
-				s.load(60, 4)
+				s.generateLoad(60, 4)
 				s.run(1.5)
-				old := s.node(s.table.ShardOwners[0].Name)
-				next := s.nodes[(int(old.name[0]-'a')+1)%3]
-				victim := []*node{old, next, s.nodes[(int(old.name[0]-'a')+2)%3]}[party]
-				struck, epoch := kind == "none", s.table.ShardOwners[0].Epoch
-				strike := func() {
-					if struck = true; dies {
+				oldOwner := s.node(s.table.ShardOwners[0].Name)
+				newOwner := s.nodes[(int(oldOwner.name[0]-'a')+1)%3]
+				victim := []*node{oldOwner, newOwner, s.nodes[(int(oldOwner.name[0]-'a')+2)%3]}[party]
+				injected, epoch := kind == "none", s.table.ShardOwners[0].Epoch
+				inject := func() {
+					if injected = true; crash {
 						victim.crash()
-						s.at(s.now+1, victim.start)
+						s.schedule(s.now+1, victim.start)
 					} else {
-						victim.stop()
-						s.at(s.now+2.5, victim.goOn)
+						victim.pause()
+						s.schedule(s.now+2.5, victim.resume)
 					}
 				}
 				s.filter = func(from, to *node, m shard.Message) (shard.Message, bool) {
-					if !struck && messages[kind] != nil && messages[kind] == reflect.TypeOf(m) {
-						struck = true
-						s.at(s.now, strike)
+					if !injected && messageTypes[kind] != nil && messageTypes[kind] == reflect.TypeOf(m) {
+						injected = true
+						s.schedule(s.now, inject)
 					}
 					return m, true
 				}
 				var watch func()
 				watch = func() {
-					if !struck && (kind == "change" && s.next != nil || kind == "open" && s.table.ShardOwners[0].Epoch > epoch) {
-						strike()
+					if !injected && (kind == "change" && s.nextTable != nil || kind == "open" && s.table.ShardOwners[0].Epoch > epoch) {
+						inject()
 					}
-					s.at(s.now+0.005, watch)
+					s.schedule(s.now+0.005, watch)
 				}
 				watch()
-				move := func() {
-					if err := old.r.Transfer(0, next.name); err != nil {
+				beginTransfer := func() {
+					if err := oldOwner.r.Transfer(0, newOwner.name); err != nil {
 						t.Fatal(err)
 					}
-					old.work()
+					oldOwner.runWorkers()
 				}
-				if f := s.filter; kind == "revoke" || kind == "decline" { // begins with a grant on its way
-					begun := false
+				if f := s.filter; kind == "revoke" || kind == "decline" { // begin while a grant is in transit
+					granted := false
 					s.filter = func(from, to *node, m shard.Message) (shard.Message, bool) {
-						if _, ok := m.(shard.Grant); ok && !begun {
-							begun = true
-							s.at(s.now, move)
+						if _, ok := m.(shard.Grant); ok && !granted {
+							granted = true
+							s.schedule(s.now, beginTransfer)
 						}
 						return f(from, to, m)
 					}
 				} else {
-					move()
+					beginTransfer()
 				}
-				s.place(s.now + 3)
+				s.reassignShards(s.now + 3)
 				s.run(17)
-				if s.over(); t.Failed() || !struck {
-					t.Fatalf("%s, party %d, dies %v, struck %v", kind, party, dies, struck)
+				if s.verify(); t.Failed() || !injected {
+					t.Fatalf("fault at %s, party %d, crash %v: failed; fault injected: %v", kind, party, crash, injected)
 				}
 			}
 		}
 	}
 }
 
-// Each mechanism, taken out, breaks a promise that the tests look at.
-func TestWithoutMechanisms(t *testing.T) {
+// TestRemovedSafeguards checks that the fault schedules violate a guarantee of the simulation if one of the
+// safeguards is removed, which shows that the checks can fail.
+func TestRemovedSafeguards(t *testing.T) {
 	for name, c := range map[string]struct {
-		out  func(*sim)
-		want string
+		disable func(*sim)
+		want    string
 	}{
-		"leases seal owners":    {func(s *sim) { s.immortal = true }, "without a lease"},
-		"origins accept grants": {func(s *sim) { s.reckless = true }, "two attempts out"},
+		"lease end stops grants": {func(s *sim) { s.ignoreLeaseEnd = true }, "without a lease"},
+		"origins check grants":   {func(s *sim) { s.skipGrantChecks = true }, "two attempts in flight"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				s := faults(t, seed, 12, c.out)
-				if all := strings.Join(s.bad, "\n"); strings.Contains(all, c.want) {
-					t.Logf("seed %d: %s", seed, all)
+				s := runFaultSchedule(t, seed, 12, c.disable)
+				if failures := strings.Join(s.failures, "\n"); strings.Contains(failures, c.want) {
+					t.Logf("seed %d: %s", seed, failures)
 					return
 				}
 			}
-			t.Error("nothing is broken without it")
+			t.Error("no schedule failed without the safeguard")
 		})
 	}
 }
 
-// An owner that is stopped with grants in its buffers wakes when another one is owned: without the epochs its grants
-// would be carried out.
+// TestPausedOwnerResumes pauses an owner while grants are in its send buffers, and resumes it after the shard has
+// a new owner. The origins know the new epoch and must not execute the old grants. Without the epoch check they
+// would, which the second run shows.
 func TestPausedOwnerResumes(t *testing.T) {
-	for _, epochs := range []bool{true, false} {
+	for _, checkEpochs := range []bool{true, false} {
 		s := newSim(t, 6, 3, 1, testConfig())
-		s.flawless = true
-		s.load(40, 4)
+		s.reliableWorkers = true
+		s.generateLoad(40, 4)
 		s.run(1)
-		old, grants := s.node(s.table.ShardOwners[0].Name), 0
+		oldOwner, grants := s.node(s.table.ShardOwners[0].Name), 0
 		s.filter = func(from, to *node, m shard.Message) (shard.Message, bool) {
-			if g, ok := m.(shard.Grant); ok && (from == old || !epochs) {
+			if g, ok := m.(shard.Grant); ok && (from == oldOwner || !checkEpochs) {
 				if grants++; grants == 5 {
-					old.stop()
-					for _, w := range s.workers { // so that the other one has to wait
+					oldOwner.pause()
+					for _, w := range s.workers { // so that the new owner can't send yet
 						w.free -= 4
 					}
-					s.at(s.now+2, old.goOn)
-					s.at(s.now+3, func() {
+					s.schedule(s.now+2, oldOwner.resume)
+					s.schedule(s.now+3, func() {
 						for _, w := range s.workers {
 							w.free += 4
 						}
 					})
 				}
-				if !epochs {
-					g.Epoch += 9 // beyond any that there is
+				if !checkEpochs {
+					g.Epoch += 9 // higher than any epoch in the test, so that origins accept the grant
 					m = g
 				}
 			}
 			return m, true
 		}
-		s.place(s.now + 4)
+		s.reassignShards(s.now + 4)
 		s.run(20)
-		s.judgeRest()
-		all := strings.Join(s.bad, "\n")
-		if broken := strings.Contains(all, "goes out by a grant of epoch"); broken == epochs || epochs && all != "" || grants < 5 {
-			t.Errorf("epochs %v, %d grants: %s", epochs, grants, all)
+		s.checkFinalState()
+		failures := strings.Join(s.failures, "\n")
+		if staleSend := strings.Contains(failures, "was sent under a grant of epoch"); staleSend == checkEpochs || checkEpochs && failures != "" || grants < 5 {
+			t.Errorf("epoch check %v, %d grants: %s", checkEpochs, grants, failures)
 		}
 	}
 }
 
-// What is lost on the way is sent again: no job waits in vain for an owner that is well.
+// TestResend checks that, with 10% message loss, updates are sent again until their owner has them, so that the
+// owner decides every job. Without resends, jobs are answered without a decision of their owner.
 func TestResend(t *testing.T) {
-	play := func(again bool) int {
+	withoutGrant := func(resend bool) int {
 		s := newSim(t, 2, 3, 4, testConfig())
 		s.loss = 0.1
-		told := map[string]uint64{}
+		highest := map[string]uint64{}
 		s.filter = func(from, to *node, m shard.Message) (shard.Message, bool) {
 			x, ok := m.(shard.JobUpdate)
 			k := fmt.Sprint(x.Origin, x.Shard, x.Epoch)
-			if !ok || again || x.First > told[k] {
-				told[k] = max(told[k], x.First)
+			if !ok || resend || x.First > highest[k] {
+				highest[k] = max(highest[k], x.First)
 				return m, true
 			}
 			return m, false
 		}
-		s.load(50, 8)
+		s.generateLoad(50, 8)
 		s.run(25)
-		if again {
-			s.over()
+		if resend {
+			s.verify()
 		}
-		return s.guarded + int(s.count(countAnsweredLocally))
+		return s.fallbackAnswers + int(s.counterTotal(countAnsweredLocally))
 	}
-	if with, without := play(true), play(false); with > 0 || without < 20 {
-		t.Errorf("%d jobs without a decision of their owner, %d where nothing is sent again", with, without)
+	if with, without := withoutGrant(true), withoutGrant(false); with > 0 || without < 20 {
+		t.Errorf("%d jobs were answered without their owner, want 0; without resends %d, want at least 20", with, without)
 	}
 }
--- a/internal/cluster/shardrouter/golden_test.go
+++ b/internal/cluster/shardrouter/golden_test.go
@@ -14,9 +14,11 @@
 	"example.org/bellstream/internal/cluster/shard/wire"
 )
 
-// updateGolden writes the files under testdata/golden anew. A changed file is a changed wire format.
+// updateGolden makes the tests rewrite the files under testdata/golden. A file that changes shows that the wire format,
+// or a text that operators see, has changed.
 var updateGolden = flag.Bool("update", false, "write testdata/golden anew")
 
+// golden compares encoded bytes with a file under testdata/golden and returns the file's contents.
 func golden(t *testing.T, file string, made []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
@@ -66,7 +68,7 @@
 	}
 }
 
-// TestGoldenStatus pins the status as operators get it.
+// TestGoldenStatus pins the JSON of the admin status.
 func TestGoldenStatus(t *testing.T) {
 	s := Status{
 		Incarnation:        "a#11",
--- a/internal/cluster/shardrouter/locks_test.go
+++ b/internal/cluster/shardrouter/locks_test.go
@@ -8,23 +8,25 @@
 	"sync/atomic"
 )
 
-// pooled is set where a test has more than one goroutine; to tell them apart takes time.
-var pooled atomic.Bool
+// multipleGoroutines is set by tests in which more than one goroutine acquires locks. In other tests checkLockOrder
+// does not look up the goroutine's id, as that is slow.
+var multipleGoroutines atomic.Bool
 
-// watchLocks panics where a goroutine takes a lock that does not come later in the order than all that it holds.
-func watchLocks() {
+// checkLockOrder installs a lockObserver that panics if a goroutine acquires a lock whose rank is not higher than the
+// ranks of all locks that it holds.
+func checkLockOrder() {
 	var mu sync.Mutex
 	held := map[string][]int{}
-	lockObserver = func(rank int, taken bool) {
+	lockObserver = func(rank int, acquired bool) {
 		id := ""
-		if pooled.Load() {
+		if multipleGoroutines.Load() {
 			b := make([]byte, 32)
 			b = b[:runtime.Stack(b, false)]
 			id = string(bytes.Fields(b)[1])
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if !taken {
+		if !acquired {
 			if held[id] = held[id][:len(held[id])-1]; len(held[id]) == 0 {
 				delete(held, id)
 			}
--- a/internal/cluster/shardrouter/pool_test.go
+++ b/internal/cluster/shardrouter/pool_test.go
@@ -13,29 +13,30 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// loop is a dispatcher's loop with its Router and the Router's own goroutines.
-type loop struct {
+// dispatcherLoop is a dispatcher's loop with a Router that runs its own goroutines.
+type dispatcherLoop struct {
 	r      *Router
-	posts  chan balance.Event
+	events chan balance.Event
 	frames chan [2]any
 	done   chan struct{}
 }
 
-// Three instances, with all their goroutines, serve 1,000 jobs while shards transfer: one answer each, no race, no lock out of
-// order, and nothing stays behind.
-func TestPool(t *testing.T) {
-	pooled.Store(true)
-	defer pooled.Store(false)
+// TestWorkerPool runs three instances with all their goroutines, which serve 1,000 jobs while shards are
+// transferred. It checks that each job gets one answer, no data race or violation of the lock order occurs, and no
+// job or grant stays open.
+func TestWorkerPool(t *testing.T) {
+	multipleGoroutines.Store(true)
+	defer multipleGoroutines.Store(false)
 	synctest.Test(t, func(t *testing.T) {
 		var table atomic.Pointer[config.Table]
 		table.Store(&config.Table{Version: 1})
-		var changing sync.Mutex
+		var proposing sync.Mutex
 		base := time.Now()
-		loops := map[string]*loop{}
-		var all sync.WaitGroup
+		loops := map[string]*dispatcherLoop{}
+		var goroutines sync.WaitGroup
 		propose := func(list []shard.OwnerChange) {
-			changing.Lock()
-			defer changing.Unlock()
+			proposing.Lock()
+			defer proposing.Unlock()
 			old, next := table.Load(), *table.Load()
 			next.Version, next.ShardOwners = next.Version+1, append([]config.ShardOwner(nil), next.ShardOwners...)
 			for _, c := range list {
@@ -44,17 +45,17 @@
 				}
 			}
 			table.Store(config.Intersection(old, &next))
-			time.Sleep(200 * time.Millisecond) // all have taken it
+			time.Sleep(200 * time.Millisecond) // until all instances have applied it
 			table.Store(&next)
 		}
 		var mu sync.Mutex
-		answers, out := map[string]int{}, map[string]int{}
+		answers, inFlight := map[string]int{}, map[string]int{}
 		for i, name := range []string{"a", "b", "c"} {
-			l := &loop{posts: make(chan balance.Event, 4096), frames: make(chan [2]any, 4096), done: make(chan struct{})}
+			l := &dispatcherLoop{events: make(chan balance.Event, 4096), frames: make(chan [2]any, 4096), done: make(chan struct{})}
 			loops[name] = l
 			bal, _ := balance.New(testConfig(), uint64(i))
 			l.r = New(Options{Name: name, Incarnation: 1, Config: testConfig(), Table: table.Load, Now: func() float64 { return 1000 + time.Since(base).Seconds() },
-				Wake: func() { l.posts <- balance.TimerFired{} },
+				Wake: func() { l.events <- balance.TimerFired{} },
 				Send: func(to string, f []byte) bool {
 					select {
 					case loops[to].frames <- [2]any{name, f}:
@@ -66,7 +67,7 @@
 				Propose: propose, Limits: shard.Limits{MaxJobs: 1000}, Workers: 3, Log: t.Logf}, bal)
 		}
 		for _, l := range loops {
-			all.Go(func() {
+			goroutines.Go(func() {
 				for {
 					select {
 					case f := <-l.frames:
@@ -76,7 +77,7 @@
 					}
 				}
 			})
-			all.Go(func() {
+			goroutines.Go(func() {
 				events := []balance.Event{balance.EndpointUpdate{Kind: balance.EndpointsSnapshot, Workers: []balance.WorkerInfo{{ID: "v", State: balance.Running}, {ID: "w", State: balance.Running}}}}
 				timer := time.NewTimer(time.Second)
 				for {
@@ -84,31 +85,31 @@
 						switch a := a.(type) {
 						case balance.Send:
 							mu.Lock()
-							if out[a.ID]++; out[a.ID] > 1 {
-								t.Errorf("%s is out twice", a.ID)
+							if inFlight[a.ID]++; inFlight[a.ID] > 1 {
+								t.Errorf("job %s has two attempts in flight", a.ID)
 							}
 							mu.Unlock()
 							time.AfterFunc(20*time.Millisecond, func() {
 								mu.Lock()
-								out[a.ID]--
+								inFlight[a.ID]--
 								answers[a.ID]++
 								mu.Unlock()
-								l.posts <- balance.AttemptDone{ID: a.ID, Worker: a.Worker, Outcome: balance.Served, Report: []float64{20}}
+								l.events <- balance.AttemptDone{ID: a.ID, Worker: a.Worker, Outcome: balance.Served, Report: []float64{20}}
 							})
 						case balance.Reject:
 							mu.Lock()
 							answers[a.ID]++
 							mu.Unlock()
 						case balance.Fail:
-							t.Errorf("%s failed", a.ID)
+							t.Errorf("job %s failed", a.ID)
 						case balance.HealthCheck:
-							l.posts <- balance.HealthCheckDone{Worker: a.Worker, Outcome: balance.Served, Report: []float64{20}}
+							l.events <- balance.HealthCheckDone{Worker: a.Worker, Outcome: balance.Served, Report: []float64{20}}
 						case balance.SetTimer:
 							timer.Reset(time.Duration(a.After * float64(time.Second)))
 						}
 					}
 					select {
-					case e := <-l.posts:
+					case e := <-l.events:
 						events = []balance.Event{e}
 					case <-timer.C:
 						events = []balance.Event{balance.TimerFired{}}
@@ -119,44 +120,44 @@
 			})
 		}
 		time.Sleep(time.Second)
-		first := config.Table{Version: 2, ShardOwners: make([]config.ShardOwner, 8)}
-		table.Store(&first)
+		initial := config.Table{Version: 2, ShardOwners: make([]config.ShardOwner, 8)}
+		table.Store(&initial)
 		for i := range 8 {
 			propose([]shard.OwnerChange{{Shard: i, To: []string{"a", "b", "c"}[i%3]}})
 		}
-		moved := 0
+		transfers := 0
 		for i := range 1000 {
 			name := []string{"a", "b", "c"}[i%3]
-			loops[name].posts <- balance.JobArrived{ID: fmt.Sprint("j", i), Class: "read", Tenant: fmt.Sprint("t", i%16), Timeout: 30, Slots: 1}
+			loops[name].events <- balance.JobArrived{ID: fmt.Sprint("j", i), Class: "read", Tenant: fmt.Sprint("t", i%16), Timeout: 30, Slots: 1}
 			if i%100 == 50 {
 				if loops[table.Load().ShardOwners[i/100%8].Name].r.Transfer(i/100%8, name) == nil {
-					moved++
+					transfers++
 				}
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(40 * time.Second)
-		held := 0
+		openJobs := 0
 		for _, l := range loops {
 			s := l.r.Status()
-			held += s.LocalJobs + s.PendingGrants
+			openJobs += s.LocalJobs + s.PendingGrants
 			close(l.done)
 		}
-		all.Wait()
+		goroutines.Wait()
 		for _, l := range loops {
 			l.r.Close()
 		}
-		copies := 0
+		snapshots := 0
 		for _, l := range loops {
-			copies += int(l.r.Status().Counters[countOpenedWithSnapshot])
+			snapshots += int(l.r.Status().Counters[countOpenedWithSnapshot])
 		}
 		for id, n := range answers {
 			if n != 1 {
-				t.Errorf("%s has %d answers", id, n)
+				t.Errorf("job %s has %d answers, want 1", id, n)
 			}
 		}
-		if len(answers) != 1000 || held > 0 || moved < 3 || copies < 3 {
-			t.Errorf("%d of 1000 answered, %d held, %d transfers, %d copies", len(answers), held, moved, copies)
+		if len(answers) != 1000 || openJobs > 0 || transfers < 3 || snapshots < 3 {
+			t.Errorf("%d of 1000 jobs answered; %d jobs and grants open, want 0; %d transfers and %d owners opened with a snapshot, want at least 3 each", len(answers), openJobs, transfers, snapshots)
 		}
 	})
 }
--- a/internal/cluster/shardrouter/router.go
+++ b/internal/cluster/shardrouter/router.go
@@ -192,14 +192,14 @@
 		return
 	}
 	for range r.Workers {
-		r.goroutines.Go(r.work)
+		r.goroutines.Go(r.workLoop)
 	}
 	r.goroutines.Go(r.wakeLoop)
 	r.goroutines.Go(r.tickLoop)
 }
 
-// work handles scheduled shards until the router is closed.
-func (r *Router) work() {
+// workLoop handles scheduled shards until the router is closed.
+func (r *Router) workLoop() {
 	for {
 		select {
 		case <-r.done:
--- a/internal/cluster/shardrouter/sim_network_test.go
+++ b/internal/cluster/shardrouter/sim_network_test.go
@@ -18,26 +18,26 @@
 	return nil
 }
 
-// carry takes a frame over, message by message, so that each may be lost, late or doubled.
-func (s *sim) carry(from *node, to string, encoded []byte) {
+// transmit delivers the messages of a frame one by one, so that each may be lost, delayed or duplicated.
+func (s *sim) transmit(from *node, to string, encoded []byte) {
 	s.frames, s.bytes = s.frames+1, s.bytes+float64(len(encoded))
-	sent, err := parseFrame(encoded)
+	parsed, err := parseFrame(encoded)
 	if err != nil {
-		s.fail("a frame of %s: %v", from.name, err)
+		s.fail("invalid frame from %s: %v", from.name, err)
 		return
 	}
-	x := s.node(to)
-	if x == nil {
+	n := s.node(to)
+	if n == nil {
 		return
 	}
-	single := func(m []byte) []byte {
-		f := newFrame(sent.incarnation, sent.flags)
+	frameOf := func(m []byte) []byte {
+		f := newFrame(parsed.incarnation, parsed.flags)
 		if m != nil {
 			f = appendMessage(f, m)
 		}
 		return f
 	}
-	messages := sent.messages
+	messages := parsed.messages
 	if len(messages) == 0 {
 		messages = [][]byte{nil}
 	}
@@ -45,51 +45,52 @@
 		if raw != nil {
 			m, err := wire.Decode(s.cluster(), raw)
 			if err != nil {
-				s.fail("a message of %s: %v", from.name, err)
+				s.fail("invalid message from %s: %v", from.name, err)
 				continue
 			}
 			if g, ok := m.(shard.Grant); ok {
-				s.judge(from, g)
+				s.checkGrantLease(from, g)
 				if g.Kind == shard.Send {
-					s.released(g.ID)
+					s.recordFirstGrant(g.ID)
 				}
 				s.epochs[fmt.Sprint(g.ID, " ", g.Attempt)] = g.Epoch
 			}
 			if s.filter != nil {
 				var ok bool
-				if m, ok = s.filter(from, x, m); !ok {
+				if m, ok = s.filter(from, n, m); !ok {
 					continue
 				}
 				raw, _ = wire.Encode(s.cluster(), m)
 			}
-			if g, ok := m.(shard.Grant); ok && s.reckless && g.Kind == shard.Send {
-				s.at(s.now+0.001, func() { x.do(func() { x.send(g.ID, g.Worker) }) })
+			if g, ok := m.(shard.Grant); ok && s.skipGrantChecks && g.Kind == shard.Send {
+				s.schedule(s.now+0.001, func() { n.runOrDefer(func() { n.send(g.ID, g.Worker) }) })
 				continue
 			}
 		}
-		f := single(raw)
-		for times := 1 + b2i(s.rng.Float64() < s.repeat); times > 0; times-- {
-			if s.rng.Float64() < s.loss || from.cut || x.cut {
+		f := frameOf(raw)
+		for copies := 1 + boolToInt(s.rng.Float64() < s.repeat); copies > 0; copies-- {
+			if s.rng.Float64() < s.loss || from.isolated || n.isolated {
 				continue
 			}
-			arrive := func() { x.do(func() { x.r.Receive(from.name, slices.Clone(f)); x.work() }) }
-			s.at(s.now+s.delay*s.rng.Float64(), func() { from.do(arrive) }) // a stopped one has it in its buffers
+			receive := func() { n.runOrDefer(func() { n.r.Receive(from.name, slices.Clone(f)); n.runWorkers() }) }
+			s.schedule(s.now+s.delay*s.rng.Float64(), func() { from.runOrDefer(receive) }) // a paused sender keeps it in its buffers
 		}
 	}
 }
 
 func (s *sim) cluster() uint64 { return wire.ClusterDigest("c") }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// judge has a grant leave only an owner that is named under a lease, at this moment.
-func (s *sim) judge(from *node, g shard.Grant) {
-	if from.leased == nil || s.now >= from.until || from.leased.ShardOwners[g.Shard] != (config.ShardOwner{Name: from.name, Epoch: g.Epoch}) {
-		s.fail("%s grants for shard %d at epoch %d without a lease of it", from.name, g.Shard, g.Epoch)
+// checkGrantLease checks that the sender of a grant has a lease now, of a table that names it as the shard's owner at
+// the grant's epoch.
+func (s *sim) checkGrantLease(from *node, g shard.Grant) {
+	if from.leasedTable == nil || s.now >= from.leaseEnd || from.leasedTable.ShardOwners[g.Shard] != (config.ShardOwner{Name: from.name, Epoch: g.Epoch}) {
+		s.fail("%s granted for shard %d at epoch %d without a lease for it", from.name, g.Shard, g.Epoch)
 	}
 }
--- a/internal/cluster/shardrouter/sim_node_test.go
+++ b/internal/cluster/shardrouter/sim_node_test.go
@@ -9,24 +9,25 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
+// start starts a new incarnation of the instance.
 func (n *node) start() {
 	s := n.s
-	n.inc++
-	n.up, n.stopped, n.events, n.later, n.step = true, false, nil, nil, false
-	n.bare, n.leased, n.until = &config.Table{Strict: true}, nil, 0
-	n.bare.ShardOwners = make([]config.ShardOwner, len(s.table.ShardOwners))
+	n.incarnation++
+	n.up, n.paused, n.events, n.deferred, n.stepQueued = true, false, nil, nil, false
+	n.unleasedTable, n.leasedTable, n.leaseEnd = &config.Table{Strict: true}, nil, 0
+	n.unleasedTable.ShardOwners = make([]config.ShardOwner, len(s.table.ShardOwners))
 	bal, err := balance.New(s.cfg, uint64(n.name[0]))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	inc := n.inc
-	n.r = New(Options{Name: n.name, Incarnation: inc, Cluster: "c", Config: s.cfg, Now: func() float64 { return s.now }, Limits: shard.Limits{MaxJobs: 100_000},
-		Table: n.rules,
-		Wake:  func() { n.soon() },
-		Send:  func(to string, frame []byte) bool { s.carry(n, to, slices.Clone(frame)); return true },
+	incarnation := n.incarnation
+	n.r = New(Options{Name: n.name, Incarnation: incarnation, Cluster: "c", Config: s.cfg, Now: func() float64 { return s.now }, Limits: shard.Limits{MaxJobs: 100_000},
+		Table: n.currentTable,
+		Wake:  func() { n.scheduleStep() },
+		Send:  func(to string, frame []byte) bool { s.transmit(n, to, slices.Clone(frame)); return true },
 		Propose: func(list []shard.OwnerChange) {
-			if !n.cut {
-				s.wishes = append(s.wishes, list...)
+			if !n.isolated {
+				s.proposals = append(s.proposals, list...)
 			}
 		},
 		Log: func(format string, args ...any) {
@@ -35,98 +36,98 @@
 			}
 		}}, bal)
 	n.r.manual = true
-	n.post(s.roster())
-	var tick, ask func()
-	alive := func() bool { return n.up && n.inc == inc }
+	n.post(s.endpointUpdate())
+	var tick, renew func()
+	alive := func() bool { return n.up && n.incarnation == incarnation }
 	tick = func() {
 		if alive() {
-			n.do(func() { n.r.tick(); n.work() })
-			s.at(s.now+0.05, tick)
+			n.runOrDefer(func() { n.r.tick(); n.runWorkers() })
+			s.schedule(s.now+0.05, tick)
 		}
 	}
-	ask = func() {
+	renew = func() {
 		if alive() {
-			n.do(n.ask)
-			s.at(s.now+0.05, ask)
+			n.runOrDefer(n.renewLease)
+			s.schedule(s.now+0.05, renew)
 		}
 	}
-	s.at(s.now+s.rng.Float64()*0.05, tick)
-	ask()
+	s.schedule(s.now+s.rng.Float64()*0.05, tick)
+	renew()
 }
 
-// rules is what the instance may act on.
-func (n *node) rules() *config.Table {
-	if n.leased != nil && (n.s.now < n.until || n.s.immortal) {
-		return n.leased
+// currentTable returns the table that the instance may act on: the leased one until the lease ends.
+func (n *node) currentTable() *config.Table {
+	if n.leasedTable != nil && (n.s.now < n.leaseEnd || n.s.ignoreLeaseEnd) {
+		return n.leasedTable
 	}
-	return n.bare
+	return n.unleasedTable
 }
 
-// ask renews the lease, and takes the agreement's next step if nobody is in its way.
-func (n *node) ask() {
+// renewLease renews the lease and advances the agreement.
+func (n *node) renewLease() {
 	s := n.s
-	if n.cut {
+	if n.isolated {
 		return
 	}
 	t := s.table
-	if s.next != nil {
-		t = s.narrow
+	if s.nextTable != nil {
+		t = s.intersection
 	}
-	n.until = s.now + lease
-	if n.leased != t {
-		n.leased = t
-		n.bare = &config.Table{Strict: true, ShardOwners: make([]config.ShardOwner, len(t.ShardOwners))}
+	n.leaseEnd = s.now + leaseSeconds
+	if n.leasedTable != t {
+		n.leasedTable = t
+		n.unleasedTable = &config.Table{Strict: true, ShardOwners: make([]config.ShardOwner, len(t.ShardOwners))}
 		for i := range t.ShardOwners {
-			n.bare.ShardOwners[i].Epoch = t.ShardOwners[i].Epoch
+			n.unleasedTable.ShardOwners[i].Epoch = t.ShardOwners[i].Epoch
 		}
-		n.soon()
+		n.scheduleStep()
 	}
-	s.agree()
+	s.advanceAgreement()
 }
 
-// do has an instance do something, at once or when it goes on.
-func (n *node) do(f func()) {
-	if n.stopped {
-		n.later = append(n.later, f)
+// runOrDefer calls f immediately, or on resume if the instance is paused, or never if the instance is down.
+func (n *node) runOrDefer(f func()) {
+	if n.paused {
+		n.deferred = append(n.deferred, f)
 	} else if n.up {
 		f()
 	}
 }
 
-func (n *node) work() {
+func (n *node) runWorkers() {
 	for len(n.r.runQueue) > 0 {
 		n.r.runShard(<-n.r.runQueue)
 	}
 	select {
 	case <-n.r.wakeups:
-		n.soon()
+		n.scheduleStep()
 	default:
 	}
 }
 
 func (n *node) post(e ...balance.Event) {
 	n.events = append(n.events, e...)
-	n.soon()
+	n.scheduleStep()
 }
 
-func (n *node) soon() {
-	if n.step {
+func (n *node) scheduleStep() {
+	if n.stepQueued {
 		return
 	}
-	n.step = true
-	inc := n.inc
-	n.s.at(n.s.now+0.001, func() {
-		n.do(func() {
-			if n.inc == inc {
-				n.step = false
-				n.turn()
+	n.stepQueued = true
+	incarnation := n.incarnation
+	n.s.schedule(n.s.now+0.001, func() {
+		n.runOrDefer(func() {
+			if n.incarnation == incarnation {
+				n.stepQueued = false
+				n.runStep()
 			}
 		})
 	})
 }
 
-// turn is the loop's step.
-func (n *node) turn() {
+// runStep calls the router's Step as the dispatcher's loop does, and executes the actions.
+func (n *node) runStep() {
 	s, ev := n.s, n.events
 	n.events = nil
 	for _, a := range slices.Clone(n.r.Step(s.now, ev)) {
@@ -138,55 +139,55 @@
 		case balance.Fail:
 			n.answer(a.ID, false)
 		case balance.Cancel:
-			if j := s.jobs[a.ID]; j != nil && j.out > 0 {
-				n.ended(j, balance.Cancelled)
+			if j := s.jobs[a.ID]; j != nil && j.inFlight > 0 {
+				n.endAttempt(j, balance.Cancelled)
 			}
 		case balance.HealthCheck:
-			n.inTime(0.002, balance.HealthCheckDone{Worker: a.Worker, Outcome: balance.Served, Report: []float64{float64(s.workers[a.Worker].free)}})
+			n.postAfter(0.002, balance.HealthCheckDone{Worker: a.Worker, Outcome: balance.Served, Report: []float64{float64(s.workers[a.Worker].free)}})
 		case balance.SetTimer:
-			n.inTime(a.After, balance.TimerFired{})
+			n.postAfter(a.After, balance.TimerFired{})
 		}
 	}
-	n.work()
+	n.runWorkers()
 }
 
-func (n *node) inTime(after float64, e balance.Event) {
-	inc := n.inc
-	n.s.at(n.s.now+after, func() {
-		n.do(func() {
-			if n.inc == inc {
+func (n *node) postAfter(after float64, e balance.Event) {
+	incarnation := n.incarnation
+	n.s.schedule(n.s.now+after, func() {
+		n.runOrDefer(func() {
+			if n.incarnation == incarnation {
 				n.post(e)
 			}
 		})
 	})
 }
 
-// arrive is a client's request.
-func (n *node) arrive(class, tenant string, left float64) {
+// arrive simulates a client's request, with a timeout in seconds.
+func (n *node) arrive(class, tenant string, timeout float64) {
 	s := n.s
-	j := &simJob{id: fmt.Sprintf("j%05d", len(s.jobs)), class: class, tenant: tenant, at: s.now, end: s.now + left, node: n, incarnation: n.r.incarnation}
+	j := &simJob{id: fmt.Sprintf("j%05d", len(s.jobs)), class: class, tenant: tenant, arrivedAt: s.now, deadline: s.now + timeout, node: n, incarnation: n.r.incarnation}
 	s.jobs[j.id] = j
-	n.do(func() {
-		n.post(balance.JobArrived{ID: j.id, Class: class, Tenant: tenant, Timeout: j.end - s.now, Slots: 1})
+	n.runOrDefer(func() {
+		n.post(balance.JobArrived{ID: j.id, Class: class, Tenant: tenant, Timeout: j.deadline - s.now, Slots: 1})
 	})
-	s.at(j.end, func() {
+	s.schedule(j.deadline, func() {
 		if j.node.r.incarnation == j.incarnation {
-			n.do(func() { n.expire(j) })
+			n.runOrDefer(func() { n.expire(j) })
 		}
 	})
 }
 
-// expire is the loop's timer of a request; what the router leaves open then the loop's own guard answers.
+// expire is called at a job's deadline. If the router does not answer the job then, the loop does.
 func (n *node) expire(j *simJob) {
-	if j.answered || j.void {
+	if j.answered || j.abandoned {
 		return
 	}
-	if j.out > 0 {
-		n.ended(j, balance.TimedOut)
+	if j.inFlight > 0 {
+		n.endAttempt(j, balance.TimedOut)
 	}
-	n.turn()
+	n.runStep()
 	if !j.answered {
-		n.s.guarded++
+		n.s.fallbackAnswers++
 		n.answer(j.id, false)
 		n.post(balance.ClientDisconnected{ID: j.id})
 	}
@@ -195,13 +196,13 @@
 func (n *node) answer(id string, served bool) {
 	j := n.s.jobs[id]
 	if verbose {
-		n.s.t.Logf("%.3f %s answers %s, served %v; it has %d hops, %d out, its time ends %.3f", n.s.now, n.r.incarnation, id, served, j.hops, j.out, j.end)
+		n.s.t.Logf("%.3f %s answers job %s, served %v; %d attempts, %d in flight, deadline %.3f", n.s.now, n.r.incarnation, id, served, j.attempts, j.inFlight, j.deadline)
 	}
 	if j.answers++; j.answers > 1 {
-		n.s.fail("%s has two answers", id)
+		n.s.fail("job %s has two answers", id)
 	}
-	if j.answered = true; j.out > 0 {
-		n.ended(j, balance.Cancelled)
+	if j.answered = true; j.inFlight > 0 {
+		n.endAttempt(j, balance.Cancelled)
 	}
 }
 
@@ -209,77 +210,77 @@
 	s, j := n.s, n.s.jobs[id]
 	w := s.workers[name]
 	if j.answered {
-		s.fail("%s goes out after its answer", id)
+		s.fail("job %s was sent after its answer", id)
 	}
-	if e, sh := s.epochs[fmt.Sprint(id, " ", j.hops)], n.r.shardOf(j.tenant); n.r.localJobs[id] != nil && sh.origin.ownerName != n.name && e < sh.jobLog.Epoch() {
-		s.fail("%s goes out by a grant of epoch %d, while epoch %d is known", id, e, sh.jobLog.Epoch())
+	if e, sh := s.epochs[fmt.Sprint(id, " ", j.attempts)], n.r.shardOf(j.tenant); n.r.localJobs[id] != nil && sh.origin.ownerName != n.name && e < sh.jobLog.Epoch() {
+		s.fail("job %s was sent under a grant of epoch %d, while epoch %d is known", id, e, sh.jobLog.Epoch())
 	}
-	j.hops++
-	s.released(id)
-	if j.out++; j.out > 1 {
-		s.fail("%s has two attempts out", id)
+	j.attempts++
+	s.recordFirstGrant(id)
+	if j.inFlight++; j.inFlight > 1 {
+		s.fail("job %s has two attempts in flight", id)
 	}
 	if j.worker = name; w.free <= 0 {
 		w.free--
-		n.hop(j, 0.003, balance.Overloaded)
+		n.scheduleEnd(j, 0.003, balance.Overloaded)
 		return
 	}
 	w.free--
 	switch x := s.rng.Float64(); {
-	case s.flawless:
-		n.ran(j)
-		n.hop(j, 0.1, balance.Served)
+	case s.reliableWorkers:
+		n.recordRun(j)
+		n.scheduleEnd(j, 0.1, balance.Served)
 	case x < 0.01:
-		n.hop(j, 0.003, balance.Blocked)
+		n.scheduleEnd(j, 0.003, balance.Blocked)
 	case x < 0.02:
-		n.hop(j, 0.003, balance.Unreachable)
+		n.scheduleEnd(j, 0.003, balance.Unreachable)
 	case x < 0.06:
-		n.ran(j)
-		n.hop(j, 0.05, balance.ConnectionLost)
+		n.recordRun(j)
+		n.scheduleEnd(j, 0.05, balance.ConnectionLost)
 	default:
-		n.ran(j)
-		n.inTime(0.004, balance.AttemptStarted{ID: id, Attempt: j.hops - 1})
-		n.hop(j, 0.05+0.1*s.rng.Float64(), balance.Served)
+		n.recordRun(j)
+		n.postAfter(0.004, balance.AttemptStarted{ID: id, Attempt: j.attempts - 1})
+		n.scheduleEnd(j, 0.05+0.1*s.rng.Float64(), balance.Served)
 	}
 }
 
-// released books when a job was granted for the first time.
-func (s *sim) released(id string) {
-	if j := s.jobs[id]; j.granted == 0 {
-		j.granted = s.now
-		s.order = append(s.order, id)
+// recordFirstGrant records the time and the order of a job's first grant.
+func (s *sim) recordFirstGrant(id string) {
+	if j := s.jobs[id]; j.grantedAt == 0 {
+		j.grantedAt = s.now
+		s.grantOrder = append(s.grantOrder, id)
 	}
 }
 
-func (n *node) ran(j *simJob) {
-	if j.ran++; j.ran > 1 && j.class == "write" {
-		n.s.fail("%s, which is unsafe, ran twice", j.id)
+func (n *node) recordRun(j *simJob) {
+	if j.runs++; j.runs > 1 && j.class == "write" {
+		n.s.fail("job %s, which is not idempotent, ran twice", j.id)
 	}
 }
 
-func (n *node) hop(j *simJob, after float64, o balance.Outcome) {
-	s, hop, inc := n.s, j.hops, n.inc
-	s.at(s.now+after, func() {
-		free := func() {
-			if j.hops == hop && j.out > 0 {
-				n.ended(j, o)
+func (n *node) scheduleEnd(j *simJob, after float64, outcome balance.Outcome) {
+	s, attempt, incarnation := n.s, j.attempts, n.incarnation
+	s.schedule(s.now+after, func() {
+		end := func() {
+			if j.attempts == attempt && j.inFlight > 0 {
+				n.endAttempt(j, outcome)
 			}
 		}
-		if n.inc != inc || !n.up {
+		if n.incarnation != incarnation || !n.up {
 			s.workers[j.worker].free++
 			return
 		}
-		n.do(free)
+		n.runOrDefer(end)
 	})
 }
 
-// ended is the end of the attempt in flight.
-func (n *node) ended(j *simJob, o balance.Outcome) {
+// endAttempt ends the job's attempt in flight with an outcome.
+func (n *node) endAttempt(j *simJob, outcome balance.Outcome) {
 	s := n.s
-	j.out--
+	j.inFlight--
 	s.workers[j.worker].free++
-	e := balance.AttemptDone{ID: j.id, Attempt: j.hops - 1, Worker: j.worker, Outcome: o}
-	if o == balance.Served {
+	e := balance.AttemptDone{ID: j.id, Attempt: j.attempts - 1, Worker: j.worker, Outcome: outcome}
+	if outcome == balance.Served {
 		n.answer(j.id, true)
 		e.Report = []float64{float64(max(0, s.workers[j.worker].free))}
 	}
--- a/internal/cluster/shardrouter/sim_test.go
+++ b/internal/cluster/shardrouter/sim_test.go
@@ -16,38 +16,40 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// A cluster in one process on a clock of its own: routers with real Balancers, what a dispatcher's loop does around
-// them, workers with slots, a network that loses, delays, repeats and reorders, and leases as accord gives them.
+// A simulation of a cluster in one process, with its own clock: routers with real Balancers, a simplified dispatcher's
+// loop around each, workers with slots, a network that loses, delays, duplicates and reorders messages, and leases
+// like those of accord.
 
-const lease = 1.0
+const leaseSeconds = 1.0
 
+// sim is a simulated cluster. Times and durations are in seconds.
 type sim struct {
-	t        testing.TB
-	rng      *rand.Rand
-	now      float64
-	queue    events
-	seq      int
-	nodes    []*node
-	workers  map[string]*worker
-	jobs     map[string]*simJob
-	order    []string // ids as they were granted first
-	cfg      balance.Config
-	table    *config.Table
-	next     *config.Table
-	narrow   *config.Table
-	wishes   []shard.OwnerChange
-	loss     float64
-	repeat   float64
-	delay    float64 // most
-	guarded  int     // answers that the loop had to give
-	bad      []string
-	filter   func(from, to *node, m shard.Message) (shard.Message, bool) // what the network makes of a message; false: it is lost
-	immortal bool                                                        // instances go on as if their leases never ended
-	epochs   map[string]uint64                                           // of grants from elsewhere, by job and attempt
-	flawless bool                                                        // workers never fail
-	reckless bool                                                        // origins carry out whatever is granted
-	frames   float64                                                     // that instances gave the network, and their bytes
-	bytes    float64
+	t               testing.TB
+	rng             *rand.Rand
+	now             float64
+	queue           events
+	seq             int
+	nodes           []*node
+	workers         map[string]*worker
+	jobs            map[string]*simJob
+	grantOrder      []string // job ids in the order of their first grants
+	cfg             balance.Config
+	table           *config.Table
+	nextTable       *config.Table // the table being agreed on; nil: none
+	intersection    *config.Table // of table and nextTable, leased until nextTable is agreed on
+	proposals       []shard.OwnerChange
+	loss            float64 // probability that a message is lost
+	repeat          float64 // probability that a message is duplicated
+	delay           float64 // maximum delay of a message
+	fallbackAnswers int     // answers that the loop gave because the router had not answered by the deadline
+	failures        []string
+	filter          func(from, to *node, m shard.Message) (shard.Message, bool) // may replace a message; false: it is lost
+	ignoreLeaseEnd  bool                                                        // instances act as if their leases never ended
+	epochs          map[string]uint64                                           // epochs of transmitted grants, by job and attempt
+	reliableWorkers bool                                                        // attempts never fail
+	skipGrantChecks bool                                                        // origins execute every Send without checking the grant
+	frames          float64                                                     // number of frames that instances have sent
+	bytes           float64                                                     // bytes of these frames
 }
 
 type event struct {
@@ -66,7 +68,7 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-func (s *sim) at(at float64, f func()) {
+func (s *sim) schedule(at float64, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, f})
 }
@@ -75,56 +77,57 @@
 
 // simJob is a job as its client and the workers see it.
 type simJob struct {
-	id, class, tenant string
-	at, end           float64
-	node              *node
-	incarnation       string
-	ran, out, answers int
-	hops              int
-	worker            string
-	granted           float64 // first
-	answered, void    bool    // void: its origin died
+	id, class, tenant       string
+	arrivedAt, deadline     float64
+	node                    *node
+	incarnation             string
+	runs, inFlight, answers int
+	attempts                int
+	worker                  string
+	grantedAt               float64 // time of the first grant; 0: none
+	answered, abandoned     bool    // abandoned: its origin has crashed
 }
 
+// node is a simulated instance.
 type node struct {
-	s       *sim
-	name    string
-	inc     uint64
-	up      bool
-	stopped bool
-	cut     bool // from the agreement and from others
-	r       *Router
-	leased  *config.Table
-	until   float64
-	bare    *config.Table
-	events  []balance.Event
-	step    bool
-	later   []func() // what waits for a stopped one
+	s             *sim
+	name          string
+	incarnation   uint64
+	up            bool
+	paused        bool
+	isolated      bool // reaches neither the agreement nor other instances
+	r             *Router
+	leasedTable   *config.Table
+	leaseEnd      float64
+	unleasedTable *config.Table
+	events        []balance.Event
+	stepQueued    bool
+	deferred      []func() // run when a paused instance resumes
 }
 
-func newSim(t testing.TB, seed uint64, n, count int, cfg balance.Config) *sim {
+func newSim(t testing.TB, seed uint64, instances, shards int, cfg balance.Config) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 9)), now: 1000, workers: map[string]*worker{}, jobs: map[string]*simJob{}, epochs: map[string]uint64{}, cfg: cfg, delay: 0.002}
 	for i := range 8 {
 		s.workers[fmt.Sprint("w", i)] = &worker{4}
 	}
-	s.table = &config.Table{Version: 1, ShardOwners: make([]config.ShardOwner, count)}
-	for i := range n {
-		x := &node{s: s, name: string(rune('a' + i))}
-		s.nodes = append(s.nodes, x)
-		x.start()
+	s.table = &config.Table{Version: 1, ShardOwners: make([]config.ShardOwner, shards)}
+	for i := range instances {
+		n := &node{s: s, name: string(rune('a' + i))}
+		s.nodes = append(s.nodes, n)
+		n.start()
 	}
 	s.run(0.5)
-	for i := range count {
-		if n > 0 {
-			s.wishes = append(s.wishes, shard.OwnerChange{Shard: i, To: s.nodes[i%n].name})
+	for i := range shards {
+		if instances > 0 {
+			s.proposals = append(s.proposals, shard.OwnerChange{Shard: i, To: s.nodes[i%instances].name})
 		}
 	}
 	s.run(1.5)
 	return s
 }
 
-func (s *sim) run(d float64) {
-	end := s.now + d
+func (s *sim) run(duration float64) {
+	end := s.now + duration
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
@@ -134,14 +137,15 @@
 }
 
 func (s *sim) fail(format string, args ...any) {
-	if len(s.bad) < 10 {
-		s.bad = append(s.bad, fmt.Sprintf("%.3f: ", s.now)+fmt.Sprintf(format, args...))
+	if len(s.failures) < 10 {
+		s.failures = append(s.failures, fmt.Sprintf("%.3f: ", s.now)+fmt.Sprintf(format, args...))
 	}
 }
 
+// verbose makes simulations log what the routers and the loops do.
 var verbose = os.Getenv("SEATING_LOG") != ""
 
-func (s *sim) roster() balance.EndpointUpdate {
+func (s *sim) endpointUpdate() balance.EndpointUpdate {
 	u := balance.EndpointUpdate{Kind: balance.EndpointsCached}
 	for _, w := range slices.Sorted(maps.Keys(s.workers)) {
 		u.Workers = append(u.Workers, balance.WorkerInfo{ID: w, State: balance.Running})
@@ -149,14 +153,14 @@
 	return u
 }
 
-func (s *sim) agree() {
-	if s.next != nil {
+func (s *sim) advanceAgreement() {
+	if s.nextTable != nil {
 		for _, x := range s.nodes {
-			if x.leased != nil && s.now < x.until && (x.leased != s.narrow || x.r.loopTable.Load() != s.narrow) {
-				return // may act on the old one
+			if x.leasedTable != nil && s.now < x.leaseEnd && (x.leasedTable != s.intersection || x.r.loopTable.Load() != s.intersection) {
+				return // this instance may still act on the old table
 			}
 		}
-		s.table, s.next, s.narrow = s.next, nil, nil
+		s.table, s.nextTable, s.intersection = s.nextTable, nil, nil
 		return
 	}
 	m := make(shard.Map, len(s.table.ShardOwners))
@@ -164,10 +168,10 @@
 		m[i] = shard.Ownership{Name: x.Name, Epoch: x.Epoch}
 	}
 	changed := false
-	for _, c := range s.wishes {
+	for _, c := range s.proposals {
 		changed = m.Apply(c) || changed
 	}
-	s.wishes = nil
+	s.proposals = nil
 	if changed {
 		next := *s.table
 		next.Version++
@@ -175,42 +179,42 @@
 		for i, a := range m {
 			next.ShardOwners[i] = config.ShardOwner{Name: a.Name, Epoch: a.Epoch}
 		}
-		s.next, s.narrow = &next, config.Intersection(s.table, &next)
+		s.nextTable, s.intersection = &next, config.Intersection(s.table, &next)
 	}
 }
 
 func (n *node) crash() {
 	n.up = false
-	n.until = 0
+	n.leaseEnd = 0
 	for _, j := range n.s.jobs {
 		if j.node == n && j.incarnation == n.r.incarnation && !j.answered {
-			j.void = true // its client sees the connection end
+			j.abandoned = true // the client's connection breaks
 		}
 	}
 }
 
-func (n *node) stop() { n.stopped = true }
-func (n *node) goOn() {
-	n.stopped = false
-	list := n.later
-	n.later = nil
+func (n *node) pause() { n.paused = true }
+func (n *node) resume() {
+	n.paused = false
+	list := n.deferred
+	n.deferred = nil
 	for _, f := range list {
-		n.do(f)
+		n.runOrDefer(f)
 	}
 }
 
-// finishJob judges what is left when all has had time to end.
-func (s *sim) over() {
+// verify checks the final state, after all jobs have had time to end, and reports the failures of the simulation.
+func (s *sim) verify() {
 	s.t.Helper()
-	if s.judgeRest(); len(s.bad) > 0 {
-		s.t.Errorf("%s", strings.Join(s.bad, "\n"))
+	if s.checkFinalState(); len(s.failures) > 0 {
+		s.t.Errorf("%s", strings.Join(s.failures, "\n"))
 	}
 }
 
-func (s *sim) judgeRest() {
+func (s *sim) checkFinalState() {
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
-		if j := s.jobs[id]; j.answers != 1 && !j.void {
-			s.fail("%s of %s has %d answers", id, j.incarnation, j.answers)
+		if j := s.jobs[id]; j.answers != 1 && !j.abandoned {
+			s.fail("job %s of %s has %d answers, want 1", id, j.incarnation, j.answers)
 		}
 	}
 	for _, n := range s.nodes {
@@ -219,7 +223,7 @@
 		}
 		st := n.r.Status()
 		if st.LocalJobs > 0 || st.PendingGrants > 0 || len(n.r.localJobs) > 0 || st.UnresponsiveOwners > 0 {
-			s.fail("%s is left with %+v, %d own", n.r.incarnation, st, len(n.r.localJobs))
+			s.fail("%s still has open work: status %+v, %d local jobs", n.r.incarnation, st, len(n.r.localJobs))
 		}
 		if verbose {
 			s.t.Logf("%s %+v", n.r.incarnation, st)
@@ -227,10 +231,10 @@
 	}
 }
 
-// count adds up what routers have counted.
-func (s *sim) count(what string) (n uint64) {
+// counterTotal returns the sum of a counter over all routers.
+func (s *sim) counterTotal(name string) (n uint64) {
 	for _, x := range s.nodes {
-		n += x.r.Status().Counters[what]
+		n += x.r.Status().Counters[name]
 	}
 	return n
 }
@@ -245,9 +249,9 @@
 		Tenants: []balance.Tenant{{Name: "a", Quota: 20, Weight: 3}, {Name: "b", Quota: 40, Weight: 1}, {Name: "c", Weight: 1}}}
 }
 
-// load has jobs come at every instance for a time.
-func (s *sim) load(rate, d float64) {
-	end := s.now + d
+// generateLoad makes jobs arrive at random instances for duration seconds, on average rate per second.
+func (s *sim) generateLoad(rate, duration float64) {
+	end := s.now + duration
 	var next func()
 	next = func() {
 		if s.now >= end {
@@ -256,13 +260,13 @@
 		if n := s.nodes[s.rng.IntN(len(s.nodes))]; n.up {
 			n.arrive([]string{"read", "write"}[s.rng.IntN(2)], []string{"a", "b", "c"}[s.rng.IntN(3)], 4+4*s.rng.Float64())
 		}
-		s.at(s.now+s.rng.ExpFloat64()/rate, next)
+		s.schedule(s.now+s.rng.ExpFloat64()/rate, next)
 	}
 	next()
 }
 
-// The order of locks is checked in every test of the package.
+// TestMain runs all tests of the package with a check of the lock order.
 func TestMain(m *testing.M) {
-	watchLocks()
+	checkLockOrder()
 	os.Exit(m.Run())
 }
