--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -192,15 +192,22 @@
 // With a flipped byte anywhere in the file, it is either rejected or has its
 // complete content. It never causes a panic, nor a record that was not written.
 func TestFlippedBytesAreDetected(t *testing.T) {
-	testFlippedBytes(t, 3)
+	testFlippedBytes(t, 3, appendOneByOne)
 }
 
-func testFlippedBytes(t *testing.T, seed uint64) {
+// Several records share a commit here, as in production. Which records do depends on timing, so the file and its
+// damage differ from run to run. Open does not detect every flipped byte in the file's list of free pages, and later
+// commits can then overwrite records; see KNOWN-RED.txt.
+func TestFlippedBytesInGroupedCommitsAreDetected(t *testing.T) {
+	testFlippedBytes(t, 3, appendAndWait)
+}
+
+func testFlippedBytes(t *testing.T, seed uint64, appendRecords func(*Store, ...jobledger.Record) []error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	s, _ := open(t, path)
 	for n := range 40 {
-		appendOneByOne(s, jobRecords(fmt.Sprint("job", n))...)
+		appendRecords(s, jobRecords(fmt.Sprint("job", n))...)
 	}
 	s.Close()
 	original, err := os.ReadFile(path)
@@ -233,7 +240,7 @@
 		// commit fails, and nothing is written any more.
 		var failed error
 		for n := range 60 {
-			failed = errors.Join(append(appendOneByOne(s, jobRecords(fmt.Sprint("new", n))...), failed)...)
+			failed = errors.Join(append(appendRecords(s, jobRecords(fmt.Sprint("new", n))...), failed)...)
 		}
 		s.Close()
 		if failed != nil {
