--- a/internal/cluster/migration/amount.go
+++ b/internal/cluster/migration/amount.go
@@ -6,33 +6,34 @@
 )
 
 // Amount is capacity or a part of a reservation, in millionths of a slot-start
-// a second: whole numbers, so that sums are exact.
+// per second. It is an integer so that sums are exact.
 type Amount int64
 
-// SlotStart is one slot-start a second.
+// SlotStart is one slot-start per second.
 const SlotStart Amount = 1_000_000
 
-// Limits. Every sum of amounts that they allow fits an Amount.
+// These limits ensure that every sum of amounts fits in an Amount.
 const (
-	MaxAmount   Amount = 1 << 46 // 70 million slot-starts a second
-	MaxServices        = 4096    // of one cluster
-	MaxMoves           = 1 << 14 // that one cluster stores: the last of each service to or from each other cluster
-	MaxName            = 255     // bytes of a cluster's or a service's name
+	MaxAmount   Amount = 1 << 46 // 70 million slot-starts per second
+	MaxServices        = 4096    // in one cluster
+	MaxMoves           = 1 << 14 // stored by one cluster: the latest of each Key
+	MaxName            = 255     // length in bytes of a cluster's or a service's name
 )
 
 const millionths = 1_000_000
 
-// SlotStarts is an amount in slot-starts a second.
+// SlotStarts returns the amount in slot-starts per second.
 func (a Amount) SlotStarts() float64 { return float64(a) / float64(SlotStart) }
 
-// scale is a*part/total, rounded down, for 0 <= part <= total.
+// scale returns a*part/total, rounded down. It requires 0 <= part <= total and total > 0.
 func scale(a, part, total Amount) Amount {
 	high, low := bits.Mul64(uint64(a), uint64(part))
 	quotient, _ := bits.Div64(high, low, uint64(total))
 	return Amount(quotient)
 }
 
-// amountOf converts slot-starts a second to an Amount, rounded down.
+// amountOf converts slot-starts per second to an Amount, rounded down and limited to
+// the range from 0 to MaxAmount. NaN gives 0.
 func amountOf(slotStarts float64) Amount {
 	if math.IsNaN(slotStarts) || slotStarts <= 0 {
 		return 0
--- a/internal/cluster/migration/apply.go
+++ b/internal/cluster/migration/apply.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Apply is the state after a record. A record that is not allowed changes nothing
-// and is an error: *InsufficientCapacityError, *MoveRejectedError or
-// *StaleMoveError. A message without new content changes nothing and is no error.
+// Apply returns the state after a record. If the record is not allowed, Apply returns s
+// and an *InsufficientCapacityError, a *MoveRejectedError or a *StaleMoveError. A message
+// without new content changes nothing and is no error.
 func (s *State) Apply(r Record) (*State, error) {
 	switch r.Step {
 	case StepSetCapacity:
@@ -36,14 +36,14 @@
 	return &MoveRejectedError{Move: r.Move, Reason: fmt.Sprintf(format, args...)}
 }
 
-// applyToMove changes an open move, and the reservation that follows from it, in
-// copies that have not been returned yet.
+// applyToMove applies a record to an open move, and changes the reservation accordingly.
+// Both s and m must be copies that have not been returned yet.
 func (s *State) applyToMove(m *Move, r Record) error {
 	if m.End != Open {
-		return r.rejected("it has ended here, %s", m.End)
+		return r.rejected("the move has already ended on this side (%s)", m.End)
 	}
 	if m.Unacknowledged != "" && r.Step.issuesNumber() {
-		return r.rejected("number %d is out: the other cluster has not said that it took it", m.Number)
+		return r.rejected("number %d is not yet acknowledged by the other cluster", m.Number)
 	}
 	switch r.Step {
 	case StepShift:
@@ -63,7 +63,7 @@
 
 func (s *State) shift(m *Move, r Record) error {
 	if r.Amount <= 0 || r.Amount > m.Shiftable() {
-		return r.rejected("a step of %.6g slot-starts a second, where %.6g may go",
+		return r.rejected("a shift of %.6g slot-starts a second is not positive, or exceeds the allowed %.6g",
 			r.Amount.SlotStarts(), m.Shiftable().SlotStarts())
 	}
 	m.Number++
@@ -82,7 +82,7 @@
 		allowed = allowed && m.Request.Direction == Forward
 	}
 	if !allowed {
-		return r.rejected("it is not this side's to turn round now")
+		return r.rejected("this side may not pass the token now")
 	}
 	m.Number++
 	m.Unacknowledged = MessageTokenPass
@@ -92,7 +92,7 @@
 
 func (m *Move) setDirection(r Record) error {
 	if !m.Source || !r.Direction.valid() {
-		return r.rejected("%q is wanted by the rules of the cluster that it leaves", r.Direction)
+		return r.rejected("direction %q is invalid, or this cluster is not the source", r.Direction)
 	}
 	if m.Request.Direction != r.Direction {
 		m.Request.Number++
@@ -103,7 +103,7 @@
 
 func (m *Move) finish(r Record) error {
 	if !m.HasToken || m.Local != 0 && m.Local != m.Amount {
-		return r.rejected("%.6g of %.6g slot-starts a second are on this side",
+		return r.rejected("this side lacks the token, or has only a part: %.6g of %.6g slot-starts a second",
 			m.Local.SlotStarts(), m.Amount.SlotStarts())
 	}
 	m.End = Completed
@@ -112,7 +112,7 @@
 
 func (s *State) setCapacity(capacity Amount) (*State, error) {
 	if capacity < 0 || capacity > MaxAmount {
-		return s, &MoveRejectedError{Reason: fmt.Sprintf("a capacity of %d is none", capacity)}
+		return s, &MoveRejectedError{Reason: fmt.Sprintf("capacity %d is out of range", capacity)}
 	}
 	next := *s
 	next.Capacity = capacity
@@ -135,13 +135,13 @@
 	if !validName(r.Service) || outOfRange || tooMany {
 		return &MoveRejectedError{
 			Move:   Key{Service: r.Service},
-			Reason: "no service's name, too much, or too many services",
+			Reason: "invalid service name, amount out of range, or too many services",
 		}
 	}
 	if s.Unclaimed(r.Service)+r.Amount < 0 {
 		return &MoveRejectedError{
 			Move:   Key{From: s.Cluster, Service: r.Service},
-			Reason: "moves that are under way need the reservation: turn them round or let them end first",
+			Reason: "open moves need the reservation: reverse them or let them end first",
 		}
 	}
 	if r.Amount <= 0 {
@@ -179,11 +179,11 @@
 	unclaimed := s.Unclaimed(key.Service)
 	switch {
 	case replaces && !s.Moves[i].Closed:
-		return r.rejected("the last move of this service there has not ended on both sides")
+		return r.rejected("the previous move of this service to that cluster has not ended on both sides")
 	case key.From != s.Cluster || key.To == s.Cluster || !validName(key.To) || !validName(key.Service):
-		return r.rejected("it does not lead from this cluster to another")
+		return r.rejected("it is not from this cluster to another, or a name is invalid")
 	case r.Amount <= 0 || r.Amount > unclaimed:
-		return r.rejected("%.6g slot-starts a second of the service stand here and are in no other move",
+		return r.rejected("the amount is not positive, or exceeds the %.6g slot-starts a second in no other move",
 			unclaimed.SlotStarts())
 	case !replaces && len(s.Moves) >= MaxMoves:
 		return tooManyMovesError(key)
@@ -194,6 +194,6 @@
 func tooManyMovesError(key Key) error {
 	return &MoveRejectedError{
 		Move:   key,
-		Reason: fmt.Sprintf("this cluster remembers %d moves and no more", MaxMoves),
+		Reason: fmt.Sprintf("this cluster already stores the maximum of %d moves", MaxMoves),
 	}
 }
--- a/internal/cluster/migration/audit.go
+++ b/internal/cluster/migration/audit.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Violation is an invariant that did not hold.
+// Violation reports an invariant that did not hold.
 type Violation struct {
-	At      float64 // seconds, on the journals' clock; 0 from CheckInvariants
-	Service string  // empty: a whole ledger
+	At      float64 // seconds, on the journals' clock; 0 if returned by CheckInvariants
+	Service string  // empty: the violation is of a ledger, not of one service
 	Cluster string  // empty: all clusters together
 	Problem string
-	By      Amount // how far off; 0 where it is not an amount
+	By      Amount // size of the deviation; 0 if it can't be given as an amount
 }
 
 func (v Violation) String() string {
@@ -20,23 +20,24 @@
 		v.At, v.Service, v.Cluster, v.Problem, v.By.SlotStarts())
 }
 
-// Entry is a record and when its cluster agreed on it.
+// Entry is a record and the time at which its cluster agreed on it.
 type Entry struct {
 	AtSeconds float64
 	Record
 }
 
-// Journal is what one cluster agreed on, in its order.
+// Journal holds the records that one cluster agreed on, in the order of agreement.
 type Journal struct {
 	Cluster string
 	Entries []Entry
 }
 
-// MaxViolations is how many an Audit returns; it stops there.
+// MaxViolations is the number of violations at which Audit stops. The result may exceed it by the
+// violations of the last record.
 const MaxViolations = 1000
 
-// Audit replays the journals of all clusters on one clock, and returns what did
-// not hold after any record, in the order of time. The expected amount of a
+// Audit replays the journals of all clusters on one clock and checks the invariants after
+// each record. It returns the violations in the order of time. The expected amount of a
 // service is the sum of its StepReserve records.
 func Audit(journals ...Journal) (violations []Violation) {
 	a := newAuditor(journals)
@@ -50,7 +51,7 @@
 	return violations
 }
 
-// auditor replays journals.
+// auditor replays journals and keeps the state of each cluster.
 type auditor struct {
 	journals []Journal
 	states   []*State
@@ -71,7 +72,8 @@
 	return a
 }
 
-// earliest is the journal whose next entry is the first in time; -1: all are replayed.
+// earliest returns the index of the journal whose next entry is the earliest, or -1 if all
+// entries are replayed.
 func (a *auditor) earliest() int {
 	best := -1
 	for i, j := range a.journals {
@@ -87,7 +89,7 @@
 
 func (a *auditor) nextEntry(i int) Entry { return a.journals[i].Entries[a.position[i]] }
 
-// replayNext applies the next entry of a journal and checks what follows.
+// replayNext applies the next entry of journal i and checks the resulting states.
 func (a *auditor) replayNext(i int) (violations []Violation) {
 	entry := a.nextEntry(i)
 	a.position[i]++
@@ -97,7 +99,7 @@
 	if err != nil {
 		violations = append(violations, Violation{
 			Cluster: before.Cluster,
-			Problem: "took an illegal step: " + err.Error(),
+			Problem: "applied a record that is not allowed: " + err.Error(),
 		})
 	} else if entry.Step == StepReserve {
 		a.expected[entry.Service] += entry.Amount
@@ -112,8 +114,9 @@
 	return violations
 }
 
-// overCommitted finds a ledger that promises more than before and more than its
-// capacity. One whose capacity fell below its promises is no violation: it scales them.
+// overCommitted returns a violation if a ledger promises more than before and more than
+// its capacity. A ledger whose capacity fell below its promises is no violation, as it
+// scales them.
 func overCommitted(before, after *State) *Violation {
 	ledger := after.Ledger()
 	excess := -ledger.Free()
@@ -127,9 +130,10 @@
 	}
 }
 
-// CheckInvariants returns what does not hold between the states of all clusters
-// at one moment: of each service exactly the expected amount is usable or in
-// transit, never more is usable, and what a side relies on is escrowed by the other.
+// CheckInvariants returns the invariants that are violated by the states of all clusters
+// at one moment. For each service exactly the expected amount must be usable or in
+// transit, and no more than that may be usable. Each side of a move must hold the escrow
+// that the other side relies on.
 func CheckInvariants(expected map[string]Amount, states ...*State) (violations []Violation) {
 	c := newInvariantCheck(states)
 	for _, s := range states {
@@ -141,7 +145,7 @@
 	return c.violations
 }
 
-// invariantCheck sums over clusters by service.
+// invariantCheck sums up the amounts of all clusters by service, and collects violations.
 type invariantCheck struct {
 	byName     map[string]*State
 	usable     map[string]Amount
@@ -175,7 +179,7 @@
 	}
 }
 
-// checkMove compares one side of a move with the other, where that is known.
+// checkMove compares one side of a move with the other, if the other cluster's state is given.
 func (c *invariantCheck) checkMove(cluster string, m *Move) {
 	other := m.ID.To
 	if !m.Source {
@@ -196,7 +200,7 @@
 	}
 }
 
-// checkTotal compares what all clusters have of a service with the expected amount.
+// checkTotal compares a service's amounts in all clusters together with the expected amount.
 func (c *invariantCheck) checkTotal(service string, expected Amount) {
 	usable := c.usable[service]
 	total := usable + c.inTransit[service]
@@ -211,17 +215,18 @@
 	}
 }
 
-// missingEscrow is why a side that continues a move can't rely on the other's
-// escrow; empty where it can. The other side may have ended by an operator's
-// command, or with complete knowledge: the token, and nothing unacknowledged.
+// missingEscrow returns why a side that continues a move can't rely on the other side's
+// escrow, or "" if it can. The other side may have ended the move by an operator's
+// command, or with complete knowledge, which means that it had the token and nothing
+// unacknowledged.
 func missingEscrow(m, peer *Move) string {
 	switch {
 	case m.End != Open || m.Source && !m.DestinationReady:
 		return ""
 	case peer == nil && m.Source:
-		return "shifts to a cluster that holds nothing"
+		return "shifts to a cluster that holds no capacity for the move"
 	case peer == nil:
-		return "holds for a move that its source does not know"
+		return "holds capacity for a move that its source does not know"
 	case peer.Amount != m.Amount:
 		return "and the other side move different amounts"
 	case peer.End == Open || peer.End == ForceReleased:
@@ -229,5 +234,5 @@
 	case peer.End == Completed && peer.HasToken && peer.Unacknowledged == "":
 		return ""
 	}
-	return "goes on with a move that the other side ended by a guess"
+	return "continues a move that the other side ended without complete knowledge"
 }
--- a/internal/cluster/migration/capacity.go
+++ b/internal/cluster/migration/capacity.go
@@ -1,22 +1,23 @@
 package migration
 
-// Worker is one of a cluster's workers, as far as capacity is concerned.
+// Worker holds the properties of a cluster's worker that determine its capacity.
 type Worker struct {
 	Slots       float64
-	Rate        float64 // starts a second of one slot, after slow start
-	Started     float64 // clock time of its last start, in seconds; 0: long ago
-	Unavailable bool    // draining, gone, or cordoned by operators
+	Rate        float64 // starts per second of one slot, after slow start
+	Started     float64 // clock time of its last start, in seconds; 0: before any slow start in progress
+	Unavailable bool    // draining, removed, or cordoned by operators
 }
 
-// SlowStart is the capacity that a worker has after its start, with the
-// settings of balance.Config.
+// SlowStart describes the capacity of a worker after its start. The settings have
+// the meaning that they have in balance.Config.
 type SlowStart struct {
-	SlowStartFloor   float64 // part of its capacity at the start
-	SlowStartSeconds float64 // until it has all of it; 0: at once
-	OverloadMultiple float64 // load above this multiple of its capacity makes it fail; 0: none does
+	SlowStartFloor   float64 // fraction of its full capacity at the start
+	SlowStartSeconds float64 // time until full capacity; 0: full capacity at the start
+	OverloadMultiple float64 // load above this multiple of its capacity makes it fail; 0: no load does
 }
 
-// Fraction is the part of its capacity that a worker has at an age in seconds.
+// Fraction returns the fraction of its full capacity, 0 to 1, that a worker has at an
+// age in seconds since its start.
 func (s SlowStart) Fraction(age float64) float64 {
 	if s.SlowStartSeconds <= 0 || age >= s.SlowStartSeconds {
 		return 1
@@ -24,8 +25,9 @@
 	return min(1, s.SlowStartFloor+(1-s.SlowStartFloor)*max(age, 0)/s.SlowStartSeconds)
 }
 
-// Capacity is the capacity of workers at a time: all slots, without those of
-// unavailable workers, and reduced for workers in slow start.
+// Capacity returns the total capacity of the workers at the clock time now, in seconds,
+// at most MaxAmount. Unavailable workers and those without a positive number of slots
+// and rate are left out; workers in slow start count in part.
 func Capacity(workers []Worker, slowStart SlowStart, now float64) (sum Amount) {
 	for _, w := range workers {
 		if w.Unavailable || !(w.Slots > 0) || !(w.Rate > 0) {
--- a/internal/cluster/migration/capacity_test.go
+++ b/internal/cluster/migration/capacity_test.go
@@ -9,7 +9,7 @@
 // none, and lets shifts that were promised continue.
 func TestServedFraction(t *testing.T) {
 	b := applyAll(t, New("b"), Record{Step: StepSetCapacity, Amount: 100}, Record{Step: StepReserve, Service: "t", Amount: 40})
-	offer := Message{Type: MessageOffer, ID: ID{key, 1}, Source: true, Amount: 60, Request: DirectionRequest{1, Forward}}
+	offer := Message{Type: MessageOffer, ID: ID{testKey, 1}, Source: true, Amount: 60, Request: DirectionRequest{1, Forward}}
 	b = applyAll(t, b, Record{Step: StepReceive, Message: offer}, Record{Step: StepSetCapacity, Amount: 50})
 	shift := offer
 	shift.Type, shift.Number, shift.Amount = MessageShift, 1, 30
--- a/internal/cluster/migration/coordinator/bench_test.go
+++ b/internal/cluster/migration/coordinator/bench_test.go
@@ -25,7 +25,7 @@
 		}
 		s.Moves = append(s.Moves, m)
 	}
-	t := file(services, 100000, 100000, config.Placement{Cluster: "west"})
+	t := newTable(services, 100000, 100000, config.Placement{Cluster: "west"})
 	t.CapacityLedger = wire.MarshalState(s)
 	for name := range services {
 		t.LedgerEntries = append(t.LedgerEntries, config.LedgerEntry{Service: name, Usable: 8, Issued: 8})
--- a/internal/cluster/migration/coordinator/coordinator_test.go
+++ b/internal/cluster/migration/coordinator/coordinator_test.go
@@ -10,13 +10,13 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// side is a cluster whose versions are in force as soon as they are proposed.
-type side struct {
+// cluster is a cluster whose versions are in force as soon as they are proposed.
+type cluster struct {
 	*Coordinator
 	table *config.Table
 }
 
-func file(service map[string]float64, east, west float64, place config.Placement) *config.Table {
+func newTable(service map[string]float64, east, west float64, place config.Placement) *config.Table {
 	t := &config.Table{Clusters: []config.Cluster{{Name: "east", Capacity: east}, {Name: "west", Capacity: west}}}
 	for name, m := range service {
 		p := place
@@ -27,19 +27,19 @@
 	return t.Sorted()
 }
 
-// world is two clusters that exchange messages unless the link is down.
-type world struct {
+// clusterPair is two clusters that exchange messages unless the link is down.
+type clusterPair struct {
 	t    *testing.T
 	now  float64
-	side map[string]*side
+	side map[string]*cluster
 	down bool
 }
 
-func newWorld(t *testing.T, east, west *config.Table) *world {
-	w := &world{t: t, now: 1000, side: map[string]*side{}}
+func newClusterPair(t *testing.T, east, west *config.Table) *clusterPair {
+	w := &clusterPair{t: t, now: 1000, side: map[string]*cluster{}}
 	for self, table := range map[string]*config.Table{"east": east, "west": west} {
 		peer := map[string]string{"east": "west", "west": "east"}[self]
-		w.side[self] = &side{New(Options{Self: self, Peers: []string{peer}, Pacer: migration.Pacer{SlowStart: migration.SlowStart{SlowStartFloor: 0.1, SlowStartSeconds: 20}}, SettledSeconds: 2}), nil}
+		w.side[self] = &cluster{New(Options{Self: self, Peers: []string{peer}, Pacer: migration.Pacer{SlowStart: migration.SlowStart{SlowStartFloor: 0.1, SlowStartSeconds: 20}}, SettledSeconds: 2}), nil}
 		w.side[self].SetLeader(true)
 		w.put(self, table)
 	}
@@ -47,7 +47,7 @@
 }
 
 // put sets the table in force, which must be a valid successor.
-func (w *world) put(self string, t *config.Table) {
+func (w *clusterPair) put(self string, t *config.Table) {
 	w.t.Helper()
 	s, next := w.side[self], *t
 	if s.table != nil {
@@ -63,14 +63,14 @@
 }
 
 // file applies an operator's file, which keeps the ledger.
-func (w *world) file(self string, t *config.Table) {
+func (w *clusterPair) file(self string, t *config.Table) {
 	next := *t
 	next.CapacityLedger, next.LedgerEntries = w.side[self].table.CapacityLedger, w.side[self].table.LedgerEntries
 	w.put(self, &next)
 }
 
 // run advances the clock and checks both ledgers after each step.
-func (w *world) run(seconds float64) {
+func (w *clusterPair) run(seconds float64) {
 	w.t.Helper()
 	for end := w.now + seconds; w.now < end; w.now += 0.1 {
 		for _, self := range []string{"east", "west"} {
@@ -94,26 +94,26 @@
 	}
 }
 
-func (w *world) expect(what string, east, west float64) {
+func (w *clusterPair) expect(what string, east, west float64) {
 	w.t.Helper()
 	if e, x := w.side["east"].table.UsableReservations()["a"], w.side["west"].table.UsableReservations()["a"]; e != east || x != west {
 		w.t.Fatalf("%s: %v usable in the east and %v in the west, want %v and %v: %+v", what, e, x, east, west, StatusOf(w.side["east"].options, w.side["east"].table))
 	}
 }
 
-func one(m float64, in string) *config.Table {
-	return file(map[string]float64{"a": m}, 40, 40, config.Placement{Cluster: in})
+func tableWithServiceA(m float64, in string) *config.Table {
+	return newTable(map[string]float64{"a": m}, 40, 40, config.Placement{Cluster: in})
 }
 
 // Nothing is escrowed where the config doesn't place it; once both sides' config does it migrates, within slow start.
 func TestMoves(t *testing.T) {
-	w := newWorld(t, one(32, "east"), one(32, "east"))
+	w := newClusterPair(t, tableWithServiceA(32, "east"), tableWithServiceA(32, "east"))
 	w.run(5)
 	w.expect("entered at its origin alone", 32, 0)
-	w.file("east", one(32, "west"))
+	w.file("east", tableWithServiceA(32, "west"))
 	w.run(5)
 	w.expect("the west's rules still have it in the east", 32, 0)
-	w.file("west", one(32, "west"))
+	w.file("west", tableWithServiceA(32, "west"))
 	w.run(10)
 	if x := w.side["west"].table.UsableReservations()["a"]; x < 3 || x > 32*0.6 {
 		t.Errorf("%v usable after 10 s, where workers warm up in 20", x)
@@ -126,33 +126,33 @@
 	w.run(40)
 	w.expect("over", 0, 32)
 	// Raised, then lowered where it was entered.
-	w.file("east", one(40, "west"))
-	w.file("west", one(40, "west"))
+	w.file("east", tableWithServiceA(40, "west"))
+	w.file("west", tableWithServiceA(40, "west"))
 	w.run(60)
 	w.expect("what was added follows", 0, 40)
-	w.file("east", one(10, "west"))
+	w.file("east", tableWithServiceA(10, "west"))
 	w.run(5)
 	w.expect("what is elsewhere can't be taken off", 0, 40)
 	if x := strings.Join(StatusOf(w.side["east"].options, w.side["east"].table).Faults, "; "); !strings.Contains(x, "its reservation is 10 and 40 is entered here") {
 		t.Errorf("trouble: %s", x)
 	}
-	w.file("east", one(10, "east"))
-	w.file("west", one(10, "east"))
+	w.file("east", tableWithServiceA(10, "east"))
+	w.file("west", tableWithServiceA(10, "east"))
 	w.run(60)
 	w.expect("home and lowered", 10, 0)
 }
 
 // A cluster without capacity for all gets pieces; one whose capacity falls serves all in proportion.
 func TestInsufficientCapacity(t *testing.T) {
-	w := newWorld(t, one(32, "west"), one(32, "west"))
+	w := newClusterPair(t, tableWithServiceA(32, "west"), tableWithServiceA(32, "west"))
 	other := 20.0
-	t2 := one(32, "west")
+	t2 := tableWithServiceA(32, "west")
 	t2.Tenants = append(t2.Tenants, config.Tenant{Name: "b", Reservation: &other})
 	t2.Placements = append(t2.Placements, config.Placement{Service: "b", Origin: "west"})
 	w.file("west", t2)
 	w.run(110)
 	w.expect("as much as there is room for", 12, 20)
-	if m := w.side["east"].inForce.state.Moves[0]; m.End != migration.Rejected || !strings.Contains(m.Err().Error(), "lacks room for 12") {
+	if m := w.side["east"].inForce.state.Moves[0]; m.End != migration.Rejected || !strings.Contains(m.Err().Error(), "lacks capacity for 12") {
 		t.Errorf("%+v: %v", m, m.Err())
 	}
 	next := *w.side["west"].table
@@ -170,12 +170,12 @@
 }
 
 // A forced release frees what is escrowed here; nothing is offered while it is set.
-func TestRelease(t *testing.T) {
-	w := newWorld(t, one(32, "west"), one(32, "west"))
+func TestForceRelease(t *testing.T) {
+	w := newClusterPair(t, tableWithServiceA(32, "west"), tableWithServiceA(32, "west"))
 	w.run(8)
 	w.down = true
 	w.run(2)
-	released := one(32, "west")
+	released := tableWithServiceA(32, "west")
 	released.Placements[0].ForceRelease = true
 	w.file("west", released)
 	w.run(1)
@@ -193,7 +193,7 @@
 
 // An operator's proposal comes first; messages of unknown clusters and invalid ledgers change nothing.
 func TestRejectsForeignInput(t *testing.T) {
-	w := newWorld(t, one(32, "east"), one(32, "east"))
+	w := newClusterPair(t, tableWithServiceA(32, "east"), tableWithServiceA(32, "east"))
 	east := w.side["east"]
 	east.Backoff(w.now)
 	if east.Next(w.now+1) != nil || east.Next(w.now+backoffSeconds) == nil {
--- a/internal/cluster/migration/errors.go
+++ b/internal/cluster/migration/errors.go
@@ -11,13 +11,13 @@
 }
 
 func (e *InsufficientCapacityError) Error() string {
-	return fmt.Sprintf("cluster %q lacks room for %.6g slot-starts a second: "+
+	return fmt.Sprintf("cluster %q lacks capacity for %.6g slot-starts a second: "+
 		"lower or move a reservation there, or start workers (%s, Mend)",
 		e.Cluster, e.Missing.SlotStarts(), operatorsPage)
 }
 
-// MoveRejectedError reports that a step of a move is not allowed, and why. Cause
-// is a *InsufficientCapacityError where capacity is missing.
+// MoveRejectedError reports that a record or a planned move is not allowed, and why.
+// If capacity is missing, Cause is an *InsufficientCapacityError and Reason is empty.
 type MoveRejectedError struct {
 	Move   Key
 	Reason string
@@ -25,24 +25,25 @@
 }
 
 func (e *MoveRejectedError) Error() string {
-	text := e.Move.String() + " refused: "
+	text := e.Move.String() + " rejected: "
 	if e.Cause != nil {
 		return text + e.Cause.Error()
 	}
 	return fmt.Sprintf("%s%s (%s, Mend)", text, e.Reason, operatorsPage)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause, or nil if there is none.
 func (e *MoveRejectedError) Unwrap() error { return e.Cause }
 
-// StaleMoveError reports a message of another move than the one that is stored
-// here. The message has changed nothing.
+// StaleMoveError reports a message or a record for a move other than the stored one.
+// The state is unchanged.
 type StaleMoveError struct {
 	Move     ID
-	KnownSeq uint64 // of the move that is stored; 0: none
+	KnownSeq uint64 // Seq of the stored move; 0 if none is stored
 }
 
 func (e *StaleMoveError) Error() string {
-	return fmt.Sprintf("a word of the %s, where number %d is known: nothing is to be done unless it goes on; "+
-		"then compare both clusters' records (%s, Mend)", e.Move, e.KnownSeq, operatorsPage)
+	return fmt.Sprintf("the %s does not match number %d, which is stored here: "+
+		"nothing is to be done unless this persists; then compare both clusters' records (%s, Mend)",
+		e.Move, e.KnownSeq, operatorsPage)
 }
--- a/internal/cluster/migration/ledger.go
+++ b/internal/cluster/migration/ledger.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// Account is what a ledger holds for one service.
+// Account is a ledger's entry for one service.
 type Account struct {
 	Service   string
-	Reserved  Amount // usable here
-	Escrowed  Amount // held for what may arrive, or come back; not usable
-	InTransit Amount // debited here and not known to be credited elsewhere
+	Reserved  Amount // usable at this cluster
+	Escrowed  Amount // kept free for amounts that may arrive or return; not usable
+	InTransit Amount // debited at this cluster and not yet known to be credited at another
 }
 
-// Total is all that is promised by the account.
+// Total returns the whole amount that the account promises.
 func (a Account) Total() Amount { return a.Reserved + a.Escrowed + a.InTransit }
 
-// CapacityLedger is a cluster's capacity and what of it is promised.
+// CapacityLedger is a cluster's capacity and the amounts promised from it.
 type CapacityLedger struct {
 	Cluster  string
 	Capacity Amount
 	Accounts []Account // sorted by service, without duplicates
 }
 
-// Account is a service's account; zero where there is none.
+// Account returns a service's account, or one with zero amounts if the ledger has none.
 func (l *CapacityLedger) Account(service string) Account {
 	i, ok := slices.BinarySearchFunc(l.Accounts, service, compareAccount)
 	if !ok {
@@ -34,7 +34,7 @@
 
 func compareAccount(a Account, service string) int { return strings.Compare(a.Service, service) }
 
-// Promised is the sum of all accounts.
+// Promised returns the sum of the totals of all accounts.
 func (l *CapacityLedger) Promised() (sum Amount) {
 	for _, a := range l.Accounts {
 		sum += a.Total()
@@ -42,13 +42,13 @@
 	return sum
 }
 
-// Free is what can still be promised; negative where capacity has fallen below
-// what is promised.
+// Free returns the amount that can still be promised. It is negative if the capacity
+// has fallen below the promised amount.
 func (l *CapacityLedger) Free() Amount { return l.Capacity - l.Promised() }
 
-// ServedFraction is the part of every promise that the capacity covers, as a
-// fraction of two amounts, and 1/1 while it covers all. Accounts stay unchanged;
-// all of them are served in this proportion until there is capacity again.
+// ServedFraction returns the fraction served/promised of every promise that the
+// capacity covers, or 1/1 if it covers all of them. While the capacity is insufficient
+// the accounts stay unchanged, and all of them are served in this proportion.
 func (l *CapacityLedger) ServedFraction() (served, promised Amount) {
 	if sum := l.Promised(); sum > l.Capacity {
 		return max(l.Capacity, 0), sum
@@ -56,14 +56,15 @@
 	return 1, 1
 }
 
-// Usable is what a service may use here now: its reservation, scaled to the
-// served fraction. The sum over all accounts never exceeds the capacity.
+// Usable returns the amount that a service may use at this cluster now, which is its
+// reservation scaled by the served fraction. The sum over all accounts never exceeds
+// the capacity.
 func (l *CapacityLedger) Usable(service string) Amount {
 	served, promised := l.ServedFraction()
 	return scale(l.Account(service).Reserved, served, promised)
 }
 
-// UsableReservations is what every service may use here now, in the order of accounts.
+// UsableReservations returns what Usable returns for each service, in the order of Accounts.
 func (l *CapacityLedger) UsableReservations() []Reservation {
 	served, promised := l.ServedFraction()
 	list := make([]Reservation, len(l.Accounts))
@@ -76,7 +77,7 @@
 	return list
 }
 
-// ServedPPM is the served fraction in millionths, rounded down.
+// ServedPPM returns the served fraction in millionths, rounded down.
 func (l *CapacityLedger) ServedPPM() uint32 {
 	served, promised := l.ServedFraction()
 	return uint32(scale(millionths, served, promised))
--- a/internal/cluster/migration/message.go
+++ b/internal/cluster/migration/message.go
@@ -3,39 +3,40 @@
 // MessageType is the type of a message between clusters. The values are those on the wire.
 type MessageType string
 
-// The message types. Each also acknowledges the last number that its sender has taken.
+// The message types. Each message also acknowledges the last number that its sender has applied.
 const (
-	MessageOffer     MessageType = "offer"  // the source requests capacity for Amount
-	MessageHold      MessageType = "hold"   // the destination holds capacity for all of it
-	MessageReject    MessageType = "refuse" // the destination lacks Amount of capacity
-	MessageShift     MessageType = "shift"  // Number debits Amount here; the receiver credits it
-	MessageAck       MessageType = "credit" // all up to Number is taken
-	MessageTokenPass MessageType = "turn"   // Number passes the token
-	MessageSettled   MessageType = "settle" // the source: all of it is at the destination
-	MessageDone      MessageType = "done"   // the sender has ended: it will take and send no later number
+	MessageOffer     MessageType = "offer"  // the source asks the destination to hold capacity for Amount
+	MessageHold      MessageType = "hold"   // the destination holds capacity for the move's whole amount
+	MessageReject    MessageType = "refuse" // the destination rejects the offer, as it lacks Amount of capacity
+	MessageShift     MessageType = "shift"  // the sender has debited Amount as step Number; the receiver credits it
+	MessageAck       MessageType = "credit" // the sender has applied all numbers up to Number
+	MessageTokenPass MessageType = "turn"   // step Number passes the token to the receiver
+	MessageSettled   MessageType = "settle" // from the source: the whole amount is at the destination
+	MessageDone      MessageType = "done"   // the sender has ended the move: it applies and issues no later number
 )
 
-// Advice is what a sender observes. It is no part of any state: only the [Pacer] reads it.
+// Advice holds observations of a message's sender. They do not become part of a state;
+// only the [Pacer] reads them.
 type Advice struct {
-	CapacityStep   Amount // the next shift that the sender's workers can take; see [Pacer.CapacityStep]
-	Jobs           uint64 // of the service that ended there since it last took a number
-	PriorityWeight uint64 // that they earned, in thousandths of a job that is answered in time
-	ServedPPM      uint32 // part of every promise that the sender's capacity covers, in millionths
+	CapacityStep   Amount // largest next shift that the sender can take; see [Pacer.CapacityStep]
+	Jobs           uint64 // jobs of the service that ended at the sender since it last applied a number
+	PriorityWeight uint64 // earned by these jobs, in thousandths of a job that is answered in time
+	ServedPPM      uint32 // served fraction of the sender's ledger, in millionths
 }
 
-// Message is what one side of a move sends to the other.
+// Message is sent by one side of a move to the other.
 type Message struct {
 	Type    MessageType
 	ID      ID
-	Source  bool // the sender is the source
+	Source  bool // the sender is the move's source
 	Number  uint64
 	Amount  Amount
-	Request DirectionRequest // the source's
+	Request DirectionRequest // the source's latest, as known to the sender
 	Advice  Advice
 }
 
-// Outbox is the messages to send, and to send again for as long as they are
-// here. Only the outbox of a state that is in force may be sent.
+// Outbox returns the messages to send. Each is to be resent for as long as Outbox
+// returns it. Only the outbox of a state that is in force may be sent.
 func (s *State) Outbox() (messages []Message) {
 	for i := range s.Moves {
 		m := &s.Moves[i]
@@ -46,9 +47,9 @@
 	return messages
 }
 
-// Answer is the reply to a message; ok is false where none is due, as the move
-// is unknown here, or as [State.Outbox] has it anyway. Two sides never answer
-// each other's answers endlessly.
+// Answer returns the reply to a message. ok is false if no reply is due: the move is
+// unknown here, or [State.Outbox] sends the reply anyway. Two sides never answer each
+// other's answers endlessly.
 func (s *State) Answer(received Message) (answer Message, ok bool) {
 	i, found := s.findMove(received.ID.Key)
 	if !found || s.Moves[i].ID.Seq != received.ID.Seq || s.Moves[i].Source == received.Source {
@@ -65,7 +66,7 @@
 	}
 }
 
-// nextMessage is the message that the move's state calls for.
+// nextMessage returns the message that the move's state calls for; MessageAck if nothing else is due.
 func (m *Move) nextMessage() Message {
 	message := Message{
 		Type:    MessageAck,
--- a/internal/cluster/migration/model_checker_test.go
+++ b/internal/cluster/migration/model_checker_test.go
@@ -15,35 +15,35 @@
 type enabledRules struct {
 	capacityCheck      bool // a destination checks its ledger before it escrows
 	waitForHold        bool // nothing is shifted before the hold is received
-	writeOff           bool // a shift is debited before it is sent
+	debitBeforeSend    bool // a shift is debited before it is sent
 	sendInForce        bool // the source sends only what is in force
 	acknowledgeInForce bool // so does the destination
 	creditOnce         bool // a number is credited once
-	repeated           bool // a number is sent until it is acknowledged
+	resend             bool // a number is sent until it is acknowledged
 	moveIDs            bool // a message applies only to the move that it names
 	escrowKept         bool // an escrow is kept while no message arrives
-	inTransit          bool // what is in transit is not taken back while no message arrives
+	inTransitKept      bool // what is in transit is not taken back while no message arrives
 	token              bool // only the holder of the token debits
-	closed             bool // a key's next move waits until both sides have ended the last
-	remembered         bool // the record of an ended move is kept
-	claims             bool // what one open move may take away can't be offered by another
+	waitForClose       bool // a key's next move waits until both sides have ended the last
+	endedMovesKept     bool // the record of an ended move is kept
+	claimsReserved     bool // what one open move may take away can't be offered by another
 }
 
-var all = enabledRules{true, true, true, true, true, true, true, true, true, true, true, true, true, true}
+var allRules = enabledRules{true, true, true, true, true, true, true, true, true, true, true, true, true, true}
 
 // searchBounds keep a search small.
 type searchBounds struct {
-	steps, moves, turns, releases, crashes int
-	others                                 int  // reservations of another service that the destination takes
-	falls                                  int  // of a capacity, by two steps
-	key                                    Key  // of a second move beside the first; none if it is empty
-	sums                                   bool // look only for what is counted twice or lost
-	stops                                  bool // requests may be to stop, too
+	steps, moves, directionChanges, releases, restarts int
+	otherReservations                                  int  // reservations of another service that the destination takes
+	capacityDrops                                      int  // of a capacity, by two steps
+	secondKey                                          Key  // of a second move beside the first; none if it is empty
+	sumsOnly                                           bool // look only for what is counted twice or lost
+	stopRequests                                       bool // requests may be to stop, too
 }
 
-// world is two clusters, as indexes of interned states. The messages that were
+// systemState is two clusters, as indexes of interned states. The messages that were
 // sent are a set: each may arrive in any order, repeatedly or never.
-type world struct {
+type systemState struct {
 	live, inForce [2]int32 // of each cluster: with and without what is not yet in force
 	sent          messageSet
 	budget        [6]int8 // moves, turns, releases, crashes, others, falls
@@ -83,16 +83,16 @@
 	budget int
 }
 
-var names = [2]string{"a", "b"}
+var clusterNames = [2]string{"a", "b"}
 
-var key = Key{"a", "b", "s"}
+var testKey = Key{"a", "b", "s"}
 
 func newModelChecker(on enabledRules, b searchBounds) *modelChecker {
 	g := &modelChecker{rules: on, stateIndex: map[string]int32{}, messageIndex: map[Message]int{}, outboxes: map[int32][]int{}, received: map[[2]int32]int32{},
-		checked: map[[2]int32]string{}, successors: map[clusterPosition][]successor{}, expected: map[string]Amount{"s": Amount(b.steps)}, bounds: b, keys: []Key{key}}
-	if b.key != (Key{}) {
-		g.keys = append(g.keys, b.key)
-		g.expected[b.key.Service] = Amount(b.steps)
+		checked: map[[2]int32]string{}, successors: map[clusterPosition][]successor{}, expected: map[string]Amount{"s": Amount(b.steps)}, bounds: b, keys: []Key{testKey}}
+	if b.secondKey != (Key{}) {
+		g.keys = append(g.keys, b.secondKey)
+		g.expected[b.secondKey.Service] = Amount(b.steps)
 	}
 	return g
 }
@@ -107,24 +107,24 @@
 	return n
 }
 
-func (g *modelChecker) send(w *world, list ...Message) {
+func (g *modelChecker) send(w *systemState, list ...Message) {
 	for _, m := range list {
 		n, ok := g.messageIndex[m]
 		if !ok {
 			n = len(g.messages)
 			g.messageIndex[m], g.messages = n, append(g.messages, m)
-			g.addressed[map[bool]int{true: 1, false: 0}[m.ID.To == names[1] == m.Source]].add(n)
+			g.addressed[map[bool]int{true: 1, false: 0}[m.ID.To == clusterNames[1] == m.Source]].add(n)
 		}
 		w.sent.add(n)
 	}
 }
 
 // sendOutbox adds a state's messages to those sent.
-func (g *modelChecker) sendOutbox(w *world, state int32) {
+func (g *modelChecker) sendOutbox(w *systemState, state int32) {
 	list, ok := g.outboxes[state]
 	if !ok {
 		for _, m := range g.states[state].Moves { // its answers too, as if it had been queried
-			g.send(&world{}, m.nextMessage())
+			g.send(&systemState{}, m.nextMessage())
 			list = append(list, g.messageIndex[m.nextMessage()])
 		}
 		g.outboxes[state] = list
@@ -134,8 +134,8 @@
 	}
 }
 
-// tamper is a message as it is read where a rule is disabled.
-func (g *modelChecker) tamper(s *State, w Message) Message {
+// alterForDisabledRules is a message as it is read where a rule is disabled.
+func (g *modelChecker) alterForDisabledRules(s *State, w Message) Message {
 	if m := s.Move(w.ID.Key); m != nil {
 		if !g.rules.moveIDs && w.ID.Seq < m.ID.Seq {
 			w.ID.Seq = m.ID.Seq
@@ -154,7 +154,7 @@
 		return n
 	}
 	s, w := g.states[state], g.messages[word]
-	w = g.tamper(s, w)
+	w = g.alterForDisabledRules(s, w)
 	from := *s
 	if !g.rules.capacityCheck && w.Type == MessageOffer {
 		from.Capacity = MaxAmount
@@ -170,7 +170,7 @@
 }
 
 // steps are the records that a cluster may agree on by itself.
-func (g *modelChecker) steps(w *world, side int) []successor {
+func (g *modelChecker) steps(w *systemState, side int) []successor {
 	at := clusterPosition{state: w.live[side], side: int32(side)}
 	for i, n := range w.budget {
 		at.left[i] = n > 0
@@ -204,15 +204,15 @@
 		m := s.Move(k)
 		if k.From == s.Cluster && at.left[0] {
 			from := s
-			if !g.rules.closed && m != nil && (m.End != Open || m.Unacknowledged != "") {
+			if !g.rules.waitForClose && m != nil && (m.End != Open || m.Unacknowledged != "") {
 				from = altered(k, func(m *Move) { m.End, m.Closed = Completed, true })
 			}
 			other := slices.IndexFunc(s.Moves, func(m Move) bool { return m.ID.Key != k && m.ID.Service == k.Service })
-			if !g.rules.claims && other >= 0 {
+			if !g.rules.claimsReserved && other >= 0 {
 				from = altered(s.Moves[other].ID.Key, func(m *Move) { m.Local = 0 })
 			}
 			if n, err := from.Apply(Record{Step: StepBeginMove, Move: k, Amount: min(Amount(g.bounds.steps), from.Unclaimed(k.Service))}); err == nil {
-				if !g.rules.claims && other >= 0 {
+				if !g.rules.claimsReserved && other >= 0 {
 					i, _ := n.findMove(s.Moves[other].ID.Key)
 					n.replaceMove(i, s.Moves[other])
 				}
@@ -227,7 +227,7 @@
 		}
 		rec := func(step Step) Record { return Record{Step: step, Move: k, Seq: m.ID.Seq, Amount: 1} }
 		try(s, -1, rec(StepShift))
-		if !g.rules.repeated && m.InTransit > 0 {
+		if !g.rules.resend && m.InTransit > 0 {
 			try(altered(k, func(m *Move) { m.Unacknowledged, m.InTransit = "", 0 }), -1, rec(StepShift))
 		}
 		if !g.rules.token && !m.HasToken && m.Local > 0 && m.End == Open {
@@ -239,7 +239,7 @@
 			try(s, -1, rec(StepFinish))
 		}
 		for _, to := range []Direction{Backward, Forward, Stop} {
-			if r := rec(StepSetDirection); at.left[1] && (to != Stop || g.bounds.stops) {
+			if r := rec(StepSetDirection); at.left[1] && (to != Stop || g.bounds.stopRequests) {
 				r.Direction = to
 				try(s, 1, r)
 			}
@@ -247,7 +247,7 @@
 		if at.left[2] {
 			try(s, 2, rec(StepForceRelease))
 		}
-		if !g.rules.remembered && !m.Source && m.End != Open {
+		if !g.rules.endedMovesKept && !m.Source && m.End != Open {
 			c := *s
 			c.Moves = slices.DeleteFunc(slices.Clone(s.Moves), func(x Move) bool { return x.ID == m.ID })
 			list = append(list, successor{g.intern(&c), -1})
@@ -255,7 +255,7 @@
 		if !g.rules.escrowKept && !m.Source && m.End == Open {
 			try(s, -1, Record{Step: StepReceive, Message: Message{Type: MessageDone, ID: m.ID, Source: true, Number: m.Number}})
 		}
-		if !g.rules.inTransit && m.Source && m.InTransit > 0 {
+		if !g.rules.inTransitKept && m.Source && m.InTransit > 0 {
 			try(s, -1, Record{Step: StepReceive, Message: Message{Type: MessageDone, ID: m.ID, Number: m.Number - 1}})
 		}
 	}
@@ -267,10 +267,10 @@
 }
 
 // next are the possible next worlds. A ledger that grows beyond its capacity is found in the step.
-func (g *modelChecker) next(w world) (list []world, broken string) {
+func (g *modelChecker) next(w systemState) (list []systemState, broken string) {
 	for side := range 2 {
 		do := func(to successor) {
-			if v := overCommitted(g.states[w.live[side]], g.states[to.state]); v != nil && !g.bounds.sums {
+			if v := overCommitted(g.states[w.live[side]], g.states[to.state]); v != nil && !g.bounds.sumsOnly {
 				broken = v.String()
 			}
 			n := w
@@ -286,8 +286,8 @@
 		for _, to := range g.steps(&w, side) {
 			do(to)
 		}
-		if s := g.states[w.live[side]]; !g.rules.writeOff && side == 0 {
-			if m := s.Move(key); m != nil && m.Shiftable() > 0 {
+		if s := g.states[w.live[side]]; !g.rules.debitBeforeSend && side == 0 {
+			if m := s.Move(testKey); m != nil && m.Shiftable() > 0 {
 				n := w
 				g.send(&n, Message{Type: MessageShift, ID: m.ID, Source: true, Number: m.Number + 1, Amount: 1, Request: m.Request})
 				list = append(list, n)
@@ -325,7 +325,7 @@
 	why, ok := g.checked[at]
 	if !ok {
 		for _, v := range CheckInvariants(g.expected, g.states[a], g.states[b]) {
-			if !g.bounds.sums || v.Cluster == "" {
+			if !g.bounds.sumsOnly || v.Cluster == "" {
 				why += v.String() + "; "
 			}
 		}
--- a/internal/cluster/migration/model_test.go
+++ b/internal/cluster/migration/model_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// search visits all reachable worlds, and returns the first violation and how many worlds it has visited.
-func search(t *testing.T, b searchBounds, on enabledRules, most int) (string, int) {
+// searchModel visits all reachable worlds, and returns the first violation and how many worlds it has visited.
+func searchModel(t *testing.T, b searchBounds, on enabledRules, most int) (string, int) {
 	t.Helper()
 	g := newModelChecker(on, b)
 	room := 2 * Amount(b.steps)
-	if b.key == (Key{}) {
+	if b.secondKey == (Key{}) {
 		room = Amount(b.steps)
 	}
-	start := world{budget: [6]int8{int8(b.moves), int8(b.turns), int8(b.releases), int8(b.crashes), int8(b.others), int8(b.falls)}}
-	for side, name := range names {
+	start := systemState{budget: [6]int8{int8(b.moves), int8(b.directionChanges), int8(b.releases), int8(b.restarts), int8(b.otherReservations), int8(b.capacityDrops)}}
+	for side, name := range clusterNames {
 		s, err := New(name).Apply(Record{Step: StepSetCapacity, Amount: room})
 		if err == nil && side == 0 {
 			s, err = s.Apply(Record{Step: StepReserve, Service: "s", Amount: Amount(b.steps)})
 		}
-		if err == nil && side == 1 && b.key.Service == "t" {
+		if err == nil && side == 1 && b.secondKey.Service == "t" {
 			s, err = s.Apply(Record{Step: StepReserve, Service: "t", Amount: Amount(b.steps)})
 		}
 		if err != nil {
@@ -31,8 +31,8 @@
 		start.live[side] = g.intern(s)
 		start.inForce[side] = start.live[side]
 	}
-	list, from := []world{start}, []int32{-1}
-	seen := map[world]struct{}{start: {}}
+	list, from := []systemState{start}, []int32{-1}
+	seen := map[systemState]struct{}{start: {}}
 	ended := map[[2]int32]bool{}
 	story := func(at int32) (text string) {
 		for ; at >= 0; at = from[at] {
@@ -56,7 +56,7 @@
 			seen[n] = struct{}{}
 			list, from = append(list, n), append(from, int32(at))
 			why := g.checkPair(n.live[0], n.live[1]) + g.checkPair(n.inForce[0], n.inForce[1])
-			if pair := n.inForce; why == "" && on == all && !ended[pair] {
+			if pair := n.inForce; why == "" && on == allRules && !ended[pair] {
 				ended[pair], why = true, g.checkCompletion(pair[0], pair[1])
 			}
 			if why != "" {
@@ -71,25 +71,25 @@
 // BELLSTREAM_MODEL=full searches larger sizes too: 20 s and 2 GB.
 func TestInvariantsHoldInAnyOrder(t *testing.T) {
 	sizes := map[string]searchBounds{
-		"crashes":  {steps: 3, moves: 1, turns: 1, crashes: 2, stops: true},
-		"turns":    {steps: 2, moves: 1, turns: 2},
-		"two":      {steps: 2, moves: 2, turns: 1, crashes: 1},
-		"others":   {steps: 2, moves: 1, turns: 1, others: 2, falls: 1, stops: true},
-		"releases": {steps: 2, moves: 1, turns: 1, releases: 2, crashes: 1},
-		"again":    {steps: 2, moves: 2, releases: 1, turns: 1},
-		"swap":     {steps: 2, moves: 2, releases: 1, key: Key{"b", "a", "t"}},
-		"return":   {steps: 2, moves: 3, releases: 1, key: Key{"b", "a", "s"}},
+		"crashes":  {steps: 3, moves: 1, directionChanges: 1, restarts: 2, stopRequests: true},
+		"turns":    {steps: 2, moves: 1, directionChanges: 2},
+		"two":      {steps: 2, moves: 2, directionChanges: 1, restarts: 1},
+		"others":   {steps: 2, moves: 1, directionChanges: 1, otherReservations: 2, capacityDrops: 1, stopRequests: true},
+		"releases": {steps: 2, moves: 1, directionChanges: 1, releases: 2, restarts: 1},
+		"again":    {steps: 2, moves: 2, releases: 1, directionChanges: 1},
+		"swap":     {steps: 2, moves: 2, releases: 1, secondKey: Key{"b", "a", "t"}},
+		"return":   {steps: 2, moves: 3, releases: 1, secondKey: Key{"b", "a", "s"}},
 	}
 	if os.Getenv("BELLSTREAM_MODEL") == "full" {
-		sizes["swap, turned"] = searchBounds{steps: 2, moves: 2, turns: 1, key: Key{"b", "a", "t"}}
-		sizes["return, turned"] = searchBounds{steps: 2, moves: 2, releases: 1, turns: 1, key: Key{"b", "a", "s"}}
-		sizes["turns, restarted"] = searchBounds{steps: 2, moves: 1, turns: 2, crashes: 1}
+		sizes["swap, turned"] = searchBounds{steps: 2, moves: 2, directionChanges: 1, secondKey: Key{"b", "a", "t"}}
+		sizes["return, turned"] = searchBounds{steps: 2, moves: 2, releases: 1, directionChanges: 1, secondKey: Key{"b", "a", "s"}}
+		sizes["turns, restarted"] = searchBounds{steps: 2, moves: 1, directionChanges: 2, restarts: 1}
 	}
 	for name, b := range sizes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
-			broken, n := search(t, b, all, 6_000_000)
+			broken, n := searchModel(t, b, allRules, 6_000_000)
 			t.Logf("%d worlds in %.1f s", n, time.Since(began).Seconds())
 			if broken != "" {
 				t.Error(broken)
@@ -107,23 +107,23 @@
 		key  Key  // of a second move
 	}{
 		"a hold without a look at the book":     {func(r *enabledRules) { r.capacityCheck = false }, "promises more", false, Key{}},
-		"a shift before the hold is heard":      {func(r *enabledRules) { r.waitForHold = false }, "holds nothing", false, Key{}},
-		"a step said before it is written off":  {func(r *enabledRules) { r.writeOff = false }, "more is usable", true, Key{}},
+		"a shift before the hold is heard":      {func(r *enabledRules) { r.waitForHold = false }, "holds no capacity", false, Key{}},
+		"a step said before it is written off":  {func(r *enabledRules) { r.debitBeforeSend = false }, "more is usable", true, Key{}},
 		"a step said before it is in force":     {func(r *enabledRules) { r.sendInForce = false }, "more is usable", true, Key{}},
 		"a credit said before it is in force":   {func(r *enabledRules) { r.acknowledgeInForce = false }, "lost", true, Key{}},
 		"a number credited as often as it came": {func(r *enabledRules) { r.creditOnce = false }, "more is usable", true, Key{}},
-		"a number said once":                    {func(r *enabledRules) { r.repeated = false }, "lost", true, Key{}},
+		"a number said once":                    {func(r *enabledRules) { r.resend = false }, "lost", true, Key{}},
 		"words without a move's id":             {func(r *enabledRules) { r.moveIDs = false }, "more is usable", true, Key{}},
-		"a hold that ends in silence":           {func(r *enabledRules) { r.escrowKept = false }, "by a guess", false, Key{}},
-		"a step taken back in silence":          {func(r *enabledRules) { r.inTransit = false }, "more is usable", true, Key{}},
+		"a hold that ends in silence":           {func(r *enabledRules) { r.escrowKept = false }, "without complete knowledge", false, Key{}},
+		"a step taken back in silence":          {func(r *enabledRules) { r.inTransitKept = false }, "more is usable", true, Key{}},
 		"both sides write off":                  {func(r *enabledRules) { r.token = false }, "lost", true, Key{}},
-		"a move before the last has ended":      {func(r *enabledRules) { r.closed = false }, "s ", true, Key{}},
-		"an ended move is forgotten":            {func(r *enabledRules) { r.remembered = false }, "counted twice", true, Key{}},
-		"a part is offered twice":               {func(r *enabledRules) { r.claims = false }, "is below 0", false, Key{"b", "a", "s"}},
+		"a move before the last has ended":      {func(r *enabledRules) { r.waitForClose = false }, "s ", true, Key{}},
+		"an ended move is forgotten":            {func(r *enabledRules) { r.endedMovesKept = false }, "counted twice", true, Key{}},
+		"a part is offered twice":               {func(r *enabledRules) { r.claimsReserved = false }, "is below 0", false, Key{"b", "a", "s"}},
 	} {
-		on := all
+		on := allRules
 		c.off(&on)
-		broken, n := search(t, searchBounds{steps: 2, moves: 2, turns: 1, releases: 1, crashes: 1, others: 1, sums: c.sums, key: c.key}, on, 6_000_000)
+		broken, n := searchModel(t, searchBounds{steps: 2, moves: 2, directionChanges: 1, releases: 1, restarts: 1, otherReservations: 1, sumsOnly: c.sums, secondKey: c.key}, on, 6_000_000)
 		t.Logf("%s: %.60q after %d worlds", name, broken, n)
 		if broken == "" || !strings.Contains(broken, c.want) {
 			t.Errorf("%s: found %.500q, want %q", name, broken, c.want)
--- a/internal/cluster/migration/move.go
+++ b/internal/cluster/migration/move.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Key identifies a service's way from one cluster to one other. At most one move
-// of a key is open at a time.
+// Key identifies a service, the cluster that it leaves and the cluster that it goes to.
+// At most one move of a key is open at a time.
 type Key struct{ From, To, Service string }
 
 func (k Key) compare(other Key) int {
@@ -18,7 +18,7 @@
 	)
 }
 
-// String is the move's name in messages to operators, as far as it is known.
+// String returns the move's name for messages to operators. It leaves out unknown clusters.
 func (k Key) String() string {
 	text := fmt.Sprintf("move of %q", k.Service)
 	if k.From != "" {
@@ -30,7 +30,7 @@
 	return text
 }
 
-// ID identifies one move. Seq grows with each move of a key.
+// ID identifies one move. Seq is 1 for a key's first move and increases by 1 with each later one.
 type ID struct {
 	Key
 	Seq uint64
@@ -38,70 +38,70 @@
 
 func (i ID) String() string { return fmt.Sprintf("%s, number %d", i.Key, i.Seq) }
 
-// Direction is where the source's config wants a move to go.
+// Direction is the direction that the source's config requests for a move.
 type Direction string
 
 // The directions.
 const (
 	Forward  Direction = "forward"
-	Backward Direction = "back" // the same steps backward
-	Stop     Direction = "stop" // no further step in either direction; the escrow stays
+	Backward Direction = "back" // shifts lead back to the source
+	Stop     Direction = "stop" // no further shift in either direction; the escrow stays
 )
 
 func (d Direction) valid() bool { return d == Forward || d == Backward || d == Stop }
 
-// DirectionRequest is the latest requested direction, numbered so that an older
-// request never replaces a newer one.
+// DirectionRequest is a requested direction. Its number prevents an older request from
+// replacing a newer one.
 type DirectionRequest struct {
 	Number    uint64
 	Direction Direction
 }
 
-// EndReason is why a side has ended a move. That side debits and credits nothing
-// of it any more. The values are those of the status output.
+// EndReason is why a side has ended a move. After the end the side issues no debit and
+// applies no credit for the move. The values are those of the status output.
 type EndReason string
 
 // The end reasons.
 const (
 	Open          EndReason = ""         // not ended
-	Completed     EndReason = "freed"    // all is on one side
-	EndedByPeer   EndReason = "told"     // the other side has ended
-	Rejected      EndReason = "refused"  // the destination lacked the capacity
-	ForceReleased EndReason = "released" // by an operator's command
+	Completed     EndReason = "freed"    // the whole amount is on one side
+	EndedByPeer   EndReason = "told"     // the other side has ended the move
+	Rejected      EndReason = "refused"  // the destination lacked capacity for the offer
+	ForceReleased EndReason = "released" // ended by an operator's command
 )
 
-// Stage is the progress of a side. The values are those of the status output.
+// Stage is the progress of a move as one side knows it. The values are those of the status output.
 type Stage string
 
 // The stages.
 const (
-	StageOffered  Stage = "offered"
-	StageEscrowed Stage = "held"     // the destination holds capacity for all of it
-	StageShifting Stage = "shifting" // something was debited
-	StageSettled  Stage = "settled"  // all of it is usable at the destination
-	StageEnded    Stage = "free"     // this side has ended
+	StageOffered  Stage = "offered"  // the source does not know whether the destination holds capacity
+	StageEscrowed Stage = "held"     // the destination holds capacity for the whole amount
+	StageShifting Stage = "shifting" // the first number was issued, and the move is not settled
+	StageSettled  Stage = "settled"  // the whole amount is usable at the destination
+	StageEnded    Stage = "free"     // this side has ended the move
 )
 
-// Move is one side's record of a move. Every shift and every pass of the token
-// has the next number, issued by the side that holds the token. Only one number
-// is unacknowledged at a time.
+// Move is one side's record of a move. Every shift and every pass of the token has the
+// next number, which the side with the token issues. At most one number is
+// unacknowledged at a time.
 type Move struct {
 	ID               ID
 	Source           bool        // this side is the source
-	Amount           Amount      // all that is to change clusters
-	Local            Amount      // the part that is usable on this side
-	Number           uint64      // the last that this side has issued or taken
+	Amount           Amount      // total that is to change clusters
+	Local            Amount      // part of Amount that is usable on this side
+	Number           uint64      // the last number that this side has issued or applied
 	HasToken         bool        // this side issues the next number
-	Unacknowledged   MessageType // MessageShift or MessageTokenPass that was issued here as Number; empty: none
-	InTransit        Amount      // of the unacknowledged shift
-	DestinationReady bool        // the source knows that the destination holds the capacity
+	Unacknowledged   MessageType // MessageShift or MessageTokenPass issued by this side as Number; empty: none
+	InTransit        Amount      // amount of the unacknowledged shift
+	DestinationReady bool        // on the source: the destination is known to hold the capacity
 	Request          DirectionRequest
 	End              EndReason
-	Closed           bool   // this side knows that both have ended: the key is available for the next move
-	Shortfall        Amount // Rejected: the capacity that was missing
+	Closed           bool   // both sides are known to have ended the move, so that the key's next move may begin
+	Shortfall        Amount // for Rejected: the capacity that was missing
 }
 
-// Stage is the progress of this side.
+// Stage returns the progress of the move as this side knows it.
 func (m *Move) Stage() Stage {
 	switch {
 	case m.End != Open:
@@ -116,7 +116,7 @@
 	return StageShifting
 }
 
-// settled reports whether all of an open move is acknowledged at the destination.
+// settled reports whether this side knows that the whole amount of an open move is at the destination.
 func (m *Move) settled() bool {
 	if m.Unacknowledged != "" || m.HasToken != m.Source {
 		return false
@@ -127,7 +127,8 @@
 	return m.Local == m.Amount
 }
 
-// Escrow is what this side holds for what may arrive or come back.
+// Escrow returns the capacity that this side holds for amounts that may arrive or return; 0
+// after the end of the move.
 func (m *Move) Escrow() Amount {
 	if m.End != Open {
 		return 0
@@ -138,7 +139,7 @@
 // mayIssue reports whether this side may issue the next number of an open move.
 func (m *Move) mayIssue() bool { return m.End == Open && m.HasToken && m.Unacknowledged == "" }
 
-// Shiftable is how much this side may debit in its next shift; 0: nothing now.
+// Shiftable returns the largest amount that this side may debit in a shift now; 0 if none.
 func (m *Move) Shiftable() Amount {
 	if !m.mayIssue() {
 		return 0
@@ -152,7 +153,7 @@
 	return m.Local
 }
 
-// Err is why a move was rejected; nil where it was not.
+// Err returns a *MoveRejectedError if the destination rejected the move, and nil otherwise.
 func (m *Move) Err() error {
 	if m.End != Rejected {
 		return nil
--- a/internal/cluster/migration/move_test.go
+++ b/internal/cluster/migration/move_test.go
@@ -21,21 +21,21 @@
 // An older request never replaces a newer one, and what one open move may still
 // take away can't be offered by another.
 func TestRequestsAndClaims(t *testing.T) {
-	a := applyAll(t, New("a"), Record{Step: StepSetCapacity, Amount: 20}, Record{Step: StepReserve, Service: "s", Amount: 10}, Record{Step: StepBeginMove, Move: key, Amount: 7})
+	a := applyAll(t, New("a"), Record{Step: StepSetCapacity, Amount: 20}, Record{Step: StepReserve, Service: "s", Amount: 10}, Record{Step: StepBeginMove, Move: testKey, Amount: 7})
 	b := applyAll(t, New("b"), Record{Step: StepSetCapacity, Amount: 20}, Record{Step: StepReceive, Message: a.Outbox()[0]})
 	old := a.Outbox()[0]
-	a = applyAll(t, a, Record{Step: StepReceive, Message: b.Outbox()[0]}, Record{Step: StepSetDirection, Move: key, Seq: 1, Direction: Stop})
+	a = applyAll(t, a, Record{Step: StepReceive, Message: b.Outbox()[0]}, Record{Step: StepSetDirection, Move: testKey, Seq: 1, Direction: Stop})
 	b = applyAll(t, b, Record{Step: StepReceive, Message: a.Outbox()[0]}, Record{Step: StepReceive, Message: old})
-	if w := b.Move(key).Request; w != (DirectionRequest{2, Stop}) {
+	if w := b.Move(testKey).Request; w != (DirectionRequest{2, Stop}) {
 		t.Errorf("%+v", w)
 	}
-	for _, r := range []Record{{Step: StepBeginMove, Move: Key{"a", "c", "s"}, Amount: 4}, {Step: StepReserve, Service: "s", Amount: -4}, {Step: StepBeginMove, Move: key, Amount: 1},
-		{Step: StepShift, Move: key, Seq: 1, Amount: 1}, {Step: StepPassToken, Move: key, Seq: 1}, {Step: StepFinish, Move: key, Seq: 2}} {
+	for _, r := range []Record{{Step: StepBeginMove, Move: Key{"a", "c", "s"}, Amount: 4}, {Step: StepReserve, Service: "s", Amount: -4}, {Step: StepBeginMove, Move: testKey, Amount: 1},
+		{Step: StepShift, Move: testKey, Seq: 1, Amount: 1}, {Step: StepPassToken, Move: testKey, Seq: 1}, {Step: StepFinish, Move: testKey, Seq: 2}} {
 		if n, err := a.Apply(r); err == nil || n != a {
 			t.Errorf("%+v: %v", r, err)
 		}
 	}
-	applyAll(t, a, Record{Step: StepBeginMove, Move: Key{"a", "c", "s"}, Amount: 3}, Record{Step: StepSetDirection, Move: key, Seq: 1, Direction: Forward}, Record{Step: StepShift, Move: key, Seq: 1, Amount: 7})
+	applyAll(t, a, Record{Step: StepBeginMove, Move: Key{"a", "c", "s"}, Amount: 3}, Record{Step: StepSetDirection, Move: testKey, Seq: 1, Direction: Forward}, Record{Step: StepShift, Move: testKey, Seq: 1, Amount: 7})
 }
 
 // A shift and its messages in a cluster of 1,000 services that stores 4,000 moves.
--- a/internal/cluster/migration/pacer_test.go
+++ b/internal/cluster/migration/pacer_test.go
@@ -28,7 +28,7 @@
 	if a, b := p.CapacityStep(home, book, 0, 0), p.CapacityStep(home, full, 0, 0); a != 900 || b != 0 {
 		t.Errorf("%d, %d", a, b)
 	}
-	ready := &Move{ID: ID{key, 1}, Source: true, Amount: 1000, Local: 300, HasToken: true, DestinationReady: true, Number: 4, Request: DirectionRequest{1, Forward}}
+	ready := &Move{ID: ID{testKey, 1}, Source: true, Amount: 1000, Local: 300, HasToken: true, DestinationReady: true, Number: 4, Request: DirectionRequest{1, Forward}}
 	for number, want := range map[uint64]Amount{3: 0, 4: 200} {
 		if a := p.NextShift(ready, Message{ID: ready.ID, Number: number, Advice: Advice{CapacityStep: 200}}); a != want {
 			t.Errorf("number %d: %d", number, a)
--- a/internal/cluster/migration/plan.go
+++ b/internal/cluster/migration/plan.go
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// Placement is where all of a service is to be. Services without a placement stay.
+// Placement is the cluster where all of a service is to be. Services without a placement stay.
 type Placement struct {
 	Service string
-	Cluster string // empty: it stays, and only what its cluster lacks capacity for goes where capacity is free
+	Cluster string // empty: the service stays, except for what exceeds its cluster's capacity
 }
 
 // Link is a network path that several pairs of clusters share.
 type Link struct {
-	Pairs              [][2]string // in both directions
-	MaxConcurrentMoves int         // over all of them; 0: no limit
+	Pairs              [][2]string // each counts in both directions
+	MaxConcurrentMoves int         // of all pairs together; 0: no limit
 }
 
-// Limits bound a plan.
+// Limits restrict a plan.
 type Limits struct {
 	Links     []Link
-	MaxPieces int // moves that one part of a service is cut into at most; 0: 32
+	MaxPieces int // maximum number of pieces that a move may be cut into; 0: 32
 }
 
 // PlannedMove is one move of a plan.
@@ -31,18 +31,18 @@
 	Amount Amount
 }
 
-// Plan returns the moves that bring services to their placements. Its rounds
-// follow each other, each when all moves of the one before have ended; the moves
-// of a round run concurrently. While they do both clusters hold capacity for them,
-// and no ledger ever promises more than its capacity (one that already does
-// promises less and less). A service without capacity for all of it moves in
-// pieces; so do services that exchange places, through whatever capacity is free.
-// Services with an open move are left as they are. The same ledgers and
-// placements, in any order, give the same plan.
+// Plan returns the moves that bring services to their placements, in rounds. The moves of
+// a round run concurrently; a round begins when all moves of the previous one have ended.
+// During a move both clusters hold capacity for it. No ledger ever promises more than its
+// capacity; one that already does never increases its promises. If the free capacity does
+// not suffice for a whole service it moves in pieces; so do services that exchange places.
+// Services with an open move are left as they are. The same ledgers and placements, in any
+// order, give the same plan.
 //
-// Where there is no plan the error names the clusters that lack capacity and how
-// much (*InsufficientCapacityError, *MoveRejectedError): for the final placement,
-// or for the smallest piece on the way. Plan does not route through a third cluster.
+// If there is no plan, the error names the clusters that lack capacity and the missing
+// amounts (*InsufficientCapacityError, *MoveRejectedError), either for the final placement
+// or for the smallest piece of an intermediate round. Plan does not route through a third
+// cluster.
 func Plan(ledgers []*CapacityLedger, placements []Placement, limits Limits) (rounds [][]PlannedMove, err error) {
 	p := newPlanner(ledgers, limits)
 	if err := p.placePinned(placements); err != nil {
@@ -61,7 +61,7 @@
 	return rounds, nil
 }
 
-// planner builds a plan. Free and pending are as after the rounds so far.
+// planner builds a plan. free and pending are as after the rounds planned so far.
 type planner struct {
 	limits  Limits
 	names   []string
@@ -70,10 +70,10 @@
 	pending []pendingMove
 }
 
-// pendingMove is what is left of a move to be planned.
+// pendingMove is the part of a move that no round contains yet.
 type pendingMove struct {
 	PlannedMove
-	smallest Amount // piece
+	smallest Amount // size of a piece
 }
 
 func newPlanner(ledgers []*CapacityLedger, limits Limits) *planner {
@@ -104,7 +104,7 @@
 	p.pending[i].smallest = smallestStep(p.pending[i].Amount, p.limits.MaxPieces)
 }
 
-// freeAtEnd is what is free at a cluster once all pending moves are made.
+// freeAtEnd returns the free capacity of a cluster after all pending moves.
 func (p *planner) freeAtEnd(cluster string) Amount {
 	free := p.free[cluster]
 	for _, m := range p.pending {
@@ -134,19 +134,19 @@
 		if placement.Cluster == "" || p.migrating(placement.Service) {
 			continue
 		}
-		if err := p.gather(placement); err != nil {
+		if err := p.moveAllToCluster(placement); err != nil {
 			return err
 		}
 	}
 	return p.checkFinalCapacity()
 }
 
-// gather moves all of a service to the cluster of its placement.
-func (p *planner) gather(placement Placement) error {
+// moveAllToCluster plans to move all of a service to the cluster of its placement.
+func (p *planner) moveAllToCluster(placement Placement) error {
 	if p.ledgers[placement.Cluster] == nil {
 		return &MoveRejectedError{
 			Move:   Key{To: placement.Cluster, Service: placement.Service},
-			Reason: "no such cluster is known here",
+			Reason: "unknown cluster",
 		}
 	}
 	for _, name := range p.names {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// checkFinalCapacity reports every destination that lacks capacity for what it is to have.
+// checkFinalCapacity returns an error for every destination that lacks capacity for the final placement.
 func (p *planner) checkFinalCapacity() error {
 	var errs []error
 	for _, name := range p.names {
@@ -170,7 +170,8 @@
 	return errors.Join(errs...)
 }
 
-// nextRound is the next moves that run concurrently, undivided ones if there are any.
+// nextRound returns the next moves to run concurrently. They are undivided, if any such moves are
+// possible; otherwise moves may be cut into pieces.
 func (p *planner) nextRound() ([]PlannedMove, error) {
 	graph := p.moveGraph()
 	p.sortPending(graph)
@@ -183,9 +184,9 @@
 	return nil, p.mostBlocked()
 }
 
-// sortPending puts moves on a cycle first, since the others would take the
-// capacity that the cycle needs, and of the others those last after which capacity is
-// free where no move goes any more.
+// sortPending puts moves on a cycle first, since the others would take the capacity that the
+// cycle needs. Moves that free capacity at a cluster without incoming moves come last. Then
+// larger moves come before smaller ones.
 func (p *planner) sortPending(graph moveGraph) {
 	slices.SortFunc(p.pending, func(a, b pendingMove) int {
 		return cmp.Or(
@@ -197,7 +198,8 @@
 	})
 }
 
-// selectRound takes the pending moves that free capacity and links allow.
+// selectRound returns the pending moves that free capacity and links allow, cut into pieces unless
+// undivided is set.
 func (p *planner) selectRound(graph moveGraph, undivided bool) (round []PlannedMove) {
 	free := maps.Clone(p.free)
 	used := make([]int, len(p.limits.Links))
@@ -218,8 +220,8 @@
 	return round
 }
 
-// neededByCycle reports whether a move would take capacity that services which
-// exchange places need.
+// neededByCycle reports whether a move that is not on a cycle would take scarce capacity from a
+// cycle of moves through its destination.
 func (p *planner) neededByCycle(graph moveGraph, key Key) bool {
 	return !graph.onCycle(key) && p.free[key.To] < graph.incoming[key.To] && graph.reaches(key.To, key.To)
 }
@@ -236,8 +238,8 @@
 	}
 }
 
-// mostBlocked is the error of the move that lacks the least capacity. Those that
-// only free capacity for others lack none.
+// mostBlocked returns the error for the pending move that lacks the least capacity. Moves that
+// lack none are ignored.
 func (p *planner) mostBlocked() error {
 	var best *MoveRejectedError
 	var leastMissing Amount
--- a/internal/cluster/migration/plan_graph.go
+++ b/internal/cluster/migration/plan_graph.go
@@ -1,12 +1,12 @@
 package migration
 
-// moveGraph is the clusters and the pending moves between them.
+// moveGraph is the directed graph of the clusters with the pending moves as edges.
 type moveGraph struct {
-	paths    map[[2]string]bool // from the first to the second, over any number of moves
-	incoming map[string]Amount  // by destination
+	paths    map[[2]string]bool // pairs where one or more moves in a row lead from the first to the second
+	incoming map[string]Amount  // total of the pending moves, by destination
 }
 
-// moveGraph is the graph of the pending moves.
+// moveGraph returns the graph of the pending moves. Its paths are the transitive closure.
 func (p *planner) moveGraph() moveGraph {
 	graph := moveGraph{
 		paths:    map[[2]string]bool{},
@@ -24,7 +24,7 @@
 	return graph
 }
 
-// extend adds the paths from a cluster via another to all.
+// extend adds the paths from one cluster via another to all clusters that the latter reaches.
 func (g *moveGraph) extend(names []string, from, via string) {
 	for _, to := range names {
 		if g.reaches(from, via) && g.reaches(via, to) {
--- a/internal/cluster/migration/plan_overflow.go
+++ b/internal/cluster/migration/plan_overflow.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// placeOverflow finds a place for what clusters lack capacity for: those services
-// first that, alone, exceed it the least, undivided where another cluster has the capacity.
+// placeOverflow moves services away from clusters whose capacity is exceeded. It prefers the
+// smallest service that covers the excess alone, and moves it undivided if another cluster has
+// the capacity.
 func (p *planner) placeOverflow(placements []Placement) error {
 	movable := p.movableServices(placements)
 	for _, from := range p.names {
-		if err := p.relieve(from, p.reservationsBySize(from, movable)); err != nil {
+		if err := p.moveExcessAway(from, p.reservationsBySize(from, movable)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// movableServices are the services without a fixed cluster or an open move, sorted.
+// movableServices returns the services without a fixed cluster or an open move, sorted.
 func (p *planner) movableServices(placements []Placement) []string {
 	var services []string
 	for _, placement := range placements {
@@ -29,7 +30,7 @@
 	return slices.Compact(services)
 }
 
-// reservationsBySize are the services' reservations at a cluster, the smallest first.
+// reservationsBySize returns the services' reservations at a cluster, the smallest first.
 func (p *planner) reservationsBySize(cluster string, services []string) []Reservation {
 	var list []Reservation
 	for _, service := range services {
@@ -41,8 +42,9 @@
 	return list
 }
 
-// relieve moves candidates away from a cluster until its capacity covers what is left.
-func (p *planner) relieve(from string, candidates []Reservation) error {
+// moveExcessAway moves candidates away from a cluster until its capacity covers the remaining
+// promises, or no candidate is left.
+func (p *planner) moveExcessAway(from string, candidates []Reservation) error {
 	for len(candidates) > 0 {
 		excess := -p.freeAtEnd(from)
 		if excess <= 0 {
@@ -63,8 +65,9 @@
 	return nil
 }
 
-// placeElsewhere moves all of a service to one cluster, or what exceeds the
-// capacity to several, or returns the capacity that is missing for that.
+// placeElsewhere moves all of a service to one other cluster. If none has the capacity, it
+// moves only the excess, to several clusters. If they lack capacity for that too, it moves
+// nothing and returns the missing capacity.
 func (p *planner) placeElsewhere(r Reservation, from string, excess Amount) (missing Amount) {
 	free := p.freeElsewhere(from)
 	if len(free) > 0 && free[0].amount >= r.Amount {
@@ -83,13 +86,13 @@
 	return 0
 }
 
-// freeCapacity is what a cluster has free once all pending moves are made.
+// freeCapacity is the capacity that a cluster has free after all pending moves.
 type freeCapacity struct {
 	cluster string
 	amount  Amount
 }
 
-// freeElsewhere is the free capacity of the other clusters, the largest first.
+// freeElsewhere returns the free capacity of the other clusters, the largest first.
 func (p *planner) freeElsewhere(from string) (list []freeCapacity) {
 	for _, cluster := range p.names {
 		if free := p.freeAtEnd(cluster); cluster != from && free > 0 {
@@ -100,7 +103,7 @@
 	return list
 }
 
-// distribute moves an amount into free capacity, in its order.
+// distribute divides an amount among clusters with free capacity, in the order of free.
 func (p *planner) distribute(service, from string, amount Amount, free []freeCapacity) {
 	for _, f := range free {
 		if part := min(amount, f.amount); part > 0 {
--- a/internal/cluster/migration/plan_test.go
+++ b/internal/cluster/migration/plan_test.go
@@ -18,9 +18,9 @@
 
 func reservedAccount(service string, a Amount) Account { return Account{Service: service, Reserved: a} }
 
-// playPlan runs a plan in its worst order: every move of a round is escrowed before
+// executePlan runs a plan in its worst order: every move of a round is escrowed before
 // any ends, and they end in any order.
-func playPlan(t interface{ Fatalf(string, ...any) }, books []*CapacityLedger, turns [][]PlannedMove, seed uint64) map[string]map[string]Amount {
+func executePlan(t interface{ Fatalf(string, ...any) }, books []*CapacityLedger, turns [][]PlannedMove, seed uint64) map[string]map[string]Amount {
 	at, free := map[string]map[string]Amount{}, map[string]Amount{}
 	for _, b := range books {
 		at[b.Cluster], free[b.Cluster] = map[string]Amount{}, b.Free()
@@ -74,7 +74,7 @@
 		"under way":               {books: []*CapacityLedger{newLedger("a", 100, Account{"s", 20, 70, 0}), newLedger("b", 100, Account{"s", 70, 20, 0})}, where: two, turns: 0},
 	} {
 		turns, err := Plan(c.books, c.where, c.lim)
-		playPlan(t, c.books, turns, 1)
+		executePlan(t, c.books, turns, 1)
 		var full *InsufficientCapacityError
 		if errors.As(err, &full) != (c.cluster != "") || len(turns) != c.turns || full != nil && (full.Cluster != c.cluster || full.Missing != c.missing) {
 			t.Errorf("%s: %d rounds %v, %v", name, len(turns), turns, err)
@@ -155,7 +155,7 @@
 			}
 		}
 		turns, err := Plan(books, where, Limits{})
-		at := playPlan(t, books, turns, 1)
+		at := executePlan(t, books, turns, 1)
 		back, away := slices.Clone(books), slices.Clone(where)
 		slices.Reverse(back)
 		slices.Reverse(away)
--- a/internal/cluster/migration/receive.go
+++ b/internal/cluster/migration/receive.go
@@ -1,7 +1,7 @@
 package migration
 
-// receive applies a message. What it holds of a number that was taken already, or
-// of an older request, changes nothing.
+// receive applies a message and returns the resulting state; s itself if nothing changes.
+// A number that was already applied and a request older than the known one are ignored.
 func (s *State) receive(message Message) (*State, error) {
 	if !s.addressedHere(message) {
 		return s, s.staleError(message.ID)
@@ -34,7 +34,7 @@
 	return &next, nil
 }
 
-// addressedHere reports whether this cluster is the other end of the sender's move.
+// addressedHere reports whether this cluster is the receiving side of the message's move.
 func (s *State) addressedHere(message Message) bool {
 	if message.Source {
 		return message.ID.To == s.Cluster
@@ -42,13 +42,14 @@
 	return message.ID.From == s.Cluster
 }
 
+// updateRequest stores the source's direction request if it is newer than the known one.
 func (m *Move) updateRequest(message Message) {
 	if message.Source && message.Request.Number > m.Request.Number {
 		m.Request = message.Request
 	}
 }
 
-// acknowledge clears what is unacknowledged once the other side has taken its number.
+// acknowledge clears the unacknowledged step if the other side has applied its number.
 func (m *Move) acknowledge(number uint64) {
 	if m.Unacknowledged != "" && number >= m.Number {
 		m.Unacknowledged = ""
@@ -56,7 +57,7 @@
 	}
 }
 
-// accepts reports whether a message with a number is the next that this side may take.
+// accepts reports whether a message carries the next number that this side may apply.
 func (m *Move) accepts(message Message) bool {
 	expected := message.Number == m.Number+1 && !m.HasToken && m.Unacknowledged == "" && m.End == Open
 	return expected && m.Local+message.Amount <= m.Amount
@@ -79,8 +80,9 @@
 	m.HasToken = true
 }
 
-// closeMove applies the other side's last message: a shift that it has not
-// acknowledged was not taken and never will be.
+// closeMove applies the other side's final message and ends this side too. A shift that
+// the other side has not acknowledged by then was never credited and never will be, so
+// its amount is returned to this side's reservation.
 func (s *State) closeMove(m *Move, message Message) {
 	if m.InTransit > 0 {
 		m.Local += m.InTransit
@@ -99,7 +101,8 @@
 	}
 }
 
-// receiveOffer applies the first message of a move at its destination.
+// receiveOffer applies the first message that a move's destination receives: an offer, or
+// the end of a move whose offer never arrived.
 func (s *State) receiveOffer(i int, replaces bool, message Message) (*State, error) {
 	if replaces && (s.Moves[i].End == Open || s.Moves[i].Unacknowledged != "") {
 		return s, s.staleError(message.ID)
--- a/internal/cluster/migration/record.go
+++ b/internal/cluster/migration/record.go
@@ -3,26 +3,26 @@
 // Step is the operation of a record.
 type Step string
 
-// The steps. Only StepReceive follows from another cluster's message.
+// The steps. Only StepReceive is caused by another cluster's message.
 const (
-	StepSetCapacity  Step = "capacity" // Amount is the capacity from now on
-	StepReserve      Step = "reserve"  // Amount more for a service, or less if it is negative
-	StepBeginMove    Step = "offer"    // the source offers Amount
-	StepReceive      Step = "hear"     // Message was received
-	StepShift        Step = "shift"    // Amount is debited, to be credited by the other side
-	StepPassToken    Step = "turn"     // the token passes to the other side
-	StepSetDirection Step = "want"     // the source's config requests Direction
-	StepFinish       Step = "free"     // all is on one side, which ends the move
-	StepForceRelease Step = "release"  // an operator ends the move on this side, as it stands
+	StepSetCapacity  Step = "capacity" // sets the capacity to Amount
+	StepReserve      Step = "reserve"  // adds Amount, which may be negative, to a service's reservation
+	StepBeginMove    Step = "offer"    // the source begins a move and offers Amount
+	StepReceive      Step = "hear"     // applies a received Message
+	StepShift        Step = "shift"    // debits Amount, which the other side is to credit
+	StepPassToken    Step = "turn"     // passes the token to the other side
+	StepSetDirection Step = "want"     // sets the Direction that the source's config requests
+	StepFinish       Step = "free"     // ends a move whose whole amount is on one side
+	StepForceRelease Step = "release"  // ends the move on this side in its present state, at an operator's command
 )
 
-// issuesNumber reports whether a step needs all earlier numbers acknowledged.
+// issuesNumber reports whether a step is allowed only after all earlier numbers are acknowledged.
 func (s Step) issuesNumber() bool { return s == StepShift || s == StepPassToken || s == StepFinish }
 
-// Record is one agreed step of a cluster.
+// Record is one step that the instances of a cluster have agreed on.
 type Record struct {
 	Step      Step
-	Service   string // StepReserve
+	Service   string // for StepReserve
 	Move      Key
 	Seq       uint64 // of the move; 0 for StepBeginMove
 	Amount    Amount
@@ -30,17 +30,19 @@
 	Message   Message
 }
 
-// RecordFor is the record that a message leads to, and whether it would change
-// the state. An error (*StaleMoveError, *MoveRejectedError) tells why the message can't be applied.
+// RecordFor returns the record for a received message and whether applying it would
+// change the state. If the message can't be applied the error is a *StaleMoveError or
+// a *MoveRejectedError.
 func (s *State) RecordFor(message Message) (r Record, changes bool, err error) {
 	message.Advice = Advice{}
 	next, err := s.receive(message)
 	return Record{Step: StepReceive, Message: message}, next != s, err
 }
 
-// DueRecords are the records that follow from the requested directions alone:
-// passes of the token, and the end of moves that have come back. Shifts are the
-// [Pacer]'s, and a settled move ends once its queues and clients were handed off.
+// DueRecords returns the records that follow from the requested directions alone:
+// passes of the token, and the end of moves whose whole amount is back at the source.
+// The [Pacer] decides on shifts, and the caller ends a settled move after its queues
+// and clients are handed off.
 func (s *State) DueRecords() (records []Record) {
 	for i := range s.Moves {
 		m := &s.Moves[i]
@@ -55,7 +57,7 @@
 	return records
 }
 
-// dueStep is the step that the requested direction calls for; empty: none.
+// dueStep returns the step that the requested direction calls for, or "" if none.
 func (m *Move) dueStep() Step {
 	switch {
 	case !m.mayIssue():
@@ -70,7 +72,7 @@
 	return ""
 }
 
-// allAtSource reports whether this side's part shows that nothing has left the source.
+// allAtSource reports whether, by this side's record, the whole amount is at the source.
 func (m *Move) allAtSource() bool {
 	if m.Source {
 		return m.Local == m.Amount
--- a/internal/cluster/migration/state.go
+++ b/internal/cluster/migration/state.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// Reservation is what a service may use at a cluster.
+// Reservation is the amount reserved for a service at a cluster.
 type Reservation struct {
 	Service string
 	Amount  Amount
@@ -16,24 +16,24 @@
 	return strings.Compare(r.Service, service)
 }
 
-// State is the outcome of a cluster's agreed records. It is immutable.
+// State is the result of a cluster's agreed records. It is immutable.
 type State struct {
 	Cluster  string
 	Capacity Amount
 	Reserved []Reservation // sorted by service, without duplicates
-	// Moves are the last of every key, sorted by key. Ended ones are kept, so that
-	// a late message is recognized.
+	// Moves holds the latest move of each key, sorted by key. Ended moves are kept so
+	// that late messages of them are recognized.
 	Moves []Move
 }
 
-// New is the initial state of a cluster, without capacity or promises.
+// New returns the initial state of a cluster, without capacity or reservations.
 func New(cluster string) *State { return &State{Cluster: cluster} }
 
 func (s *State) findMove(k Key) (int, bool) {
 	return slices.BinarySearchFunc(s.Moves, k, func(m Move, k Key) int { return m.ID.compare(k) })
 }
 
-// Move is the last move of a key, or nil.
+// Move returns a copy of the latest move of a key, or nil if there is none.
 func (s *State) Move(k Key) *Move {
 	i, ok := s.findMove(k)
 	if !ok {
@@ -43,7 +43,7 @@
 	return &m
 }
 
-// Ledger is what the cluster has promised.
+// Ledger returns the cluster's capacity and the amounts promised from it.
 func (s *State) Ledger() *CapacityLedger {
 	l := &CapacityLedger{
 		Cluster:  s.Cluster,
@@ -75,7 +75,8 @@
 	l.Accounts = append(l.Accounts, Account{Service: r.Service, Reserved: r.Amount})
 }
 
-// lastAccount is the last account, which is appended if it is not the service's.
+// lastAccount returns the last account. If that is another service's, it first appends an
+// account for the service.
 func (l *CapacityLedger) lastAccount(service string) *Account {
 	if n := len(l.Accounts); n == 0 || l.Accounts[n-1].Service != service {
 		l.Accounts = append(l.Accounts, Account{Service: service})
@@ -87,7 +88,7 @@
 	return slices.BinarySearchFunc(s.Reserved, service, compareReservation)
 }
 
-// Usable is a service's reservation here, before it is scaled to the served fraction.
+// Usable returns a service's reservation at this cluster, not scaled by the served fraction.
 func (s *State) Usable(service string) Amount {
 	if i, ok := s.findReservation(service); ok {
 		return s.Reserved[i].Amount
@@ -95,7 +96,8 @@
 	return 0
 }
 
-// Unclaimed is the part of a service's reservation here that no open move may take away.
+// Unclaimed returns the part of a service's reservation at this cluster that no open move may
+// debit.
 func (s *State) Unclaimed(service string) Amount {
 	unclaimed := s.Usable(service)
 	for i := range s.Moves {
@@ -106,7 +108,8 @@
 	return unclaimed
 }
 
-// addReservation changes a reservation of a copy that has not been returned yet.
+// addReservation adds an amount, which may be negative, to a service's reservation. It may be
+// called only on a copy that has not been returned yet, as states are immutable.
 func (s *State) addReservation(service string, a Amount) {
 	i, ok := s.findReservation(service)
 	s.Reserved = slices.Clone(s.Reserved)
@@ -124,7 +127,7 @@
 	s.Moves[i] = m
 }
 
-// insertMove stores a new move in place of the key's last one, if there was one.
+// insertMove stores a new move at index i, where it replaces the key's previous move if there is one.
 func (s *State) insertMove(i int, replaces bool, m Move) {
 	if replaces {
 		s.replaceMove(i, m)
@@ -143,8 +146,9 @@
 
 func validName(s string) bool { return s != "" && len(s) <= MaxName && utf8.ValidString(s) }
 
-// Valid reports whether a decoded state is one that records can lead to, as far
-// as the state alone shows: sorted lists, moves of this cluster, no part larger than its total.
+// Valid reports whether a decoded state could result from records, as far as the state
+// alone shows. Its lists must be sorted, all moves must be to or from this cluster, and
+// no part may be larger than its total.
 func (s *State) Valid() bool {
 	return s.validReservations() && s.validMoves() && validName(s.Cluster)
 }
@@ -179,7 +183,7 @@
 	return true
 }
 
-// valid reports whether a decoded move is a possible one of a cluster.
+// valid reports whether a decoded move is consistent and is to or from the cluster.
 func (m *Move) valid(cluster string) bool {
 	switch {
 	case m.ID.Seq == 0 || m.Source != (m.ID.From == cluster) || !m.Source && m.ID.To != cluster:
--- a/internal/cluster/migration/wire/golden_test.go
+++ b/internal/cluster/migration/wire/golden_test.go
@@ -39,8 +39,8 @@
 	return migration.ID{Key: migration.Key{From: "north", To: "south", Service: "mail"}, Seq: 300}
 }
 
-// goldenWord has every field set, to a value of its own.
-func goldenWord(kind migration.MessageType, way migration.Direction) migration.Message {
+// goldenMessage has every field set, to a value of its own.
+func goldenMessage(kind migration.MessageType, way migration.Direction) migration.Message {
 	return migration.Message{
 		Type:    kind,
 		ID:      goldenID(),
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestGoldenWords(t *testing.T) {
+func TestGoldenMessages(t *testing.T) {
 	bare := migration.Message{
 		Type:    migration.MessageDone,
 		ID:      migration.ID{Key: migration.Key{From: "a", To: "b", Service: "c"}, Seq: 1},
@@ -60,13 +60,13 @@
 	}
 	cases := map[string][]migration.Message{
 		"word-bare": {bare},
-		"words-two": {goldenWord(migration.MessageOffer, migration.Forward), bare},
+		"words-two": {goldenMessage(migration.MessageOffer, migration.Forward), bare},
 	}
 	kinds := []migration.MessageType{migration.MessageOffer, migration.MessageHold, migration.MessageReject, migration.MessageShift,
 		migration.MessageAck, migration.MessageTokenPass, migration.MessageSettled, migration.MessageDone}
 	for _, kind := range kinds {
 		for _, way := range []migration.Direction{migration.Forward, migration.Backward, migration.Stop} {
-			cases["word-"+string(kind)+"-"+string(way)] = []migration.Message{goldenWord(kind, way)}
+			cases["word-"+string(kind)+"-"+string(way)] = []migration.Message{goldenMessage(kind, way)}
 		}
 	}
 	for name, content := range cases {
@@ -98,7 +98,7 @@
 	for _, step := range steps {
 		r := migration.Record{Step: step, Service: "post", Move: id.Key, Seq: id.Seq, Amount: 401_000_000, Direction: migration.Backward}
 		if step == migration.StepReceive {
-			r.Message = goldenWord(migration.MessageShift, migration.Stop)
+			r.Message = goldenMessage(migration.MessageShift, migration.Stop)
 		}
 		cases["record-"+string(step)] = r
 	}
