--- a/internal/cluster/migration/coordinator/adopt.go
+++ b/internal/cluster/migration/coordinator/adopt.go
@@ -7,7 +7,8 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// Adopt sets the table in force, and returns what it has changed, for the log.
+// Adopt sets the table in force. It returns texts for the log: the moves whose stage has
+// changed, or why the table's migration state can't be used.
 func (c *Coordinator) Adopt(table *config.Table) (changes []string) {
 	if c.inForce.table == table {
 		return nil
@@ -34,7 +35,7 @@
 	return changes
 }
 
-// moveIn is the last move of a key in a state that may be nil, or nil.
+// moveIn returns the latest move of a key, or nil if there is none or state is nil.
 func moveIn(state *migration.State, key migration.Key) *migration.Move {
 	if state == nil {
 		return nil
@@ -46,14 +47,14 @@
 	return old == nil || old.ID != m.ID || old.Stage() != m.Stage() || old.End != m.End
 }
 
-// describe is a move's progress for the log.
+// describe returns a move's progress for the log.
 func describe(m *migration.Move) string {
 	text := fmt.Sprintf("%s of %.6g slot-starts a second: %s", m.ID, m.Amount.SlotStarts(), m.Stage())
 	if err := m.Err(); err != nil {
 		return text + ", " + err.Error()
 	}
 	if m.End != migration.Open {
-		text += fmt.Sprintf(", %s, %.6g of it here", m.End, m.Local.SlotStarts())
+		text += fmt.Sprintf(", %s, %.6g on this side", m.End, m.Local.SlotStarts())
 	}
 	return text
 }
--- a/internal/cluster/migration/coordinator/coordinator.go
+++ b/internal/cluster/migration/coordinator/coordinator.go
@@ -1,12 +1,12 @@
-// Package coordinator is the leader's part in migrating services between
-// clusters. From the config in force and other clusters' messages it derives the
-// next version of the config, and from what is in force the messages to send. It
-// does no I/O, reads no clock and starts no goroutine; its owner provides them.
+// Package coordinator implements the leader's part in migrating services between
+// clusters. It derives the next version of the config from the config in force and the
+// messages of other clusters, and the messages to send from the config in force. It does
+// no I/O, reads no clock and starts no goroutine; its owner provides them.
 //
-// The cluster's [migration.State] is stored in the config table itself, with what
-// follows from it for each service. So it is agreed on, stored, withdrawn and
-// comes into force with the table, and an instance uses an amount under its lease
-// alone. docs/design/clusters.md describes the cost.
+// The cluster's [migration.State] is stored in the config table itself, together with the
+// resulting amounts of each service. The state is therefore agreed on, stored, withdrawn
+// and put in force with the table, and an instance uses an amount only under its lease.
+// docs/design/clusters.md describes the cost.
 package coordinator
 
 import (
@@ -20,12 +20,12 @@
 // Options configure a Coordinator.
 type Options struct {
 	Self               string   // this cluster's name in the config
-	Peers              []string // clusters that services may go to and come from
+	Peers              []string // clusters that services may move to or from
 	Pacer              migration.Pacer
-	MaxConcurrentMoves int     // that this cluster starts to one other; 0: 4
-	SettledSeconds     float64 // that a settled move stays open, so that it can still be reversed
-	ResendSeconds      float64 // between sends of the same messages; 0: 1
-	RetrySeconds       float64 // from a rejection to the next offer of all; 0: 30
+	MaxConcurrentMoves int     // open moves from this cluster to each other one; 0: 4
+	SettledSeconds     float64 // time for which a settled move stays open, so that it can still be reversed
+	ResendSeconds      float64 // time between sends of the same messages; 0: 1
+	RetrySeconds       float64 // time from a rejection to the next offer of the whole amount; 0: 30
 }
 
 const (
@@ -33,14 +33,14 @@
 	defaultResendSeconds   = 1
 	defaultRetrySeconds    = 30
 
-	// MaxTrackedMoves is the number of moves whose last message is kept.
+	// MaxTrackedMoves is the maximum number of moves whose last message is kept.
 	MaxTrackedMoves = 4096
 
-	reviewSeconds  = 1.0 // between reviews for what is due by time alone
-	backoffSeconds = 3.0 // without proposals after another proposal conflicted
+	reviewSeconds  = 1.0 // between reviews if only time passes
+	backoffSeconds = 3.0 // pause of proposals after a conflict with another proposal
 )
 
-// Reasons why a message was dropped, as metrics label them.
+// Reasons for which a message was dropped. The values are metric labels.
 const (
 	droppedUnknownPeer  = "of no peer"
 	droppedLate         = "late"
@@ -48,22 +48,23 @@
 	droppedStaleMove    = "of another move"
 )
 
-// Coordinator is one instance's. Its methods are called by one goroutine.
+// Coordinator migrates services while its instance leads the cluster. Its methods must be
+// called by one goroutine at a time.
 type Coordinator struct {
 	options  Options
 	leader   bool
 	inForce  inForce
 	progress progress
 
-	outboxChanged bool    // not sent yet
-	lastSent      float64 // time
-	proposeAfter  float64 // time
-	reviewDue     bool    // something has arrived that may change the next version
-	lastReview    float64 // time
-	dropped       map[string]uint64
+	outboxChanged bool              // the outbox has messages that were not sent yet
+	lastSent      float64           // time, in seconds
+	proposeAfter  float64           // time, in seconds
+	reviewDue     bool              // a table or a message arrived that may change the next version
+	lastReview    float64           // time, in seconds
+	dropped       map[string]uint64 // messages, by reason
 }
 
-// inForce is the config table in force and what it holds, as of the last Adopt.
+// inForce is the config table in force and its decoded migration state, as of the last Adopt.
 type inForce struct {
 	table       *config.Table
 	state       *migration.State
@@ -71,15 +72,15 @@
 	ledgerError error
 }
 
-// usable reports whether there is a valid state to work from.
+// usable reports whether the table in force has a valid migration state.
 func (f *inForce) usable() bool { return f.state != nil && f.ledgerError == nil }
 
-// progress is what a leader observes of open moves beside the agreed state.
+// progress holds a leader's observations of moves that are not part of the agreed state.
 type progress struct {
-	lastMessages map[migration.ID]migration.Message // from the other side
-	firstStepAt  map[migration.ID]float64           // first time that this leader saw a part of it here
-	settledAt    map[migration.ID]float64
-	rejectedAt   map[migration.ID]float64
+	lastMessages map[migration.ID]migration.Message // the last one from the other side
+	firstStepAt  map[migration.ID]float64           // time at which this leader first saw a part of the move here
+	settledAt    map[migration.ID]float64           // time at which this leader first saw it settled
+	rejectedAt   map[migration.ID]float64           // time at which this leader first saw it rejected
 }
 
 func newProgress() progress {
@@ -91,7 +92,7 @@
 	}
 }
 
-// forgetEnded drops what belongs to moves that a state has closed or replaced.
+// forgetEnded deletes the observations of moves that a state has closed or replaced.
 func (p *progress) forgetEnded(state *migration.State) {
 	for id := range p.lastMessages {
 		m := state.Move(id.Key)
@@ -108,7 +109,7 @@
 	}
 }
 
-// firstTime is the time stored for a move, which is now if there is none yet.
+// firstTime returns the time stored for a move. If there is none yet it stores now.
 func firstTime(times map[migration.ID]float64, id migration.ID, now float64) float64 {
 	since, ok := times[id]
 	if !ok {
@@ -118,7 +119,7 @@
 	return since
 }
 
-// New is a Coordinator that does not lead.
+// New returns a Coordinator whose instance does not lead.
 func New(options Options) *Coordinator {
 	if options.ResendSeconds == 0 {
 		options.ResendSeconds = defaultResendSeconds
@@ -129,7 +130,7 @@
 	if options.MaxConcurrentMoves == 0 {
 		options.MaxConcurrentMoves = defaultConcurrentMoves
 	}
-	// With a floor below the smallest step a move would never get its first one.
+	// With a floor below the smallest shift no move could make its first shift.
 	options.Pacer.SlowStartFloor = max(options.Pacer.SlowStartFloor, 1.0/(maxPieces-1))
 	c := &Coordinator{
 		options: options,
@@ -139,8 +140,8 @@
 	return c
 }
 
-// SetLeader sets whether this instance leads. What a leader has observed beside
-// the agreed state is lost with its term; only timing depends on it.
+// SetLeader sets whether this instance leads, and clears the leader's observations. Only
+// timing depends on these.
 func (c *Coordinator) SetLeader(leader bool) {
 	c.leader = leader
 	c.outboxChanged = true
@@ -150,10 +151,11 @@
 // active reports whether this instance leads and has a valid state.
 func (c *Coordinator) active() bool { return c.leader && c.inForce.usable() }
 
-// Backoff suspends proposals for a while, after another proposal conflicted.
+// Backoff suspends proposals for backoffSeconds from now, as another proposal conflicted with one.
 func (c *Coordinator) Backoff(now float64) { c.proposeAfter = now + backoffSeconds }
 
-// State decodes the migration state of a table. Errors are *InvalidLedgerError.
+// State decodes the migration state of a table. A table without one gives an empty state.
+// Errors are of type *InvalidLedgerError.
 func State(self string, table *config.Table) (*migration.State, error) {
 	if len(table.CapacityLedger) == 0 {
 		return migration.New(self), nil
@@ -168,7 +170,8 @@
 	return state, nil
 }
 
-// amountOf converts a figure of the config to an Amount, rounded to the nearest.
+// amountOf converts slot-starts per second of the config to an Amount, rounded to the nearest and
+// at most MaxAmount.
 func amountOf(slotStarts float64) migration.Amount {
 	return migration.Amount(min(math.Round(slotStarts*float64(migration.SlotStart)), float64(migration.MaxAmount)))
 }
--- a/internal/cluster/migration/coordinator/coordinator_test.go
+++ b/internal/cluster/migration/coordinator/coordinator_test.go
@@ -133,7 +133,7 @@
 	w.file("east", tableWithServiceA(10, "west"))
 	w.run(5)
 	w.expect("what is elsewhere can't be taken off", 0, 40)
-	if x := strings.Join(StatusOf(w.side["east"].options, w.side["east"].table).Faults, "; "); !strings.Contains(x, "its reservation is 10 and 40 is entered here") {
+	if x := strings.Join(StatusOf(w.side["east"].options, w.side["east"].table).Faults, "; "); !strings.Contains(x, "the config reserves 10, but 40 is entered in this cluster's ledger") {
 		t.Errorf("trouble: %s", x)
 	}
 	w.file("east", tableWithServiceA(10, "east"))
--- a/internal/cluster/migration/coordinator/messages.go
+++ b/internal/cluster/migration/coordinator/messages.go
@@ -7,7 +7,7 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// otherCluster is the other end of the move of a sender, which is its source or not.
+// otherCluster returns the receiver of a message, given whether its sender is the move's source.
 func otherCluster(id migration.ID, source bool) string {
 	if source {
 		return id.To
@@ -15,9 +15,9 @@
 	return id.From
 }
 
-// Receive stores messages of other clusters and returns the answers that are due
-// at once. What they change is proposed by a later Next, and messages tell of it
-// only once it is in force.
+// Receive stores messages of other clusters and returns the immediate answers. A later
+// Next proposes the resulting changes, and the messages of Outbox reflect them only after
+// they are in force.
 func (c *Coordinator) Receive(now float64, messages []migration.Message) (answers []migration.Message) {
 	if !c.active() {
 		return nil
@@ -35,14 +35,15 @@
 	return answers
 }
 
-// fromPeer reports whether a message is from a configured peer and to this cluster.
+// fromPeer reports whether a message is from a configured peer and addressed to this cluster.
 func (c *Coordinator) fromPeer(m migration.Message) bool {
 	sender := otherCluster(m.ID, !m.Source)
 	receiver := otherCluster(m.ID, m.Source)
 	return receiver == c.options.Self && slices.Contains(c.options.Peers, sender)
 }
 
-// track stores the last message of a move, for the next version.
+// track stores a message as the last one of its move, unless it is older than the stored one or
+// MaxTrackedMoves is reached.
 func (c *Coordinator) track(m migration.Message) {
 	tracked := c.progress.lastMessages
 	previous, ok := tracked[m.ID]
@@ -58,7 +59,7 @@
 	tracked[m.ID] = m
 }
 
-// withAdvice adds what this side observes to its message.
+// withAdvice returns the message with this side's Advice.
 func (c *Coordinator) withAdvice(now float64, message migration.Message) migration.Message {
 	m := c.inForce.state.Move(message.ID.Key)
 	if m == nil || m.ID != message.ID {
@@ -78,8 +79,9 @@
 	return message
 }
 
-// Outbox is the messages to send now, by cluster: at once where something new is
-// in force, and again after ResendSeconds; nil: none now.
+// Outbox returns the messages to send at the time now, by receiving cluster. It returns
+// them once after a change of the state in force, and again every ResendSeconds; at other
+// times it returns nil.
 func (c *Coordinator) Outbox(now float64) map[string][]migration.Message {
 	if !c.active() || !c.outboxChanged && now < c.lastSent+c.options.ResendSeconds {
 		return nil
@@ -94,5 +96,5 @@
 	return byCluster
 }
 
-// Dropped is the number of messages that were dropped, by reason.
+// Dropped returns the number of dropped messages, by reason.
 func (c *Coordinator) Dropped() map[string]uint64 { return maps.Clone(c.dropped) }
--- a/internal/cluster/migration/coordinator/next_version.go
+++ b/internal/cluster/migration/coordinator/next_version.go
@@ -11,11 +11,12 @@
 	"example.org/bellstream/internal/cluster/migration/wire"
 )
 
-// maxPieces is about how many moves a service without capacity for all of it is cut into.
+// maxPieces is the approximate number of pieces that a service is moved in if its
+// destination lacks capacity for all of it.
 const maxPieces = 32
 
-// Next is the table to propose after the one in force; nil: no change. It may be
-// called only while no version is pending.
+// Next returns the table to propose after the one in force, or nil for no change. It may
+// be called only while no version is pending.
 func (c *Coordinator) Next(now float64) *config.Table {
 	if !c.active() || now < c.proposeAfter || !c.reviewDue && now < c.lastReview+reviewSeconds {
 		return nil
@@ -35,18 +36,19 @@
 	return n.changedTable()
 }
 
-// nextVersion builds a version. Each record is applied to the result of the ones
-// before it; messages tell of the last state alone, once it is in force.
+// nextVersion builds the next version of the table. Each record is applied to the result
+// of the previous ones. Only the final state is proposed, and messages are sent only for
+// a state that is in force.
 type nextVersion struct {
 	options  *Options
 	progress *progress
 	dropped  map[string]uint64
 	now      float64
-	table    *config.Table // in force
-	state    *migration.State
+	table    *config.Table    // in force
+	state    *migration.State // after the records applied so far
 
 	stateInForce *migration.State
-	issued       map[string]migration.Amount // reservations that were entered at this cluster, by service
+	issued       map[string]migration.Amount // reservations entered in this cluster's ledger, by service
 }
 
 func (c *Coordinator) newNextVersion(now float64) *nextVersion {
@@ -67,10 +69,10 @@
 	return n
 }
 
-// changedTable is the table with the new state; nil if it is that in force.
+// changedTable returns the table with the new state, or nil if nothing has changed.
 func (n *nextVersion) changedTable() *config.Table {
 	table := *n.table
-	if n.state != n.stateInForce { // else the bytes may be those of an older build
+	if n.state != n.stateInForce { // an unchanged state keeps its bytes, which an older build may have written
 		table.CapacityLedger = wire.MarshalState(n.state)
 	}
 	table.LedgerEntries = n.ledgerEntries()
@@ -81,14 +83,14 @@
 	return &table
 }
 
-// apply applies a record if it is allowed.
+// apply applies a record if it is allowed, and reports whether it was.
 func (n *nextVersion) apply(r migration.Record) bool {
 	state, err := n.state.Apply(r)
 	n.state = state
 	return err == nil
 }
 
-// applyTo applies a step of a move if it is allowed.
+// applyTo applies a record to a move if it is allowed.
 func (n *nextVersion) applyTo(m *migration.Move, r migration.Record) {
 	r.Move = m.ID.Key
 	r.Seq = m.ID.Seq
@@ -102,8 +104,9 @@
 	}
 }
 
-// enterReservations updates the origin's ledger to the reservations of the config.
-// What is to be removed has to be here, and in no move.
+// enterReservations changes the reservations in the ledger to those of the config, for the
+// services whose origin is this cluster. A reservation can be reduced only by an amount
+// that is at this cluster and in no move.
 func (n *nextVersion) enterReservations() {
 	for _, p := range n.table.Placements {
 		tenant, _ := n.table.Tenant(p.Service)
@@ -120,9 +123,9 @@
 	}
 }
 
-// applyMessages applies the other clusters' messages. An offer is accepted only
-// once the config of both clusters places the service here: a cluster with older
-// config would send it back, or lack the tenant.
+// applyMessages applies the messages of other clusters. It ignores an offer until this
+// cluster's config also places the service here. With an older config this cluster would
+// send the service back, or lack the tenant.
 func (n *nextVersion) applyMessages() {
 	for _, m := range n.sortedMessages() {
 		p, _ := n.table.Placement(m.ID.Service)
@@ -139,7 +142,7 @@
 	}
 }
 
-// sortedMessages are the last messages in an order that does not depend on the map's.
+// sortedMessages returns the last messages in a deterministic order.
 func (n *nextVersion) sortedMessages() []migration.Message {
 	ids := slices.SortedFunc(maps.Keys(n.progress.lastMessages), compareIDs)
 	messages := make([]migration.Message, len(ids))
@@ -158,7 +161,8 @@
 	)
 }
 
-// updateRequests sets the direction of open moves to what the config wants now.
+// updateRequests sets the directions of open moves according to the config, and ends the moves that
+// an operator has force-released.
 func (n *nextVersion) updateRequests() {
 	moves := n.state.Moves
 	for i := range moves {
@@ -188,7 +192,8 @@
 	return migration.Backward
 }
 
-// beginMoves offers what is to be elsewhere, up to MaxConcurrentMoves to each cluster.
+// beginMoves offers services that the config places at other clusters, with at most
+// MaxConcurrentMoves open moves to each cluster.
 func (n *nextVersion) beginMoves() {
 	open := map[string]int{}
 	claimed := map[string]migration.Amount{}
@@ -230,8 +235,9 @@
 	return n.apply(migration.Record{Step: migration.StepBeginMove, Move: key, Amount: amount})
 }
 
-// offerAmount is how much to offer; 0: nothing. A cluster that lacked capacity for
-// all is offered what it had capacity for, and all again after RetrySeconds.
+// offerAmount returns the amount to offer, or 0 for no offer. After a rejection the
+// destination is offered the amount that it had capacity for, and after RetrySeconds the
+// whole amount again.
 func (n *nextVersion) offerAmount(key migration.Key, movable migration.Amount) migration.Amount {
 	last := n.state.Move(key)
 	if last == nil || last.End != migration.Rejected {
@@ -248,7 +254,7 @@
 	return piece
 }
 
-// advanceMoves debits what the other side can take, and ends moves that are settled.
+// advanceMoves debits the amounts that the other sides can take, and ends settled moves.
 func (n *nextVersion) advanceMoves() {
 	moves := n.state.Moves
 	for i := range moves {
@@ -274,7 +280,7 @@
 	}
 }
 
-// ledgerEntries are what instances need of the state.
+// ledgerEntries returns the part of the state that the instances need, sorted by service.
 func (n *nextVersion) ledgerEntries() (entries []config.LedgerEntry) {
 	ledger := n.state.Ledger()
 	for i, usable := range ledger.UsableReservations() {
@@ -288,7 +294,7 @@
 		}
 		delete(n.issued, usable.Service)
 	}
-	for service, issued := range n.issued { // all of it is elsewhere
+	for service, issued := range n.issued { // entered here, but all of it is at other clusters
 		if issued > 0 {
 			entries = append(entries, config.LedgerEntry{Service: service, Issued: issued.SlotStarts()})
 		}
--- a/internal/cluster/migration/coordinator/status.go
+++ b/internal/cluster/migration/coordinator/status.go
@@ -9,19 +9,20 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// Status is the operators' view; amounts are in the unit of reservations.
+// Status is a cluster's migration status for operators. Amounts are in slot-starts per second, the
+// unit of reservations.
 type Status struct {
 	Self      string          `json:"self"`
 	Version   uint64          `json:"version"` // of the config
 	Capacity  float64         `json:"capacity"`
-	Free      float64         `json:"free"` // negative after capacity fell
-	ServedPPM uint32          `json:"cut"`  // part of every promise that is served, in millionths
+	Free      float64         `json:"free"` // negative if the capacity fell below the promised amount
+	ServedPPM uint32          `json:"cut"`  // served fraction of every promise, in millionths
 	Accounts  []AccountStatus `json:"lines"`
 	Moves     []MoveStatus    `json:"moves"`
 	Faults    []string        `json:"trouble,omitempty"`
 }
 
-// AccountStatus is what the ledger holds for a service.
+// AccountStatus is the ledger's account of a service.
 type AccountStatus struct {
 	Service   string  `json:"service"`
 	Usable    float64 `json:"usable"` // scaled to the served fraction
@@ -30,7 +31,7 @@
 	InTransit float64 `json:"transit"`
 }
 
-// MoveStatus is this side's record of the last move of a service to or from a cluster.
+// MoveStatus is this side's record of the latest move of a service between two clusters.
 type MoveStatus struct {
 	Service   string              `json:"service"`
 	From      string              `json:"from"`
@@ -46,7 +47,8 @@
 	Reason    string              `json:"why,omitempty"`
 }
 
-// StatusOf is the status that a table shows of a cluster, with what keeps services where they are.
+// StatusOf returns the status of the cluster o.Self according to a table. Its faults include the
+// reasons for which services do not move or have no reservation.
 func StatusOf(o Options, table *config.Table) *Status {
 	status := &Status{
 		Self:     o.Self,
@@ -105,20 +107,21 @@
 	return status
 }
 
-// blockedPlacements finds what the config wants and the ledger can't follow.
+// blockedPlacements returns errors for the placements and reservations of the config that the
+// ledger can't follow.
 func blockedPlacements(o Options, table *config.Table, state *migration.State) (errs []error) {
 	if _, ok := table.Cluster(o.Self); !ok && len(table.Placements) > 0 {
-		errs = append(errs, errors.New("rules: there is no cluster block of this cluster's name, clusters.self: "+
-			"its book can promise nothing"))
+		errs = append(errs, errors.New("rules: no cluster block has this cluster's name, clusters.self: "+
+			"its ledger can promise nothing"))
 	}
 	for _, p := range table.Placements {
 		if p.Origin == "" {
-			errs = append(errs, blocked(p.Service, "it has no origin: no book has its reservation, so nobody uses it; "+
-				"name the cluster that it starts in"))
+			errs = append(errs, blocked(p.Service, "it has no origin: no ledger has its reservation, "+
+				"so no cluster uses it; set origin to the cluster where it starts"))
 		}
 		unknownPeer := p.Cluster != "" && p.Cluster != o.Self && !slices.Contains(o.Peers, p.Cluster)
 		if unknownPeer && state.Usable(p.Service) > 0 {
-			errs = append(errs, blocked(p.Service, "the clusters block has no peer %q: it stays here", p.Cluster))
+			errs = append(errs, blocked(p.Service, "the clusters block has no peer %q: service stays here", p.Cluster))
 		}
 		if p.Origin == o.Self {
 			errs = append(errs, blockedReservation(p.Service, table, state)...)
@@ -134,7 +137,8 @@
 	}
 }
 
-// blockedReservation is the error, if any, that keeps a reservation from being entered.
+// blockedReservation returns the error, if any, that prevents a changed reservation from being
+// entered in the ledger.
 func blockedReservation(service string, table *config.Table, state *migration.State) []error {
 	tenant, _ := table.Tenant(service)
 	if tenant.Reservation == nil {
@@ -151,7 +155,7 @@
 		Amount:  change,
 	}
 	if _, err := state.Apply(record); err != nil {
-		return []error{blocked(service, "its reservation is %g and %g is entered here: %v",
+		return []error{blocked(service, "the config reserves %g, but %g is entered in this cluster's ledger: %v",
 			*tenant.Reservation, issued, err)}
 	}
 	return nil
--- a/internal/cluster/migration/wire/message.go
+++ b/internal/cluster/migration/wire/message.go
@@ -6,7 +6,7 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-// MarshalMessages encodes messages to one other cluster as packets, as few as MaxMessages allows.
+// MarshalMessages encodes messages to one other cluster as packets of at most MaxMessages.
 func MarshalMessages(messages []migration.Message) (packets [][]byte) {
 	for part := range slices.Chunk(messages, MaxMessages) {
 		packet := &PacketProto{Version: Version, MinVersion: MinVersion}
@@ -18,7 +18,8 @@
 	return packets
 }
 
-// UnmarshalMessages decodes one packet.
+// UnmarshalMessages decodes one packet. Errors are ErrTooLarge, ErrCorrupt and
+// ErrUnsupportedVersion.
 func UnmarshalMessages(raw []byte) (messages []migration.Message, err error) {
 	var packet PacketProto
 	if err := unmarshal(raw, &packet, MaxPacketBytes); err != nil {
--- a/internal/cluster/migration/wire/record.go
+++ b/internal/cluster/migration/wire/record.go
@@ -21,7 +21,8 @@
 	return marshal(encoded)
 }
 
-// UnmarshalRecord decodes a record. Whether it is allowed is up to State.Apply.
+// UnmarshalRecord decodes a record. It does not check whether the record is allowed, which
+// State.Apply does.
 func UnmarshalRecord(raw []byte) (migration.Record, error) {
 	var encoded RecordProto
 	if err := unmarshal(raw, &encoded, MaxPacketBytes); err != nil {
--- a/internal/cluster/migration/wire/state.go
+++ b/internal/cluster/migration/wire/state.go
@@ -2,7 +2,7 @@
 
 import "example.org/bellstream/internal/cluster/migration"
 
-// MarshalState encodes a state, for a snapshot.
+// MarshalState encodes a state for storage.
 func MarshalState(s *migration.State) []byte {
 	encoded := &StateProto{
 		Version:    Version,
@@ -20,7 +20,7 @@
 	return marshal(encoded)
 }
 
-// UnmarshalState decodes a state, and rejects one that is not State.Valid.
+// UnmarshalState decodes a state. It returns ErrCorrupt for a state that State.Valid rejects.
 func UnmarshalState(raw []byte) (*migration.State, error) {
 	var encoded StateProto
 	if err := unmarshal(raw, &encoded, MaxStateBytes); err != nil {
--- a/internal/cluster/migration/wire/wire.go
+++ b/internal/cluster/migration/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire encodes and decodes the messages between clusters, and the records
-// and states that a cluster stores. It does no I/O. Decoding validates: it returns
-// nothing larger than the limits allow, or an error.
+// Package wire encodes and decodes the messages between clusters, and the records and
+// states that a cluster stores. It does no I/O. Decoding validates: it returns an error
+// for input that is invalid or exceeds the limits.
 package wire
 
 import (
@@ -16,28 +16,29 @@
 
 //go:generate go run example.org/bellstream/internal/tools/protogen clusters.proto
 
-// Version is this build's format. MinVersion is the lowest that reads what it writes.
+// Version is the format version of this build. MinVersion is the lowest version that can
+// read the data that this build writes.
 const (
 	Version    = 1
 	MinVersion = 1
 )
 
-// Limits of what is decoded.
+// Limits of the data that is decoded.
 const (
-	MaxMessages    = 64 // of one packet
+	MaxMessages    = 64 // in one packet
 	MaxPacketBytes = 64 << 10
 	MaxStateBytes  = 16 << 20
 )
 
-// Reasons for which bytes are dropped.
+// Errors of decoding.
 var (
-	ErrCorrupt            = errors.New("garbled")
+	ErrCorrupt            = errors.New("malformed data")
 	ErrUnsupportedVersion = errors.New("needs a newer build")
 	ErrTooLarge           = errors.New("too large")
 )
 
-// Enumerations: a value's index is its number on the wire, and 0 is unset. Values
-// are only ever appended.
+// Enumerations. A value's index is its number on the wire, and index 0 is the zero value.
+// New values may only be appended.
 var (
 	messageTypes = []migration.MessageType{
 		"",
@@ -81,19 +82,20 @@
 
 func marshal(m proto.Message) []byte {
 	raw, err := proto.Marshal(m)
-	if err != nil { // only invalid UTF-8 fails, which a state never holds
+	if err != nil { // only invalid UTF-8 causes an error, and valid names contain none
 		return nil
 	}
 	return raw
 }
 
-// versioned is a message that names the lowest version that reads it.
+// versioned is a message that names the lowest version that can read it.
 type versioned interface {
 	proto.Message
 	GetMinVersion() uint32
 }
 
-// unmarshal decodes bytes, and rejects those that need a newer version.
+// unmarshal decodes at most maxBytes bytes. Errors are ErrTooLarge, ErrCorrupt and
+// ErrUnsupportedVersion.
 func unmarshal(raw []byte, m versioned, maxBytes int) error {
 	if len(raw) > maxBytes {
 		return ErrTooLarge
@@ -102,17 +104,18 @@
 		return ErrCorrupt
 	}
 	if m.GetMinVersion() > Version {
-		return fmt.Errorf("%w: version %d, this is %d", ErrUnsupportedVersion, m.GetMinVersion(), Version)
+		return fmt.Errorf("%w: requires version %d, this build has %d", ErrUnsupportedVersion, m.GetMinVersion(), Version)
 	}
 	return nil
 }
 
-// decoder converts fields and remembers whether one was invalid.
+// decoder converts fields and records whether any of them was invalid.
 type decoder struct{ invalid bool }
 
 func (d *decoder) require(valid bool) { d.invalid = d.invalid || !valid }
 
-// enum is the value of a number; the zero value and invalid where there is none.
+// enum returns the value with number n in list. For an unknown number it returns the zero
+// value and marks the decoder as invalid.
 func enum[T any](d *decoder, list []T, n uint32) (v T) {
 	if n >= uint32(len(list)) {
 		d.invalid = true
@@ -137,7 +140,7 @@
 	}
 }
 
-// id decodes a move's ID; a move without a number yet has a Seq of 0.
+// id decodes a move's ID. The record that begins a move has a Seq of 0.
 func (d *decoder) id(m *IDProto) migration.ID {
 	d.require(validName(m.GetFrom()) && validName(m.GetTo()) && validName(m.GetService()))
 	d.require(m.GetFrom() != m.GetTo())
