--- a/internal/cluster/migration/model_checker_test.go
+++ b/internal/cluster/migration/model_checker_test.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// The model plays both clusters' own code in a world where every word that was
-// ever said may arrive at any time, any number of times, or never: that is loss, delay, repetition,
-// reordering and a cut link at once. Either cluster may be restarted whole at
-// any time, from what is in force.
+// The model runs the code of two clusters. Every message that was ever sent may arrive at
+// any time, any number of times, or never. This covers loss, delay, repetition, reordering
+// and a broken link. All instances of a cluster may restart at any time, which returns the
+// cluster to its state in force.
 
-// enabledRules are the protocol's rules. Each can be disabled.
+// enabledRules tells which of the protocol's rules are enabled.
 type enabledRules struct {
 	capacityCheck      bool // a destination checks its ledger before it escrows
 	waitForHold        bool // nothing is shifted before the hold is received
 	debitBeforeSend    bool // a shift is debited before it is sent
 	sendInForce        bool // the source sends only what is in force
-	acknowledgeInForce bool // so does the destination
+	acknowledgeInForce bool // the destination sends only what is in force
 	creditOnce         bool // a number is credited once
 	resend             bool // a number is sent until it is acknowledged
 	moveIDs            bool // a message applies only to the move that it names
-	escrowKept         bool // an escrow is kept while no message arrives
-	inTransitKept      bool // what is in transit is not taken back while no message arrives
+	escrowKept         bool // an escrow is not released until a message allows it
+	inTransitKept      bool // an amount in transit is not taken back until a message allows it
 	token              bool // only the holder of the token debits
 	waitForClose       bool // a key's next move waits until both sides have ended the last
 	endedMovesKept     bool // the record of an ended move is kept
-	claimsReserved     bool // what one open move may take away can't be offered by another
+	claimsReserved     bool // an amount that one open move may debit can't be offered by another
 }
 
 var allRules = enabledRules{true, true, true, true, true, true, true, true, true, true, true, true, true, true}
 
-// searchBounds keep a search small.
+// searchBounds limits a search: the number of shifts and the events that may happen.
 type searchBounds struct {
 	steps, moves, directionChanges, releases, restarts int
-	otherReservations                                  int  // reservations of another service that the destination takes
-	capacityDrops                                      int  // of a capacity, by two steps
-	secondKey                                          Key  // of a second move beside the first; none if it is empty
-	sumsOnly                                           bool // look only for what is counted twice or lost
-	stopRequests                                       bool // requests may be to stop, too
+	otherReservations                                  int  // reservations of another service at the destination
+	capacityDrops                                      int  // reductions of a cluster's capacity, by 2 units each
+	secondKey                                          Key  // of a second move; empty: only one move
+	sumsOnly                                           bool // check only for amounts counted twice or lost
+	stopRequests                                       bool // direction requests include Stop
 }
 
-// systemState is two clusters, as indexes of interned states. The messages that were
-// sent are a set: each may arrive in any order, repeatedly or never.
+// systemState is the state of two clusters, as indexes of interned states, and the set of
+// messages sent so far.
 type systemState struct {
-	live, inForce [2]int32 // of each cluster: with and without what is not yet in force
+	live, inForce [2]int32 // of each cluster: live includes records that are not yet in force
 	sent          messageSet
-	budget        [6]int8 // moves, turns, releases, crashes, others, falls
+	budget        [6]int8 // remaining moves, direction changes, releases, restarts, other reservations and capacity drops
 }
 
 // messageSet is a set of messages, by index.
@@ -63,7 +63,7 @@
 	outboxes     map[int32][]int
 	received     map[[2]int32]int32
 	addressed    [2]messageSet // by receiving side
-	unchanged    []messageSet  // by state, messages that don't change it
+	unchanged    []messageSet  // messages that don't change a state, by state
 	checked      map[[2]int32]string
 	successors   map[clusterPosition][]successor
 	expected     map[string]Amount
@@ -71,13 +71,13 @@
 	keys         []Key
 }
 
-// clusterPosition is a cluster's state and the remaining budget.
+// clusterPosition is a cluster's state and which parts of the budget remain.
 type clusterPosition struct {
 	state, side int32
 	left        [6]bool
 }
 
-// successor is a possible next state, and the budget that it uses; negative: none.
+// successor is a possible next state and the index of the budget that it uses; negative: none.
 type successor struct {
 	state  int32
 	budget int
@@ -87,8 +87,8 @@
 
 var testKey = Key{"a", "b", "s"}
 
-func newModelChecker(on enabledRules, b searchBounds) *modelChecker {
-	g := &modelChecker{rules: on, stateIndex: map[string]int32{}, messageIndex: map[Message]int{}, outboxes: map[int32][]int{}, received: map[[2]int32]int32{},
+func newModelChecker(rules enabledRules, b searchBounds) *modelChecker {
+	g := &modelChecker{rules: rules, stateIndex: map[string]int32{}, messageIndex: map[Message]int{}, outboxes: map[int32][]int{}, received: map[[2]int32]int32{},
 		checked: map[[2]int32]string{}, successors: map[clusterPosition][]successor{}, expected: map[string]Amount{"s": Amount(b.steps)}, bounds: b, keys: []Key{testKey}}
 	if b.secondKey != (Key{}) {
 		g.keys = append(g.keys, b.secondKey)
@@ -119,11 +119,11 @@
 	}
 }
 
-// sendOutbox adds a state's messages to those sent.
+// sendOutbox adds a state's messages to the sent ones, including its answers to any message.
 func (g *modelChecker) sendOutbox(w *systemState, state int32) {
 	list, ok := g.outboxes[state]
 	if !ok {
-		for _, m := range g.states[state].Moves { // its answers too, as if it had been queried
+		for _, m := range g.states[state].Moves { // includes answers, as if every move had received a message
 			g.send(&systemState{}, m.nextMessage())
 			list = append(list, g.messageIndex[m.nextMessage()])
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-// alterForDisabledRules is a message as it is read where a rule is disabled.
+// alterForDisabledRules returns a message as a cluster without the disabled rules would interpret it.
 func (g *modelChecker) alterForDisabledRules(s *State, w Message) Message {
 	if m := s.Move(w.ID.Key); m != nil {
 		if !g.rules.moveIDs && w.ID.Seq < m.ID.Seq {
@@ -147,13 +147,13 @@
 	return w
 }
 
-// receive is the state after a message; the same where nothing changes.
-func (g *modelChecker) receive(state int32, word int) int32 {
-	at := [2]int32{state, int32(word)}
+// receive returns the state after a message, or the same state if nothing changes.
+func (g *modelChecker) receive(state int32, message int) int32 {
+	at := [2]int32{state, int32(message)}
 	if n, ok := g.received[at]; ok {
 		return n
 	}
-	s, w := g.states[state], g.messages[word]
+	s, w := g.states[state], g.messages[message]
 	w = g.alterForDisabledRules(s, w)
 	from := *s
 	if !g.rules.capacityCheck && w.Type == MessageOffer {
@@ -169,7 +169,7 @@
 	return n
 }
 
-// steps are the records that a cluster may agree on by itself.
+// steps returns the successors of a cluster's state by records that don't need a received message.
 func (g *modelChecker) steps(w *systemState, side int) []successor {
 	at := clusterPosition{state: w.live[side], side: int32(side)}
 	for i, n := range w.budget {
@@ -180,12 +180,12 @@
 		return list
 	}
 	s := g.states[at.state]
-	try := func(s *State, uses int, r Record) {
+	try := func(s *State, budget int, r Record) {
 		if n, err := s.Apply(r); err == nil && n != s {
-			list = append(list, successor{g.intern(n), uses})
+			list = append(list, successor{g.intern(n), budget})
 		}
 	}
-	// altered is the state as if a move's record were another.
+	// altered returns the state with a modified move.
 	altered := func(k Key, do func(m *Move)) *State {
 		c := *s
 		i, _ := c.findMove(k)
@@ -225,27 +225,27 @@
 		if m == nil {
 			continue
 		}
-		rec := func(step Step) Record { return Record{Step: step, Move: k, Seq: m.ID.Seq, Amount: 1} }
-		try(s, -1, rec(StepShift))
+		record := func(step Step) Record { return Record{Step: step, Move: k, Seq: m.ID.Seq, Amount: 1} }
+		try(s, -1, record(StepShift))
 		if !g.rules.resend && m.InTransit > 0 {
-			try(altered(k, func(m *Move) { m.Unacknowledged, m.InTransit = "", 0 }), -1, rec(StepShift))
+			try(altered(k, func(m *Move) { m.Unacknowledged, m.InTransit = "", 0 }), -1, record(StepShift))
 		}
 		if !g.rules.token && !m.HasToken && m.Local > 0 && m.End == Open {
 			try(altered(k, func(m *Move) {
 				m.HasToken, m.Request.Direction = true, map[bool]Direction{true: Forward, false: Backward}[m.Source]
-			}), -1, rec(StepShift))
+			}), -1, record(StepShift))
 		}
 		if m.Stage() == StageSettled {
-			try(s, -1, rec(StepFinish))
+			try(s, -1, record(StepFinish))
 		}
 		for _, to := range []Direction{Backward, Forward, Stop} {
-			if r := rec(StepSetDirection); at.left[1] && (to != Stop || g.bounds.stopRequests) {
+			if r := record(StepSetDirection); at.left[1] && (to != Stop || g.bounds.stopRequests) {
 				r.Direction = to
 				try(s, 1, r)
 			}
 		}
 		if at.left[2] {
-			try(s, 2, rec(StepForceRelease))
+			try(s, 2, record(StepForceRelease))
 		}
 		if !g.rules.endedMovesKept && !m.Source && m.End != Open {
 			c := *s
@@ -266,12 +266,12 @@
 	return list
 }
 
-// next are the possible next worlds. A ledger that grows beyond its capacity is found in the step.
-func (g *modelChecker) next(w systemState) (list []systemState, broken string) {
+// next returns the possible next system states, and a violation if a step makes a ledger exceed its capacity.
+func (g *modelChecker) next(w systemState) (list []systemState, violation string) {
 	for side := range 2 {
 		do := func(to successor) {
 			if v := overCommitted(g.states[w.live[side]], g.states[to.state]); v != nil && !g.bounds.sumsOnly {
-				broken = v.String()
+				violation = v.String()
 			}
 			n := w
 			if to.budget >= 0 {
@@ -295,11 +295,11 @@
 		}
 		for i := range w.sent {
 			for set := w.sent[i] & g.addressed[side][i] &^ g.unchanged[w.live[side]][i]; set != 0; set &= set - 1 {
-				word := 64*i + bits.TrailingZeros64(set)
-				if n := g.receive(w.live[side], word); n != w.live[side] {
+				message := 64*i + bits.TrailingZeros64(set)
+				if n := g.receive(w.live[side], message); n != w.live[side] {
 					do(successor{n, -1})
 				} else {
-					g.unchanged[n].add(word)
+					g.unchanged[n].add(message)
 				}
 			}
 		}
@@ -308,7 +308,7 @@
 			n.inForce[side] = n.live[side]
 			g.sendOutbox(&n, n.inForce[side])
 			list = append(list, n)
-			if w.budget[3] > 0 { // the whole cluster restarts and has what is in force
+			if w.budget[3] > 0 { // all instances restart, which returns the cluster to its state in force
 				n := w
 				n.budget[3]--
 				n.live[side] = n.inForce[side]
@@ -316,26 +316,26 @@
 			}
 		}
 	}
-	return list, broken
+	return list, violation
 }
 
-// checkPair is what does not hold between two states; empty: everything holds.
+// checkPair returns the violations between the states of both clusters, or "" if there are none.
 func (g *modelChecker) checkPair(a, b int32) string {
 	at := [2]int32{a, b}
-	why, ok := g.checked[at]
+	problem, ok := g.checked[at]
 	if !ok {
 		for _, v := range CheckInvariants(g.expected, g.states[a], g.states[b]) {
 			if !g.bounds.sumsOnly || v.Cluster == "" {
-				why += v.String() + "; "
+				problem += v.String() + "; "
 			}
 		}
-		g.checked[at] = why
+		g.checked[at] = problem
 	}
-	return why
+	return problem
 }
 
-// checkCompletion continues without faults and requests: every move has to end on both sides with
-// all that is reserved usable.
+// checkCompletion continues from two states without faults or new requests except to resume stopped moves. It returns a
+// problem unless every move then ends on both sides and all reserved amounts are usable.
 func (g *modelChecker) checkCompletion(a, b int32) string {
 	s := [2]*State{g.states[a], g.states[b]}
 	for range 40 {
@@ -355,25 +355,25 @@
 				apply(r)
 			}
 			for _, m := range s[side].Moves {
-				rec := Record{Move: m.ID.Key, Seq: m.ID.Seq, Amount: 1, Direction: Forward}
+				record := Record{Move: m.ID.Key, Seq: m.ID.Seq, Amount: 1, Direction: Forward}
 				if m.Request.Direction == Stop && m.Source {
-					rec.Step = StepSetDirection
-					apply(rec)
+					record.Step = StepSetDirection
+					apply(record)
 				}
-				if rec.Step = StepShift; m.Stage() == StageSettled && m.Source {
-					rec.Step = StepFinish
+				if record.Step = StepShift; m.Stage() == StageSettled && m.Source {
+					record.Step = StepFinish
 				}
-				apply(rec)
+				apply(record)
 			}
 		}
 	}
-	why := ""
+	problem := ""
 	for _, k := range g.keys {
 		x, y := s[0].Move(k), s[1].Move(k)
 		if x != nil && x.End == Open || y != nil && y.End == Open || s[0].Usable(k.Service)+s[1].Usable(k.Service) != g.expected[k.Service] ||
 			x != nil && x.Source && !x.Closed || y != nil && y.Source && !y.Closed {
-			why = fmt.Sprintf("does not end, or not whole: %+v, %+v", *s[0], *s[1])
+			problem = fmt.Sprintf("a move does not end, or an amount is missing: %+v, %+v", *s[0], *s[1])
 		}
 	}
-	return why
+	return problem
 }
--- a/internal/cluster/migration/wire/golden_test.go
+++ b/internal/cluster/migration/wire/golden_test.go
@@ -11,9 +11,9 @@
 	"example.org/bellstream/internal/cluster/migration"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares bytes with those of a committed file, and returns the file's.
+// golden compares bytes with those of a committed file, and returns the bytes of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name+".bin")
@@ -39,15 +39,15 @@
 	return migration.ID{Key: migration.Key{From: "north", To: "south", Service: "mail"}, Seq: 300}
 }
 
-// goldenMessage has every field set, to a value of its own.
-func goldenMessage(kind migration.MessageType, way migration.Direction) migration.Message {
+// goldenMessage returns a message whose fields are all set, each to a different value.
+func goldenMessage(messageType migration.MessageType, direction migration.Direction) migration.Message {
 	return migration.Message{
-		Type:    kind,
+		Type:    messageType,
 		ID:      goldenID(),
 		Source:  true,
 		Number:  301,
 		Amount:  302_000_000,
-		Request: migration.DirectionRequest{Number: 303, Direction: way},
+		Request: migration.DirectionRequest{Number: 303, Direction: direction},
 		Advice:  migration.Advice{CapacityStep: 304_000_000, Jobs: 305, PriorityWeight: 306, ServedPPM: 307},
 	}
 }
@@ -62,17 +62,17 @@
 		"word-bare": {bare},
 		"words-two": {goldenMessage(migration.MessageOffer, migration.Forward), bare},
 	}
-	kinds := []migration.MessageType{migration.MessageOffer, migration.MessageHold, migration.MessageReject, migration.MessageShift,
+	messageTypes := []migration.MessageType{migration.MessageOffer, migration.MessageHold, migration.MessageReject, migration.MessageShift,
 		migration.MessageAck, migration.MessageTokenPass, migration.MessageSettled, migration.MessageDone}
-	for _, kind := range kinds {
-		for _, way := range []migration.Direction{migration.Forward, migration.Backward, migration.Stop} {
-			cases["word-"+string(kind)+"-"+string(way)] = []migration.Message{goldenMessage(kind, way)}
+	for _, messageType := range messageTypes {
+		for _, direction := range []migration.Direction{migration.Forward, migration.Backward, migration.Stop} {
+			cases["word-"+string(messageType)+"-"+string(direction)] = []migration.Message{goldenMessage(messageType, direction)}
 		}
 	}
 	for name, content := range cases {
 		packets := MarshalMessages(content)
 		if len(packets) != 1 {
-			t.Fatalf("%s: %d packets", name, len(packets))
+			t.Fatalf("%s: got %d packets, want 1", name, len(packets))
 		}
 		got, err := UnmarshalMessages(golden(t, name, packets[0]))
 		if err != nil || !reflect.DeepEqual(got, content) {
@@ -80,10 +80,10 @@
 		}
 	}
 	if packets := MarshalMessages(nil); len(packets) != 0 {
-		t.Errorf("no words make %d packets", len(packets))
+		t.Errorf("no messages: got %d packets, want 0", len(packets))
 	}
 	if got, err := UnmarshalMessages(golden(t, "words-empty", marshal(&PacketProto{Version: Version, MinVersion: MinVersion}))); err != nil || got != nil {
-		t.Errorf("an empty packet decodes to %+v, %v", got, err)
+		t.Errorf("empty packet decodes to %+v, %v", got, err)
 	}
 }
 
@@ -102,8 +102,8 @@
 		}
 		cases["record-"+string(step)] = r
 	}
-	for _, way := range []migration.Direction{migration.Forward, migration.Backward, migration.Stop} {
-		cases["record-want-"+string(way)] = migration.Record{Step: migration.StepSetDirection, Move: id.Key, Seq: id.Seq, Direction: way}
+	for _, direction := range []migration.Direction{migration.Forward, migration.Backward, migration.Stop} {
+		cases["record-want-"+string(direction)] = migration.Record{Step: migration.StepSetDirection, Move: id.Key, Seq: id.Seq, Direction: direction}
 	}
 	for name, content := range cases {
 		got, err := UnmarshalRecord(golden(t, name, MarshalRecord(content)))
@@ -114,22 +114,22 @@
 }
 
 func TestGoldenStates(t *testing.T) {
-	move := func(n uint64, source bool, end migration.EndReason, out migration.MessageType) migration.Move {
+	move := func(n uint64, source bool, end migration.EndReason, unacknowledged migration.MessageType) migration.Move {
 		m := migration.Move{
 			ID:               migration.ID{Key: migration.Key{From: "north", To: "south", Service: "mail"}, Seq: 500 + n},
 			Source:           source,
 			Amount:           migration.Amount(9_000_000 + n),
 			Local:            migration.Amount(2_000_000 + n),
 			Number:           510 + n,
-			HasToken:         out == migration.MessageShift,
-			Unacknowledged:   out,
+			HasToken:         unacknowledged == migration.MessageShift,
+			Unacknowledged:   unacknowledged,
 			DestinationReady: true,
 			Request:          migration.DirectionRequest{Number: 520 + n, Direction: migration.Stop},
 			End:              end,
 			Closed:           end != migration.Open,
 			Shortfall:        migration.Amount(530 + n),
 		}
-		if out == migration.MessageShift {
+		if unacknowledged == migration.MessageShift {
 			m.InTransit = migration.Amount(3_000_000 + n)
 		}
 		if !source {
--- a/internal/cluster/migration/wire/wire.go
+++ b/internal/cluster/migration/wire/wire.go
@@ -104,7 +104,7 @@
 		return ErrCorrupt
 	}
 	if m.GetMinVersion() > Version {
-		return fmt.Errorf("%w: requires version %d, this build has %d", ErrUnsupportedVersion, m.GetMinVersion(), Version)
+		return fmt.Errorf("%w: version %d, this build has %d", ErrUnsupportedVersion, m.GetMinVersion(), Version)
 	}
 	return nil
 }
--- a/internal/cluster/migration/wire/wire_test.go
+++ b/internal/cluster/migration/wire/wire_test.go
@@ -15,13 +15,13 @@
 
 var services = []string{"s", "t"}
 
-// Three clusters apply random records, allowed or not, with amounts of any size. Every message
-// is encoded and decoded, and may arrive late, repeatedly or never; a cluster that restarts decodes its state.
+// TestRandomRecords applies random records, allowed or not, to three clusters, and checks the invariants after each.
+// Messages are encoded and decoded, and may arrive late, repeatedly or never. A cluster that restarts decodes its state.
 func TestRandomRecords(t *testing.T) {
-	moved, begun, free := 0, 0, 0
+	shifts, begunMoves, finishedMoves := 0, 0, 0
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		names, want := []string{"a", "b", "c"}, map[string]migration.Amount{}
+		names, expected := []string{"a", "b", "c"}, map[string]migration.Amount{}
 		states, journals := map[string]*migration.State{}, make([]migration.Journal, len(names))
 		var sent [][]byte
 		now := 0.0
@@ -29,39 +29,39 @@
 			raw := MarshalRecord(r)
 			read, err := UnmarshalRecord(raw)
 			if err != nil || read != r {
-				t.Fatalf("%+v came back as %+v, %v", r, read, err)
+				t.Fatalf("record %+v decodes to %+v, %v", r, read, err)
 			}
-			was := states[names[n]]
-			is, err := was.Apply(r)
-			var full *migration.InsufficientCapacityError
-			var refused *migration.MoveRejectedError
+			before := states[names[n]]
+			after, err := before.Apply(r)
+			var insufficient *migration.InsufficientCapacityError
+			var rejected *migration.MoveRejectedError
 			var stale *migration.StaleMoveError
 			if err != nil {
-				if !errors.As(err, &full) && !errors.As(err, &refused) && !errors.As(err, &stale) || is != was {
-					t.Fatalf("%+v: %v", r, err)
+				if !errors.As(err, &insufficient) && !errors.As(err, &rejected) && !errors.As(err, &stale) || after != before {
+					t.Fatalf("%+v: got unexpected error or a changed state: %v", r, err)
 				}
 				_, page, _ := strings.Cut(err.Error(), "(docs/")
-				page, part, _ := strings.Cut(strings.TrimSuffix(page, ")"), ", ")
-				if text, err := os.ReadFile("../../../../docs/" + page); err != nil || !strings.Contains(string(text), "## "+part) {
-					t.Fatalf("%q, %q: %v", page, part, err)
+				page, section, _ := strings.Cut(strings.TrimSuffix(page, ")"), ", ")
+				if text, err := os.ReadFile("../../../../docs/" + page); err != nil || !strings.Contains(string(text), "## "+section) {
+					t.Fatalf("error refers to page %q, section %q, which can't be found: %v", page, section, err)
 				}
 				return
 			}
 			if now++; r.Step == migration.StepReserve {
-				want[r.Service] += r.Amount
+				expected[r.Service] += r.Amount
 			}
-			states[names[n]] = is
+			states[names[n]] = after
 			journals[n].Entries = append(journals[n].Entries, migration.Entry{AtSeconds: now, Record: r})
 			switch r.Step {
 			case migration.StepShift:
-				moved++
+				shifts++
 			case migration.StepBeginMove:
-				begun++
+				begunMoves++
 			case migration.StepFinish:
-				free++
+				finishedMoves++
 			}
-			sent = append(sent, MarshalMessages(is.Outbox())...)
-			if v := migration.CheckInvariants(want, states["a"], states["b"], states["c"]); v != nil {
+			sent = append(sent, MarshalMessages(after.Outbox())...)
+			if v := migration.CheckInvariants(expected, states["a"], states["b"], states["c"]); v != nil {
 				t.Fatalf("seed %d, after %+v: %v", seed, r, v)
 			}
 		}
@@ -77,7 +77,7 @@
 			s := states[names[n]]
 			var m migration.Move
 			r := migration.Record{Amount: migration.Amount(rnd.IntN(650) - 50), Service: services[rnd.IntN(2)]}
-			for range len(s.Moves) { // one that is under way, mostly
+			for range len(s.Moves) { // prefers an open move
 				if m = s.Moves[rnd.IntN(len(s.Moves))]; m.End == migration.Open {
 					break
 				}
@@ -102,7 +102,7 @@
 			case 9:
 				back, err := UnmarshalState(MarshalState(s))
 				if err != nil || !reflect.DeepEqual(back.Moves, s.Moves) || !reflect.DeepEqual(back.Ledger(), s.Ledger()) {
-					t.Fatalf("%+v came back as %+v, %v", s, back, err)
+					t.Fatalf("state %+v decodes to %+v, %v", s, back, err)
 				}
 				states[names[n]] = back
 				continue
@@ -123,7 +123,7 @@
 				for _, w := range list {
 					for to, name := range names {
 						if w.Source && w.ID.To == name || !w.Source && w.ID.From == name {
-							if r, news, _ := states[name].RecordFor(w); news {
+							if r, changes, _ := states[name].RecordFor(w); changes {
 								apply(to, r)
 							}
 							if a, ok := states[name].Answer(w); ok {
@@ -137,25 +137,25 @@
 			apply(n, r)
 		}
 		if v := migration.Audit(journals...); v != nil {
-			t.Fatalf("seed %d: %v", seed, v)
+			t.Fatalf("seed %d: audit of the journals found %v", seed, v)
 		}
 	}
-	if moved < 1000 {
-		t.Errorf("%d steps of moves", moved)
+	if shifts < 1000 {
+		t.Errorf("got %d shifts, want at least 1000", shifts)
 	}
-	t.Logf("%d steps of moves, %d free of %d", moved, free, begun)
+	t.Logf("%d shifts, %d moves finished of %d", shifts, finishedMoves, begunMoves)
 }
 
 func TestBounds(t *testing.T) {
 	many := make([]migration.Message, MaxMessages+1)
 	if n := len(MarshalMessages(many)); n != 2 {
-		t.Errorf("%d packets", n)
+		t.Errorf("got %d packets, want 2", n)
 	}
-	fat, _ := proto.Marshal(&PacketProto{Messages: make([]*MessageProto, MaxMessages+1)})
+	tooMany, _ := proto.Marshal(&PacketProto{Messages: make([]*MessageProto, MaxMessages+1)})
 	newer, _ := proto.Marshal(&PacketProto{MinVersion: Version + 1})
-	for want, raw := range map[error][]byte{ErrTooLarge: fat, ErrUnsupportedVersion: newer, ErrCorrupt: MarshalMessages(many[:1])[0]} {
+	for want, raw := range map[error][]byte{ErrTooLarge: tooMany, ErrUnsupportedVersion: newer, ErrCorrupt: MarshalMessages(many[:1])[0]} {
 		if _, err := UnmarshalMessages(raw); !errors.Is(err, want) {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("got error %v, want %v", err, want)
 		}
 	}
 	if _, err := UnmarshalMessages(make([]byte, MaxPacketBytes+1)); !errors.Is(err, ErrTooLarge) {
@@ -163,7 +163,8 @@
 	}
 }
 
-// What is read is written to the same again, and no state takes harm from it.
+// FuzzRead checks that decoded data is the same after it is encoded and decoded again, and that decoded messages and
+// records leave a valid state valid.
 func FuzzRead(f *testing.F) {
 	w := migration.Message{Type: migration.MessageOffer, ID: migration.ID{Key: migration.Key{From: "a", To: "b", Service: "s"}, Seq: 1}, Source: true, Amount: 5, Request: migration.DirectionRequest{Number: 1, Direction: migration.Forward}}
 	b, _ := migration.New("b").Apply(migration.Record{Step: migration.StepSetCapacity, Amount: 9})
@@ -174,26 +175,26 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if list, err := UnmarshalMessages(raw); err == nil && len(list) > 0 {
 			if again, err := UnmarshalMessages(MarshalMessages(list)[0]); err != nil || !reflect.DeepEqual(list, again) {
-				t.Fatalf("%+v, then %+v, %v", list, again, err)
+				t.Fatalf("messages %+v decode to %+v, %v after encoding", list, again, err)
 			}
 			for s, i := held, 0; i < len(list); i++ {
 				s, _ = s.Apply(migration.Record{Step: migration.StepReceive, Message: list[i]})
 				if !s.Valid() || s.Ledger().Free() < 0 {
-					t.Fatalf("%+v after %+v", s, list[i])
+					t.Fatalf("invalid state %+v after message %+v", s, list[i])
 				}
 			}
 		}
 		if r, err := UnmarshalRecord(raw); err == nil {
 			if again, err := UnmarshalRecord(MarshalRecord(r)); err != nil || again != r {
-				t.Fatalf("%+v, then %+v, %v", r, again, err)
+				t.Fatalf("record %+v decodes to %+v, %v after encoding", r, again, err)
 			}
 			if s, _ := held.Apply(r); !s.Valid() {
-				t.Fatalf("%+v after %+v", s, r)
+				t.Fatalf("invalid state %+v after record %+v", s, r)
 			}
 		}
 		if s, err := UnmarshalState(raw); err == nil {
 			if again, err := UnmarshalState(MarshalState(s)); err != nil || !reflect.DeepEqual(s, again) {
-				t.Fatalf("%+v, then %+v, %v", s, again, err)
+				t.Fatalf("state %+v decodes to %+v, %v after encoding", s, again, err)
 			}
 			s.Ledger().ServedPPM()
 		}
