--- a/internal/cluster/migration/coordinator/bench_test.go
+++ b/internal/cluster/migration/coordinator/bench_test.go
@@ -9,7 +9,7 @@
 	"example.org/bellstream/internal/cluster/migration/wire"
 )
 
-// BenchmarkNext is a leader's review of 1,000 services in the ledger with 900 ended and 100 open moves.
+// BenchmarkNext measures a leader's review of a ledger with 1,000 services, 900 ended and 100 open moves.
 func BenchmarkNext(b *testing.B) {
 	services := map[string]float64{}
 	s := migration.New("east")
