--- a/internal/endpoints/budget_test.go
+++ b/internal/endpoints/budget_test.go
@@ -16,18 +16,18 @@
 	"time"
 )
 
-// Within these a watch that has fallen silent, and a call that says nothing, are given up.
+// Maximum times after which a watch without further updates, and a call without a complete list, have ended.
 const (
-	silenceEnds = 2700 * time.Millisecond
-	callEnds    = 3100 * time.Millisecond
+	maxStalledWatch = 2700 * time.Millisecond
+	maxStalledCall  = 3100 * time.Millisecond
 )
 
-const headOnly = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// dribble writes a part of something again and again, until nobody reads.
-func dribble(c net.Conn, every time.Duration, part string) {
+// writeRepeatedly writes part at an interval until the connection is closed.
+func writeRepeatedly(c net.Conn, every time.Duration, part string) {
 	for {
 		if _, err := io.WriteString(c, part); err != nil {
 			return
@@ -36,8 +36,9 @@
 	}
 }
 
-// onPipe has discovery's end of a connection played by hand, in virtual time, and returns how the watch ended.
-func onPipe(play func(c net.Conn), each func(*Update)) (ended time.Time, err error) {
+// watchOverPipe runs a watch over a pipe, on whose other end play acts as discovery. It returns when and why the watch
+// ended.
+func watchOverPipe(play func(c net.Conn), each func(*Update)) (ended time.Time, err error) {
 	here, there := net.Pipe()
 	var peer sync.WaitGroup
 	peer.Go(func() {
@@ -52,26 +53,27 @@
 	return time.Now(), err
 }
 
-// stall is a way to go on saying something and yet to tell nothing any more.
+// stalls are the ways in which discovery may stop sending complete updates, with or without sending more bytes.
 var stalls = map[string]func(c net.Conn, every time.Duration){
 	"nothing":        func(c net.Conn, _ time.Duration) { io.Copy(io.Discard, c) },
-	"half an update": func(c net.Conn, _ time.Duration) { io.WriteString(c, chunk(change[:40])); io.Copy(io.Discard, c) },
+	"half an update": func(c net.Conn, _ time.Duration) { io.WriteString(c, chunk(changeList[:40])); io.Copy(io.Discard, c) },
 	"half, then blank": func(c net.Conn, every time.Duration) {
-		io.WriteString(c, chunk(change[:40]))
-		dribble(c, every, chunk("\n"))
+		io.WriteString(c, chunk(changeList[:40]))
+		writeRepeatedly(c, every, chunk("\n"))
 	},
 	"an endless name": func(c net.Conn, every time.Duration) {
 		io.WriteString(c, chunk(`{"seq":"`))
-		dribble(c, every, chunk("x"))
+		writeRepeatedly(c, every, chunk("x"))
 	},
 	"endless hosts": func(c net.Conn, every time.Duration) {
 		io.WriteString(c, chunk(`{"seq":42,"hosts":[{}`))
-		dribble(c, every, chunk(",{}"))
+		writeRepeatedly(c, every, chunk(",{}"))
 	},
-	"an endless chunk size": func(c net.Conn, every time.Duration) { dribble(c, every, "0") },
+	"an endless chunk size": func(c net.Conn, every time.Duration) { writeRepeatedly(c, every, "0") },
 }
 
-// A watch that tells nothing any more ends in time, whatever else it says; from the last byte of what it told.
+// A watch without further complete updates or blank lines ends within maxStalledWatch of the last one, whatever bytes it
+// receives.
 func TestStalledWatchEndsInTime(t *testing.T) {
 	for name, stall := range stalls {
 		for seed := range uint64(8) {
@@ -79,42 +81,42 @@
 				r := rand.New(rand.NewPCG(seed, 0))
 				every := 20*time.Millisecond + time.Duration(r.Float64()*float64(2*time.Second))
 				var from time.Time
-				told := 0
-				ended, err := onPipe(func(c net.Conn) {
+				updates := 0
+				ended, err := watchOverPipe(func(c net.Conn) {
 					time.Sleep(time.Duration(r.Float64() * float64(firstListTimeout)))
-					io.WriteString(c, headOnly+chunk(whole+"\n"))
+					io.WriteString(c, chunkedHead+chunk(completeList+"\n"))
 					for range r.IntN(4) {
 						time.Sleep(2 * time.Second)
-						io.WriteString(c, chunk([]string{"\n", change + "\n"}[r.IntN(2)]))
+						io.WriteString(c, chunk([]string{"\n", changeList + "\n"}[r.IntN(2)]))
 					}
 					from = time.Now()
 					stall(c, every)
-				}, func(*Update) { told++ })
-				if took := ended.Sub(from); took > silenceEnds || told == 0 {
-					t.Errorf("%s, a part each %v: ended %v after it told something, by %v; want %v at most", name, every, took, err, silenceEnds)
+				}, func(*Update) { updates++ })
+				if took := ended.Sub(from); took > maxStalledWatch || updates == 0 {
+					t.Errorf("%s, a part every %v: ended %v after the last update or blank line with %v, want at most %v", name, every, took, err, maxStalledWatch)
 				}
 			})
 		}
 	}
 }
 
-// A call that is not answered by a whole list ends in time, so that there is time for another.
+// A call that receives no complete list ends within maxStalledCall, so that there is time for another call.
 func TestStalledCallEndsInTime(t *testing.T) {
-	starts := map[string]string{"no answer": "", "a head without end": "HTTP/1.1 200 OK\r\n", "no list": headOnly, "half a list": headOnly + chunk(whole[:50])}
+	starts := map[string]string{"no answer": "", "a head without end": "HTTP/1.1 200 OK\r\n", "no list": chunkedHead, "half a list": chunkedHead + chunk(completeList[:50])}
 	for name, start := range starts {
 		for part, text := range map[string]string{"nothing": "", "a header": "A: b\r\n", "blanks": chunk("\n"), "a letter": chunk("x"), "hosts": chunk(`{},`)} {
 			for _, every := range []time.Duration{50 * time.Millisecond, time.Second, 1900 * time.Millisecond} {
 				synctest.Test(t, func(t *testing.T) {
 					from := time.Now()
-					ended, err := onPipe(func(c net.Conn) {
+					ended, err := watchOverPipe(func(c net.Conn) {
 						io.WriteString(c, start)
 						if text == "" {
 							io.Copy(io.Discard, c)
 						}
-						dribble(c, every, text)
+						writeRepeatedly(c, every, text)
 					}, func(*Update) {})
-					if took := ended.Sub(from); took > callEnds {
-						t.Errorf("%s, then %s each %v: given up after %v by %v, want %v at most", name, part, every, took, err, callEnds)
+					if took := ended.Sub(from); took > maxStalledCall {
+						t.Errorf("%s, then %s every %v: ended after %v with %v, want at most %v", name, part, every, took, err, maxStalledCall)
 					}
 				})
 			}
@@ -122,7 +124,8 @@
 	}
 }
 
-// Where the way to discovery is cut the dial hangs. It is given up sooner than a call, so that the next one is made soon after the way is back.
+// A dial hangs while the link to discovery is broken. It has a shorter time-out than a call, so that the next dial
+// follows soon after the link is restored.
 func TestHangingDialEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from := time.Now()
@@ -131,44 +134,44 @@
 			return nil, ctx.Err()
 		}, "discovery", 0, func(*Update) {})
 		if took := time.Since(from); took > dialTimeout || !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("given up after %v by %v", took, err)
+			t.Errorf("ended after %v with %v, want a time-out of the dial", took, err)
 		}
 	})
 }
 
-// A watch that is alive is kept: discovery that is slow by half a second, an answer that took nearly its
-// time, many updates on end, and a program that was held up itself and finds what came meanwhile.
+// A live watch does not time out: if discovery is late by up to half a second, if the first list takes almost
+// firstListTimeout, with many consecutive updates, or if this process itself is suspended.
 func TestLiveWatchIsKept(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
-			r, mine := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-			told, want := 0, 1
-			_, err := onPipe(func(c net.Conn) {
+			r, readerRand := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
+			updates, want := 0, 1
+			_, err := watchOverPipe(func(c net.Conn) {
 				time.Sleep(firstListTimeout - time.Millisecond)
-				io.WriteString(c, headOnly+chunk(whole+"\n"))
+				io.WriteString(c, chunkedHead+chunk(completeList+"\n"))
 				for range 200 {
 					time.Sleep(2*time.Second + time.Duration(r.Float64()*float64(500*time.Millisecond)))
 					switch r.IntN(4) {
 					case 0:
-						io.WriteString(c, chunk(change+"\n"))
+						io.WriteString(c, chunk(changeList+"\n"))
 						want++
-					case 1: // two, the second cut
-						cut := r.IntN(len(change))
-						io.WriteString(c, chunk(change+"\n"+change[:cut]))
+					case 1: // two updates, the second one divided
+						cut := r.IntN(len(changeList))
+						io.WriteString(c, chunk(changeList+"\n"+changeList[:cut]))
 						time.Sleep(2 * time.Second)
-						io.WriteString(c, chunk(change[cut:]+"\n"))
+						io.WriteString(c, chunk(changeList[cut:]+"\n"))
 						want += 2
 					default:
 						io.WriteString(c, chunk("\n"))
 					}
 				}
 			}, func(*Update) {
-				if told++; mine.IntN(10) == 0 {
+				if updates++; readerRand.IntN(10) == 0 {
 					time.Sleep(10 * time.Second)
 				}
 			})
-			if told != want || !strings.Contains(fmt.Sprint(err), "EOF") {
-				t.Errorf("seed %d: %d updates of %d, then %v", seed, told, want, err)
+			if updates != want || !strings.Contains(fmt.Sprint(err), "EOF") {
+				t.Errorf("seed %d: got %d updates of %d, then error %v", seed, updates, want, err)
 			}
 		})
 	}
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,2 +1,2 @@
-// Package endpoints keeps discovery's list of workers, the address of each, and the watch that brings changes.
+// Package endpoints maintains the list of workers and their addresses, and watches discovery for changes to it.
 package endpoints
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	whole  = `{"seq":41,"whole":true,"novel":1,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","block":3,"health":"active","born_ms":1500},{"host":"b","dial":"1:2","health":"active"}]}`
-	change = `{"seq":42,"whole":false,"hosts":[{"host":"a","dial":"1:9","health":"leaving"},{"host":"b","dial":"1:2","health":"left"}]}`
+	completeList = `{"seq":41,"whole":true,"novel":1,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","block":3,"health":"active","born_ms":1500},{"host":"b","dial":"1:2","health":"active"}]}`
+	changeList   = `{"seq":42,"whole":false,"hosts":[{"host":"a","dial":"1:9","health":"leaving"},{"host":"b","dial":"1:2","health":"left"}]}`
 )
 
 func TestTable(t *testing.T) {
 	table := NewTable()
-	u, err := Parse([]byte(whole))
+	u, err := Parse([]byte(completeList))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,32 +38,32 @@
 	if closed := table.Apply(u, 0); len(closed) != 0 || table.Len() != 2 || table.Seq != 41 {
 		t.Errorf("closed %v, %d listed, seq %d", closed, table.Len(), table.Seq)
 	}
-	u, _ = Parse([]byte(change))
-	// Idle connections to what drains, is gone or has moved are of no more use.
+	u, _ = Parse([]byte(changeList))
+	// Idle connections to workers that drain, are removed or have another address are closed.
 	if closed := strings.Join(table.Apply(u, 1), " "); closed != "1:1 1:2" || table.Len() != 1 {
 		t.Errorf("closed %s, %d listed", closed, table.Len())
 	}
 	if dial, ok := table.Address("a"); dial != "1:9" || !ok {
-		t.Errorf("a is dialled at %q", dial)
+		t.Errorf("got address %q for a, want 1:9", dial)
 	}
-	// An empty list is a list: all that it lacks is gone, and forgotten in time.
+	// A complete list that is empty removes all workers. Their records are deleted after the retention.
 	empty := &Update{Seq: 43, Complete: true}
 	if closed := table.Apply(empty, 2); len(closed) != 1 || table.Len() != 0 {
 		t.Errorf("closed %v, %d listed", closed, table.Len())
 	}
 	if table.Apply(empty, 3+removedRetentionSeconds); len(table.records) != 0 {
-		t.Errorf("%d targets are never forgotten", len(table.records))
+		t.Errorf("got %d records after the retention, want 0", len(table.records))
 	}
 }
 
-// An older list that comes again, as after a move to another discovery, does not open what a newer one has
-// closed. A newer one does, so does another start, and what is closed is not closed for good.
-func TestOlderListOpensNothing(t *testing.T) {
+// An older list, as received after a change to another discovery, does not reopen workers that a newer list has
+// closed. A newer list does, and so do a restart of the worker and an older list after the retention.
+func TestStaleListReopensNothing(t *testing.T) {
 	entry := func(health string, born int) string {
 		return fmt.Sprintf(`{"host":"a","dial":"1:1","site":"z","class":"k","health":%q,"born_ms":%d},`, health, born)
 	}
 	for name, c := range map[string]struct {
-		first  string // at 43, after version 41 had it active and born at 1000
+		first  string // entry in version 43; version 41 lists it as active and started at 1000 ms
 		whole  bool
 		seq    int64
 		second string
@@ -97,22 +97,22 @@
 		}
 		apply(41, true, entry("active", 1000), 100)
 		apply(43, c.whole, c.first, 101)
-		for range 2 { // and once more
+		for range 2 { // the same list may be received again
 			u := apply(c.seq, true, c.second, 101+c.after)
 			if got := u.EndpointUpdate().Workers[0].State; got != c.want || table.records["a"].removed != (c.want == balance.Removed) {
-				t.Errorf("%s: the module is told %s, want %s", name, got, c.want)
+				t.Errorf("%s: got state %s, want %s", name, got, c.want)
 			}
 			if table.Len() == 0 || table.Seq != c.seq {
-				t.Errorf("%s: %d listed, version %d", name, table.Len(), table.Seq)
+				t.Errorf("%s: got %d listed workers, version %d", name, table.Len(), table.Seq)
 			}
 		}
 	}
 }
 
-// FuzzParse holds that no line of discovery's ends the program, and that what
-// is taken in can be used.
+// FuzzParse checks that no line from discovery makes the program panic, and that every accepted entry has a state and
+// an address.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{whole, change, `{"seq":1}`, `{"seq":1,"hosts":{}}`, `{"seq":1,"hosts":[{}]}`, `[]`, `{`,
+	for _, s := range []string{completeList, changeList, `{"seq":1}`, `{"seq":1,"hosts":{}}`, `{"seq":1,"hosts":[{}]}`, `[]`, `{`,
 		`{"seq":"x","hosts":[{"host":"a","dial":"1","health":"novel","born_ms":"x"}]}`} {
 		f.Add(s)
 	}
@@ -125,14 +125,14 @@
 		table.Apply(u, 0)
 		for _, e := range u.Endpoints {
 			if dial, ok := table.Address(e.ID); e.State == "" || ok && dial == "" {
-				t.Errorf("%q: %+v is dialled at %q", s, e, dial)
+				t.Errorf("list %q: got entry %+v with address %q", s, e, dial)
 			}
 		}
 	})
 }
 
-// watch plays a watch whose answer comes in two parts, and returns the updates
-// by their numbers and how it ended.
+// watch runs a watch whose response is sent in two parts, divided at cut. It returns the versions of the updates and
+// the watch's error.
 func watch(t *testing.T, raw string, cut int, hangUp bool) (seqs []int64, err error) {
 	t.Helper()
 	d := wiretest.NewTarget(t)
@@ -142,7 +142,7 @@
 	}()
 	call := wiretest.Get(t, d.Calls, "a watch")
 	if call.Req.RequestURI != "/v1/servers?stream=1&index=40" {
-		t.Errorf("asked for %s", call.Req.RequestURI)
+		t.Errorf("got request for %s", call.Req.RequestURI)
 	}
 	call.WriteRaw(raw[:cut])
 	call.WriteRaw(raw[cut:])
@@ -153,7 +153,7 @@
 	return seqs, err
 }
 
-// indented is a list as people would write it.
+// indented returns a list with indentation and line breaks.
 func indented(list string) string {
 	var b bytes.Buffer
 	json.Indent(&b, []byte(list), "", "  ")
@@ -167,14 +167,14 @@
 		updates   int
 		want      string
 	}{
-		{"updates", wiretest.Lines(true, whole, "", change), false, 2, "ended the watch"},
-		{"break", wiretest.Lines(false, whole), true, 1, "unexpected EOF"},
-		{"malformed", wiretest.Lines(false, whole, "{nonsense"), false, 1, "invalid character"},
-		{"indented", wiretest.Lines(true, strings.Split(indented(whole), "\n")...), false, 1, "ended the watch"},
-		{"indented, a line for the whole", wiretest.Lines(true, indented(whole), "", "", indented(change), change), false, 3, "ended the watch"},
-		{"no list", wiretest.Lines(false, whole, `[1]`), false, 1, "of a wrong type"},
-		{"endless", wiretest.Lines(false, whole, `{"seq":1,"hosts":[`+strings.Repeat("1,", maxUpdate/2)), false, 1, "too long"},
-		{"breaks in an update", wiretest.Lines(true, whole, change[:9]), false, 1, "unexpected EOF"},
+		{"updates", wiretest.Lines(true, completeList, "", changeList), false, 2, "ended the watch"},
+		{"connection closed", wiretest.Lines(false, completeList), true, 1, "unexpected EOF"},
+		{"malformed", wiretest.Lines(false, completeList, "{nonsense"), false, 1, "invalid character"},
+		{"indented", wiretest.Lines(true, strings.Split(indented(completeList), "\n")...), false, 1, "ended the watch"},
+		{"indented, a line for the whole", wiretest.Lines(true, indented(completeList), "", "", indented(changeList), changeList), false, 3, "ended the watch"},
+		{"no list", wiretest.Lines(false, completeList, `[1]`), false, 1, "of a wrong type"},
+		{"update too long", wiretest.Lines(false, completeList, `{"seq":1,"hosts":[`+strings.Repeat("1,", maxUpdate/2)), false, 1, "too long"},
+		{"closed in an update", wiretest.Lines(true, completeList, changeList[:9]), false, 1, "unexpected EOF"},
 		{"refused", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, 0, "503"},
 		{"not HTTP", "nonsense\r\n\r\n", false, 0, "malformed"},
 	} {
@@ -187,31 +187,32 @@
 	}
 }
 
-// A watch on a machine that was cut off says nothing and never ends by itself.
+// A watch of an unreachable machine receives nothing and would never end without the time-out.
 func TestSilentWatchEnds(t *testing.T) {
 	defer func(old time.Duration) { watchIdleTimeout = old }(watchIdleTimeout)
 	watchIdleTimeout = 10 * time.Millisecond
 	d := wiretest.NewTarget(t)
 	end := make(chan error, 1)
 	go func() { end <- Watch(context.Background(), d.Addr, 0, func(*Update) {}) }()
-	wiretest.Get(t, d.Calls, "a watch").WriteRaw(wiretest.Lines(false, whole))
+	wiretest.Get(t, d.Calls, "a watch").WriteRaw(wiretest.Lines(false, completeList))
 	if err := wiretest.Get(t, end, "the watch's end"); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a time-out", err)
 	}
 }
 
-// Discovery's lines may come cut at any byte.
+// A response may be divided between two reads at any byte.
 func TestWatchCutAnywhere(t *testing.T) {
-	raw := wiretest.Lines(true, whole, "", indented(change))
+	raw := wiretest.Lines(true, completeList, "", indented(changeList))
 	for cut := 1; cut < len(raw); cut++ {
 		if seqs, err := watch(t, raw, cut, false); len(seqs) != 2 {
-			t.Fatalf("cut at %d: updates %v, %v", cut, seqs, err)
+			t.Fatalf("divided at %d: got updates %v, %v", cut, seqs, err)
 		}
 	}
 }
 
-// A program that was held up past its deadline finds what came meanwhile; where nothing did, the time is over.
-func TestHeldUpReaderLooksOnceMore(t *testing.T) {
+// A process that was suspended past its read deadline still reads the data that arrived meanwhile. If none arrived, the
+// read ends with the deadline's error.
+func TestSuspendedReaderReadsOnceMore(t *testing.T) {
 	d := wiretest.NewTarget(t)
 	c, err := net.Dial("tcp", d.Addr)
 	if err != nil {
@@ -224,27 +225,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Read(func(fd uintptr) bool { // waits until the byte is there, and leaves it
+	raw.Read(func(fd uintptr) bool { // waits until the byte has arrived, without reading it
 		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK)
 		return n == 1
 	})
 	l, p := &watchConn{Conn: c}, make([]byte, 9)
 	l.extendDeadline(-time.Second)
 	if n, err := l.Read(p); n != 1 || err != nil {
-		t.Errorf("read %d, %v: what came while it was held up is lost", n, err)
+		t.Errorf("got %d bytes, %v, want the byte that arrived before the read", n, err)
 	}
 	l.extendDeadline(-time.Second)
 	for range 2 {
 		if n, err := l.Read(p); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %d, %v, want the end of its time", n, err)
+			t.Errorf("got %d bytes, %v, want os.ErrDeadlineExceeded", n, err)
 		}
 	}
 	if !l.graceUsed {
-		t.Error("it would look again and again")
+		t.Error("the grace after the deadline is not marked as used")
 	}
 }
 
-// On sockets too: an update that has begun and never ends is given up, though bytes keep coming.
+// On a TCP connection too, a watch ends if an update never ends, although bytes keep arriving.
 func TestEndlessUpdateOnSockets(t *testing.T) {
 	defer func(old time.Duration) { watchIdleTimeout = old }(watchIdleTimeout)
 	watchIdleTimeout = 100 * time.Millisecond
@@ -253,10 +254,10 @@
 		end := make(chan error, 1)
 		go func() { end <- Watch(context.Background(), d.Addr, 0, func(*Update) {}) }()
 		call := wiretest.Get(t, d.Calls, "a watch")
-		call.WriteRaw(wiretest.Lines(false, whole) + chunk(`{"seq":"`))
-		go dribble(call, time.Millisecond, chunk(part))
+		call.WriteRaw(wiretest.Lines(false, completeList) + chunk(`{"seq":"`))
+		go writeRepeatedly(call, time.Millisecond, chunk(part))
 		if err := wiretest.Get(t, end, "the watch's end"); !errors.Is(err, os.ErrDeadlineExceeded) && !strings.Contains(err.Error(), "invalid") {
-			t.Errorf("%q for ever: %v", part, err)
+			t.Errorf("endless %q: got error %v", part, err)
 		}
 	}
 }
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -6,36 +6,36 @@
 	"example.org/bellstream/balance"
 )
 
-// removedRetentionSeconds is how long a worker that the list no longer names can still be dialled: the
-// decision module may hold on to one that was left out by mistake.
+// removedRetentionSeconds is how long a worker can still be dialled after the list no longer names it. The
+// decision module may keep using a worker that was left out by mistake.
 const removedRetentionSeconds = 900.0
 
-// Handle is a worker as it was listed when the handle was made. It becomes invalid for good with the first
-// list in which the worker drains, leaves, starts anew or has another address.
+// Handle identifies a worker as it was listed when the handle was made. It becomes permanently invalid with
+// the first list in which the worker drains, is removed, has restarted or has another address.
 type Handle struct {
 	Address string
 	invalid atomic.Bool
 }
 
-// Invalid reports whether what was decided for the worker as listed may not hold any more. It may be called
-// from any goroutine.
+// Invalid reports whether decisions that were made for the worker as it was listed may no longer apply. It
+// may be called from any goroutine.
 func (h *Handle) Invalid() bool { return h.invalid.Load() }
 
-// record is what the table keeps of a worker.
+// record is the table's entry for a worker.
 type record struct {
 	address   string
-	handle    *Handle // nil: none was made since the last one became invalid
+	handle    *Handle // the valid handle; nil if none was made since the last one became invalid
 	removed   bool
 	removedAt float64
 
-	// As last listed, in which version and when.
+	// The worker as last listed, the list's version, and the time in seconds at which it was applied.
 	state     balance.WorkerState
 	started   float64
 	seq       int64
 	updatedAt float64
 }
 
-// invalidate ends the present handle.
+// invalidate makes the current handle invalid, if there is one.
 func (r *record) invalidate() {
 	if r.handle != nil {
 		r.handle.invalid.Store(true)
@@ -43,9 +43,9 @@
 	}
 }
 
-// isStale reports whether an entry would reopen what a newer version has closed: an older list that comes
-// again, from another discovery or one that has started anew. Where version numbers have begun again that
-// can't be told apart, so it holds for a limited time only.
+// isStale reports whether an entry of an older list would reopen a worker that a newer list has closed.
+// Another discovery, or a restarted one, may send such a list. It can't be distinguished from a new list after
+// the version numbers were reset, so an entry is stale only for removedRetentionSeconds.
 func (r *record) isStale(e *Endpoint, seq int64, now float64) bool {
 	reopensDraining := r.state == balance.Draining && e.State == balance.Running
 	reopensRemoved := r.state == balance.Removed && e.State != balance.Removed
@@ -55,7 +55,7 @@
 	return seq < r.seq && e.StartedAt <= r.started && now < r.updatedAt+removedRetentionSeconds
 }
 
-// setRemoved records whether the list names the worker.
+// setRemoved records whether the worker is removed from the list, and the time of a change.
 func (r *record) setRemoved(removed bool, now float64) {
 	if removed != r.removed {
 		r.removed = removed
@@ -63,7 +63,8 @@
 	}
 }
 
-// Table maps workers to their addresses. It has one owner.
+// Table maps workers to their addresses. It must be used by one goroutine at a time. Seq is the version of
+// the last update.
 type Table struct {
 	Seq     int64
 	records map[string]*record
@@ -72,7 +73,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[string]*record{}} }
 
-// Len is the number of listed workers.
+// Len returns the number of listed workers.
 func (t *Table) Len() (n int) {
 	for _, r := range t.records {
 		if !r.removed {
@@ -82,7 +83,7 @@
 	return n
 }
 
-// Hosts are the workers that can be dialled.
+// Hosts returns the IDs of the workers that can be dialled, including recently removed ones.
 func (t *Table) Hosts() map[string]bool {
 	hosts := make(map[string]bool, len(t.records))
 	for host := range t.records {
@@ -91,7 +92,7 @@
 	return hosts
 }
 
-// Address returns the address of a worker, or false for one that was never listed.
+// Address returns the address of a worker, or false if the table has no record of it.
 func (t *Table) Address(host string) (string, bool) {
 	if r := t.records[host]; r != nil {
 		return r.address, true
@@ -99,7 +100,7 @@
 	return "", false
 }
 
-// Handle returns the handle of a worker as it is listed now; nil for one that was never listed.
+// Handle returns the handle of a worker as it is listed now, or nil if the table has no record of it.
 func (t *Table) Handle(host string) *Handle {
 	r := t.records[host]
 	if r == nil {
@@ -111,8 +112,8 @@
 	return r.handle
 }
 
-// Apply applies an update and returns the addresses to which idle connections are of no more use. Entries
-// that would reopen what a newer version has closed are corrected, in the update too.
+// Apply applies an update at the time now, in seconds, and returns the addresses whose idle connections are
+// to be closed. Stale entries are corrected, also in u: they keep the worker's state of the newer list.
 func (t *Table) Apply(u *Update, now float64) (closed []string) {
 	t.Seq = u.Seq
 	named := map[string]bool{}
@@ -139,7 +140,7 @@
 	return closed
 }
 
-// applyEndpoint applies one entry and returns the address that it closes, if any.
+// applyEndpoint applies one entry. It returns the address whose idle connections are to be closed, if any.
 func (t *Table) applyEndpoint(e *Endpoint, seq int64, now float64) (closed string) {
 	r := t.records[e.ID]
 	if r != nil && r.isStale(e, seq, now) {
@@ -158,7 +159,7 @@
 		closed = r.address
 		r.invalidate()
 	}
-	if e.StartedAt > r.started { // another process
+	if e.StartedAt > r.started { // the worker has restarted
 		r.invalidate()
 	}
 	if e.Address != "" {
--- a/internal/endpoints/update.go
+++ b/internal/endpoints/update.go
@@ -12,31 +12,31 @@
 // Endpoint is one entry of discovery's list.
 type Endpoint struct {
 	balance.WorkerInfo
-	Address string // where it is dialled
+	Address string // address at which it is dialled
 }
 
-// Update is a complete list, or the changes to one.
+// Update is a complete list of workers or a set of changes to one. Seq is the list's version.
 type Update struct {
 	Seq       int64
 	Complete  bool
 	Endpoints []Endpoint
 }
 
-// workerStates are the states by their names in the list.
+// workerStates maps the names of states in discovery's list to states.
 var workerStates = map[string]balance.WorkerState{
 	"active":  balance.Running,
 	"leaving": balance.Draining,
 	"left":    balance.Removed,
 }
 
-// errNotJSON and errMalformed are the errors of a list as a whole.
+// errNotJSON and errMalformed are the errors of Parse that don't concern a single entry.
 var (
 	errNotJSON   = errors.New("list: not valid JSON")
 	errMalformed = errors.New("list: seq or hosts is missing or of a wrong type")
 )
 
-// Parse decodes a list in discovery's form. Unknown fields are skipped, and an unknown state counts as
-// draining.
+// Parse decodes a list in discovery's format. It ignores unknown fields, and treats an unknown state as
+// draining. It returns an error if raw is not valid JSON, or if a required field is missing.
 func Parse(raw []byte) (*Update, error) {
 	if !gjson.ValidBytes(raw) {
 		return nil, errNotJSON
@@ -78,7 +78,7 @@
 	}
 }
 
-// EndpointUpdate is the update as the decision module's event.
+// EndpointUpdate returns the update as an event for the decision module.
 func (u *Update) EndpointUpdate() balance.EndpointUpdate {
 	event := balance.EndpointUpdate{Kind: balance.EndpointsDelta}
 	if u.Complete {
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -14,20 +14,21 @@
 	"time"
 )
 
-// Times of a watch. A change binds 6 s after discovery had it and could be reached, so what a watch misses
-// has to arrive by then: the silence is detected, the next call is delayed (0.15 s at most, balance.PollDelay),
-// and may last as long as discovery lets a caller wait its turn, 3 s. docs/design/endpoint-lists.md adds that up.
+// Time-outs of a watch. A change must take effect within 6 s of when discovery has it and is reachable. A
+// change that a broken watch misses has to arrive in this time too: the silence is detected, the next call is
+// delayed (by at most 0.15 s, balance.PollDelay), and discovery may let a caller wait for 3 s.
+// docs/design/endpoint-lists.md adds up these times.
 const (
-	dialTimeout      = 1250 * time.Millisecond // a reachable machine accepts at once, or at a retry after 1 s
-	firstListTimeout = 3000 * time.Millisecond // from the dial on; a call given up sooner would be made twice
-	readGrace        = 100 * time.Millisecond  // for what came while this process was held up itself
+	dialTimeout      = 1250 * time.Millisecond // a reachable machine accepts immediately, or at TCP's retry after 1 s
+	firstListTimeout = 3000 * time.Millisecond // from the start of the dial; a shorter one would repeat slow calls
+	readGrace        = 100 * time.Millisecond  // to read data that arrived while this process was suspended
 
-	maxHead   = 32 << 10
-	maxUpdate = 4 << 20 // bytes
+	maxHead   = 32 << 10 // bytes
+	maxUpdate = 4 << 20  // bytes
 )
 
-// watchIdleTimeout is how long a watch may be silent, or an update may take. Discovery writes an empty line
-// every 2 s while nothing changes. Tests shorten it.
+// watchIdleTimeout is the maximum time for which a watch may be silent, and for which one update may take.
+// Discovery writes an empty line every 2 s while nothing changes. Tests shorten it.
 var watchIdleTimeout = 2600 * time.Millisecond
 
 var (
@@ -38,14 +39,15 @@
 // DialFunc makes a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Watch asks discovery for all changes after seq and calls each with every update, in order, until the watch
-// or ctx ends. It always returns the reason. Silence ends a watch: a broken link is silent.
+// Watch requests all changes after seq from discovery, at its HOST:PORT, and calls each with every update, in
+// order, until the watch or ctx ends. The returned error is the reason and never nil. A silent watch is ended
+// too, since its link may be broken.
 func Watch(ctx context.Context, discovery string, seq int64, each func(*Update)) error {
 	dialer := &net.Dialer{KeepAlive: -1}
 	return WatchOver(ctx, dialer.DialContext, discovery, seq, each)
 }
 
-// WatchOver is Watch over connections that dial makes.
+// WatchOver is like Watch, but makes the connection with dial.
 func WatchOver(ctx context.Context, dial DialFunc, discovery string, seq int64, each func(*Update)) error {
 	start := time.Now()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -58,14 +60,14 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	conn.SetDeadline(start.Add(firstListTimeout))
-	resp, err := subscribe(conn, discovery, seq) //nolint:bodyclose // it ends with the connection
+	resp, err := subscribe(conn, discovery, seq) //nolint:bodyclose // closed with the connection
 	if err != nil {
 		return err
 	}
 	return readUpdates(&bodyReader{body: resp.Body, conn: conn}, each)
 }
 
-// subscribe sends the request and reads the head of the answer.
+// subscribe sends the request and reads the head of the response.
 func subscribe(conn *watchConn, discovery string, seq int64) (*http.Response, error) {
 	_, err := fmt.Fprintf(conn, "GET /v1/servers?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n", seq, discovery)
 	if err != nil {
@@ -75,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limit := &io.LimitedReader{R: conn, N: maxHead} // a head without end must not fill the memory
+	limit := &io.LimitedReader{R: conn, N: maxHead} // an endless head must not exhaust memory
 	resp, err := http.ReadResponse(bufio.NewReader(limit), request)
 	if err != nil {
 		return nil, err
@@ -87,7 +89,7 @@
 	return resp, nil
 }
 
-// readUpdates calls each with every update of a watch's body, and returns why it ended.
+// readUpdates calls each with every update in a watch's body, and returns why the watch ended.
 func readUpdates(body *bodyReader, each func(*Update)) error {
 	decoder := json.NewDecoder(body)
 	for {
@@ -99,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		rest, _ := io.ReadAll(decoder.Buffered()) // a buffer's read does not fail
+		rest, _ := io.ReadAll(decoder.Buffered()) // reading from a buffer does not fail
 		body.pendingBytes = len(bytes.TrimSpace(rest))
 		body.complete = true
 		update, err := Parse(raw)
--- a/internal/endpoints/watchconn.go
+++ b/internal/endpoints/watchconn.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// watchConn is a connection to discovery.
+// watchConn is a connection to discovery that reads once more after its deadline.
 type watchConn struct {
 	net.Conn
 	graceUsed bool
 }
 
-// extendDeadline gives the next bytes so long to come.
+// extendDeadline sets the read deadline to timeout from now.
 func (c *watchConn) extendDeadline(timeout time.Duration) {
 	c.graceUsed = false
 	c.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// Read reads once more when the deadline is over: a process that was held up itself finds what discovery
-// wrote meanwhile.
+// Read reads once more, for readGrace, after the deadline has passed. A process that was suspended thus
+// receives the data that discovery wrote meanwhile.
 func (c *watchConn) Read(p []byte) (n int, err error) {
 	n, err = c.Conn.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !c.graceUsed {
@@ -33,17 +33,18 @@
 	return n, err
 }
 
-// bodyReader reads a watch's body. Each byte shows that discovery is there, also a blank line between two
-// updates, but not that an update in progress ever ends: that one has the time that was left when it began.
-// An update ends with its braces, not with a line: a list may be indented.
+// bodyReader reads a watch's body. Every byte between two updates, including a blank line, extends the
+// deadline, since it shows that discovery is alive. Bytes within an update don't, since the update may never
+// end: it has to be complete by the deadline that was set when it began. An update ends with its closing
+// brace, not with a line, as a list may be indented.
 type bodyReader struct {
 	body         io.Reader
 	conn         *watchConn
-	complete     bool // the first update has come
-	pendingBytes int  // of an update that has not ended
+	complete     bool // the first update is complete
+	pendingBytes int  // bytes of an incomplete update
 }
 
-// Read is part of io.Reader. Blanks between updates are skipped.
+// Read implements io.Reader. It skips whitespace between updates.
 func (r *bodyReader) Read(p []byte) (n int, err error) {
 	for err == nil {
 		n, err = r.body.Read(p)
@@ -56,7 +57,7 @@
 		}
 	}
 	if r.pendingBytes > maxUpdate {
-		return n, errUpdateTooLong // it must not fill the memory
+		return n, errUpdateTooLong // an endless update must not exhaust memory
 	}
 	return n, err
 }
