--- a/internal/cluster/migration/coordinator/coordinator.go
+++ b/internal/cluster/migration/coordinator/coordinator.go
@@ -25,7 +25,7 @@
 	MaxConcurrentMoves int     // open moves from this cluster to each other one; 0: 4
 	SettledSeconds     float64 // time for which a settled move stays open, so that it can still be reversed
 	ResendSeconds      float64 // time between sends of the same messages; 0: 1
-	RetrySeconds       float64 // time from a rejection to the next offer of the whole amount; 0: 30
+	RetrySeconds       float64 // time from a rejection to the next offer of the full amount; 0: 30
 }
 
 const (
--- a/internal/cluster/migration/coordinator/coordinator_test.go
+++ b/internal/cluster/migration/coordinator/coordinator_test.go
@@ -143,7 +143,7 @@
 	w.expectUsable("returned and lowered", 10, 0)
 }
 
-// If a cluster lacks capacity for the whole service, a part is moved. If its capacity falls, all promises are scaled.
+// If a cluster lacks capacity for the full service, a part is moved. If its capacity falls, all promises are scaled.
 func TestInsufficientCapacity(t *testing.T) {
 	w := newClusterPair(t, tableWithServiceA(32, "west"), tableWithServiceA(32, "west"))
 	other := 20.0
--- a/internal/cluster/migration/coordinator/next_version.go
+++ b/internal/cluster/migration/coordinator/next_version.go
@@ -237,7 +237,7 @@
 
 // offerAmount returns the amount to offer, or 0 for no offer. After a rejection the
 // destination is offered the amount that it had capacity for, and after RetrySeconds the
-// whole amount again.
+// full amount again.
 func (n *nextVersion) offerAmount(key migration.Key, movable migration.Amount) migration.Amount {
 	last := n.state.Move(key)
 	if last == nil || last.End != migration.Rejected {
--- a/internal/cluster/migration/ledger.go
+++ b/internal/cluster/migration/ledger.go
@@ -13,7 +13,7 @@
 	InTransit Amount // debited at this cluster and not yet known to be credited at another
 }
 
-// Total returns the whole amount that the account promises.
+// Total returns the full amount that the account promises.
 func (a Account) Total() Amount { return a.Reserved + a.Escrowed + a.InTransit }
 
 // CapacityLedger is a cluster's capacity and the amounts promised from it.
--- a/internal/cluster/migration/message.go
+++ b/internal/cluster/migration/message.go
@@ -6,12 +6,12 @@
 // The message types. Each message also acknowledges the last number that its sender has applied.
 const (
 	MessageOffer     MessageType = "offer"  // the source asks the destination to hold capacity for Amount
-	MessageHold      MessageType = "hold"   // the destination holds capacity for the move's whole amount
+	MessageHold      MessageType = "hold"   // the destination holds capacity for the move's full amount
 	MessageReject    MessageType = "refuse" // the destination rejects the offer, as it lacks Amount of capacity
 	MessageShift     MessageType = "shift"  // the sender has debited Amount as step Number; the receiver credits it
 	MessageAck       MessageType = "credit" // the sender has applied all numbers up to Number
 	MessageTokenPass MessageType = "turn"   // step Number passes the token to the receiver
-	MessageSettled   MessageType = "settle" // from the source: the whole amount is at the destination
+	MessageSettled   MessageType = "settle" // from the source: the full amount is at the destination
 	MessageDone      MessageType = "done"   // the sender has ended the move: it applies and issues no later number
 )
 
--- a/internal/cluster/migration/model_checker_test.go
+++ b/internal/cluster/migration/model_checker_test.go
@@ -11,7 +11,7 @@
 // and a broken link. All instances of a cluster may restart at any time, which returns the
 // cluster to its state in force.
 
-// enabledRules tells which of the protocol's rules are enabled.
+// enabledRules states which of the protocol's rules are enabled.
 type enabledRules struct {
 	capacityCheck      bool // a destination checks its ledger before it escrows
 	waitForHold        bool // nothing is shifted before the hold is received
--- a/internal/cluster/migration/move.go
+++ b/internal/cluster/migration/move.go
@@ -64,7 +64,7 @@
 // The end reasons.
 const (
 	Open          EndReason = ""         // not ended
-	Completed     EndReason = "freed"    // the whole amount is on one side
+	Completed     EndReason = "freed"    // the full amount is on one side
 	EndedByPeer   EndReason = "told"     // the other side has ended the move
 	Rejected      EndReason = "refused"  // the destination lacked capacity for the offer
 	ForceReleased EndReason = "released" // ended by an operator's command
@@ -76,9 +76,9 @@
 // The stages.
 const (
 	StageOffered  Stage = "offered"  // the source does not know whether the destination holds capacity
-	StageEscrowed Stage = "held"     // the destination holds capacity for the whole amount
+	StageEscrowed Stage = "held"     // the destination holds capacity for the full amount
 	StageShifting Stage = "shifting" // the first number was issued, and the move is not settled
-	StageSettled  Stage = "settled"  // the whole amount is usable at the destination
+	StageSettled  Stage = "settled"  // the full amount is usable at the destination
 	StageEnded    Stage = "free"     // this side has ended the move
 )
 
@@ -116,7 +116,7 @@
 	return StageShifting
 }
 
-// settled reports whether this side knows that the whole amount of an open move is at the destination.
+// settled reports whether this side knows that the full amount of an open move is at the destination.
 func (m *Move) settled() bool {
 	if m.Unacknowledged != "" || m.HasToken != m.Source {
 		return false
--- a/internal/cluster/migration/plan.go
+++ b/internal/cluster/migration/plan.go
@@ -35,7 +35,7 @@
 // a round run concurrently; a round begins when all moves of the previous one have ended.
 // During a move both clusters hold capacity for it. No ledger ever promises more than its
 // capacity; one that already does never increases its promises. If the free capacity does
-// not suffice for a whole service it moves in pieces; so do services that exchange places.
+// not suffice for a full service it moves in pieces; so do services that exchange places.
 // Services with an open move are left as they are. The same ledgers and placements, in any
 // order, give the same plan.
 //
--- a/internal/cluster/migration/record.go
+++ b/internal/cluster/migration/record.go
@@ -12,7 +12,7 @@
 	StepShift        Step = "shift"    // debits Amount, which the other side is to credit
 	StepPassToken    Step = "turn"     // passes the token to the other side
 	StepSetDirection Step = "want"     // sets the Direction that the source's config requests
-	StepFinish       Step = "free"     // ends a move whose whole amount is on one side
+	StepFinish       Step = "free"     // ends a move whose full amount is on one side
 	StepForceRelease Step = "release"  // ends the move on this side in its present state, at an operator's command
 )
 
@@ -40,7 +40,7 @@
 }
 
 // DueRecords returns the records that follow from the requested directions alone:
-// passes of the token, and the end of moves whose whole amount is back at the source.
+// passes of the token, and the end of moves whose full amount is back at the source.
 // The [Pacer] decides on shifts, and the caller ends a settled move after its queues
 // and clients are handed off.
 func (s *State) DueRecords() (records []Record) {
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// allAtSource reports whether, by this side's record, the whole amount is at the source.
+// allAtSource reports whether, by this side's record, the full amount is at the source.
 func (m *Move) allAtSource() bool {
 	if m.Source {
 		return m.Local == m.Amount
