--- a/internal/connstate/connstate.go
+++ b/internal/connstate/connstate.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// IsQuiet reports whether the other side has neither closed nor reset a connection, nor sent bytes that are
-// unread. It does not block, consumes no byte, and may be called while another goroutine reads. A connection
-// that is no socket counts as quiet.
+// IsQuiet reports whether the peer has neither closed nor reset a connection, and no received bytes are unread.
+// It does not block, consumes no bytes, and may be called while another goroutine reads. A connection that is not
+// a socket counts as quiet; one that is closed on this side does not.
 func IsQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -19,7 +19,7 @@
 		return false
 	}
 	quiet := false
-	// Control, not Read: that one waits for the goroutine that reads.
+	// Control rather than Read, which would wait for a goroutine that is reading.
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/connstate/connstate_test.go
+++ b/internal/connstate/connstate_test.go
@@ -7,43 +7,43 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// Quiet must see bytes and ends that nobody has read, also while a goroutine
-// waits in a read, and must take nothing away.
+// IsQuiet must detect unread bytes and an unread end of the connection, must consume nothing, and must not block
+// while a goroutine waits in Read.
 func TestQuiet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	pair := func() (here, there net.Conn) {
-		here, err := net.Dial("tcp", l.Addr().String())
+	pair := func() (local, remote net.Conn) {
+		local, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if there, err = l.Accept(); err != nil {
+		if remote, err = l.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { here.Close(); there.Close() })
-		return here, there
+		t.Cleanup(func() { local.Close(); remote.Close() })
+		return local, remote
 	}
-	loud, peer := pair()
-	if !IsQuiet(loud) {
-		t.Error("a new connection is not quiet")
+	conn, peer := pair()
+	if !IsQuiet(conn) {
+		t.Error("IsQuiet is false for a new connection")
 	}
 	peer.Write([]byte("x"))
-	wiretest.Until(t, "the byte", func() bool { return !IsQuiet(loud) })
-	if n, _ := loud.Read(make([]byte, 4)); n != 1 || !IsQuiet(loud) {
-		t.Errorf("read %d bytes, quiet behind them: %v", n, IsQuiet(loud))
+	wiretest.Until(t, "IsQuiet to detect an unread byte", func() bool { return !IsQuiet(conn) })
+	if n, _ := conn.Read(make([]byte, 4)); n != 1 || !IsQuiet(conn) {
+		t.Errorf("read %d bytes, IsQuiet after that: %v; want 1, true", n, IsQuiet(conn))
 	}
 	peer.Close()
-	wiretest.Until(t, "the end", func() bool { return !IsQuiet(loud) })
-	read, _ := pair()
-	go read.Read(make([]byte, 1))
-	if !IsQuiet(read) {
-		t.Error("not quiet while a goroutine reads")
+	wiretest.Until(t, "IsQuiet to detect that the peer has closed", func() bool { return !IsQuiet(conn) })
+	reading, _ := pair()
+	go reading.Read(make([]byte, 1))
+	if !IsQuiet(reading) {
+		t.Error("IsQuiet is false while a goroutine reads")
 	}
-	read.Close()
-	if IsQuiet(read) {
-		t.Error("quiet though closed here")
+	reading.Close()
+	if IsQuiet(reading) {
+		t.Error("IsQuiet is true for a connection closed on this side")
 	}
 }
--- a/internal/dispatcher/attempts.go
+++ b/internal/dispatcher/attempts.go
@@ -18,7 +18,7 @@
 		return
 	}
 	number := len(r.attempts)
-	if r.inbound.Disconnected() { // the message of it is under way
+	if r.inbound.Disconnected() { // its clientDisconnected message is still queued
 		d.handleDisconnect(r)
 		d.addEvent(balance.AttemptDone{ID: a.ID, Attempt: number, Outcome: balance.Blocked, JobFinished: true})
 		return
@@ -61,9 +61,9 @@
 	}))
 }
 
-// sendBy is when the next attempt must have been sent completely: a retry within the deduplication window of
-// the first attempt that may have run. That window begins with the decision, hence before the worker had the
-// job; so what is sent by its end is in time.
+// sendBy returns the time by which the next attempt must have been sent completely. A retry must be sent within
+// the deduplication window of the first attempt that may have run. The window is counted from the decision to
+// send that attempt, which precedes the worker's receipt of the job, so a retry sent by its end is in time.
 func (r *request) sendBy() float64 {
 	if r.dedupWindow > 0 && r.firstMayHaveRunAt > 0 {
 		return min(r.deadline, r.firstMayHaveRunAt+r.dedupWindow)
@@ -83,7 +83,7 @@
 	})
 }
 
-// reportFieldNames are the fields of load reports by the platform's names.
+// reportFieldNames returns the fields to request in load reports, by the platform's names; nil if reports are off.
 func (d *Dispatcher) reportFieldNames() []string {
 	if d.Settings.LoadReports.Mode == settings.ReportsSilent {
 		return nil
@@ -91,9 +91,9 @@
 	return d.Settings.LoadReports.Fields
 }
 
-// handleReporting handles an event that may have a load report. Its values are in the order of the fields
-// with which it was requested. Where a reload has changed these, the report is dropped: it would be read as
-// something else.
+// handleReporting handles an event that may carry a load report. The report's values are in the order of the
+// fields that were requested. If a reload has changed the fields since then, the report is dropped, as its
+// values would be taken for those of other fields.
 func (d *Dispatcher) handleReporting(m reportingEvent) {
 	fieldsChanged := !slices.Equal(m.fields, d.reportFields)
 	switch e := m.event.(type) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// handleAttemptEvent handles an event of an attempt. One that was ended here meanwhile is ignored.
+// handleAttemptEvent handles an event of an attempt. Events of attempts that the loop has already ended are ignored.
 func (d *Dispatcher) handleAttemptEvent(m attemptEvent) {
 	r := m.request
 	if r.attempts[m.attempt] == nil {
@@ -123,7 +123,7 @@
 	}
 	r.attempts[m.attempt] = nil
 	if r.inbound.Disconnected() && outcome != balance.Served {
-		// The message of it is under way: the outcome must not cause another attempt.
+		// The clientDisconnected message is still queued: the outcome must not cause another attempt.
 		d.handleDisconnect(r)
 	}
 	if outcome == balance.Served {
@@ -140,7 +140,7 @@
 	}
 }
 
-// expireAttempts ends the attempts of a request whose client gives up now.
+// expireAttempts ends the attempts in flight of a request whose deadline has passed.
 func (d *Dispatcher) expireAttempts(r *request) {
 	for n := range r.attempts {
 		d.abandonAttempt(r, n, balance.TimedOut, nil)
@@ -158,7 +158,7 @@
 func (d *Dispatcher) recordOutcome(r *request, number int, o balance.Outcome, report []float64) {
 	r.attempts[number] = nil
 	if d.Usage != nil && o.NeverRan() {
-		d.Usage.RecordRefund(r.inbound.Tenant, r.size()) // as the scheduler refunds its tags
+		d.Usage.RecordRefund(r.inbound.Tenant, r.size()) // the scheduler refunds its tags as well
 	}
 	mayHaveRun := !o.NeverRan() || o == balance.Overloaded && d.Settings.FleetRules.OverloadedMayHaveRun
 	if r.firstMayHaveRunAt == 0 && mayHaveRun {
--- a/internal/dispatcher/commands.go
+++ b/internal/dispatcher/commands.go
@@ -9,11 +9,16 @@
 )
 
 const (
-	pauseIdleSeconds   = 0.4 // after a pause the front has stopped sending connections: idle ones are closed then
-	pauseRejectSeconds = 1.8 // what arrives later is rejected, so that no young job is left at 4 s
-	yieldIdleSeconds   = 1.0 // until idle connections are closed: those in use go with their next answer
-	// overlapSlowStartShare is the part of its slow-start budgets that a process uses at first, as a former
-	// one has sent as well; yieldingSlowStartShare is that of a process that yields: next to nothing.
+	// Seconds from the start of a pause until idle connections are closed. By then the front has stopped
+	// sending new ones.
+	pauseIdleSeconds = 0.4
+	// Seconds from the start of a pause until new requests are rejected, so that no recent job is left at 4 s.
+	pauseRejectSeconds = 1.8
+	// Seconds from the start of yielding until idle connections are closed. Those in use close after their
+	// next answer.
+	yieldIdleSeconds = 1.0
+	// overlapSlowStartShare is the fraction of the slow-start budgets that a process uses when it starts to lead,
+	// as the former process has sent to warming workers too. yieldingSlowStartShare is that of a yielding process.
 	overlapSlowStartShare  = 0.25
 	yieldingSlowStartShare = 1e-9
 )
@@ -26,7 +31,7 @@
 
 func (e *PhaseError) Error() string { return e.Phase.String() }
 
-// Status returns why this process would not take a new client; nil where it would.
+// Status returns why this process does not accept new clients, a *PhaseError or ErrYielding, or nil if it does.
 func (d *Dispatcher) Status() error {
 	phase := d.Phases.Now()
 	switch {
@@ -38,21 +43,22 @@
 	return nil
 }
 
-// ApplyOperatorState puts in force what operators have commanded, and whether this process leads or yields to
-// a newer one. It binds when it returns, whatever the loop is doing. Calls must not overlap.
+// ApplyOperatorState puts the operators' commands into force and sets whether this process leads or yields to
+// a newer one. Both are in force when it returns, even if the loop has not processed them yet. Calls must not
+// overlap.
 func (d *Dispatcher) ApplyOperatorState(s *handoff.OperatorState, leads bool) {
 	d.operatorState.Store(s)
 	d.Phases.SetYielding(!leads)
 	if s.Paused {
 		d.Phases.Enter(Paused)
 	} else {
-		d.Phases.Enter(Starting) // from a pause only
+		d.Phases.Enter(Starting) // does nothing unless paused
 	}
 	d.Notify()
 }
 
-// StreamRequestIDs has the ids of all recent requests, and of those to come, handed to a function, which must
-// not block; nil ends that. Another process of this dispatcher rejects them.
+// StreamRequestIDs passes the ids of all recent requests and of each later one to sink, which must not block.
+// A nil sink ends the stream. Another process of this dispatcher rejects requests with these ids.
 func (d *Dispatcher) StreamRequestIDs(sink func(ids []string)) {
 	if sink == nil {
 		d.idSink.Store(nil)
@@ -62,8 +68,8 @@
 	d.Notify()
 }
 
-// KnowsWorker reports whether a worker is known here. Until discovery has listed any (listed is false) one
-// that is unknown may still exist.
+// KnowsWorker reports whether a worker is known here, and whether discovery has delivered an endpoint list yet.
+// While listed is false, a worker that is not known may still exist.
 func (d *Dispatcher) KnowsWorker(worker string) (known, listed bool) {
 	listed = d.endpointsListed.Load()
 	workers := d.knownWorkers.Load()
@@ -73,7 +79,7 @@
 // IsCordoned reports whether operators have cordoned a worker.
 func (d *Dispatcher) IsCordoned(worker string) bool { return d.operatorState.Load().IsCordoned(worker) }
 
-// publishWorkers publishes which workers are known.
+// publishWorkers publishes the known workers for KnowsWorker, if operators may name workers.
 func (d *Dispatcher) publishWorkers() {
 	if d.AcceptsCommands {
 		workers := d.endpoints.Hosts()
@@ -81,8 +87,8 @@
 	}
 }
 
-// Notify has the loop look at operators' commands and at the agreed configuration. It never waits: a command
-// binds by itself, and one look sees all of them.
+// Notify makes the loop read the operators' commands and the agreed configuration. It never blocks: commands
+// are in force before the loop reads them, and one wakeup covers all of them.
 func (d *Dispatcher) Notify() {
 	select {
 	case d.wakeups <- struct{}{}:
@@ -90,16 +96,16 @@
 	}
 }
 
-// applyCommands follows operators' commands.
+// applyCommands brings the loop's state in line with the operators' commands.
 func (d *Dispatcher) applyCommands() {
 	now := d.clock()
-	d.followPause(now)
+	d.updatePause(now)
 	d.updateCordons()
-	d.followIDSink()
-	d.followYield(now)
+	d.updateIDSink()
+	d.updateYield(now)
 }
 
-func (d *Dispatcher) followPause(now float64) {
+func (d *Dispatcher) updatePause(now float64) {
 	switch paused := d.Phases.Now() == Paused; {
 	case paused && d.pausedSince == 0:
 		d.pausedSince = now
@@ -113,7 +119,7 @@
 	}
 }
 
-func (d *Dispatcher) followIDSink() {
+func (d *Dispatcher) updateIDSink() {
 	sink := d.idSink.Load()
 	if sink == d.activeIDSink {
 		return
@@ -124,7 +130,7 @@
 	}
 }
 
-func (d *Dispatcher) followYield(now float64) {
+func (d *Dispatcher) updateYield(now float64) {
 	switch yielding := d.Phases.Yielding(); {
 	case yielding && !d.yielding:
 		d.startYielding(now)
@@ -141,7 +147,7 @@
 	}
 	d.Log("yielding to a newer process: %d requests in flight", len(d.requests))
 	closeIdleAt := now + yieldIdleSeconds
-	if d.Phases.Now() >= Retiring { // no later than the stop before has it
+	if d.Phases.Now() >= Retiring { // a stop may close them earlier
 		closeIdleAt = min(closeIdleAt, d.retiringUntil)
 	}
 	d.pollIdleAt(closeIdleAt)
@@ -156,8 +162,8 @@
 	d.timers.Set(now+d.Settings.FleetRules.OverloadSeconds, overlapEnded{})
 }
 
-// updateCordons notifies the scheduler of workers that are cordoned now, or not any more. Idle connections to
-// cordoned ones are closed, as the process behind them is about to end.
+// updateCordons notifies the scheduler of workers that have been cordoned or uncordoned since the last call. Idle
+// connections to newly cordoned workers are closed, as the processes of these workers are about to end.
 func (d *Dispatcher) updateCordons() {
 	now := d.cordonedWorkers()
 	for w := range d.cordoned {
--- a/internal/dispatcher/deferred.go
+++ b/internal/dispatcher/deferred.go
@@ -8,22 +8,21 @@
 	"example.org/bellstream/internal/downstream"
 )
 
-// Jobs with dependencies or a start time. Which of them may go, and which never will, is decided in package
-// deferred.
+// Jobs with dependencies or a start time. Package deferred decides which of them may run and which never will.
 const (
-	deferredMarginSeconds = 0.06 // before its deadline a deferred job goes to the scheduler, which answers it
-	deferredBatch         = 128  // jobs that are released in one turn: more would delay the others
-	deferredDrain         = 1024 // that are taken from the store at a time
-	answeredPerReleased   = 16   // so many more may be answered in one turn without the scheduler
-	unboundedBatch        = 1 << 30
-	requestOverheadBytes  = 1024 // of a request, beside its body
+	deferredMarginSeconds = 0.06    // time before its deadline at which a deferred job is given to the scheduler
+	deferredBatch         = 128     // jobs submitted in one turn; more would delay other requests
+	deferredDrain         = 1024    // jobs taken from the store at a time
+	answeredPerReleased   = 16      // jobs handled in one turn, per job that may be submitted
+	unboundedBatch        = 1 << 30 // a larger batch has no limit on the jobs handled in one turn
+	requestOverheadBytes  = 1024    // memory of a request beside its body
 )
 
-// otherTenants stands for all tenants that the settings do not name: clients name them, and must not create
-// metrics without end.
+// otherTenants is the name under which queue depths count all tenants that the settings do not name. Clients
+// choose tenant names, and must not be able to create an unbounded number of metrics.
 const otherTenants = "other"
 
-// outcomeOf is how a job ended, for those that depend on it.
+// outcomeOf returns the outcome of a job, for jobs that depend on it, from the status of its answer.
 func outcomeOf(status int) deferred.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -34,7 +33,8 @@
 	return deferred.Failed
 }
 
-// admitDeferred admits a request, deferred or not. One that may not be deferred as it requests is answered here.
+// admitDeferred registers a request with the deferred store, whether it is deferred or not, and reports whether
+// it was admitted. A request that asks to be deferred but cannot be is answered here.
 func (d *Dispatcher) admitDeferred(r *request) bool {
 	if d.Deferred == nil {
 		return true
@@ -60,7 +60,7 @@
 	return err == nil
 }
 
-// notDeferred is the answer to a request that cannot be deferred.
+// notDeferred returns the answer to a request that cannot be deferred.
 func (d *Dispatcher) notDeferred(err error) downstream.Answer {
 	a := downstream.Answer{Status: http.StatusBadRequest, Body: []byte(err.Error() + "\n")}
 	var limit *deferred.LimitError
@@ -75,7 +75,7 @@
 	return a
 }
 
-// nextDeferred is when the next deferred job is due.
+// nextDeferred returns when the next deferred job is due; ok is false if there is none.
 func (d *Dispatcher) nextDeferred() (at float64, ok bool) {
 	switch {
 	case d.Deferred == nil:
@@ -86,8 +86,8 @@
 	return d.Deferred.Next()
 }
 
-// releaseDeferred releases the deferred jobs that are due: to the scheduler, no more than so many, or to their
-// answers, where what they depend on has failed.
+// releaseDeferred releases the deferred jobs that are due. At most the given number is submitted to the scheduler.
+// Jobs that depend on a failed job are answered instead.
 func (d *Dispatcher) releaseDeferred(now float64, most int) {
 	if d.Deferred == nil {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-// release releases one job and reports whether it went to the scheduler in time.
+// release releases one job and reports whether it was submitted to the scheduler before it expired.
 func (d *Dispatcher) release(now float64, due deferred.Due) (submitted bool) {
 	r := d.requests[due.ID]
 	if r == nil {
@@ -120,7 +120,7 @@
 	}
 	switch {
 	case r.answered:
-	case due.Expired: // no time is left: the scheduler answers it in this step
+	case due.Expired: // with no time left, the scheduler answers it in its next step
 		d.submit(r, 0, true)
 	case due.Cause == nil:
 		d.submit(r, r.deadline-now, true)
@@ -131,7 +131,7 @@
 	return false
 }
 
-// parentFailed is the answer to a job that ends with one that it depends on.
+// parentFailed returns the answer to a job that fails because a job that it depends on has failed.
 func (d *Dispatcher) parentFailed(cause *deferred.Cause) downstream.Answer {
 	a := downstream.Answer{Status: http.StatusFailedDependency, Body: []byte(cause.String() + "\n")}
 	if cause.Retryable() {
@@ -141,7 +141,7 @@
 	return a
 }
 
-// enterStage records that a request waits in a stage.
+// enterStage records in the queue depths that a request waits in a stage.
 func (d *Dispatcher) enterStage(r *request, stage deferred.Stage) {
 	if d.Depths == nil {
 		return
@@ -153,7 +153,8 @@
 	d.Depths.Enter(d.clock(), &r.depthPlace, stage, r.inbound.Class, tenant)
 }
 
-// leaveStage records that a request waits no more, as it ended.
+// leaveStage records that a request has ended and no longer waits, and whether the promise of a first attempt
+// was declined on arrival or broken.
 func (d *Dispatcher) leaveStage(r *request, o deferred.Outcome) {
 	if d.Depths == nil {
 		return
@@ -163,7 +164,7 @@
 		return
 	}
 	in := r.inbound
-	if r.submitStep == d.stepCount { // in the step that took it in
+	if r.submitStep == d.stepCount { // rejected by the step that admitted it
 		d.Depths.FirstAttempts(in.Class).Declined++
 		d.logLimited("declined "+in.Class,
 			"class %s: job %s rejected on arrival: no attempt within %v s can be promised", in.Class, in.ID, r.maxWait)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,16 +1,16 @@
-// Package dispatcher is the event loop that alone owns the decision module and the state of every request.
-// Connections post what happened to it; the loop hands that to the scheduler in batches and carries out
-// its actions on the sockets.
+// Package dispatcher contains the event loop that owns the decision module and the state of every request.
+// Connections post events to the loop, which passes them to the scheduler in batches and carries out the
+// scheduler's actions on the sockets.
 //
-// The loop is in files by concern:
+// The files of the loop, by concern:
 //
 //	dispatcher.go       the loop and its turns
-//	messages.go         what is posted to the loop
-//	requests.go         requests from their arrival to their answer
+//	messages.go         messages that are posted to the loop
+//	requests.go         requests from arrival to answer
 //	attempts.go         attempts at workers
 //	watch.go            the watch of the endpoint list
 //	deferred.go         jobs with dependencies or a start time
-//	shutdown.go         stop, drain and end
+//	shutdown.go         stop, drain and exit
 //	commands.go         operators' commands and the handoff between processes
 //	reload.go           new settings
 //	effectiveconfig.go  the configuration that instances agree on
@@ -43,7 +43,7 @@
 	limitedLogInterval = time.Minute
 )
 
-// Upstream is the side of the workers, as the loop uses it.
+// Upstream is the connection layer to the workers, as the loop uses it.
 type Upstream interface {
 	Start(o *upstream.AttemptRequest, addr string, notify func(upstream.AttemptEvent)) upstream.Attempt
 	HealthCheck(addr string, fields []string, notify func(upstream.AttemptEvent))
@@ -51,30 +51,30 @@
 	CloseExpired()
 }
 
-// Downstream is the side of the clients, as the loop uses it.
+// Downstream is the connection layer to the clients, as the loop uses it.
 type Downstream interface {
 	InFlight() int
 	Open() int
 	CloseIdle(fresh time.Duration)
-	StopAccepting() // connections that wait to be accepted are still accepted
-	Drained() bool  // after StopAccepting: nothing is open, and nothing more can come
+	StopAccepting() // connections in the backlog are still accepted
+	Drained() bool  // after StopAccepting: none is open, and no more can arrive
 }
 
-// UsageRecorder records what each tenant requests and gets, where instances exchange that. It is called
-// on the loop and must not block.
+// UsageRecorder records the demand and the usage of each tenant, if instances exchange these. Its methods are
+// called on the loop and must not block.
 type UsageRecorder interface {
 	RecordArrival(tenant string)
 	RecordStart(tenant string, slots float64)  // sent to a worker
-	RecordRefund(tenant string, slots float64) // sent, and proved never to have run
+	RecordRefund(tenant string, slots float64) // sent, but proved never to have run
 }
 
-// Scheduler decides what becomes of requests: a Balancer, or what carries events and actions between the
-// loop and Balancers elsewhere. Step is as that of [balance.Balancer].
+// Scheduler decides what happens to requests. It is a Balancer, or it forwards events and actions between the
+// loop and Balancers elsewhere. Step has the contract of the one of [balance.Balancer].
 type Scheduler interface {
 	Step(now float64, events []balance.Event) []balance.Action
 }
 
-// Options are what a Dispatcher is made of.
+// Options configure a Dispatcher.
 type Options struct {
 	Settings        *settings.Settings
 	Seed            uint64
@@ -86,17 +86,17 @@
 	Phases          *Phases
 	AcceptsCommands bool          // operators may name workers
 	Usage           UsageRecorder // nil: not recorded
-	// NewScheduler puts another scheduler around this dispatcher's Balancer. It is given the clock of the
-	// steps, which any goroutine may read; nil: the Balancer decides.
+	// NewScheduler wraps this dispatcher's Balancer in another scheduler. It is given the clock of the steps,
+	// which any goroutine may call. If NewScheduler is nil, the Balancer decides.
 	NewScheduler func(b *balance.Balancer, clock func() float64) Scheduler
-	ConfigSource ConfigSource     // what instances have agreed on; nil: nothing
+	ConfigSource ConfigSource     // configuration that instances agree on; nil: none
 	Deferred     *deferred.Store  // jobs with dependencies or a start time; nil: not accepted
 	Depths       *deferred.Depths // queue depths by class and tenant; nil: not recorded
 	Log          func(format string, args ...any)
 	Now          func() time.Time // monotonic
 }
 
-// Dispatcher joins the decision module to the sockets.
+// Dispatcher connects the decision module to the sockets.
 type Dispatcher struct {
 	Options
 	startTime time.Time
@@ -107,17 +107,17 @@
 	wakeups         chan struct{} // commands or a configuration have changed
 	done            chan struct{} // closed at the end of the loop
 	operatorState   atomic.Pointer[handoff.OperatorState]
-	knownWorkers    atomic.Pointer[map[string]bool] // where operators may name one
-	endpointsListed atomic.Bool                     // by discovery itself
-	idSink          atomic.Pointer[func([]string)]  // for the ids of requests; nil: none
+	knownWorkers    atomic.Pointer[map[string]bool] // nil unless operators may name workers
+	endpointsListed atomic.Bool                     // discovery has delivered a list
+	idSink          atomic.Pointer[func([]string)]  // receives the ids of requests; nil: none
 
-	// The loop's own.
+	// Used by the loop only.
 	downstream    Downstream
 	timers        *timerwheel.Wheel[any]
 	endpoints     *endpoints.Table
 	requests      map[string]*request
 	recentIDs     *recentIDs
-	activeIDSink  *func([]string) // idSink as the loop follows it
+	activeIDSink  *func([]string) // the value of idSink that the loop uses
 	pendingEvents []balance.Event
 	lastStepAt    float64
 	stepCount     uint64
@@ -127,7 +127,8 @@
 	configState
 }
 
-// New makes a dispatcher. Nothing runs before Run.
+// New creates a dispatcher. It returns an error if the batch interval, the scheduler's configuration or the cached
+// endpoint list is invalid. Nothing runs before Run is called.
 func New(o Options) (*Dispatcher, error) {
 	if o.Settings.BatchInterval < 0 || o.Settings.BatchInterval > maxBatchInterval {
 		return nil, fmt.Errorf("round: %v is not a time from 0 to 1 s", o.Settings.BatchInterval)
@@ -155,7 +156,7 @@
 	if err := d.loadCachedEndpoints(); err != nil {
 		return nil, err
 	}
-	d.watchLost(balance.EndpointsUnsubscribed) // so that the scheduler polls from its first step on
+	d.watchLost(balance.EndpointsUnsubscribed) // makes the scheduler poll from its first step on
 	d.publishWorkers()
 	return d, nil
 }
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// timerTick is a tick that leaves most of the answer's grace for the answer.
+// timerTick returns the tick of the timers in seconds: short enough that most of the grace remains for the answer.
 func timerTick(answerGrace float64) float64 {
 	if answerGrace <= 0 {
 		return maxTimerTick
@@ -180,8 +181,8 @@
 	return max(minTimerTick, min(maxTimerTick, answerGrace/4))
 }
 
-// clock is Unix time in seconds, which follows the monotonic clock from the start of the program on.
-// (The start times of workers are Unix times.)
+// clock returns the time as Unix time in seconds, like the start times of workers. It advances with the
+// monotonic clock from the start of the program on.
 func (d *Dispatcher) clock() float64 { return d.unixSeconds(d.Now()) }
 
 func (d *Dispatcher) unixSeconds(t time.Time) float64 {
@@ -217,7 +218,7 @@
 	}
 }
 
-// drainInbox handles what else was posted, without waiting.
+// drainInbox handles all messages and wakeups that are queued, without blocking.
 func (d *Dispatcher) drainInbox() {
 	for {
 		select {
@@ -231,7 +232,7 @@
 	}
 }
 
-// nextWakeAt is when the next turn is due if nothing is posted before.
+// nextWakeAt returns when the next turn is due if nothing is posted earlier.
 func (d *Dispatcher) nextWakeAt() float64 {
 	at, ok := d.timers.Next()
 	if !ok {
@@ -246,12 +247,13 @@
 	return at
 }
 
-// runTurn fires what is due and has the scheduler decide, at most once in each batch interval.
+// runTurn fires the timers that are due and lets the scheduler decide, at most once per batch interval, or earlier
+// if a request is overdue.
 func (d *Dispatcher) runTurn(now float64) {
 	overdue := d.fireTimers(now)
 	d.updateConfig()
 	intervalOver := now >= d.lastStepAt+d.batchInterval
-	if intervalOver { // what is released in one turn is decided on before more is
+	if intervalOver { // the scheduler decides on released jobs before more are released
 		d.releaseDeferred(now, deferredBatch)
 	}
 	if len(d.pendingEvents) > 0 && (intervalOver || len(overdue) > 0) {
@@ -298,7 +300,7 @@
 // addEvent queues an event for the scheduler's next step.
 func (d *Dispatcher) addEvent(e balance.Event) { d.pendingEvents = append(d.pendingEvents, e) }
 
-// stepScheduler has the scheduler decide on what has happened and carries out its actions.
+// stepScheduler passes the pending events to the scheduler and carries out its actions.
 func (d *Dispatcher) stepScheduler(now float64) {
 	events := d.pendingEvents
 	d.pendingEvents = nil
@@ -325,7 +327,7 @@
 	case balance.SetTimer:
 		d.timers.Set(now+a.After, schedulerTimer{})
 	case balance.Subscribe:
-		if !d.watchPending { // else the pending watch answers this, and would have to be started twice
+		if !d.watchPending { // a pending watch will deliver the list without a second call
 			d.startWatch()
 		}
 	case balance.Log:
@@ -333,11 +335,11 @@
 	}
 }
 
-// logLimited logs a line, at most one a minute of its kind. Kinds are few: nothing that clients send.
+// logLimited logs at most one line per minute of each kind. Kinds must be few, so clients must not choose them.
 func (d *Dispatcher) logLimited(kind, format string, args ...any) {
 	d.limitedLog.Do(kind, func(suppressed int) {
 		if suppressed > 0 {
-			format += " (%d such lines were held back)"
+			format += " (%d similar lines suppressed)"
 			args = append(args, suppressed)
 		}
 		d.Log(format, args...)
--- a/internal/dispatcher/effectiveconfig.go
+++ b/internal/dispatcher/effectiveconfig.go
@@ -7,25 +7,25 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// ConfigSource is the configuration that instances have agreed on. Its methods are called on the loop,
-// Effective by attempts as well; none may block.
+// ConfigSource provides the configuration that instances have agreed on. Its methods are called on the loop,
+// and Effective by attempts as well; they must not block.
 type ConfigSource interface {
-	// Effective is what holds at a moment of the steady clock, the same value as long as that does not
-	// change. It has to be right in a process that was suspended, too.
+	// Effective returns the configuration in force at a moment of the monotonic clock: the same pointer until
+	// the configuration changes. It must be correct even in a process that was suspended.
 	Effective(at time.Time) *EffectiveConfig
-	// Acknowledge states that nothing here acts on an earlier configuration any more.
+	// Acknowledge confirms that nothing in this process acts on an earlier configuration any more.
 	Acknowledge(*EffectiveConfig)
 }
 
-// EffectiveConfig is what the agreed configuration makes of the platform's settings. It is immutable.
+// EffectiveConfig is the agreed configuration as applied to the platform's settings. It is immutable.
 type EffectiveConfig struct {
 	Override func(platform *settings.Settings) *settings.Settings
 	Cordoned map[string]bool // workers
 }
 
-// updateConfig puts in force what holds now, before anything is decided: a loop that was suspended would
-// otherwise act on what held before. The change precedes the events that wait for the next step, so that what
-// follows from them is decided by what holds now.
+// updateConfig puts the current agreed configuration into force before anything is decided; otherwise a loop that
+// was suspended would act on an earlier one. The change is placed before the events that wait for the next step,
+// so that the scheduler handles them under the current configuration.
 func (d *Dispatcher) updateConfig() {
 	if d.ConfigSource == nil {
 		return
@@ -37,8 +37,8 @@
 	former := d.effectiveConfig
 	d.effectiveConfig = next
 	config := d.schedulerConfig()
-	// The scheduler keeps the configuration that it has where it cannot use a new one. An acknowledgement
-	// would then state what does not hold.
+	// The scheduler keeps its present configuration if it cannot use the new one. An acknowledgement would then
+	// be false.
 	if err := config.Check(); err != nil {
 		d.effectiveConfig = former
 		d.rejectedConfig = next
@@ -47,14 +47,14 @@
 		return
 	}
 	d.rejectedConfig = nil
-	d.putFirst(balance.ConfigChanged{Config: config, TightenExisting: true})
+	d.prependConfigChange(balance.ConfigChanged{Config: config, TightenExisting: true})
 	d.ConfigSource.Acknowledge(next)
 }
 
-// putFirst puts a change of the configuration before the events that wait. Changes that wait were made by the
-// former configuration and would put it in force again; they are dropped, as all that they hold is in the new
-// one. Cordons stay before the others.
-func (d *Dispatcher) putFirst(change balance.ConfigChanged) {
+// prependConfigChange places a change of the configuration before the pending events. Pending changes were derived
+// from the former configuration and would put it into force again. They are dropped, as the new change contains
+// all that they hold. Pending cordons are placed before the other events.
+func (d *Dispatcher) prependConfigChange(change balance.ConfigChanged) {
 	waiting := d.pendingEvents
 	d.pendingEvents = []balance.Event{change}
 	var others []balance.Event
@@ -62,7 +62,7 @@
 		switch e.(type) {
 		case balance.ConfigChanged:
 		case balance.Cordon:
-			d.addEvent(e) // updateCordons builds on these
+			d.addEvent(e) // updateCordons adds to these
 		default:
 			others = append(others, e)
 		}
@@ -71,7 +71,7 @@
 	d.pendingEvents = append(d.pendingEvents, others...)
 }
 
-// effectiveSettings are the settings with the agreed configuration applied.
+// effectiveSettings returns the settings with the agreed configuration applied.
 func (d *Dispatcher) effectiveSettings() *settings.Settings {
 	if d.effectiveConfig == nil {
 		return d.Settings
@@ -79,13 +79,13 @@
 	return d.effectiveConfig.Override(d.Settings)
 }
 
-// classBasis is what the effective settings are made of.
+// classBasis identifies the inputs of the effective settings.
 type classBasis struct {
 	platform *settings.Settings
 	config   *EffectiveConfig
 }
 
-// class returns the effective settings of a class. These are derived once for each basis.
+// class returns the effective settings of a class. They are derived once per classBasis.
 func (d *Dispatcher) class(name string) (class settings.Class, ok bool) {
 	if basis := (classBasis{d.Settings, d.effectiveConfig}); basis != d.classBasis {
 		d.classBasis = basis
@@ -98,9 +98,9 @@
 	return class, ok
 }
 
-// checkSend is called right before the first byte of an attempt. It returns the outcome of one that may not be
-// sent, or "": its worker is cordoned by now, or it is a retry that was decided by another configuration, which
-// is no evidence against the worker.
+// checkSend is called right before the first byte of an attempt is written. It returns "" if the attempt may be
+// sent. Otherwise it returns the attempt's outcome: Unreachable if its worker has been cordoned, or Blocked, which
+// is no evidence against the worker, if it is a retry that was decided under another configuration.
 func (d *Dispatcher) checkSend(worker string, isRetry bool, decidedBy *EffectiveConfig) balance.Outcome {
 	var config *EffectiveConfig
 	if d.ConfigSource != nil {
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -50,13 +50,13 @@
 
 // Timers of the loop.
 type (
-	schedulerTimer   struct{} // also a message: a step is wanted
+	schedulerTimer   struct{} // also posted by Wake
 	requestDeadline  struct{ request *request }
-	sweepTimer       struct{} // of idle connections to workers
+	sweepTimer       struct{} // closes expired idle connections to workers
 	watchRetry       struct{}
 	overlapEnded     struct{} // another process's sends to warming workers no longer count
 	firstListTimeout struct{}
-	idlePoll         struct{} // of idle clients while the dispatcher is emptied
+	idlePoll         struct{} // closes idle client connections while pausing, yielding or draining
 )
 
 // post hands a message to the loop, or drops it once the loop has ended.
@@ -70,27 +70,27 @@
 // Leave reports that a request's client has disconnected.
 func (d *Dispatcher) Leave(r *downstream.Request) { d.post(clientDisconnected{r}) }
 
-// Stop begins draining. The time for it runs from the call, however late the loop handles it: SIGKILL does
-// not wait for the loop.
+// Stop begins draining. The drain time is counted from the call, even if the loop handles it late, as SIGKILL
+// does not wait for the loop.
 func (d *Dispatcher) Stop() { d.post(stopRequested{d.clock()}) }
 
-// Wake has the scheduler take a step soon, though nothing has happened here.
+// Wake makes the scheduler take a step soon, even if no event has occurred here.
 func (d *Dispatcher) Wake() { d.post(schedulerTimer{}) }
 
-// Redirect has the endpoint list watched at another address from now on. All else stays.
+// Redirect makes the loop watch the endpoint list at another address from now on, and keeps the present list.
 func (d *Dispatcher) Redirect(discovery string) { d.post(discoveryChanged{discovery}) }
 
-// UpdateQuotas hands the scheduler what other instances report of tenants.
+// UpdateQuotas passes reports of other instances about tenants to the scheduler.
 func (d *Dispatcher) UpdateQuotas(updates []balance.QuotaUpdate) { d.post(quotaUpdates{updates}) }
 
-// AddSeenIDs reports ids of requests that another process has accepted.
+// AddSeenIDs adds ids of requests that another process has accepted, so that repeats of them are rejected here.
 func (d *Dispatcher) AddSeenIDs(ids []string) {
 	if len(ids) > 0 {
 		d.post(seenIDs{ids})
 	}
 }
 
-// ApplySettings puts other settings in force, as a whole. They have been checked.
+// ApplySettings replaces all settings. The caller must have checked the new ones.
 func (d *Dispatcher) ApplySettings(s *settings.Settings) { d.post(settingsChanged{s}) }
 
 // SetDeferredLimits changes the limits for jobs that are deferred from now on.
@@ -123,7 +123,7 @@
 	}
 }
 
-// handleChange handles messages that change what the loop goes by.
+// handleChange handles messages about settings and other state of the loop.
 func (d *Dispatcher) handleChange(message any) {
 	switch m := message.(type) {
 	case schedulerTimer:
@@ -149,7 +149,7 @@
 	case discoveryChanged:
 		if d.Discovery != m.discovery {
 			d.Discovery = m.discovery
-			d.startWatch() // at once, in place of the old one, whose address is not to be used again
+			d.startWatch() // replaces the old watch at once: its address must not be used again
 		}
 	}
 }
--- a/internal/dispatcher/phase.go
+++ b/internal/dispatcher/phase.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// Phase is where the program stands between its start and its exit.
+// Phase is the stage of the program between its start and its exit.
 type Phase int32
 
 // The phases.
 const (
 	Starting Phase = iota // the endpoint list is empty, /healthz answers 503
 	Serving               // /healthz answers 200
-	Paused                // emptied by operators: /healthz answers 503, answers close their connections
-	Retiring              // stopping: /healthz answers 503, all else goes on
-	Draining              // still accepts requests, and closes their connections after the answer
-	Closing               // the time for draining is over: what is in flight gets its final answer now
+	Paused                // paused by operators: /healthz answers 503, answers close their connections
+	Retiring              // stopping: /healthz answers 503, everything else continues
+	Draining              // still accepts requests, but closes their connections after the answer
+	Closing               // draining is over: requests in flight get their final answers now
 	Stopped               // nothing is in flight, the loop has ended
 )
 
@@ -23,8 +23,8 @@
 	return [...]string{"starting", "serving", "paused", "retiring", "draining", "closing", "stopped"}[p]
 }
 
-// transitions are the phases that may follow each. A program that is stopping never serves again; one that is
-// paused does, by way of Starting, which it leaves at once if it has workers.
+// transitions lists the phases that may follow each phase. A program that is stopping never serves again. A
+// paused one returns to Serving through Starting, which it leaves at once if it has workers.
 var transitions = [...][]Phase{
 	Starting: {Serving, Paused, Retiring, Stopped},
 	Serving:  {Paused, Retiring, Stopped},
@@ -35,16 +35,16 @@
 	Stopped:  nil,
 }
 
-// Phases holds the program's phase. The loop changes it, and so do operators' commands; connections read it.
+// Phases holds the program's phase. The loop and operators' commands change it; connections read it.
 type Phases struct {
 	current  atomic.Int32
-	yielding atomic.Bool // a newer process of this dispatcher takes the new clients
+	yielding atomic.Bool // a newer process of this dispatcher accepts the new clients
 }
 
-// Now returns the present phase.
+// Now returns the current phase.
 func (p *Phases) Now() Phase { return Phase(p.current.Load()) }
 
-// Enter changes the phase if there is a transition, and reports whether it did.
+// Enter changes to the next phase if that transition is allowed, and reports whether it did.
 func (p *Phases) Enter(next Phase) bool {
 	for {
 		present := p.Now()
@@ -57,14 +57,14 @@
 	}
 }
 
-// SetYielding sets whether a newer process of this dispatcher takes the new clients.
+// SetYielding sets whether a newer process of this dispatcher accepts the new clients.
 func (p *Phases) SetYielding(yielding bool) { p.yielding.Store(yielding) }
 
-// Yielding reports whether a newer process of this dispatcher takes the new clients.
+// Yielding reports whether a newer process of this dispatcher accepts the new clients.
 func (p *Phases) Yielding() bool { return p.yielding.Load() }
 
-// Ready reports whether the dispatcher serves and new clients are welcome. Where a newer process takes them
-// that stays true, whatever becomes of this one.
+// Ready reports whether the dispatcher serves and accepts new clients. It stays true while this process stops if a
+// newer process accepts them.
 func (p *Phases) Ready() bool {
 	now := p.Now()
 	return now == Serving || now >= Retiring && p.Yielding()
--- a/internal/dispatcher/raceon_test.go
+++ b/internal/dispatcher/raceon_test.go
@@ -2,6 +2,6 @@
 
 package dispatcher
 
-// raceEnabled reports that the race detector runs. Its runtime breaks down ('CHECK failed: tsan_rtl.cpp')
-// under many dispatchers in one bubble after another, so there are few of them there.
+// raceEnabled reports whether the race detector is on. Its runtime crashes ('CHECK failed: tsan_rtl.cpp') when
+// many dispatchers run in one synctest bubble after another, so tests use few of them then.
 const raceEnabled = true
--- a/internal/dispatcher/recentids.go
+++ b/internal/dispatcher/recentids.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// maxRecentIDs bounds one generation: some 1 MB in all.
+// maxRecentIDs limits the ids in one generation. Both generations together take about 1 MB.
 const maxRecentIDs = 8192
 
-// recentIDs remembers the ids of requests for a time at least, unless there are very many. Ids are never
-// reused, so one that comes again after its answer is a mistake: forwarded, it could run the job a second time.
+// recentIDs remembers the ids of requests for at least the retention time, unless a generation is full earlier.
+// Ids must not be reused, so a request that repeats the id of an answered one is a mistake: if it were forwarded,
+// the job could run a second time.
 type recentIDs struct {
 	retention float64 // seconds
 	current   map[string]bool
@@ -27,7 +28,7 @@
 	}
 }
 
-// all returns the ids that are remembered.
+// all returns all remembered ids, in no particular order.
 func (r *recentIDs) all() []string {
 	return slices.AppendSeq(slices.Collect(maps.Keys(r.previous)), maps.Keys(r.current))
 }
@@ -42,6 +43,6 @@
 	if r.current[id] || r.previous[id] {
 		return false
 	}
-	r.current[strings.Clone(id)] = true // not the request's head, which it is a part of
+	r.current[strings.Clone(id)] = true // cloned, as id would keep the request's head in memory
 	return true
 }
--- a/internal/dispatcher/reload.go
+++ b/internal/dispatcher/reload.go
@@ -5,13 +5,13 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// configState is the settings in force and what the loop derives from them.
+// configState holds the settings in force and values that the loop derives from them.
 type configState struct {
 	batchInterval   float64
-	effectiveConfig *EffectiveConfig // by which the scheduler decides; nil: the platform's settings alone
-	rejectedConfig  *EffectiveConfig // that cannot be used with these settings
-	cordoned        map[string]bool  // of which the scheduler was notified
-	slowStartShare  float64          // part of its slow-start budgets that this process uses
+	effectiveConfig *EffectiveConfig // in force in the scheduler; nil: the platform's settings alone
+	rejectedConfig  *EffectiveConfig // cannot be used with these settings
+	cordoned        map[string]bool  // workers that the scheduler has been notified of as cordoned
+	slowStartShare  float64          // fraction of the slow-start budgets that this process uses
 	knownTenants    map[string]bool
 	reportFields    []string // meaning of the values of load reports
 	classBasis      classBasis
@@ -24,21 +24,21 @@
 	d.rejectedConfig = nil
 	d.deriveLimits()
 	d.timers.SetTick(timerTick(s.FleetRules.AnswerGrace), d.clock())
-	if d.Phases.Now() >= Retiring { // SIGKILL comes when it would have: a reload can only bring the end nearer
+	if d.Phases.Now() >= Retiring { // the time of SIGKILL is fixed: a reload can only shorten the drain
 		d.drainDeadline = min(d.drainDeadline, d.stopRequestedAt+d.maxDrain)
 	}
 	d.addEvent(balance.ConfigChanged{Config: d.schedulerConfig()})
-	d.scheduleWatchRetry() // whether the loop or the scheduler keeps the watch open may have changed
+	d.scheduleWatchRetry() // the settings decide whether the loop or the scheduler restarts a watch
 }
 
-// deriveLimits derives from the settings what the loop itself goes by.
+// deriveLimits derives from the settings the values that the loop itself uses.
 func (d *Dispatcher) deriveLimits() {
 	longest := 0.0
 	for _, class := range d.Settings.Classes {
 		longest = max(longest, class.Deadline())
 	}
 	d.maxDrain = min(longest, maxDrainSeconds) + drainGraceSeconds
-	d.recentIDs.retention = max(d.recentIDs.retention, longest) // longer requests may be in flight
+	d.recentIDs.retention = max(d.recentIDs.retention, longest) // never shorter: earlier requests may be in flight
 	d.reportFields = d.Settings.Config().ReportFields
 	d.knownTenants = map[string]bool{}
 	for _, tenant := range d.Settings.Tenants {
@@ -46,8 +46,8 @@
 	}
 }
 
-// schedulerConfig is the scheduler's configuration, with promised waits and this process's part of the
-// slow-start budgets.
+// schedulerConfig returns the scheduler's configuration, with the promised waits and with the slow-start budgets
+// reduced to this process's share.
 func (d *Dispatcher) schedulerConfig() balance.Config {
 	c := d.effectiveSettings().Config()
 	for i := range c.Classes {
@@ -57,8 +57,8 @@
 	return c
 }
 
-// setSlowStartShare has the scheduler use a part of its slow-start budgets. For the workers the processes of
-// an upgrade are one dispatcher, and none knows what another has sent.
+// setSlowStartShare makes the scheduler use a fraction of its slow-start budgets. To workers the processes of an
+// upgrade are one dispatcher, and no process knows what another has sent.
 func (d *Dispatcher) setSlowStartShare(share float64) {
 	if d.slowStartShare != share {
 		d.slowStartShare = share
@@ -66,7 +66,8 @@
 	}
 }
 
-// setMaxWaits changes the promised waits of jobs that arrive from now on. Classes that are not named have none.
+// setMaxWaits changes the promised waits of jobs that arrive from now on. Classes that are
+// not in waits have no promised wait.
 func (d *Dispatcher) setMaxWaits(waits map[string]float64) {
 	for _, class := range d.Settings.Classes {
 		wait := waits[class.Name]
--- a/internal/dispatcher/requests.go
+++ b/internal/dispatcher/requests.go
@@ -20,14 +20,14 @@
 	depthPlace    deferred.QueuePlace // in Depths
 
 	attempts          []upstream.Attempt // nil once the outcome is known
-	lastSentAt        float64            // when the last attempt was decided
-	firstMayHaveRunAt float64            // when the first that may have run was decided; 0: none
-	atMostOnce        bool               // its class must not run twice at will
-	dedupWindow       float64            // in which it may be retried once it may have run; 0: none
+	lastSentAt        float64            // when the last attempt was decided on
+	firstMayHaveRunAt float64            // when the first attempt that may have run was decided on; 0: none
+	atMostOnce        bool               // its class is not idempotent, or only with a key
+	dedupWindow       float64            // seconds in which it may be retried once it may have run; 0: no window
 
-	submittedAt float64 // when it came to the scheduler
-	submitStep  uint64  // the step that took it in; 0: it is deferred
-	maxWait     float64 // promised for its first attempt; 0: none
+	submittedAt float64 // when it was submitted to the scheduler
+	submitStep  uint64  // the step that handles its submission; 0: still deferred
+	maxWait     float64 // seconds promised for its first attempt; 0: none
 }
 
 // inFlight reports whether an attempt has no outcome yet.
@@ -43,7 +43,7 @@
 // size is what the scheduler charges a tenant for an attempt, in slots.
 func (r *request) size() float64 { return max(r.inbound.Slots, r.inbound.Memory, 1) }
 
-// Arrive accepts a request, which is owed one answer. One that comes after the end of the loop is rejected
+// Arrive accepts a request, which gets exactly one answer. After the end of the loop a request is rejected
 // here: it was never forwarded.
 func (d *Dispatcher) Arrive(r *downstream.Request) {
 	select {
@@ -53,14 +53,14 @@
 		return
 	}
 	select {
-	case <-d.done: // the inbox may have had room after the loop's last look
+	case <-d.done: // the inbox may have had room after the loop last read it
 		d.rejectQueued()
 	default:
 	}
 }
 
-// rejectQueued rejects the requests that the loop will not take from the inbox any more. Whoever ends the
-// loop, or fills the inbox after that, calls it, so that none is left whichever comes last.
+// rejectQueued rejects the requests in the inbox that the loop will not handle any more. It is called at the end
+// of the loop and by each Arrive after that, so that no request is left in the inbox whichever comes last.
 func (d *Dispatcher) rejectQueued() {
 	for {
 		select {
@@ -81,8 +81,8 @@
 	})
 }
 
-// handleArrival admits a request. One whose id is in use, or was recently, is rejected, so that the first is
-// not disturbed and does not run again.
+// handleArrival admits a request. A request whose id is in use or was used recently is rejected, so that the
+// first request with that id is not disturbed and does not run again.
 func (d *Dispatcher) handleArrival(in *downstream.Request) {
 	if d.rejectsNew() {
 		d.reject(in)
@@ -129,8 +129,8 @@
 	return r
 }
 
-// submit hands a request to the scheduler, with the time that is left for it. For one that was deferred the
-// latency objective counts from now.
+// submit passes a request to the scheduler with its remaining time. For a request that was deferred, the latency
+// objective is counted from now.
 func (d *Dispatcher) submit(r *request, timeLeft float64, wasDeferred bool) {
 	in := r.inbound
 	r.submittedAt = d.clock()
@@ -149,7 +149,7 @@
 	})
 }
 
-// handleDisconnect closes a request whose client has disconnected, once.
+// handleDisconnect closes a request whose client has disconnected, unless it is closed already.
 func (d *Dispatcher) handleDisconnect(r *request) {
 	if !r.answered {
 		d.addEvent(balance.ClientDisconnected{ID: r.inbound.ID})
@@ -157,7 +157,7 @@
 	}
 }
 
-// answer gives a request its one final answer.
+// answer sends the final answer to a request, unless it has been answered or closed already.
 func (d *Dispatcher) answer(r *request, a downstream.Answer) {
 	if !r.answered {
 		r.inbound.Answer(a)
@@ -183,8 +183,8 @@
 	d.answer(r, downstream.Answer{Status: status})
 }
 
-// answerOverdue answers a request that is open past its deadline. It guards the one answer against a loop
-// that was held up so long that the scheduler's own timer came too late.
+// answerOverdue answers a request that is unanswered after its deadline. This ensures an answer even if the loop
+// was delayed so long that the scheduler's own timer fired too late.
 func (d *Dispatcher) answerOverdue(r *request) {
 	if !r.answered {
 		d.Log("request %s: no decision by its deadline", r.inbound.ID)
@@ -193,8 +193,8 @@
 	}
 }
 
-// closeRequest ends what is owed to a request. No attempt of it may stay in flight: nobody waits for it, and
-// its deadline's timer is stopped.
+// closeRequest marks a request as needing no further answer. It ends the attempts in flight, as no client waits
+// for them any more and the timer for the deadline is stopped.
 func (d *Dispatcher) closeRequest(r *request, o deferred.Outcome) {
 	r.answered = true
 	d.leaveStage(r, o)
@@ -208,7 +208,7 @@
 	d.releaseRequest(r)
 }
 
-// releaseRequest forgets a request that is over on both sides.
+// releaseRequest removes a request that needs no answer and has no attempt in flight.
 func (d *Dispatcher) releaseRequest(r *request) {
 	if r.answered && !r.inFlight() {
 		delete(d.requests, r.inbound.ID)
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	drainPollSeconds   = 0.05 // between sweeps of idle clients while draining
-	maxDrainSeconds    = 3.0  // the longest deadline that a stop waits for: SIGKILL comes 0.7 s after it
-	drainGraceSeconds  = 0.45 // after the deadlines of requests
-	minDrainSeconds    = 1.0  // connections keep coming for 0.4 s after a stop
-	retiringShare      = 0.6  // part of a drain in which clients keep their connections
-	flushSeconds       = 0.1  // for the last answers to be written
+	drainPollSeconds   = 0.05 // between sweeps of idle client connections
+	maxDrainSeconds    = 3.0  // the longest deadline that a stop waits for; SIGKILL follows 0.7 s after it
+	drainGraceSeconds  = 0.45 // added to the longest deadline of requests
+	minDrainSeconds    = 1.0  // shortest drain: connections keep arriving for 0.4 s after a stop
+	retiringShare      = 0.6  // fraction of a drain in which clients keep their connections
+	flushSeconds       = 0.1  // time for the last answers to be written
 	closePollSeconds   = 0.005
 	closingIdleTimeout = 50 * time.Millisecond
-	newConnGrace       = 250 * time.Millisecond // for the first byte of a new connection while others are closed
+	newConnGrace       = 250 * time.Millisecond // time for a new connection's first byte while idle ones are closed
 )
 
-// drainState is how far the dispatcher is emptied.
+// drainState is the state of pausing, yielding and draining.
 type drainState struct {
-	pausedSince     float64 // by operators; 0: it is not
+	pausedSince     float64 // by operators; 0: not paused
 	yielding        bool    // to a newer process
 	stopRequestedAt float64
 	retiringUntil   float64 // until then clients keep their connections after a stop
-	drainDeadline   float64 // when what is left is answered by the scheduler
+	drainDeadline   float64 // when the scheduler answers the remaining requests
 	maxDrain        float64
 	closingSince    float64
 	closingStep     uint64 // the last step before closing began
@@ -42,8 +42,8 @@
 	}
 	d.stopRequestedAt = requestedAt
 	d.drainDeadline = requestedAt + d.maxDrain
-	// In a rolling restart clients whose connections end now may have nowhere to go, as the other processes
-	// may not be back yet. So their connections are closed some time later.
+	// In a rolling restart the other processes may not be back yet, so clients whose connections were closed now
+	// might have no process to connect to. Their connections are closed later.
 	d.retiringUntil = requestedAt
 	if d.pausedSince == 0 && !d.yielding {
 		d.retiringUntil += retiringShare * d.maxDrain
@@ -61,13 +61,13 @@
 	return d.pausedSince > 0 && phase == Paused && d.clock() >= d.pausedSince+pauseRejectSeconds
 }
 
-// pollIdleAt sets when idle clients are closed next.
+// pollIdleAt sets the time at which idle client connections are closed next.
 func (d *Dispatcher) pollIdleAt(at float64) {
 	d.idlePollTimer.Stop()
 	d.idlePollTimer = d.timers.Set(at, idlePoll{})
 }
 
-// closeIdleConns closes idle clients while the dispatcher is emptied.
+// closeIdleConns closes idle client connections while the dispatcher is pausing, yielding or draining.
 func (d *Dispatcher) closeIdleConns(now float64) {
 	phase := d.Phases.Now()
 	isPaused := phase == Paused && d.pausedSince > 0
@@ -77,13 +77,13 @@
 	if d.Phases.Enter(Draining) {
 		d.Log("draining: %d requests in flight", len(d.requests))
 	}
-	if d.Phases.Now() < Closing { // else advancePhase does
+	if d.Phases.Now() < Closing { // from Closing on advancePhase closes them
 		d.downstream.CloseIdle(newConnGrace)
 		d.pollIdleAt(now + drainPollSeconds)
 	}
 }
 
-// advancePhase enters the phases that are due and reports whether the loop is over.
+// advancePhase enters the phases that are due and reports whether the loop must end.
 func (d *Dispatcher) advancePhase(now float64) (over bool) {
 	phases := d.Phases
 	if phases.Now() == Starting && d.canServe() && phases.Enter(Serving) {
@@ -96,7 +96,8 @@
 	if (d.isQuiet(now, unanswered) || now > d.drainDeadline) && phases.Enter(Closing) {
 		d.startClosing(now, unanswered)
 	}
-	if phases.Now() != Closing || d.stepCount == d.closingStep { // after a hold-up the scheduler has yet to answer
+	// Without a step since Closing began, as after a delay of the loop, the scheduler has yet to answer requests.
+	if phases.Now() != Closing || d.stepCount == d.closingStep {
 		return false
 	}
 	d.downstream.CloseIdle(closingIdleTimeout)
@@ -110,38 +111,39 @@
 
 func (d *Dispatcher) canServe() bool { return d.cachedUpdate == nil && d.endpoints.Len() > 0 }
 
-// isQuiet reports whether nothing is left to drain.
+// isQuiet reports whether nothing is left to drain and the shortest drain time has passed.
 func (d *Dispatcher) isQuiet(now float64, unanswered int) bool {
 	return unanswered == 0 && d.downstream.InFlight() == 0 && d.downstream.Open() == 0 &&
 		now-d.stopRequestedAt > minDrainSeconds
 }
 
-// startClosing has what is left answered.
+// startClosing makes the scheduler answer all remaining requests.
 func (d *Dispatcher) startClosing(now float64, unanswered int) {
 	d.closingSince = now
 	d.closingStep = d.stepCount
 	if unanswered > 0 {
 		d.Log("closing: %d requests get no answer from a worker", unanswered)
 	}
-	if d.Deferred != nil { // what is still deferred is answered by the scheduler
+	if d.Deferred != nil { // the scheduler answers the jobs that are still deferred
 		d.Deferred.ExpireAll()
 		d.releaseDeferred(now, math.MaxInt)
 	}
 	d.addEvent(balance.Shutdown{})
-	// A connection may be on its way from Accept while none is open.
+	// A connection that has just been accepted may not be counted as open yet.
 	d.downstream.StopAccepting()
 }
 
-// finish handles what came while the loop ended, and makes sure that nobody waits for it after that.
+// finish handles the messages that arrived while the loop ended, and ensures that no caller waits for the loop
+// afterwards.
 func (d *Dispatcher) finish(now float64) {
 	d.drainInbox()
-	for _, r := range d.unanswered() { // a guard: the scheduler has answered all
+	for _, r := range d.unanswered() { // a safeguard: the scheduler should have answered all
 		d.Log("request %s: no decision before the end", r.inbound.ID)
 		d.answer(r, downstream.Answer{Status: http.StatusBadGateway})
 	}
 	close(d.done)
 	d.rejectQueued()
 	for d.downstream.InFlight() > 0 && d.clock()-now < flushSeconds/2 {
-		time.Sleep(time.Millisecond) // the process ends after this, with what is still being written
+		time.Sleep(time.Millisecond) // the process ends after this, and would cut off answers that are being written
 	}
 }
--- a/internal/dispatcher/stats.go
+++ b/internal/dispatcher/stats.go
@@ -2,7 +2,7 @@
 
 import "example.org/bellstream/internal/deferred"
 
-// Stats is what operators see of queued and deferred jobs.
+// Stats holds statistics of queued and deferred jobs for operators.
 type Stats struct {
 	DeferredEnabled bool `json:"on"`
 	deferred.Stats
@@ -10,7 +10,7 @@
 	FirstAttempts []deferred.FirstAttempts `json:"first_hops"`
 }
 
-// Stats returns the present statistics, and false once the loop has ended.
+// Stats returns the current statistics and true, or false once the loop has ended.
 func (d *Dispatcher) Stats() (Stats, bool) {
 	reply := make(chan Stats, 1)
 	d.post(statsRequest{reply})
--- a/internal/dispatcher/watch.go
+++ b/internal/dispatcher/watch.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	queuedCallSeconds       = 1.5  // a failed call to discovery that lasted so long was queued there: discovery is up
-	firstListTimeoutSeconds = 20.0 // the longest start without a list from a discovery that is up
+	queuedCallSeconds       = 1.5  // a failed call that lasted this long was queued by discovery, which is thus up
+	firstListTimeoutSeconds = 20.0 // the longest time that a start waits for a list if discovery is up
 )
 
 // watchState is the state of the watch of the endpoint list.
 type watchState struct {
 	cancelWatch     context.CancelFunc
 	watchID         int
-	watchPending    bool // it has neither delivered anything nor ended
-	watchDown       bool // it has ended, or none was started yet
+	watchPending    bool // the watch has neither delivered anything nor ended
+	watchDown       bool // the watch has ended, or none was started yet
 	watchStartedAt  float64
 	watchEndKind    balance.EndpointUpdateKind
 	watchFailures   int                    // in a row
-	watchRetryTimer *timerwheel.Timer[any] // where the loop itself keeps the watch open
-	retryJitter     *rand.Rand             // as watches of many dispatchers end together
-	// cachedUpdate is the list of the start, withheld while discovery may deliver a newer one.
+	watchRetryTimer *timerwheel.Timer[any] // used if the loop itself keeps the watch open
+	retryJitter     *rand.Rand             // spreads the retries, as watches of many dispatchers may end together
+	// cachedUpdate is the list from the configuration, withheld while discovery may deliver a newer one; else nil.
 	cachedUpdate *balance.EndpointUpdate
 }
 
-// loadCachedEndpoints takes in the list that the configuration brought.
+// loadCachedEndpoints loads the endpoint list that came with the configuration, if any.
 func (d *Dispatcher) loadCachedEndpoints() error {
 	if len(d.CachedEndpoints) == 0 {
 		return nil
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// useCachedEndpoints hands the scheduler the list of the start. That is as old as the configuration, and a
-// worker that has left since then must get nothing from here: what discovery listed 6 s ago binds a new
-// process as well. So it is not used while discovery may deliver a newer one. A discovery that refuses or
-// soon ends a call is down and has notified nobody; one that keeps a caller waiting is up.
+// useCachedEndpoints passes the cached list to the scheduler. That list is as old as the configuration, but a
+// worker that has left since then must not be sent anything: a new process, too, must comply with what discovery
+// listed 6 s ago. So the cached list is not used while discovery may deliver a newer one. A discovery that refuses
+// a call or ends it soon is down and has notified no dispatcher; one that keeps a caller waiting is up.
 func (d *Dispatcher) useCachedEndpoints() {
 	if d.cachedUpdate != nil {
 		d.addEvent(*d.cachedUpdate)
@@ -68,13 +68,12 @@
 	}
 }
 
-// schedulerPolls reports whether the scheduler itself asks for the list. Otherwise the loop keeps the watch
-// open.
+// schedulerPolls reports whether the scheduler itself requests the list. Otherwise the loop keeps a watch open.
 func (d *Dispatcher) schedulerPolls() bool {
 	return d.Settings.EndpointMode == settings.EndpointsOnRequest
 }
 
-// startWatch starts a watch, in place of one that may still be open.
+// startWatch starts a watch and ends the previous one if it is still open.
 func (d *Dispatcher) startWatch() {
 	d.cancelWatch()
 	d.watchRetryTimer.Stop()
@@ -98,7 +97,7 @@
 // handleEndpointEvent handles a change of the endpoint list, or the end of the watch.
 func (d *Dispatcher) handleEndpointEvent(m endpointEvent) {
 	if m.watchID != d.watchID {
-		return // from a watch that was replaced
+		return // from a replaced watch
 	}
 	wasPending := d.watchPending
 	d.watchPending = false
@@ -132,7 +131,7 @@
 	}
 }
 
-// watchLost records that there is no watch.
+// watchLost records that no watch is open.
 func (d *Dispatcher) watchLost(kind balance.EndpointUpdateKind) {
 	d.watchEndKind = kind
 	d.watchDown = true
@@ -141,7 +140,7 @@
 	d.scheduleWatchRetry()
 }
 
-// scheduleWatchRetry has a watch that is down started again, unless the scheduler does that.
+// scheduleWatchRetry sets a timer to restart a watch that is down, unless the scheduler restarts it.
 func (d *Dispatcher) scheduleWatchRetry() {
 	d.watchRetryTimer.Stop()
 	if !d.watchDown || d.schedulerPolls() {
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,5 +1,5 @@
-// Package timerwheel keeps timers on a hashed timing wheel of coarse ticks. It reads no clock: the owner
-// passes the time, in seconds. A Wheel is used by one goroutine.
+// Package timerwheel keeps timers on a hashed timing wheel with coarse ticks. It reads no clock: the owner passes
+// the time, in seconds. A Wheel must not be used by several goroutines at once.
 package timerwheel
 
 import "math"
@@ -13,13 +13,13 @@
 	stopped bool
 }
 
-// Stop keeps a timer from firing. Its place on the wheel stays taken until it would have been due, so the
-// value is released at once: for a deadline that is a request with its body. A nil or fired timer may be
-// stopped too.
+// Stop keeps a timer from firing. Its entry stays on the wheel until the time at which it would have fired, but its
+// value is released at once, because for a deadline it is a request with its body. Stopping a nil or fired timer
+// has no effect.
 func (t *Timer[T]) Stop() {
 	if t != nil {
-		var none T
-		t.value, t.stopped = none, true
+		var zero T
+		t.value, t.stopped = zero, true
 	}
 }
 
@@ -31,12 +31,12 @@
 	count     int
 }
 
-// New returns a wheel with the given tick, in seconds.
+// New returns an empty wheel with the given tick and current time, both in seconds.
 func New[T any](tick, now float64) *Wheel[T] {
 	return &Wheel[T]{tick: tick, lastFired: int64(math.Floor(now / tick))}
 }
 
-// Set adds a timer. It fires with the first tick at or after the given time, at the earliest with the next one.
+// Set adds a timer. It fires at the first tick that is at or after the given time, but not before the next tick.
 func (w *Wheel[T]) Set(at float64, value T) *Timer[T] {
 	t := &Timer[T]{value: value, due: max(int64(math.Ceil(at/w.tick)), w.lastFired+1)}
 	s := &w.slots[t.due%slotCount]
@@ -61,8 +61,8 @@
 	}
 }
 
-// Next returns when the wheel is to be advanced again, and false where it is empty. The time may be too early
-// by whole turns, never too late.
+// Next returns when the wheel must be advanced next, or false if it is empty. That time may be earlier than the
+// next timer by one or more revolutions of the wheel, but never later.
 func (w *Wheel[T]) Next() (float64, bool) {
 	if w.count == 0 {
 		return 0, false
@@ -74,10 +74,11 @@
 	}
 }
 
-// Advance turns the wheel up to now and returns the values of the timers that fired, in the order of their ticks.
+// Advance advances the wheel to now and returns the values of the timers that fired, in the order of their ticks.
 func (w *Wheel[T]) Advance(now float64) (due []T) {
 	to := int64(math.Floor(now/w.tick + 1e-3))
-	// After a pause of more than a turn each slot is visited once, and the order across turns is lost.
+	// If more than one revolution has passed, each slot is visited once, and the values are not in the order of
+	// their ticks.
 	for n := max(w.lastFired+1, to-slotCount+1); n <= to; n++ {
 		s := &w.slots[n%slotCount]
 		keep := (*s)[:0]
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-func TestTimersFireWithTheirTick(t *testing.T) {
+func TestTimersFireAtTheirTick(t *testing.T) {
 	w := New[string](0.004, 100)
 	w.Set(100.010, "b") // tick 100.012
 	w.Set(100.001, "a")
-	w.Set(99, "past") // with the next tick
+	w.Set(99, "past") // fires at the next tick
 	far := w.Set(103, "far")
-	w.Set(102.5, "turn") // more than one turn of the wheel ahead
+	w.Set(102.5, "turn") // more than one revolution of the wheel ahead
 	for _, c := range []struct {
 		now  float64
 		want []string
@@ -23,22 +23,22 @@
 			t.Errorf("at %v: got %v, want %v", c.now, got, c.want)
 		}
 		if next, ok := w.Next(); ok && next <= c.now {
-			t.Errorf("at %v: next look at %v", c.now, next)
+			t.Errorf("at %v: Next returned %v, want a later time", c.now, next)
 		}
 	}
 	if far.Stop(); far.value != "" {
-		t.Errorf("a stopped timer holds on to %q", far.value)
+		t.Errorf("a stopped timer still holds value %q", far.value)
 	}
 	if got := w.Advance(110); got != nil {
-		t.Errorf("got %v after Stop", got)
+		t.Errorf("Advance returned %v after Stop, want nothing", got)
 	}
 	if _, ok := w.Next(); ok {
-		t.Error("an empty wheel wants to be looked at")
+		t.Error("Next returned true for an empty wheel")
 	}
 }
 
-// After a standstill of many turns all that came due fires, and only that.
-func TestStandstill(t *testing.T) {
+// When many revolutions pass between two calls of Advance, exactly the timers that became due must fire.
+func TestAdvanceOverManyRevolutions(t *testing.T) {
 	w := New[int](0.004, 0)
 	for i := range 3000 {
 		w.Set(float64(i)*0.01, i)
@@ -51,12 +51,13 @@
 	}
 }
 
-// Another tick moves no timer, but for what the ticks are apart, and loses none; what was stopped stays so.
-func TestRetick(t *testing.T) {
+// SetTick must not lose a timer or move it by more than the rounding to the two ticks, and stopped timers must stay
+// stopped.
+func TestSetTick(t *testing.T) {
 	for _, ticks := range [][2]float64{{0.004, 0.001}, {0.001, 0.004}, {0.004, 0.004}} {
 		start := 1.7e9
 		w := New[int](ticks[0], start)
-		for i := range 3000 { // up to many turns of either
+		for i := range 3000 { // up to many revolutions with either tick
 			w.Set(start+float64(i)*0.0037, i)
 		}
 		stopped := w.Set(start+1, -1)
@@ -69,17 +70,17 @@
 				at[i] = now
 			}
 		}
-		for i := 28; i < 3000; i++ { // those before have fired
+		for i := 28; i < 3000; i++ { // the earlier ones may have fired before SetTick
 			want := start + float64(i)*0.0037
 			if late := at[i] - want; late < -0.0011 || late > ticks[0]+ticks[1]+0.001 {
 				t.Fatalf("ticks %v: timer %d fired %v s after its time", ticks, i, late)
 			}
 		}
 		if _, ok := at[-1]; ok || len(at) > 2973 {
-			t.Errorf("ticks %v: %d timers fired, the stopped one %v", ticks, len(at), ok)
+			t.Errorf("ticks %v: %d timers fired, the stopped one fired: %v", ticks, len(at), ok)
 		}
 		if _, ok := w.Next(); ok {
-			t.Errorf("ticks %v: the wheel is not empty", ticks)
+			t.Errorf("ticks %v: Next returned true after all timers have fired", ticks)
 		}
 	}
 }
