--- a/internal/dispatcher/commands_test.go
+++ b/internal/dispatcher/commands_test.go
@@ -15,8 +15,8 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// may is the written table of transitions, apart from the code's.
-const may = `starting: serving paused retiring stopped
+// allowedTransitions is the written table of transitions, apart from the code's.
+const allowedTransitions = `starting: serving paused retiring stopped
 serving: paused retiring stopped
 paused: starting retiring stopped
 retiring: draining closing stopped
@@ -30,7 +30,7 @@
 	f.Add([]byte{1, 2, 0, 3, 1, 2, 4, 5, 6, 1, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ways := map[string]map[string]bool{}
-		for line := range strings.SplitSeq(may, "\n") {
+		for line := range strings.SplitSeq(allowedTransitions, "\n") {
 			from, to, _ := strings.Cut(line, ": ")
 			ways[from] = map[string]bool{}
 			for w := range strings.FieldsSeq(to) {
@@ -52,24 +52,24 @@
 	})
 }
 
-// runs has a job come and go out to a worker.
-func (r *rig) runs(id, class string) *jobModel {
+// startJob has a job come and go out to a worker.
+func (r *rig) startJob(id, class string) *jobModel {
 	r.t.Helper()
 	j := r.arrive(id, class, time.Hour)
-	r.pass(20 * time.Millisecond)
-	for _, tell := range r.probes {
-		tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+	r.advance(20 * time.Millisecond)
+	for _, notify := range r.healthChecks {
+		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 	}
-	r.probes = nil
-	r.pass(8 * time.Millisecond)
-	if j.out == nil {
+	r.healthChecks = nil
+	r.advance(8 * time.Millisecond)
+	if j.inFlight == nil {
 		r.t.Fatalf("%s: not sent", id)
 	}
 	return j
 }
 
-// pause says what operators do, and what the phase makes of it.
-func (r *rig) pause(on bool) error {
+// setPaused says what operators do, and what the phase makes of it.
+func (r *rig) setPaused(on bool) error {
 	r.ApplyOperatorState((&handoff.OperatorState{}).SetPaused(on), true)
 	if p := r.Phases.Now(); (p == Paused) != on && p < Retiring {
 		return errors.New(p.String())
@@ -82,46 +82,46 @@
 // lets jobs finish, and is over at once, also when it is half done.
 func TestPause(t *testing.T) {
 	r := newRig(t)
-	a := r.runs("a", "unsafe")
-	if r.Status() != nil || r.pause(true) != nil || r.pause(true) != nil {
+	a := r.startJob("a", "unsafe")
+	if r.Status() != nil || r.setPaused(true) != nil || r.setPaused(true) != nil {
 		t.Fatal("a serving dispatcher was not paused")
 	}
 	if r.Phases.Ready() || !r.Phases.Ending() || r.Status() == nil {
 		t.Error("a pause waits for the loop")
 	}
-	r.pass(300 * time.Millisecond)
-	if r.closed > 0 {
+	r.advance(300 * time.Millisecond)
+	if r.closeIdleCalls > 0 {
 		t.Error("idle connections were closed while the front still brings new ones")
 	}
-	r.pass(200 * time.Millisecond)
-	if r.closed == 0 {
+	r.advance(200 * time.Millisecond)
+	if r.closeIdleCalls == 0 {
 		t.Error("idle connections stay open")
 	}
-	b := r.runs("b", "safe")
-	r.pass(1350 * time.Millisecond)
+	b := r.startJob("b", "safe")
+	r.advance(1350 * time.Millisecond)
 	c := r.arrive("c", "unsafe", time.Hour)
 	if len(a.answers)+len(b.answers) > 0 || len(c.answers) != 1 || c.answers[0] != 503 {
 		t.Errorf("answers %v, %v to those taken, %v to one that came too late", a.answers, b.answers, c.answers)
 	}
 	for range 2 {
-		if err := r.pause(false); err != nil {
+		if err := r.setPaused(false); err != nil {
 			t.Errorf("not resumed: %v", err)
 		}
 	}
-	r.pass(4 * time.Millisecond)
+	r.advance(4 * time.Millisecond)
 	if r.Status() != nil || r.Phases.Ending() {
 		t.Errorf("phase %v after the end of a pause", r.Phases.Now())
 	}
-	closed := r.closed
+	closed := r.closeIdleCalls
 	d := r.arrive("d", "safe", time.Hour)
-	r.pass(100 * time.Millisecond)
-	if r.closed != closed || len(d.answers) > 0 {
-		t.Errorf("%d looks at idle connections and answers %v after a pause", r.closed-closed, d.answers)
+	r.advance(100 * time.Millisecond)
+	if r.closeIdleCalls != closed || len(d.answers) > 0 {
+		t.Errorf("%d looks at idle connections and answers %v after a pause", r.closeIdleCalls-closed, d.answers)
 	}
 	// Paused anew, its time begins anew.
-	r.pause(true)
-	r.pass(300 * time.Millisecond)
-	if e := r.arrive("e", "safe", time.Hour); r.closed != closed || len(e.answers) > 0 {
+	r.setPaused(true)
+	r.advance(300 * time.Millisecond)
+	if e := r.arrive("e", "safe", time.Hour); r.closeIdleCalls != closed || len(e.answers) > 0 {
 		t.Error("a second pause goes on where the first was left")
 	}
 }
@@ -129,22 +129,22 @@
 // What happens beside a pause: a call back before the loop has handled the
 // call out, a pause before there is anything to serve with, and a stop, which
 // closes idle connections at once and which nothing undoes.
-func TestPauseBesideOthers(t *testing.T) {
+func TestPauseWithOtherTransitions(t *testing.T) {
 	r := newRig(t)
-	r.pause(true)
-	r.pause(false)
-	r.pass(time.Second)
-	if !r.Phases.Ready() || r.closed > 0 {
-		t.Errorf("phase %v, %d looks at idle connections", r.Phases.Now(), r.closed)
-	}
-	r.pause(true)
-	r.pass(8 * time.Millisecond)
+	r.setPaused(true)
+	r.setPaused(false)
+	r.advance(time.Second)
+	if !r.Phases.Ready() || r.closeIdleCalls > 0 {
+		t.Errorf("phase %v, %d looks at idle connections", r.Phases.Now(), r.closeIdleCalls)
+	}
+	r.setPaused(true)
+	r.advance(8 * time.Millisecond)
 	r.handle(stopRequested{r.clock()})
-	r.pass(60 * time.Millisecond)
-	if r.Phases.Now() != Draining || r.closed == 0 {
-		t.Errorf("phase %v, %d looks at idle connections after a stop in a pause", r.Phases.Now(), r.closed)
+	r.advance(60 * time.Millisecond)
+	if r.Phases.Now() != Draining || r.closeIdleCalls == 0 {
+		t.Errorf("phase %v, %d looks at idle connections after a stop in a pause", r.Phases.Now(), r.closeIdleCalls)
 	}
-	if r.pause(false) != nil || r.pause(true) != nil || r.Phases.Now() != Draining {
+	if r.setPaused(false) != nil || r.setPaused(true) != nil || r.Phases.Now() != Draining {
 		t.Errorf("a stop was undone: %v", r.Phases.Now())
 	}
 	p, paused := &Phases{}, (&handoff.OperatorState{}).SetPaused(true)
@@ -160,12 +160,12 @@
 // A cordon binds when ApplyOperatorState returns, before the loop has handled it: the attempt
 // that is under way checks it by itself. The scheduler is notified of each change once.
 func TestCordons(t *testing.T) {
-	r := startRig(t, options, 1)
+	r := newStartingRig(t, settingsJSON, 1)
 	r.handle(endpointEvent{watchID: r.watchID, err: syscall.ECONNREFUSED}) // discovery is down: no list from it
-	r.pass(0)
+	r.advance(0)
 	r.AcceptsCommands = true
 	r.publishWorkers()
-	a := r.runs("a", "safe")
+	a := r.startJob("a", "safe")
 	if known, listed := r.KnowsWorker("a"); !known || listed {
 		t.Errorf("known %v, listed %v before any list", known, listed)
 	}
@@ -175,21 +175,21 @@
 	s, _ := (&handoff.OperatorState{}).Cordon("a", 1)
 	s, _ = s.Cordon("b", 1)
 	r.ApplyOperatorState(s, true)
-	if r.orders[0].Blocked() == "" {
+	if r.attemptRequests[0].Blocked() == "" {
 		t.Error("a hop that is under way may still write")
 	}
 	r.pendingEvents = nil
 	r.applyCommands()
 	r.applyCommands()
-	if got := len(r.pendingEvents); got != 2 || len(r.forgot) != 2 {
-		t.Errorf("%d events for two bans, connections to %v closed", got, r.forgot)
+	if got := len(r.pendingEvents); got != 2 || len(r.closedIdleTo) != 2 {
+		t.Errorf("%d events for two bans, connections to %v closed", got, r.closedIdleTo)
 	}
 	// All are cordoned: what comes is answered in its time, and nothing is sent.
 	b := r.arrive("b", "safe", time.Second)
-	hops := len(r.out)
-	r.pass(1100 * time.Millisecond)
-	if len(b.answers) != 1 || len(r.out) != hops || len(a.answers) > 0 {
-		t.Errorf("answers %v, %d hops while all workers are left out; the one under way got %v", b.answers, len(r.out)-hops, a.answers)
+	hops := len(r.attempts)
+	r.advance(1100 * time.Millisecond)
+	if len(b.answers) != 1 || len(r.attempts) != hops || len(a.answers) > 0 {
+		t.Errorf("answers %v, %d hops while all workers are left out; the one under way got %v", b.answers, len(r.attempts)-hops, a.answers)
 	}
 	r.ApplyOperatorState(s.Uncordon("a"), true)
 	if r.operatorState.Load().IsCordoned("a") || !r.operatorState.Load().IsCordoned("b") {
@@ -210,7 +210,7 @@
 func TestYield(t *testing.T) {
 	r := newRig(t)
 	r.Settings.FleetRules.OverloadSeconds, r.Settings.FleetRules.OverloadMultiple = 3, 2
-	told := func() float64 { // the multiple that the scheduler was last told
+	lastMultiple := func() float64 { // the multiple that the scheduler was last told
 		for _, event := range slices.Backward(r.pendingEvents) {
 			if e, ok := event.(balance.ConfigChanged); ok {
 				return e.Config.OverloadMultiple
@@ -221,43 +221,43 @@
 	none := &handoff.OperatorState{}
 	r.ApplyOperatorState(none, false)
 	r.applyCommands()
-	if got := told(); got != 2*yieldingSlowStartShare {
+	if got := lastMultiple(); got != 2*yieldingSlowStartShare {
 		t.Errorf("the module is told of a multiple of %v when it yields", got)
 	}
 	if r.Status() == nil || !r.Phases.Ready() || !r.Phases.Ending() {
 		t.Errorf("status %v, ready %v, ending %v while it yields", r.Status(), r.Phases.Ready(), r.Phases.Ending())
 	}
-	r.pass(900 * time.Millisecond)
-	if r.closed > 0 || r.slowStartShare != yieldingSlowStartShare {
-		t.Errorf("%d looks at idle connections, cold part %v", r.closed, r.slowStartShare)
+	r.advance(900 * time.Millisecond)
+	if r.closeIdleCalls > 0 || r.slowStartShare != yieldingSlowStartShare {
+		t.Errorf("%d looks at idle connections, cold part %v", r.closeIdleCalls, r.slowStartShare)
 	}
-	r.pass(200 * time.Millisecond)
-	if r.closed == 0 {
+	r.advance(200 * time.Millisecond)
+	if r.closeIdleCalls == 0 {
 		t.Error("idle connections stay")
 	}
 	r.ApplyOperatorState(none, true)
 	r.applyCommands()
-	if got := told(); got != 2*overlapSlowStartShare {
+	if got := lastMultiple(); got != 2*overlapSlowStartShare {
 		t.Errorf("the module is told of a multiple of %v when it leads", got)
 	}
-	r.pass(8 * time.Millisecond)
-	closed := r.closed
+	r.advance(8 * time.Millisecond)
+	closed := r.closeIdleCalls
 	if r.Status() != nil || r.Phases.Ending() || r.slowStartShare != overlapSlowStartShare {
 		t.Errorf("status %v, ending %v, cold part %v when it leads again", r.Status(), r.Phases.Ending(), r.slowStartShare)
 	}
-	r.pass(100 * time.Millisecond)
-	if r.closed != closed || r.slowStartShare != overlapSlowStartShare {
-		t.Errorf("%d looks, cold part %v", r.closed-closed, r.slowStartShare)
+	r.advance(100 * time.Millisecond)
+	if r.closeIdleCalls != closed || r.slowStartShare != overlapSlowStartShare {
+		t.Errorf("%d looks, cold part %v", r.closeIdleCalls-closed, r.slowStartShare)
 	}
-	if r.pass(3 * time.Second); r.slowStartShare != 1 {
+	if r.advance(3 * time.Second); r.slowStartShare != 1 {
 		t.Errorf("cold part %v when what the other sent no longer counts", r.slowStartShare)
 	}
 	// Told to stop while it yields, it still says yes for the dispatcher, and goes at once.
 	r.ApplyOperatorState(none, false)
-	r.pass(8 * time.Millisecond)
+	r.advance(8 * time.Millisecond)
 	r.handle(stopRequested{r.clock()})
-	r.pass(60 * time.Millisecond)
-	if r.Phases.Now() != Draining || !r.Phases.Ready() || r.closed == closed {
-		t.Errorf("phase %v, ready %v, %d looks after a stop", r.Phases.Now(), r.Phases.Ready(), r.closed-closed)
+	r.advance(60 * time.Millisecond)
+	if r.Phases.Now() != Draining || !r.Phases.Ready() || r.closeIdleCalls == closed {
+		t.Errorf("phase %v, ready %v, %d looks after a stop", r.Phases.Now(), r.Phases.Ready(), r.closeIdleCalls-closed)
 	}
 }
--- a/internal/dispatcher/crossing_test.go
+++ b/internal/dispatcher/crossing_test.go
@@ -16,43 +16,43 @@
 
 // A client's leaving stands in the loop's queue, behind what has the scheduler send: no attempt begins, the
 // first or a further one, and an attempt that waits for its connection writes nothing.
-func TestLeaveBehindADecision(t *testing.T) {
+func TestDisconnectQueuedBehindDecision(t *testing.T) {
 	r := newRig(t)
 	first := r.arrive("first", "safe", time.Hour)
-	r.pass(20 * time.Millisecond)
+	r.advance(20 * time.Millisecond)
 	first.req.MarkDisconnected()
-	for _, tell := range r.probes {
-		tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+	for _, notify := range r.healthChecks {
+		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 	}
-	r.probes = nil
-	r.pass(20 * time.Millisecond) // Start fails the test if it is sent
+	r.healthChecks = nil
+	r.advance(20 * time.Millisecond) // Start fails the test if it is sent
 	if r.requests["first"] != nil || len(first.answers) > 0 {
 		t.Errorf("held on: %v, answers %v", r.requests["first"] != nil, first.answers)
 	}
 	r.handle(clientDisconnected{first.req})
 
-	further := r.runs("further", "safe")
-	barred := r.orders[len(r.orders)-1].Blocked
-	if end := barred(); end != "" {
+	further := r.startJob("further", "safe")
+	blocked := r.attemptRequests[len(r.attemptRequests)-1].Blocked
+	if end := blocked(); end != "" {
 		t.Errorf("blocked as %q with its client there", end)
 	}
 	further.req.MarkDisconnected()
-	if end := barred(); end != balance.Blocked {
+	if end := blocked(); end != balance.Blocked {
 		t.Errorf("blocked as %q behind its client", end)
 	}
-	further.out.end(false)
+	further.inFlight.end(false)
 	r.handle(attemptEvent{r.requests["further"], 0, "a", upstream.AttemptEvent{Outcome: balance.Blocked}})
-	r.pass(100 * time.Millisecond)
+	r.advance(100 * time.Millisecond)
 	r.handle(clientDisconnected{further.req})
-	r.pass(time.Second)
-	if len(r.requests) > 0 || r.counted.net != 0 {
-		t.Errorf("%d held, %v slots counted", len(r.requests), r.counted.net)
+	r.advance(time.Second)
+	if len(r.requests) > 0 || r.usage.netSlots != 0 {
+		t.Errorf("%d held, %v slots counted", len(r.requests), r.usage.netSlots)
 	}
 
 	// A result that was on its way before is one: what waits for this job may go.
-	served := r.runs("served", "safe")
+	served := r.startJob("served", "safe")
 	served.req.MarkDisconnected()
-	served.out.end(true)
+	served.inFlight.end(true)
 	r.handle(attemptEvent{r.requests["served"], 0, "a", upstream.AttemptEvent{Outcome: balance.Served}})
 	if len(served.answers) != 1 || served.answers[0] != 200 {
 		t.Errorf("answers %v to what was served", served.answers)
@@ -61,7 +61,7 @@
 
 // While an attempt waits for its connection the entry of its worker changes. What was decided for the worker as
 // it was is not written to it any more: the job never ran, and goes elsewhere.
-func TestEndpointsChangeUnderAnAttempt(t *testing.T) {
+func TestEndpointChangeBlocksConnectingAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name, hosts string
 		blocks      bool
@@ -75,13 +75,13 @@
 		{"another process is there", `"hosts":[{"host":"W","dial":"A","site":"z","class":"k","health":"active","born_ms":1000000000000}]`, true},
 	} {
 		r := newRig(t)
-		j := r.runs("1", "unsafe")
-		o := r.orders[0]
+		j := r.startJob("1", "unsafe")
+		o := r.attemptRequests[0]
 		worker := "a"
-		if r.addrs[0] == "1:2" {
+		if r.attemptAddrs[0] == "1:2" {
 			worker = "b"
 		}
-		u, err := endpoints.Parse([]byte(`{"seq":2,` + strings.NewReplacer(`"W"`, `"`+worker+`"`, `"A"`, `"`+r.addrs[0]+`"`).Replace(c.hosts) + `}`))
+		u, err := endpoints.Parse([]byte(`{"seq":2,` + strings.NewReplacer(`"W"`, `"`+worker+`"`, `"A"`, `"`+r.attemptAddrs[0]+`"`).Replace(c.hosts) + `}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,17 +93,17 @@
 		if end == "" {
 			continue
 		}
-		j.out.end(false)
+		j.inFlight.end(false)
 		r.handle(attemptEvent{r.requests["1"], 0, worker, upstream.AttemptEvent{Outcome: end}})
 		for range 5 {
-			r.pass(20 * time.Millisecond)
-			for _, tell := range r.probes {
-				tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+			r.advance(20 * time.Millisecond)
+			for _, notify := range r.healthChecks {
+				notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 			}
-			r.probes = nil
+			r.healthChecks = nil
 		}
-		if len(r.orders) != 2 || r.orders[1].Blocked() != "" || len(j.answers) > 0 {
-			t.Errorf("%s: %d attempts, answers %v", c.name, len(r.orders), j.answers)
+		if len(r.attemptRequests) != 2 || r.attemptRequests[1].Blocked() != "" || len(j.answers) > 0 {
+			t.Errorf("%s: %d attempts, answers %v", c.name, len(r.attemptRequests), j.answers)
 		}
 	}
 }
@@ -116,50 +116,50 @@
 		window       bool
 	}{{"keyed", "broken", true}, {"keyed", "stale", true}, {"keyed", "full", false}, {"keyed", "unreachable", false}, {"safe", "broken", false}} {
 		r := newRig(t)
-		j := r.runs("1", c.class)
+		j := r.startJob("1", c.class)
 		decided := r.lastStepAt
-		if first := r.orders[0]; !first.SendBy.Equal(first.Deadline) || first.AtMostOnce != (c.class != "safe") {
+		if first := r.attemptRequests[0]; !first.SendBy.Equal(first.Deadline) || first.AtMostOnce != (c.class != "safe") {
 			t.Errorf("%v: the first attempt has until %v, once %v", c, first.SendBy, first.AtMostOnce)
 		}
 		r.handle(attemptEvent{r.requests["1"], 0, "", upstream.AttemptEvent{}})
-		r.pass(100 * time.Millisecond)
-		j.out.end(c.first != "full" && c.first != "unreachable")
+		r.advance(100 * time.Millisecond)
+		j.inFlight.end(c.first != "full" && c.first != "unreachable")
 		r.handle(attemptEvent{r.requests["1"], 0, "", upstream.AttemptEvent{Outcome: balance.Outcome(c.first)}})
-		for len(r.orders) == 1 && r.now.Before(j.sent.Add(5*time.Second)) {
-			r.pass(20 * time.Millisecond)
-			for _, tell := range r.probes {
-				tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+		for len(r.attemptRequests) == 1 && r.now.Before(j.sentAt.Add(5*time.Second)) {
+			r.advance(20 * time.Millisecond)
+			for _, notify := range r.healthChecks {
+				notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 			}
-			r.probes = nil
+			r.healthChecks = nil
 		}
-		if len(r.orders) != 2 {
-			t.Fatalf("%v: %d attempts, answers %v", c, len(r.orders), j.answers)
+		if len(r.attemptRequests) != 2 {
+			t.Fatalf("%v: %d attempts, answers %v", c, len(r.attemptRequests), j.answers)
 		}
-		want := r.orders[1].Deadline
+		want := r.attemptRequests[1].Deadline
 		if c.window {
 			want = r.wallTime(decided + 9)
 		}
-		if got := r.orders[1].SendBy; got.Sub(want).Abs() > time.Microsecond {
+		if got := r.attemptRequests[1].SendBy; got.Sub(want).Abs() > time.Microsecond {
 			t.Errorf("%v: out by %v after the first, want %v", c, got.Sub(r.wallTime(decided)), want.Sub(r.wallTime(decided)))
 		}
 	}
 }
 
-// heldEgress is the real egress, with a hook between an attempt's connection and its last look.
-type heldEgress struct {
+// blockingUpstream is the real egress, with a hook between an attempt's connection and its last look.
+type blockingUpstream struct {
 	*upstream.Pool
-	looks chan bool // an attempt has its connection
-	on    chan bool // it may go on
+	connected chan bool // an attempt has its connection
+	proceed   chan bool // it may go on
 }
 
-func (e *heldEgress) Start(o *upstream.AttemptRequest, addr string, tell func(upstream.AttemptEvent)) upstream.Attempt {
-	barred := o.Blocked
+func (e *blockingUpstream) Start(o *upstream.AttemptRequest, addr string, notify func(upstream.AttemptEvent)) upstream.Attempt {
+	blocked := o.Blocked
 	o.Blocked = func() balance.Outcome {
-		e.looks <- true
-		<-e.on
-		return barred()
+		e.connected <- true
+		<-e.proceed
+		return blocked()
 	}
-	return e.Pool.Start(o, addr, tell)
+	return e.Pool.Start(o, addr, notify)
 }
 
 // noDownstream is a clients' side without connections.
@@ -173,7 +173,7 @@
 
 // Over sockets: an attempt has its connection, and before its first byte its client leaves, of which the loop has
 // not heard, or discovery says that its worker drains. No byte comes to that worker.
-func TestNoByteBehindNewsOverSockets(t *testing.T) {
+func TestNothingSentAfterDisconnectOrDrain(t *testing.T) {
 	const options = `{"balancers":1,"zone":"z","membership_mode":"pushed","round":0.004,
 		"lanes":[{"name":"unsafe","aim":1,"hard_limit":20,"semantics":"unsafe"}],"caps":{"max_attempts":3,"dial_timeout":5}}`
 	for _, what := range []string{"nothing", "leave", "drain"} {
@@ -182,7 +182,7 @@
 			t.Fatal(err)
 		}
 		target, each := wiretest.NewTarget(t), make(chan func(*endpoints.Update), 1)
-		e := &heldEgress{&upstream.Pool{MaxConns: 8, DialTimeout: 5 * time.Second, IdleTimeout: time.Hour, Now: time.Now}, make(chan bool, 8), make(chan bool)}
+		e := &blockingUpstream{&upstream.Pool{MaxConns: 8, DialTimeout: 5 * time.Second, IdleTimeout: time.Hour, Now: time.Now}, make(chan bool, 8), make(chan bool)}
 		list := func(health string) string {
 			return `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"` + target.Addr + `","site":"z","health":"` + health + `"}]}`
 		}
@@ -201,7 +201,7 @@
 		req := &downstream.Request{ID: "r", Class: "unsafe", Method: "POST", URI: "/unsafe", Body: []byte("b"), Slots: 1,
 			Arrived: time.Now(), Timeout: 20 * time.Second, Answer: func(a downstream.Answer) { answers <- a }}
 		d.Arrive(req)
-		wiretest.Get(t, e.looks, "a hop that has its connection")
+		wiretest.Get(t, e.connected, "a hop that has its connection")
 		switch what {
 		case "leave":
 			req.MarkDisconnected()
@@ -213,7 +213,7 @@
 			wiretest.Get(t, each, "the watch")(u)
 			d.Stats() // the loop has taken it in
 		}
-		close(e.on)
+		close(e.proceed)
 		if what == "nothing" {
 			wiretest.Get(t, target.Calls, "the request").WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"x"}`))
 			if a := wiretest.Get(t, answers, "its answer"); a.Status != 200 {
@@ -229,25 +229,25 @@
 // An attempt has the settings that its job's class had on arrival: by a reload, and by the agreed configuration.
 func TestAttemptsFollowTheCurrentClass(t *testing.T) {
 	r := newRig(t)
-	plain := func(s *settings.Settings) *settings.Settings { return s }
-	m := &rulesModel{until: r.now.Add(time.Hour), before: &EffectiveConfig{Override: plain}, after: &EffectiveConfig{Override: unsafeAll}}
+	unchanged := func(s *settings.Settings) *settings.Settings { return s }
+	m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: unchanged}, after: &EffectiveConfig{Override: allNonIdempotent}}
 	r.ConfigSource = m
-	once := func(id string) bool {
+	arriveOnce := func(id string) bool {
 		r.arrive(id, "safe", time.Hour)
 		return r.requests[id].atMostOnce
 	}
-	first := once("1")
-	s := unsafeAll(r.Settings)
-	was := r.Settings
+	first := arriveOnce("1")
+	s := allNonIdempotent(r.Settings)
+	former := r.Settings
 	r.ApplySettings(s)
-	r.pass(8 * time.Millisecond)
-	reloaded := once("2")
-	r.ApplySettings(was)
-	r.pass(8 * time.Millisecond)
-	back := once("3")
-	m.until = r.now
-	r.pass(8 * time.Millisecond)
-	if ruled := once("4"); first || !reloaded || back || !ruled {
+	r.advance(8 * time.Millisecond)
+	reloaded := arriveOnce("2")
+	r.ApplySettings(former)
+	r.advance(8 * time.Millisecond)
+	back := arriveOnce("3")
+	m.changesAt = r.now
+	r.advance(8 * time.Millisecond)
+	if ruled := arriveOnce("4"); first || !reloaded || back || !ruled {
 		t.Errorf("once: %v at first, %v after a reload, %v after another, %v by rules", first, reloaded, back, ruled)
 	}
 }
--- a/internal/dispatcher/deferredcases_test.go
+++ b/internal/dispatcher/deferredcases_test.go
@@ -11,62 +11,62 @@
 	"example.org/bellstream/internal/endpoints"
 )
 
-// hosts delivers an endpoint list in which the hosts a and b are in a state.
-func (r *rig) hosts(seq int, health string) {
+// updateHealth delivers an endpoint list in which the hosts a and b are in a state.
+func (r *rig) updateHealth(seq int, health string) {
 	r.t.Helper()
-	u, err := endpoints.Parse([]byte(strings.ReplaceAll(strings.Replace(known, `"seq":1`, fmt.Sprintf(`"seq":%d`, seq), 1), "active", health)))
+	u, err := endpoints.Parse([]byte(strings.ReplaceAll(strings.Replace(cachedListJSON, `"seq":1`, fmt.Sprintf(`"seq":%d`, seq), 1), "active", health)))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.handle(endpointEvent{watchID: r.watchID, update: u})
-	r.pass(8 * time.Millisecond)
+	r.advance(8 * time.Millisecond)
 }
 
 // A job's time passes while all that can run it drain, or have gone: it waits on
 // like any other, for the next one or for its deadline, and is never failed.
-func TestNobodyLeftWhenItsTimeComes(t *testing.T) {
+func TestDeferredJobDueWithoutWorkers(t *testing.T) {
 	for _, health := range []string{"leaving", "left"} {
-		r := waitRig(t)
+		r := newDeferredRig(t)
 		p := r.arrive("p", "unsafe", 5*time.Second)
-		r.room(1e6)
-		r.hold = 300 * time.Millisecond
+		r.reportFreeSlots(1e6)
+		r.startDelay = 300 * time.Millisecond
 		kept, lost := r.arrive("kept", "unsafe", 3*time.Second), r.arrive("lost", "unsafe", 500*time.Millisecond)
 		child := r.arrive("child", "unsafe", 3*time.Second, "p")
-		r.hosts(2, health)
-		r.finish(p, balance.Served) // what is out may end
-		r.pass(400 * time.Millisecond)
-		if kept.out != nil || lost.out != nil || child.out != nil {
+		r.updateHealth(2, health)
+		r.finishJob(p, balance.Served) // what is out may end
+		r.advance(400 * time.Millisecond)
+		if kept.inFlight != nil || lost.inFlight != nil || child.inFlight != nil {
 			t.Fatalf("%s: sent to one that may not be sent to", health)
 		}
-		r.pass(100 * time.Millisecond)
-		r.status(lost, 503) // refused, not failed: it never ran
-		r.hosts(3, "active")
-		r.room(1e6)
-		r.finish(kept, balance.Served)
-		r.finish(child, balance.Served)
-		r.status(kept, 200)
-		r.status(child, 200)
+		r.advance(100 * time.Millisecond)
+		r.wantAnswer(lost, 503) // refused, not failed: it never ran
+		r.updateHealth(3, "active")
+		r.reportFreeSlots(1e6)
+		r.finishJob(kept, balance.Served)
+		r.finishJob(child, balance.Served)
+		r.wantAnswer(kept, 200)
+		r.wantAnswer(child, 200)
 	}
 }
 
 // A child whose deadline is before its parent's is answered at its own, and the
 // parent is none the worse; what waits for the child ends with it.
 func TestChildEndsBeforeItsParent(t *testing.T) {
-	r := waitRig(t)
+	r := newDeferredRig(t)
 	p := r.arrive("p", "unsafe", 2*time.Second)
 	c, g := r.arrive("c", "unsafe", 300*time.Millisecond, "p"), r.arrive("g", "unsafe", 2*time.Second, "c")
 	other := r.arrive("other", "unsafe", 2*time.Second, "p")
-	r.room(1e6)
-	r.pass(310 * time.Millisecond)
-	r.status(c, 503)
-	r.status(g, 503)
-	if p.out == nil || len(other.answers) > 0 {
+	r.reportFreeSlots(1e6)
+	r.advance(310 * time.Millisecond)
+	r.wantAnswer(c, 503)
+	r.wantAnswer(g, 503)
+	if p.inFlight == nil || len(other.answers) > 0 {
 		t.Fatal("the end of the child disturbed others")
 	}
-	r.finish(p, balance.Served)
-	r.finish(other, balance.Served)
-	r.status(p, 200)
-	r.status(other, 200)
+	r.finishJob(p, balance.Served)
+	r.finishJob(other, balance.Served)
+	r.wantAnswer(p, 200)
+	r.wantAnswer(other, 200)
 	if s := r.Deferred.Stats(); s.Waiting != 0 || s.Bytes != 0 {
 		t.Errorf("left behind: %+v", s)
 	}
@@ -75,33 +75,33 @@
 // Nothing that waits survives a restart: the stop answers it, and the next life
 // knows neither the parent nor that it was served. Both may come again.
 func TestRestartWhileWaiting(t *testing.T) {
-	r := waitRig(t)
+	r := newDeferredRig(t)
 	r.arrive("p", "unsafe", time.Hour)
-	r.room(1e6)
+	r.reportFreeSlots(1e6)
 	c, d := r.arrive("c", "unsafe", time.Hour, "p"), r.arrive("d", "unsafe", time.Hour, "c")
-	r.hold = time.Minute
+	r.startDelay = time.Minute
 	timed := r.arrive("timed", "unsafe", time.Hour)
 	r.handle(stopRequested{r.clock()})
-	r.pass(3600 * time.Millisecond)
-	r.status(c, 503)
-	r.status(d, 503)
-	r.status(timed, 503)
-	next := waitRig(t)
+	r.advance(3600 * time.Millisecond)
+	r.wantAnswer(c, 503)
+	r.wantAnswer(d, 503)
+	r.wantAnswer(timed, 503)
+	next := newDeferredRig(t)
 	c = next.arrive("c", "unsafe", 9*time.Second, "p")
-	next.pass(2100 * time.Millisecond)
-	next.status(c, 503)
+	next.advance(2100 * time.Millisecond)
+	next.wantAnswer(c, 503)
 	c = next.arrive("c2", "unsafe", 9*time.Second, "p2")
 	p := next.arrive("p2", "unsafe", 9*time.Second)
-	next.room(1e6)
-	next.finish(p, balance.Served)
-	next.finish(c, balance.Served)
-	next.status(c, 200)
+	next.reportFreeSlots(1e6)
+	next.finishJob(p, balance.Served)
+	next.finishJob(c, balance.Served)
+	next.wantAnswer(c, 200)
 }
 
 // What waits has filled its memory, or named more ids that never come than are
 // remembered: the next one is rejected at once and honestly, jobs that wait for
 // nothing go as ever, and when the flood is over nothing of it is left.
-func TestFloodOfWaiters(t *testing.T) {
+func TestFloodOfDeferredJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits func(*deferred.Limits)
 		after  func(i int) string
@@ -112,10 +112,10 @@
 		"jobs":      {func(l *deferred.Limits) { l.Jobs = 100 }, func(int) string { return "parent" }, 100, 4 * time.Second},
 		"strangers": {func(l *deferred.Limits) { l.UnknownParents = 100 }, func(i int) string { return fmt.Sprint("never", i) }, 100, 2 * time.Second},
 	} {
-		r := waitRig(t)
+		r := newDeferredRig(t)
 		c.limits(&r.Deferred.Limits)
 		parent := r.arrive("parent", "unsafe", 9*time.Second)
-		r.room(1e6)
+		r.reportFreeSlots(1e6)
 		var all []*jobModel
 		for i := range 2000 {
 			all = append(all, r.arrive(fmt.Sprint("f", i), "unsafe", 4*time.Second, c.after(i)))
@@ -127,19 +127,19 @@
 		}
 		for i := range 50 {
 			j := r.arrive(fmt.Sprint("usual", i), "unsafe", 9*time.Second) // the scheduler derives a job's age from its timeout
-			r.room(1e6)
-			r.finish(j, balance.Served)
-			r.status(j, 200)
+			r.reportFreeSlots(1e6)
+			r.finishJob(j, balance.Served)
+			r.wantAnswer(j, 200)
 		}
-		r.pass(c.ends + 20*time.Millisecond)
+		r.advance(c.ends + 20*time.Millisecond)
 		for _, j := range all[:c.fit] {
-			r.status(j, 503)
+			r.wantAnswer(j, 503)
 		}
 		if s := r.Deferred.Stats(); s.Waiting+s.UnknownParents != 0 || s.Bytes != 0 || s.Ended > r.Deferred.RetainedOutcomes {
 			t.Errorf("%s: left behind: %+v", name, s)
 		}
-		r.finish(parent, balance.Served)
-		r.status(parent, 200)
+		r.finishJob(parent, balance.Served)
+		r.wantAnswer(parent, 200)
 	}
 }
 
@@ -147,26 +147,26 @@
 // promise that comes with a reload binds from then on, and one that is taken
 // back binds no more.
 func TestStatsAndMaxWaits(t *testing.T) {
-	r := waitRig(t)
+	r := newDeferredRig(t)
 	r.Depths = deferred.NewDepths()
-	twenty := func(name string) {
+	arriveTwenty := func(name string) {
 		for i := range 20 {
 			r.arrive(fmt.Sprint(name, i), "unsafe", 9*time.Second)
 		}
 	}
-	r.room(0)
+	r.reportFreeSlots(0)
 	r.arrive("a1", "unsafe", 9*time.Second)
-	r.pass(100 * time.Millisecond)
-	twenty("b")
+	r.advance(100 * time.Millisecond)
+	arriveTwenty("b")
 	r.arrive("k", "safe", 9*time.Second, "a1")
-	r.pass(100 * time.Millisecond)
+	r.advance(100 * time.Millisecond)
 	f := r.stats()
 	if len(f.Depths) != 2 || f.Depths[0].Stage != deferred.StageDeferred || f.Depths[0].Jobs != 1 || f.Depths[1].Jobs != 21 ||
 		f.Depths[1].Class != "unsafe" || f.Depths[1].Tenant != "acme" || f.Depths[1].Oldest < 0.2 || f.Depths[1].Oldest > 0.22 {
 		t.Fatalf("%+v", f.Depths)
 	}
 	declined := func() (n int) {
-		r.pass(8 * time.Millisecond)
+		r.advance(8 * time.Millisecond)
 		for _, j := range r.jobs {
 			if len(j.answers) > 0 {
 				n++
@@ -175,7 +175,7 @@
 		return n
 	}
 	r.handle(maxWaitsChanged{map[string]float64{"unsafe": 0.5}})
-	twenty("c")
+	arriveTwenty("c")
 	before := declined()
 	if before == 0 || before == 20 {
 		t.Errorf("%d of 20 were refused as they came", before)
@@ -184,16 +184,16 @@
 		t.Errorf("%+v", f.FirstAttempts)
 	}
 	r.handle(maxWaitsChanged{nil})
-	twenty("d")
+	arriveTwenty("d")
 	if n := declined(); n != before {
 		t.Errorf("%d were refused after the promise was taken back", n-before)
 	}
-	r.pass(time.Second) // nobody has capacity: the promise is broken, and that shows
-	r.room(1e6)
+	r.advance(time.Second) // nobody has capacity: the promise is broken, and that shows
+	r.reportFreeSlots(1e6)
 	for range 40 {
-		for _, h := range r.out {
-			if !h.over {
-				r.finish(h.j, balance.Served)
+		for _, h := range r.attempts {
+			if !h.done {
+				r.finishJob(h.job, balance.Served)
 			}
 		}
 	}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -16,7 +16,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-const options = `{"me":0,"balancers":1,"zone":"z","membership_mode":"on_request","round":0.004,"kinds":["k"],
+const settingsJSON = `{"me":0,"balancers":1,"zone":"z","membership_mode":"on_request","round":0.004,"kinds":["k"],
  "lanes":[{"name":"safe","aim":0.5,"hard_limit":2,"semantics":"safe","value":1},
   {"name":"unsafe","aim":0.5,"hard_limit":3,"semantics":"unsafe","value":1},
   {"name":"keyed","aim":0.5,"hard_limit":2,"semantics":"keyed","dedup_scope":"zone","repeat_window":9,"value":1}],
@@ -24,75 +24,75 @@
  "family_info":{"report_x0":"free slots","tells_start":true},"reporting":{"how":"pull","fields":["x0"]},
  "parties":[{"name":"acme","quota_per_s":20}],"rules":{"ask_every":10,"grace_to_answer":0.016}}`
 
-const known = `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"active"},
+const cachedListJSON = `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"active"},
  {"host":"b","dial":"1:2","site":"z","class":"k","health":"active"}]}`
 
 // rig is a dispatcher whose clock, sockets and posts are the test's.
 type rig struct {
 	*Dispatcher
-	t      *testing.T
-	now    time.Time
-	jobs   []*jobModel
-	out    []*attemptModel
-	probes []func(upstream.AttemptEvent)
-
-	watches chan watchModel
-	hold    time.Duration // of the next jobs
-	ran     float64       // attempts that were started and not proved unrun
-	counted counterModel
-	closed  int // looks at idle connections
-	open    int // connections
-	shut    int // how often the listener was
-	forgot  []string
-	orders  []*upstream.AttemptRequest
-	addrs   []string // to which they went
+	t            *testing.T
+	now          time.Time
+	jobs         []*jobModel
+	attempts     []*attemptModel
+	healthChecks []func(upstream.AttemptEvent)
+
+	watches            chan watchCall
+	startDelay         time.Duration // of the next jobs
+	expectedUsage      float64       // attempts that were started and not proved unrun
+	usage              usageCounter
+	closeIdleCalls     int // looks at idle connections
+	openConns          int // connections
+	stopAcceptingCalls int // how often the listener was
+	closedIdleTo       []string
+	attemptRequests    []*upstream.AttemptRequest
+	attemptAddrs       []string // to which they went
 }
 
-// counterModel adds up what the loop counts.
-type counterModel struct{ asked, net float64 }
+// usageCounter adds up what the loop counts.
+type usageCounter struct{ arrivals, netSlots float64 }
 
-func (c *counterModel) RecordArrival(string)                 { c.asked++ }
-func (c *counterModel) RecordStart(_ string, slots float64)  { c.net += slots }
-func (c *counterModel) RecordRefund(_ string, slots float64) { c.net -= slots }
+func (c *usageCounter) RecordArrival(string)                 { c.arrivals++ }
+func (c *usageCounter) RecordStart(_ string, slots float64)  { c.netSlots += slots }
+func (c *usageCounter) RecordRefund(_ string, slots float64) { c.netSlots -= slots }
 
-// watchModel is a watch that was asked for.
-type watchModel struct {
-	at  string
-	seq int64
-	ctx context.Context
+// watchCall is a watch that was asked for.
+type watchCall struct {
+	discovery string
+	seq       int64
+	ctx       context.Context
 }
 
 // jobModel is a request as the rules see it.
 type jobModel struct {
-	req     *downstream.Request
-	sent    time.Time
-	answers []int
-	left    bool
-	mayRan  bool // an attempt may have run
-	hops    int
-	out     *attemptModel
+	req          *downstream.Request
+	sentAt       time.Time
+	answers      []int
+	disconnected bool
+	mayHaveRun   bool // an attempt may have run
+	attempts     int
+	inFlight     *attemptModel
 }
 
 type attemptModel struct {
-	j     *jobModel
-	order *upstream.AttemptRequest
-	tell  func(upstream.AttemptEvent)
-	addr  string
-	shut  bool // discovery has told something of its worker since
-	over  bool
+	job           *jobModel
+	request       *upstream.AttemptRequest
+	notify        func(upstream.AttemptEvent)
+	addr          string
+	workerChanged bool // discovery has told something of its worker since
+	done          bool
 }
 
 // Abandon is how the dispatcher ends an attempt.
 func (h *attemptModel) Abandon() { h.end(true) }
 
 func (h *attemptModel) end(mayRan bool) {
-	if !h.over {
-		h.over, h.j.out = true, nil
-		h.j.mayRan = h.j.mayRan || mayRan
+	if !h.done {
+		h.done, h.job.inFlight = true, nil
+		h.job.mayHaveRun = h.job.mayHaveRun || mayRan
 	}
 }
 
-func (r *rig) Start(o *upstream.AttemptRequest, addr string, tell func(upstream.AttemptEvent)) upstream.Attempt {
+func (r *rig) Start(o *upstream.AttemptRequest, addr string, notify func(upstream.AttemptEvent)) upstream.Attempt {
 	j := r.jobs[0]
 	for _, j = range r.jobs {
 		if j.req.ID == o.ID && len(j.answers) == 0 {
@@ -100,62 +100,62 @@
 		}
 	}
 	switch {
-	case j.out != nil:
+	case j.inFlight != nil:
 		r.t.Fatalf("%s: two attempts out at once", o.ID)
-	case len(j.answers) > 0 || j.left || j.req.Disconnected():
+	case len(j.answers) > 0 || j.disconnected || j.req.Disconnected():
 		r.t.Fatalf("%s: sent after its end", o.ID)
-	case j.req.Class == "unsafe" && j.mayRan:
+	case j.req.Class == "unsafe" && j.mayHaveRun:
 		r.t.Fatalf("%s: sent again though it may have run", o.ID)
-	case j.hops == 3:
+	case j.attempts == 3:
 		r.t.Fatalf("%s: a fourth attempt", o.ID)
 	}
 	for _, id := range j.req.DependsOn {
-		if !r.served(id) {
+		if !r.wasServed(id) {
 			r.t.Fatalf("%s: sent before %s was served", o.ID, id)
 		}
 	}
-	if at := j.sent.Add(j.req.Delay); at.After(r.now) {
+	if at := j.sentAt.Add(j.req.Delay); at.After(r.now) {
 		r.t.Fatalf("%s: sent %v before its time", o.ID, at.Sub(r.now))
 	}
-	h := &attemptModel{j: j, order: o, addr: addr, tell: tell}
-	j.out, j.hops, r.out = h, j.hops+1, append(r.out, h)
-	r.ran++
-	r.orders, r.addrs = append(r.orders, o), append(r.addrs, addr)
+	h := &attemptModel{job: j, request: o, addr: addr, notify: notify}
+	j.inFlight, j.attempts, r.attempts = h, j.attempts+1, append(r.attempts, h)
+	r.expectedUsage++
+	r.attemptRequests, r.attemptAddrs = append(r.attemptRequests, o), append(r.attemptAddrs, addr)
 	return h
 }
 
-func (r *rig) HealthCheck(addr string, fields []string, tell func(upstream.AttemptEvent)) {
-	r.probes = append(r.probes, tell)
+func (r *rig) HealthCheck(addr string, fields []string, notify func(upstream.AttemptEvent)) {
+	r.healthChecks = append(r.healthChecks, notify)
 }
-func (r *rig) CloseIdleTo(addr string) { r.forgot = append(r.forgot, addr) }
+func (r *rig) CloseIdleTo(addr string) { r.closedIdleTo = append(r.closedIdleTo, addr) }
 func (r *rig) CloseExpired()           {}
 func (r *rig) InFlight() int           { return 0 }
-func (r *rig) Open() int               { return r.open }
-func (r *rig) CloseIdle(time.Duration) { r.closed++ }
-func (r *rig) StopAccepting()          { r.shut++ }
-func (r *rig) Drained() bool           { return r.shut > 0 && r.open == 0 }
+func (r *rig) Open() int               { return r.openConns }
+func (r *rig) CloseIdle(time.Duration) { r.closeIdleCalls++ }
+func (r *rig) StopAccepting()          { r.stopAcceptingCalls++ }
+func (r *rig) Drained() bool           { return r.stopAcceptingCalls > 0 && r.openConns == 0 }
 
-func newRig(t *testing.T) *rig { return newRigOf(t, options, 1) }
+func newRig(t *testing.T) *rig { return newRigWith(t, settingsJSON, 1) }
 
-// newRigOf is a dispatcher whom discovery has told at once that nothing has changed since the cached list.
-func newRigOf(t *testing.T, options string, seed uint64) *rig {
-	r := startRig(t, options, seed)
+// newRigWith is a dispatcher whom discovery has told at once that nothing has changed since the cached list.
+func newRigWith(t *testing.T, options string, seed uint64) *rig {
+	r := newStartingRig(t, options, seed)
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
-	r.pass(0)
+	r.advance(0)
 	return r
 }
 
-// startRig is one that has just started.
-func startRig(t *testing.T, options string, seed uint64) *rig {
+// newStartingRig is one that has just started.
+func newStartingRig(t *testing.T, options string, seed uint64) *rig {
 	s, err := settings.Parse([]byte(options))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, now: time.Unix(1e9, 0), watches: make(chan watchModel, 1000)}
-	r.Dispatcher, err = New(Options{Settings: s, Seed: seed, CachedEndpoints: []byte(known), Upstream: r, Phases: &Phases{}, Usage: &r.counted,
+	r := &rig{t: t, now: time.Unix(1e9, 0), watches: make(chan watchCall, 1000)}
+	r.Dispatcher, err = New(Options{Settings: s, Seed: seed, CachedEndpoints: []byte(cachedListJSON), Upstream: r, Phases: &Phases{}, Usage: &r.usage,
 		Log: func(string, ...any) {}, Now: func() time.Time { return r.now },
 		Discovery: "old", Watch: func(ctx context.Context, at string, seq int64, _ func(*endpoints.Update)) error {
-			r.watches <- watchModel{at, seq, ctx}
+			r.watches <- watchCall{at, seq, ctx}
 			<-ctx.Done()
 			return ctx.Err()
 		}})
@@ -163,12 +163,12 @@
 		t.Fatal(err)
 	}
 	r.downstream = r
-	r.pass(0)
+	r.advance(0)
 	return r
 }
 
-// pass lets time go by in rounds, as the loop would.
-func (r *rig) pass(d time.Duration) {
+// advance lets time go by in rounds, as the loop would.
+func (r *rig) advance(d time.Duration) {
 	for end := r.now.Add(d); ; r.now = r.now.Add(4 * time.Millisecond) {
 		select {
 		case <-r.wakeups:
@@ -184,7 +184,7 @@
 	}
 }
 
-func (r *rig) served(id string) bool {
+func (r *rig) wasServed(id string) bool {
 	for _, j := range r.jobs {
 		if j.req.ID == id && len(j.answers) == 1 && j.answers[0] == 200 {
 			return true
@@ -194,18 +194,18 @@
 }
 
 func (r *rig) arrive(id, class string, timeout time.Duration, after ...string) *jobModel {
-	j := &jobModel{sent: r.now}
+	j := &jobModel{sentAt: r.now}
 	j.req = &downstream.Request{ID: id, Class: class, Tenant: "acme", Method: "POST", URI: "/" + class, Slots: 1,
-		DependsOn: after, Delay: r.hold, Arrived: r.now, Timeout: timeout,
+		DependsOn: after, Delay: r.startDelay, Arrived: r.now, Timeout: timeout,
 		Answer: func(a downstream.Answer) {
-			if j.answers = append(j.answers, a.Status); len(j.answers) > 1 || j.left {
-				r.t.Fatalf("%s: answered %v, left %v", id, j.answers, j.left)
+			if j.answers = append(j.answers, a.Status); len(j.answers) > 1 || j.disconnected {
+				r.t.Fatalf("%s: answered %v, left %v", id, j.answers, j.disconnected)
 			}
-			if late := r.now.Sub(j.sent) - j.req.Timeout; late > 16*time.Millisecond {
+			if late := r.now.Sub(j.sentAt) - j.req.Timeout; late > 16*time.Millisecond {
 				r.t.Fatalf("%s: answered %v after its deadline", id, late)
 			}
 			// A rejection says that a retry is harmless.
-			if a.Status == 503 && class != "safe" && (j.mayRan || j.out != nil) {
+			if a.Status == 503 && class != "safe" && (j.mayHaveRun || j.inFlight != nil) {
 				r.t.Fatalf("%s: refused though it may have run", id)
 			}
 		}}
@@ -236,66 +236,66 @@
 			switch step {
 			case 0, 1, 2:
 				var after []string
-				r.hold = 0
+				r.startDelay = 0
 				if r.Deferred != nil && arg%4 == 3 {
 					after = []string{fmt.Sprint(len(r.jobs) + arg/4 - 2)}
 				} else if r.Deferred != nil && arg%4 == 2 {
-					r.hold = time.Duration(arg) * time.Second / 8
+					r.startDelay = time.Duration(arg) * time.Second / 8
 				}
 				r.arrive(fmt.Sprint(len(r.jobs)), []string{"safe", "unsafe", "keyed"}[step], 1500*time.Millisecond, after...)
 			case 3, 4, 5: // an attempt ends
-				if len(r.out) > 0 {
-					h := r.out[arg%len(r.out)]
+				if len(r.attempts) > 0 {
+					h := r.attempts[arg%len(r.attempts)]
 					o := outcomes[arg%len(outcomes)]
-					if !h.over && (o == balance.Overloaded || o == balance.Unreachable) {
-						r.ran--
+					if !h.done && (o == balance.Overloaded || o == balance.Unreachable) {
+						r.expectedUsage--
 					}
 					h.end(o != balance.Overloaded && o != balance.Unreachable)
-					h.tell(upstream.AttemptEvent{Outcome: o, Result: []byte("x")})
+					h.notify(upstream.AttemptEvent{Outcome: o, Result: []byte("x")})
 				}
 			case 6: // a job starts
-				if len(r.out) > 0 {
-					r.out[arg%len(r.out)].tell(upstream.AttemptEvent{})
+				if len(r.attempts) > 0 {
+					r.attempts[arg%len(r.attempts)].notify(upstream.AttemptEvent{})
 				}
 			case 7: // a client leaves
 				if len(r.jobs) > 0 {
-					if j := r.jobs[arg%len(r.jobs)]; len(j.answers) == 0 && !j.left {
+					if j := r.jobs[arg%len(r.jobs)]; len(j.answers) == 0 && !j.disconnected {
 						if j.req.MarkDisconnected(); arg >= 8 { // the loop decides before it handles that
-							r.pass(4 * time.Millisecond)
+							r.advance(4 * time.Millisecond)
 						}
-						j.left = true
+						j.disconnected = true
 						r.handle(clientDisconnected{j.req})
-						if j.out != nil {
+						if j.inFlight != nil {
 							t.Fatal("the hop of a client that left stays out")
 						}
 					}
 				}
 			case 15: // an attempt has got its connection, and looks once more
-				if len(r.out) > 0 {
-					h := r.out[arg%len(r.out)]
-					barred := h.order.Blocked()
-					if (h.j.req.Disconnected() || h.shut) && barred == "" {
-						t.Fatalf("a request goes out: client left %v, worker changed %v", h.j.req.Disconnected(), h.shut)
+				if len(r.attempts) > 0 {
+					h := r.attempts[arg%len(r.attempts)]
+					blocked := h.request.Blocked()
+					if (h.job.req.Disconnected() || h.workerChanged) && blocked == "" {
+						t.Fatalf("a request goes out: client left %v, worker changed %v", h.job.req.Disconnected(), h.workerChanged)
 					}
-					if !h.over && barred != "" {
-						r.ran--
+					if !h.done && blocked != "" {
+						r.expectedUsage--
 						h.end(false)
-						h.tell(upstream.AttemptEvent{Outcome: barred})
+						h.notify(upstream.AttemptEvent{Outcome: blocked})
 					}
 				}
 			case 8:
-				for _, tell := range r.probes {
-					tell(upstream.AttemptEvent{Outcome: outcomes[arg%len(outcomes)], Report: []float64{2}})
+				for _, notify := range r.healthChecks {
+					notify(upstream.AttemptEvent{Outcome: outcomes[arg%len(outcomes)], Report: []float64{2}})
 				}
-				r.probes = nil
+				r.healthChecks = nil
 			case 9:
-				r.pass(time.Duration(arg+1) * 100 * time.Millisecond)
+				r.advance(time.Duration(arg+1) * 100 * time.Millisecond)
 			case 10:
 				health := []string{"active", "leaving", "left"}[arg%3]
 				u, _ := endpoints.Parse([]byte(`{"seq":2,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"` + health + `"}]}`))
 				r.handle(endpointEvent{watchID: r.watchID, update: u})
-				for _, h := range r.out {
-					h.shut = h.shut || arg%3 > 0 && h.addr == "1:1"
+				for _, h := range r.attempts {
+					h.workerChanged = h.workerChanged || arg%3 > 0 && h.addr == "1:1"
 				}
 			case 11:
 				r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
@@ -315,22 +315,22 @@
 			case 14:
 				r.handle(discoveryChanged{fmt.Sprint("address ", arg)})
 			}
-			r.pass(4 * time.Millisecond)
-			live := r.out[:0]
-			for _, h := range r.out {
-				if !h.over {
+			r.advance(4 * time.Millisecond)
+			live := r.attempts[:0]
+			for _, h := range r.attempts {
+				if !h.done {
 					live = append(live, h)
 				}
 			}
-			r.out = live
-			if r.counted.net != r.ran {
-				t.Fatalf("%v slots counted, %v may have run", r.counted.net, r.ran)
+			r.attempts = live
+			if r.usage.netSlots != r.expectedUsage {
+				t.Fatalf("%v slots counted, %v may have run", r.usage.netSlots, r.expectedUsage)
 			}
 		})
-		r.pass(2 * time.Second)
+		r.advance(2 * time.Second)
 		for _, j := range r.jobs {
-			if len(j.answers) == 0 && !j.left || j.out != nil {
-				t.Fatalf("%s: answers %v, left %v, out %v after its deadline", j.req.ID, j.answers, j.left, j.out != nil)
+			if len(j.answers) == 0 && !j.disconnected || j.inFlight != nil {
+				t.Fatalf("%s: answers %v, left %v, out %v after its deadline", j.req.ID, j.answers, j.disconnected, j.inFlight != nil)
 			}
 		}
 		if len(r.requests) > 0 {
@@ -349,29 +349,29 @@
 		t.Fatalf("phase %v with a known list", r.Phases.Now())
 	}
 	a := r.arrive("a", "unsafe", time.Hour)
-	r.pass(20 * time.Millisecond)
-	for _, tell := range r.probes {
-		tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{1}})
+	r.advance(20 * time.Millisecond)
+	for _, notify := range r.healthChecks {
+		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{1}})
 	}
-	r.pass(20 * time.Millisecond)
-	if a.out == nil {
+	r.advance(20 * time.Millisecond)
+	if a.inFlight == nil {
 		t.Fatal("not sent")
 	}
 	r.handle(stopRequested{r.clock()})
-	r.pass(1900 * time.Millisecond)
+	r.advance(1900 * time.Millisecond)
 	// The others may not be back yet: clients stay, though no new ones are wanted.
 	if r.Phases.Now() != Retiring || r.Phases.Ready() || r.Phases.Ending() {
 		t.Fatalf("phase %v, ready %v, ending %v soon after a stop", r.Phases.Now(), r.Phases.Ready(), r.Phases.Ending())
 	}
-	r.pass(1500 * time.Millisecond)
+	r.advance(1500 * time.Millisecond)
 	if r.Phases.Now() != Draining || len(a.answers) > 0 {
 		t.Fatalf("phase %v, answers %v before the drain's time is over", r.Phases.Now(), a.answers)
 	}
-	r.pass(200 * time.Millisecond)
-	if len(a.answers) != 1 || a.answers[0] == 503 || a.out != nil {
+	r.advance(200 * time.Millisecond)
+	if len(a.answers) != 1 || a.answers[0] == 503 || a.inFlight != nil {
 		t.Fatalf("answers %v: what may have run must fail, not be refused", a.answers)
 	}
-	r.pass(300 * time.Millisecond)
+	r.advance(300 * time.Millisecond)
 	if r.Phases.Now() != Stopped {
 		t.Fatalf("phase %v at the end", r.Phases.Now())
 	}
@@ -397,20 +397,20 @@
 // Where lists are pushed too, what a watch misses binds 6 s after it could be had. The next call goes out
 // at once after a watch that was open for long, and within 2.8 s after one that failed at once, so that it
 // has 3.1 s left; those of many dispatchers not all at once.
-func TestNextCallIsMadeInTime(t *testing.T) {
+func TestWatchRetryDelay(t *testing.T) {
 	for _, c := range []struct {
 		lasted, min, max time.Duration
 	}{{3 * time.Second, 0, 160 * time.Millisecond}, {time.Second, 0, 810 * time.Millisecond},
 		{0, 1800 * time.Millisecond, 2810 * time.Millisecond}} {
 		times := map[time.Duration]bool{}
 		for seed := range uint64(30) {
-			r := newRigOf(t, strings.Replace(options, "on_request", "pushed", 1), seed)
+			r := newRigWith(t, strings.Replace(settingsJSON, "on_request", "pushed", 1), seed)
 			r.startWatch()
-			r.pass(c.lasted)
-			from, no := r.now, r.watchID
-			r.handle(endpointEvent{watchID: no, err: context.DeadlineExceeded})
-			for r.watchID == no && r.now.Sub(from) < 10*time.Second {
-				r.pass(4 * time.Millisecond)
+			r.advance(c.lasted)
+			from, id := r.now, r.watchID
+			r.handle(endpointEvent{watchID: id, err: context.DeadlineExceeded})
+			for r.watchID == id && r.now.Sub(from) < 10*time.Second {
+				r.advance(4 * time.Millisecond)
 			}
 			took := r.now.Sub(from)
 			if times[took] = true; took < c.min || took > c.max {
@@ -425,33 +425,33 @@
 
 // A call that is out is not given up for another to the same discovery, which would cost it twice: neither
 // for one that was due when a new configuration came, nor when the scheduler asks by itself.
-func TestCallIsMadeOnce(t *testing.T) {
+func TestDiscoveryIsCalledOnce(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for seed := range uint64(10) {
-			r := newRigOf(t, strings.Replace(options, "on_request", mode, 1), seed)
+			r := newRigWith(t, strings.Replace(settingsJSON, "on_request", mode, 1), seed)
 			if mode == "pushed" {
 				r.startWatch()
 			}
-			r.pass(10 * time.Millisecond)
+			r.advance(10 * time.Millisecond)
 			wiretest.Get(t, r.watches, "the first watch")
 			r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded}) // another is due
-			r.pass(10 * time.Millisecond)
+			r.advance(10 * time.Millisecond)
 			r.handle(discoveryChanged{"new"})
 			w := wiretest.Get(t, r.watches, "the new watch")
-			no := r.watchID
-			r.pass(3 * time.Second)
-			if r.watchID != no || w.ctx.Err() != nil {
-				t.Fatalf("%s, seed %d: %d more calls while one is out", mode, seed, r.watchID-no)
+			id := r.watchID
+			r.advance(3 * time.Second)
+			if r.watchID != id || w.ctx.Err() != nil {
+				t.Fatalf("%s, seed %d: %d more calls while one is out", mode, seed, r.watchID-id)
 			}
 			r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 2}})
-			r.pass(20 * time.Second)
-			if r.watchID != no || w.ctx.Err() != nil {
-				t.Fatalf("%s, seed %d: %d more calls though the watch is open", mode, seed, r.watchID-no)
+			r.advance(20 * time.Second)
+			if r.watchID != id || w.ctx.Err() != nil {
+				t.Fatalf("%s, seed %d: %d more calls though the watch is open", mode, seed, r.watchID-id)
 			}
 			r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
-			r.pass(200 * time.Millisecond)
-			if r.watchID != no+1 {
-				t.Fatalf("%s, seed %d: asked for %d times when the watch ended", mode, seed, r.watchID-no)
+			r.advance(200 * time.Millisecond)
+			if r.watchID != id+1 {
+				t.Fatalf("%s, seed %d: asked for %d times when the watch ended", mode, seed, r.watchID-id)
 			}
 		}
 	}
@@ -465,28 +465,28 @@
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 	r.handle(discoveryChanged{"new"})
 	w := wiretest.Get(t, r.watches, "the new watch")
-	if old.at != "old" || w.at != "new" || w.seq != 1 {
-		t.Errorf("watches %q, then %q from %d on", old.at, w.at, w.seq)
+	if old.discovery != "old" || w.discovery != "new" || w.seq != 1 {
+		t.Errorf("watches %q, then %q from %d on", old.discovery, w.discovery, w.seq)
 	}
 	<-old.ctx.Done()
 	r.handle(discoveryChanged{"new"})
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 	r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
-	r.pass(3 * time.Second)
-	if w = wiretest.Get(t, r.watches, "the watch that is asked for again"); w.at != "new" || len(r.watches) > 0 {
-		t.Errorf("asked again at %q, and %d times more", w.at, len(r.watches))
+	r.advance(3 * time.Second)
+	if w = wiretest.Get(t, r.watches, "the watch that is asked for again"); w.discovery != "new" || len(r.watches) > 0 {
+		t.Errorf("asked again at %q, and %d times more", w.discovery, len(r.watches))
 	}
 	a := r.arrive("a", "safe", 100*time.Second)
 	r.handle(stopRequested{r.clock()})
 	r.handle(discoveryChanged{"newer"})
-	r.pass(0)
-	if w = wiretest.Get(t, r.watches, "a watch while draining"); w.at != "newer" || len(a.answers) > 0 || r.endpoints.Len() != 2 {
-		t.Errorf("watch at %q, answers %v, %d targets", w.at, a.answers, r.endpoints.Len())
+	r.advance(0)
+	if w = wiretest.Get(t, r.watches, "a watch while draining"); w.discovery != "newer" || len(a.answers) > 0 || r.endpoints.Len() != 2 {
+		t.Errorf("watch at %q, answers %v, %d targets", w.discovery, a.answers, r.endpoints.Len())
 	}
 }
 
 // Ids are remembered for their span at least, and not without bound.
-func TestRecent(t *testing.T) {
+func TestRecentIDs(t *testing.T) {
 	r := newRecentIDs(10, 0)
 	if !r.add("a", 1) || r.add("a", 1) || r.add("a", 10.5) || !r.add("b", 11) || r.add("a", 20) {
 		t.Error("an id was forgotten within its span, or never known")
@@ -502,7 +502,7 @@
 	}
 }
 
-func TestTickFitsTheGrace(t *testing.T) {
+func TestTimerTick(t *testing.T) {
 	for grace, want := range map[float64]float64{0: 0.004, 1: 0.004, 0.016: 0.004, 0.008: 0.002, 0.0001: 0.001} {
 		if got := timerTick(grace); got != want {
 			t.Errorf("grace %v: tick %v, want %v", grace, got, want)
@@ -514,11 +514,11 @@
 func TestModeChangesWhileTheWatchIsDown(t *testing.T) {
 	for from, to := range map[string]string{"pushed": "on_request", "on_request": "pushed"} {
 		for _, state := range []string{"down", "asking", "open"} {
-			r := newRigOf(t, strings.Replace(options, "on_request", from, 1), 1)
+			r := newRigWith(t, strings.Replace(settingsJSON, "on_request", from, 1), 1)
 			if from == "pushed" {
 				r.startWatch()
 			}
-			r.pass(10 * time.Millisecond)
+			r.advance(10 * time.Millisecond)
 			wiretest.Get(t, r.watches, "the first watch")
 			switch state {
 			case "down":
@@ -526,22 +526,22 @@
 			case "open":
 				r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 			}
-			r.pass(10 * time.Millisecond)
-			s, err := settings.Parse([]byte(strings.Replace(options, "on_request", to, 1)))
+			r.advance(10 * time.Millisecond)
+			s, err := settings.Parse([]byte(strings.Replace(settingsJSON, "on_request", to, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			no := r.watchID
+			id := r.watchID
 			r.handle(settingsChanged{s})
-			r.pass(3 * time.Second)
-			if calls, want := r.watchID-no, map[string]int{"down": 1}[state]; calls != want {
+			r.advance(3 * time.Second)
+			if calls, want := r.watchID-id, map[string]int{"down": 1}[state]; calls != want {
 				t.Fatalf("from %s to %s, %s: %d calls, want %d", from, to, state, calls, want)
 			}
-			no = r.watchID
-			r.handle(endpointEvent{watchID: no, err: context.DeadlineExceeded})
-			r.pass(3 * time.Second)
-			if r.watchID != no+1 {
-				t.Fatalf("from %s to %s, %s: %d calls after the watch ended, want 1", from, to, state, r.watchID-no)
+			id = r.watchID
+			r.handle(endpointEvent{watchID: id, err: context.DeadlineExceeded})
+			r.advance(3 * time.Second)
+			if r.watchID != id+1 {
+				t.Fatalf("from %s to %s, %s: %d calls after the watch ended, want 1", from, to, state, r.watchID-id)
 			}
 		}
 	}
@@ -549,9 +549,9 @@
 
 // A process that starts on no list at all asks for one at once, whoever asks; nothing else would make the
 // module take its first step, as no client comes before it is ready.
-func TestStartOnNoList(t *testing.T) {
+func TestStartWithoutList(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
-		s, err := settings.Parse([]byte(strings.Replace(options, "on_request", mode, 1)))
+		s, err := settings.Parse([]byte(strings.Replace(settingsJSON, "on_request", mode, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -560,7 +560,7 @@
 		d, err := New(Options{Settings: s, Upstream: r, Phases: &Phases{}, Log: func(string, ...any) {}, Now: time.Now,
 			Watch: func(ctx context.Context, _ string, seq int64, each func(*endpoints.Update)) error {
 				asked <- seq
-				u, _ := endpoints.Parse([]byte(known))
+				u, _ := endpoints.Parse([]byte(cachedListJSON))
 				each(u)
 				<-ctx.Done()
 				return ctx.Err()
--- a/internal/dispatcher/effectiveconfig_test.go
+++ b/internal/dispatcher/effectiveconfig_test.go
@@ -10,22 +10,22 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// rulesModel has one configuration before a moment and another from then on.
-type rulesModel struct {
-	until         time.Time
+// configModel has one configuration before a moment and another from then on.
+type configModel struct {
+	changesAt     time.Time
 	before, after *EffectiveConfig
-	took          []*EffectiveConfig
+	acknowledged  []*EffectiveConfig
 }
 
-func (m *rulesModel) Effective(at time.Time) *EffectiveConfig {
-	if at.Before(m.until) {
+func (m *configModel) Effective(at time.Time) *EffectiveConfig {
+	if at.Before(m.changesAt) {
 		return m.before
 	}
 	return m.after
 }
-func (m *rulesModel) Acknowledge(r *EffectiveConfig) { m.took = append(m.took, r) }
+func (m *configModel) Acknowledge(r *EffectiveConfig) { m.acknowledged = append(m.acknowledged, r) }
 
-func unsafeAll(p *settings.Settings) *settings.Settings {
+func allNonIdempotent(p *settings.Settings) *settings.Settings {
 	s := *p
 	s.Classes = append([]settings.Class(nil), p.Classes...)
 	for i := range s.Classes {
@@ -39,31 +39,31 @@
 func TestEffectiveConfigFollowsTheClock(t *testing.T) {
 	for _, lapses := range []bool{false, true} {
 		r := newRig(t)
-		m := &rulesModel{until: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
-			after: &EffectiveConfig{Override: unsafeAll}}
+		m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
+			after: &EffectiveConfig{Override: allNonIdempotent}}
 		r.ConfigSource = m
-		j := r.runs("1", "safe")
-		if len(m.took) != 1 || m.took[0] != m.before {
-			t.Fatalf("took %v", m.took)
+		j := r.startJob("1", "safe")
+		if len(m.acknowledged) != 1 || m.acknowledged[0] != m.before {
+			t.Fatalf("took %v", m.acknowledged)
 		}
 		if lapses { // as a process that is stopped finds it
-			m.until = r.now
+			m.changesAt = r.now
 		}
-		j.out.end(true)
-		r.orders = nil
+		j.inFlight.end(true)
+		r.attemptRequests = nil
 		r.handle(attemptEvent{r.requests["1"], 0, "a", upstream.AttemptEvent{Outcome: balance.ConnectionLost}})
 		r.now = r.now.Add(4 * time.Millisecond)
 		r.runTurn(r.clock())
-		r.pass(100 * time.Millisecond)
-		for _, tell := range r.probes {
-			tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+		r.advance(100 * time.Millisecond)
+		for _, notify := range r.healthChecks {
+			notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 		}
-		r.pass(100 * time.Millisecond)
-		if again := len(r.orders) > 0; again == lapses {
+		r.advance(100 * time.Millisecond)
+		if again := len(r.attemptRequests) > 0; again == lapses {
 			t.Errorf("lapses %v: sent again %v, answers %v", lapses, again, j.answers)
 		}
-		if lapses && (len(m.took) != 2 || m.took[1] != m.after) {
-			t.Errorf("took %v", m.took)
+		if lapses && (len(m.acknowledged) != 2 || m.acknowledged[1] != m.after) {
+			t.Errorf("took %v", m.acknowledged)
 		}
 	}
 }
@@ -72,24 +72,24 @@
 // cordoned by now, or if it is a repeat.
 func TestConfigBlocksAttemptsUnderWay(t *testing.T) {
 	r := newRig(t)
-	plain := func(s *settings.Settings) *settings.Settings { return s }
-	m := &rulesModel{until: r.now.Add(time.Hour), before: &EffectiveConfig{Override: plain}, after: &EffectiveConfig{Override: plain, Cordoned: map[string]bool{"a": true}}}
+	unchanged := func(s *settings.Settings) *settings.Settings { return s }
+	m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: unchanged}, after: &EffectiveConfig{Override: unchanged, Cordoned: map[string]bool{"a": true}}}
 	r.ConfigSource = m
-	r.runs("1", "safe")
-	by := r.effectiveConfig
-	bars := func(want ...balance.Outcome) {
+	r.startJob("1", "safe")
+	decidedBy := r.effectiveConfig
+	wantOutcomes := func(want ...balance.Outcome) {
 		t.Helper()
-		got := []balance.Outcome{r.checkSend("a", false, by), r.checkSend("b", false, by), r.checkSend("b", true, by)}
+		got := []balance.Outcome{r.checkSend("a", false, decidedBy), r.checkSend("b", false, decidedBy), r.checkSend("b", true, decidedBy)}
 		for i := range want {
 			if got[i] != want[i] {
-				t.Errorf("barred: %v, want %v", got, want)
+				t.Errorf("blocked: %v, want %v", got, want)
 			}
 		}
 	}
-	bars("", "", "")
-	m.until = r.now
-	bars(balance.Unreachable, "", balance.Blocked) // what may not be repeated does not have b checked
-	r.pass(20 * time.Millisecond)
+	wantOutcomes("", "", "")
+	m.changesAt = r.now
+	wantOutcomes(balance.Unreachable, "", balance.Blocked) // what may not be repeated does not have b checked
+	r.advance(20 * time.Millisecond)
 	if !r.cordoned["a"] || r.cordoned["b"] {
 		t.Errorf("the module was told that %v are left out", r.cordoned)
 	}
@@ -99,16 +99,16 @@
 // not come into force after it. A reload and a worker that operators take back come in the same turn here.
 func TestConfigAppliesAfterEarlierDecisions(t *testing.T) {
 	r := newRig(t)
-	m := &rulesModel{until: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
-		after: &EffectiveConfig{Override: unsafeAll, Cordoned: map[string]bool{"a": true}}}
+	m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
+		after: &EffectiveConfig{Override: allNonIdempotent, Cordoned: map[string]bool{"a": true}}}
 	r.ConfigSource = m
 	s, _ := (&handoff.OperatorState{}).Cordon("a", 1)
 	r.ApplyOperatorState(s, true)
-	r.pass(20 * time.Millisecond)
+	r.advance(20 * time.Millisecond)
 	r.ApplyOperatorState(s.Uncordon("a"), true)
 	r.applyCommands()
 	r.handle(settingsChanged{r.Settings})
-	m.until = r.now
+	m.changesAt = r.now
 	r.updateConfig()
 	out := false
 	for _, e := range r.pendingEvents {
@@ -133,24 +133,24 @@
 func TestUnusableConfigIsNotAcknowledged(t *testing.T) {
 	r := newRig(t)
 	worth := -1.0
-	m := &rulesModel{until: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
+	m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
 		after: &EffectiveConfig{Override: func(p *settings.Settings) *settings.Settings {
-			s := unsafeAll(p)
+			s := allNonIdempotent(p)
 			s.Classes[0].PriorityWeight = worth
 			return s
 		}}}
 	r.ConfigSource = m
-	r.pass(8 * time.Millisecond)
-	m.until = r.now
-	r.pass(8 * time.Millisecond)
-	if len(m.took) != 1 || r.effectiveConfig != m.before {
-		t.Errorf("took %d rulings", len(m.took))
+	r.advance(8 * time.Millisecond)
+	m.changesAt = r.now
+	r.advance(8 * time.Millisecond)
+	if len(m.acknowledged) != 1 || r.effectiveConfig != m.before {
+		t.Errorf("took %d rulings", len(m.acknowledged))
 	}
 	worth = 1
 	r.ApplySettings(r.Settings)
-	r.pass(8 * time.Millisecond)
-	if len(m.took) != 2 || r.effectiveConfig != m.after {
-		t.Errorf("took %d rulings once they fit", len(m.took))
+	r.advance(8 * time.Millisecond)
+	if len(m.acknowledged) != 2 || r.effectiveConfig != m.after {
+		t.Errorf("took %d rulings once they fit", len(m.acknowledged))
 	}
 }
 
@@ -173,7 +173,7 @@
 	j := r.arrive("1", "safe", time.Second)
 	r.pendingEvents = nil // nothing of it comes to the Balancer
 	r.Wake()
-	r.pass(8 * time.Millisecond)
+	r.advance(8 * time.Millisecond)
 	if x.steps == 0 || len(j.answers) != 1 || j.answers[0] != 503 {
 		t.Errorf("%d steps, answers %v", x.steps, j.answers)
 	}
--- a/internal/dispatcher/shutdown_test.go
+++ b/internal/dispatcher/shutdown_test.go
@@ -19,8 +19,8 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// ends lets time go by until the loop is over, and returns how long that took.
-func (r *rig) ends() time.Duration {
+// runUntilStopped lets time go by until the loop is over, and returns how long that took.
+func (r *rig) runUntilStopped() time.Duration {
 	r.t.Helper()
 	from := r.now
 	for ; r.now.Sub(from) < time.Minute; r.now = r.now.Add(4 * time.Millisecond) {
@@ -36,13 +36,13 @@
 
 // A loop that was held up over the drain's time, and over that for the last answers, has all that
 // is held answered before it ends.
-func TestHeldUpPastItsEnd(t *testing.T) {
+func TestLoopDelayedPastDrain(t *testing.T) {
 	for _, late := range []time.Duration{3500 * time.Millisecond, 3560 * time.Millisecond, 5 * time.Second} {
 		r := newRig(t)
-		out, waits := r.runs("out", "unsafe"), r.arrive("waits", "unsafe", time.Hour)
+		out, waits := r.startJob("out", "unsafe"), r.arrive("waits", "unsafe", time.Hour)
 		r.handle(stopRequested{r.clock()})
 		r.now = r.now.Add(late)
-		r.ends()
+		r.runUntilStopped()
 		if len(out.answers) != 1 || len(waits.answers) != 1 || out.answers[0] == 503 {
 			t.Errorf("held up for %v: answers %v to one that is out, %v to one that waits", late, out.answers, waits.answers)
 		}
@@ -52,10 +52,10 @@
 // The time of a stop runs from the signal, not from when the loop handles it: SIGKILL's does.
 func TestStopCountsFromTheSignal(t *testing.T) {
 	r := newRig(t)
-	a := r.runs("a", "unsafe")
+	a := r.startJob("a", "unsafe")
 	r.Stop()
 	r.now = r.now.Add(time.Second) // the loop is held up
-	r.pass(2500 * time.Millisecond)
+	r.advance(2500 * time.Millisecond)
 	if len(a.answers) != 1 {
 		t.Errorf("answers %v 3.5 s after the signal", a.answers)
 	}
@@ -63,54 +63,54 @@
 
 // What comes in the moment in which nothing is open any more has to be found before the loop ends:
 // it stops the listener and looks again.
-func TestOneMoreAsNothingIsOpen(t *testing.T) {
+func TestConnectionAcceptedDuringClosing(t *testing.T) {
 	r := newRig(t)
 	r.handle(stopRequested{r.clock()})
-	for n := 0; r.shut == 0 && n < 1000; n++ {
-		r.pass(4 * time.Millisecond)
+	for n := 0; r.stopAcceptingCalls == 0 && n < 1000; n++ {
+		r.advance(4 * time.Millisecond)
 	}
-	r.open = 1 // Accept handed it over meanwhile
-	r.pass(4 * time.Millisecond)
+	r.openConns = 1 // Accept handed it over meanwhile
+	r.advance(4 * time.Millisecond)
 	a := r.arrive("a", "safe", time.Hour)
 	if len(a.answers) != 1 || a.answers[0] != 503 || r.Phases.Now() == Stopped || !r.Phases.Ending() {
 		t.Errorf("answers %v in phase %v", a.answers, r.Phases.Now())
 	}
-	r.open = 0
-	if took := r.ends(); took > 8*time.Millisecond {
+	r.openConns = 0
+	if took := r.runUntilStopped(); took > 8*time.Millisecond {
 		t.Errorf("ended %v after the last connection", took)
 	}
-	if r.shut != 1 {
-		t.Errorf("shut %d times", r.shut)
+	if r.stopAcceptingCalls != 1 {
+		t.Errorf("shut %d times", r.stopAcceptingCalls)
 	}
 }
 
-// door is the clients' side of a loop that runs, with something to happen when the loop looks at it.
-type door struct {
-	looks, inFlight atomic.Int64
-	shut            atomic.Bool
-	look            func()
+// downstreamStub is the clients' side of a loop that runs, with something to happen when the loop looks at it.
+type downstreamStub struct {
+	checks, inFlight atomic.Int64
+	stopped          atomic.Bool
+	onCheck          func()
 }
 
-func (d *door) InFlight() int { return int(d.inFlight.Load()) }
-func (d *door) Open() int {
-	d.look()
+func (d *downstreamStub) InFlight() int { return int(d.inFlight.Load()) }
+func (d *downstreamStub) Open() int {
+	d.onCheck()
 	return 0
 }
-func (d *door) CloseIdle(time.Duration) {}
-func (d *door) StopAccepting()          { d.shut.Store(true) }
-func (d *door) Drained() bool {
-	d.look()
-	return d.shut.Load()
+func (d *downstreamStub) CloseIdle(time.Duration) {}
+func (d *downstreamStub) StopAccepting()          { d.stopped.Store(true) }
+func (d *downstreamStub) Drained() bool {
+	d.onCheck()
+	return d.stopped.Load()
 }
 
-// running is a dispatcher whose own loop runs; ended is closed when it is over.
-func running(t *testing.T, in *door) (d *Dispatcher, ended chan struct{}) {
+// startDispatcher is a dispatcher whose own loop runs; ended is closed when it is over.
+func startDispatcher(t *testing.T, in *downstreamStub) (d *Dispatcher, ended chan struct{}) {
 	t.Helper()
-	s, err := settings.Parse([]byte(options))
+	s, err := settings.Parse([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err = New(Options{Settings: s, CachedEndpoints: []byte(known), Upstream: &rig{}, Phases: &Phases{}, Log: func(string, ...any) {}, Now: time.Now,
+	d, err = New(Options{Settings: s, CachedEndpoints: []byte(cachedListJSON), Upstream: &rig{}, Phases: &Phases{}, Log: func(string, ...any) {}, Now: time.Now,
 		Watch: func(ctx context.Context, _ string, _ int64, _ func(*endpoints.Update)) error {
 			<-ctx.Done()
 			return ctx.Err()
@@ -128,11 +128,11 @@
 
 // A request that is posted between the loop's last look and its end, while it ends, or behind it,
 // is answered: nobody may wait for a loop that is gone.
-func TestArrivesAsTheLoopEnds(t *testing.T) {
+func TestRequestArrivesAsLoopEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d *Dispatcher
 		var posted, answered atomic.Int64
-		in := &door{}
+		in := &downstreamStub{}
 		post := func(kind string) {
 			n := posted.Add(1)
 			d.Arrive(&downstream.Request{ID: fmt.Sprint(kind, n), Class: "safe", Arrived: time.Now(), Timeout: time.Hour,
@@ -142,12 +142,12 @@
 					}
 				}})
 		}
-		in.look = func() { // few, as the inbox must have room: this is called on the loop
-			if in.looks.Add(1); in.looks.Load() == 1 || in.shut.Load() && in.looks.Load() < 100 {
+		in.onCheck = func() { // few, as the inbox must have room: this is called on the loop
+			if in.checks.Add(1); in.checks.Load() == 1 || in.stopped.Load() && in.checks.Load() < 100 {
 				post("last look ")
 			}
 		}
-		d, ended := running(t, in)
+		d, ended := startDispatcher(t, in)
 		synctest.Wait()
 		d.Stop()
 		<-ended
@@ -160,8 +160,8 @@
 }
 
 // The same with many at once, at any moment of the end.
-func TestManyArriveAsTheLoopEnds(t *testing.T) {
-	d, ended := running(t, &door{look: func() {}})
+func TestManyRequestsArriveAsLoopEnds(t *testing.T) {
+	d, ended := startDispatcher(t, &downstreamStub{onCheck: func() {}})
 	d.Phases.Enter(Serving)
 	d.Stop()
 	var all sync.WaitGroup
@@ -188,16 +188,16 @@
 
 // A reload behind a stop does not have it last longer, as SIGKILL's time stands, nor keep jobs past an
 // earlier one.
-func TestReloadBehindAStop(t *testing.T) {
+func TestReloadAfterStop(t *testing.T) {
 	for _, c := range []struct {
 		before, behind string // the longest deadlines
 		most           time.Duration
 	}{{"0.5", "30", 950 * time.Millisecond}, {"30", "0.5", 950 * time.Millisecond}, {"2", "2", 2450 * time.Millisecond}} {
 		longest := func(v string) string {
-			return strings.NewReplacer(`"hard_limit":3`, `"hard_limit":`+v, `"hard_limit":2`, `"hard_limit":0.3`).Replace(options)
+			return strings.NewReplacer(`"hard_limit":3`, `"hard_limit":`+v, `"hard_limit":2`, `"hard_limit":0.3`).Replace(settingsJSON)
 		}
-		r := newRigOf(t, longest(c.before), 1)
-		a := r.runs("a", "unsafe")
+		r := newRigWith(t, longest(c.before), 1)
+		a := r.startJob("a", "unsafe")
 		r.handle(stopRequested{r.clock()})
 		from := r.now
 		s, err := settings.Parse([]byte(longest(c.behind)))
@@ -206,7 +206,7 @@
 		}
 		r.handle(settingsChanged{s})
 		for len(a.answers) == 0 && r.now.Sub(from) < 5*time.Second {
-			r.pass(4 * time.Millisecond)
+			r.advance(4 * time.Millisecond)
 		}
 		if took := r.now.Sub(from); took < c.most || took > c.most+20*time.Millisecond {
 			t.Errorf("deadlines of %s s, then %s s: answered after %v, want %v", c.before, c.behind, took, c.most)
@@ -224,25 +224,25 @@
 	r.Phases = &Phases{}
 	a, b := r.arrive("a", "safe", 30*time.Second), r.arrive("b", "unsafe", time.Hour)
 	r.handle(stopRequested{r.clock()})
-	r.pass(100 * time.Millisecond)
+	r.advance(100 * time.Millisecond)
 	if r.Phases.Now() != Retiring || len(a.answers) > 0 {
 		t.Fatalf("phase %v, answers %v", r.Phases.Now(), a.answers)
 	}
-	u, _ := endpoints.Parse([]byte(strings.Replace(known, `"seq":1`, `"seq":3`, 1))) // an older one would open nothing
+	u, _ := endpoints.Parse([]byte(strings.Replace(cachedListJSON, `"seq":1`, `"seq":3`, 1))) // an older one would open nothing
 	r.handle(endpointEvent{watchID: r.watchID, update: u})
-	r.pass(40 * time.Millisecond)
-	for _, tell := range r.probes {
-		tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+	r.advance(40 * time.Millisecond)
+	for _, notify := range r.healthChecks {
+		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 	}
-	r.pass(40 * time.Millisecond)
-	if a.out == nil || b.out == nil {
+	r.advance(40 * time.Millisecond)
+	if a.inFlight == nil || b.inFlight == nil {
 		t.Fatal("not sent once a list is there")
 	}
-	for _, h := range slices.Clone(r.out) {
+	for _, h := range slices.Clone(r.attempts) {
 		h.end(true)
-		h.tell(upstream.AttemptEvent{Outcome: balance.Served})
+		h.notify(upstream.AttemptEvent{Outcome: balance.Served})
 	}
-	r.ends()
+	r.runUntilStopped()
 	if len(a.answers) != 1 || len(b.answers) != 1 || a.answers[0] != 200 || b.answers[0] != 200 {
 		t.Errorf("answers %v and %v", a.answers, b.answers)
 	}
@@ -256,14 +256,14 @@
 		want int
 	}{{"before", 200}, {"told", 200}, {"answered", 502}} {
 		r := newRig(t)
-		a := r.runs("a", "unsafe")
-		h := a.out
+		a := r.startJob("a", "unsafe")
+		h := a.inFlight
 		r.handle(stopRequested{r.clock()})
 		served := func() {
 			if h.end(true); c.when == "answered" {
-				h.over = false // it was abandoned, and tells all the same
+				h.done = false // it was abandoned, and tells all the same
 			}
-			h.tell(upstream.AttemptEvent{Outcome: balance.Served})
+			h.notify(upstream.AttemptEvent{Outcome: balance.Served})
 			r.drainInbox()
 		}
 		r.now = r.wallTime(r.drainDeadline)
@@ -281,11 +281,11 @@
 			}
 			served()
 		}
-		r.pass(8 * time.Millisecond)
+		r.advance(8 * time.Millisecond)
 		if c.when == "answered" {
 			served()
 		}
-		if r.pass(200 * time.Millisecond); r.Phases.Now() != Stopped {
+		if r.advance(200 * time.Millisecond); r.Phases.Now() != Stopped {
 			t.Errorf("%s: phase %v", c.when, r.Phases.Now())
 		}
 		if len(a.answers) != 1 || a.answers[0] != c.want {
@@ -297,25 +297,25 @@
 // One that is drained and comes to yield goes on to close idle connections.
 func TestYieldWhileItDrains(t *testing.T) {
 	r := newRig(t)
-	r.runs("a", "unsafe")
+	r.startJob("a", "unsafe")
 	r.handle(stopRequested{r.clock()})
-	r.pass(2100 * time.Millisecond)
+	r.advance(2100 * time.Millisecond)
 	if r.Phases.Now() != Draining {
 		t.Fatalf("phase %v", r.Phases.Now())
 	}
 	r.ApplyOperatorState(&handoff.OperatorState{}, false)
-	looks := r.closed
-	if r.pass(200 * time.Millisecond); r.closed < looks+3 {
-		t.Errorf("%d looks at idle connections in 0.2 s", r.closed-looks)
+	looks := r.closeIdleCalls
+	if r.advance(200 * time.Millisecond); r.closeIdleCalls < looks+3 {
+		t.Errorf("%d looks at idle connections in 0.2 s", r.closeIdleCalls-looks)
 	}
 }
 
 // A class that names no deadline has 60 s, also for what a stop and the memory of ids go by.
 func TestStopWithoutDeadlines(t *testing.T) {
-	r := newRigOf(t, strings.NewReplacer(`"hard_limit":2,`, "", `"hard_limit":3,`, "").Replace(options), 1)
-	a := r.runs("a", "unsafe")
+	r := newRigWith(t, strings.NewReplacer(`"hard_limit":2,`, "", `"hard_limit":3,`, "").Replace(settingsJSON), 1)
+	a := r.startJob("a", "unsafe")
 	r.handle(stopRequested{r.clock()})
-	if r.pass(3400 * time.Millisecond); len(a.answers) > 0 {
+	if r.advance(3400 * time.Millisecond); len(a.answers) > 0 {
 		t.Errorf("answers %v to one with time left", a.answers)
 	}
 	if r.recentIDs.retention != 60 {
--- a/internal/dispatcher/start_test.go
+++ b/internal/dispatcher/start_test.go
@@ -16,22 +16,22 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// newer is what discovery lists by now: one worker of the start's list has left, another has come.
-const newer = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"left"},
+// newerListJSON is what discovery lists by now: one worker of the start's list has left, another has come.
+const newerListJSON = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"left"},
  {"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]}`
 
 var errUnavailable = errors.New("discovery answered 503 Service Unavailable")
 
-// answerProbes has each worker that is checked report free slots.
-func (r *rig) answerProbes() {
-	for _, tell := range r.probes {
-		tell(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
+// answerHealthChecks has each worker that is checked report free slots.
+func (r *rig) answerHealthChecks() {
+	for _, notify := range r.healthChecks {
+		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 	}
-	r.probes = nil
-	r.pass(40 * time.Millisecond)
+	r.healthChecks = nil
+	r.advance(40 * time.Millisecond)
 }
 
-func parsed(t *testing.T, list string) *endpoints.Update {
+func parseUpdate(t *testing.T, list string) *endpoints.Update {
 	u, err := endpoints.Parse([]byte(list))
 	if err != nil {
 		t.Fatal(err)
@@ -41,40 +41,40 @@
 
 // A process that was away for long starts on an old cached list. What discovery had long before binds it from its first
 // moment: nothing goes to a worker that has left meanwhile, and it is not ready before it knows.
-func TestStartSendsByNoOldList(t *testing.T) {
+func TestStartDoesNotUseOutdatedList(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
-		r := startRig(t, strings.Replace(options, "on_request", mode, 1), 1)
+		r := newStartingRig(t, strings.Replace(settingsJSON, "on_request", mode, 1), 1)
 		if mode == "pushed" {
 			r.startWatch()
 		}
 		jobs := []*jobModel{r.arrive("a", "safe", 2*time.Second), r.arrive("b", "unsafe", 3*time.Second), r.arrive("c", "keyed", 2*time.Second)}
-		r.pass(200 * time.Millisecond)
+		r.advance(200 * time.Millisecond)
 		if r.watchID != 1 {
 			t.Fatalf("%s: %d calls to discovery, want one, made at once", mode, r.watchID)
 		}
-		if len(r.orders) > 0 || len(r.probes) > 0 || r.Phases.Now() != Starting {
-			t.Fatalf("%s: %d hops to %v, %d probes, phase %v before discovery has told anything", mode, len(r.orders), r.addrs, len(r.probes), r.Phases.Now())
+		if len(r.attemptRequests) > 0 || len(r.healthChecks) > 0 || r.Phases.Now() != Starting {
+			t.Fatalf("%s: %d hops to %v, %d probes, phase %v before discovery has told anything", mode, len(r.attemptRequests), r.attemptAddrs, len(r.healthChecks), r.Phases.Now())
 		}
-		r.handle(endpointEvent{watchID: r.watchID, update: parsed(t, newer)})
+		r.handle(endpointEvent{watchID: r.watchID, update: parseUpdate(t, newerListJSON)})
 		for range 10 {
-			r.pass(8 * time.Millisecond)
-			r.answerProbes()
+			r.advance(8 * time.Millisecond)
+			r.answerHealthChecks()
 		}
-		if r.Phases.Now() != Serving || len(r.orders) == 0 {
-			t.Fatalf("%s: phase %v, %d hops once discovery has told", mode, r.Phases.Now(), len(r.orders))
+		if r.Phases.Now() != Serving || len(r.attemptRequests) == 0 {
+			t.Fatalf("%s: phase %v, %d hops once discovery has told", mode, r.Phases.Now(), len(r.attemptRequests))
 		}
 		for range 10 {
-			for _, h := range r.out {
-				if !h.over {
+			for _, h := range r.attempts {
+				if !h.done {
 					h.end(true)
-					h.tell(upstream.AttemptEvent{Outcome: balance.Served})
+					h.notify(upstream.AttemptEvent{Outcome: balance.Served})
 				}
 			}
-			r.pass(40 * time.Millisecond)
-			r.answerProbes()
+			r.advance(40 * time.Millisecond)
+			r.answerHealthChecks()
 		}
-		if slices.Contains(r.addrs, "1:1") {
-			t.Errorf("%s: hops to %v, one of which has left", mode, r.addrs)
+		if slices.Contains(r.attemptAddrs, "1:1") {
+			t.Errorf("%s: hops to %v, one of which has left", mode, r.attemptAddrs)
 		}
 		for _, j := range jobs {
 			if len(j.answers) != 1 || j.answers[0] != 200 {
@@ -99,23 +99,23 @@
 		"busy":           {3 * time.Second, errUnavailable, 20 * time.Second},
 	} {
 		for _, mode := range []string{"on_request", "pushed"} {
-			r := startRig(t, strings.Replace(options, "on_request", mode, 1), 1)
+			r := newStartingRig(t, strings.Replace(settingsJSON, "on_request", mode, 1), 1)
 			if mode == "pushed" {
 				r.startWatch()
 			}
 			from := r.now
 			for r.now.Sub(from) < 25*time.Second && r.Phases.Now() == Starting {
 				if !r.watchPending {
-					r.pass(4 * time.Millisecond)
+					r.advance(4 * time.Millisecond)
 					continue
 				}
-				no := r.watchID
+				id := r.watchID
 				for end := r.now.Add(c.lasts); r.now.Before(end) && r.Phases.Now() == Starting; {
-					r.pass(4 * time.Millisecond)
+					r.advance(4 * time.Millisecond)
 				}
 				if r.Phases.Now() == Starting {
-					r.handle(endpointEvent{watchID: no, err: c.err})
-					r.pass(4 * time.Millisecond)
+					r.handle(endpointEvent{watchID: id, err: c.err})
+					r.advance(4 * time.Millisecond)
 				}
 			}
 			took, want := r.now.Sub(from), c.ready
@@ -131,7 +131,7 @@
 
 // Three hundred processes that start again at once on an old cached list, while discovery serves its callers in turn: nine
 // in ten are ready within 10 s, and none is before discovery has answered it; nor where a part of the calls is rejected.
-func TestManyStartOnAnOldList(t *testing.T) {
+func TestManyStartWithOutdatedList(t *testing.T) {
 	n := 300
 	if raceEnabled {
 		n = 5
@@ -139,29 +139,29 @@
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, limit := range []time.Duration{1600 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
-				s := &serialDiscovery{cost: 4 * time.Second / time.Duration(n), limit: limit, seq: 7, up: true}
-				m := runGroup(t, n, mode, known, map[string]*serialDiscovery{"one": s})
+				s := &serialDiscovery{serviceTime: 4 * time.Second / time.Duration(n), maxWait: limit, seq: 7, up: true}
+				m := runGroup(t, n, mode, cachedListJSON, map[string]*serialDiscovery{"one": s})
 				defer m.stop()
 				for range 100 {
 					time.Sleep(100 * time.Millisecond)
 					synctest.Wait()
-					for i, d := range m.all {
+					for i, d := range m.dispatchers {
 						m.mu.Lock()
-						told := !m.told[i][7].IsZero()
+						notified := !m.notifiedAt[i][7].IsZero()
 						m.mu.Unlock()
-						if d.Phases.Ready() && !told {
+						if d.Phases.Ready() && !notified {
 							t.Fatalf("%s, turned away after %v: %d is ready before it was told", mode, limit, i)
 						}
 					}
 				}
 				ready := 0
-				for _, d := range m.all {
+				for _, d := range m.dispatchers {
 					if d.Phases.Ready() {
 						ready++
 					}
 				}
-				calls, late := s.counted()
-				t.Logf("%s, %v: %d ready, %d calls, %d turned away", mode, limit, ready, calls, late)
+				calls, rejected := s.counts()
+				t.Logf("%s, %v: %d ready, %d calls, %d turned away", mode, limit, ready, calls, rejected)
 				if ready < n*9/10 {
 					t.Errorf("%s, turned away after %v: %d of %d are ready after 10 s", mode, limit, ready, n)
 				}
@@ -173,37 +173,37 @@
 // Eighty dispatchers at a discovery that bears fifteen calls a second, lets a caller wait for 2 s, and works for those as
 // well that it has rejected. That all call at once, again and again, would keep it so busy for ever that hardly anyone is
 // served: they get through at a start, and behind a reset of all watches.
-func TestCrowdGetsThrough(t *testing.T) {
+func TestManyCallersOfSlowDiscovery(t *testing.T) {
 	n := 80
 	if raceEnabled {
 		n = 5 // beside discovery's time for each as with all
 	}
 	for _, mode := range []string{"pushed", "on_request"} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &serialDiscovery{cost: 65 * time.Millisecond, limit: 2 * time.Second, toil: true, seq: 7, up: true}
-			m := runGroup(t, n, mode, known, map[string]*serialDiscovery{"one": s})
+			s := &serialDiscovery{serviceTime: 65 * time.Millisecond, maxWait: 2 * time.Second, servesRejected: true, seq: 7, up: true}
+			m := runGroup(t, n, mode, cachedListJSON, map[string]*serialDiscovery{"one": s})
 			defer m.stop()
 			time.Sleep(10 * time.Second)
 			synctest.Wait()
 			ready := 0
-			for _, d := range m.all {
+			for _, d := range m.dispatchers {
 				if d.Phases.Ready() {
 					ready++
 				}
 			}
-			calls, late := s.counted()
-			t.Logf("%s: %d ready after 10 s, %d calls, %d in vain", mode, ready, calls, late)
-			if ready < n*9/10 || late > n/2 {
-				t.Errorf("%s: %d of %d are ready after 10 s, %d calls in vain", mode, ready, n, late)
+			calls, rejected := s.counts()
+			t.Logf("%s: %d ready after 10 s, %d calls, %d in vain", mode, ready, calls, rejected)
+			if ready < n*9/10 || rejected > n/2 {
+				t.Errorf("%s: %d of %d are ready after 10 s, %d calls in vain", mode, ready, n, rejected)
 			}
 			time.Sleep(20 * time.Second)
 			from, before := time.Now(), calls
-			s.reset()
+			s.closeWatches()
 			time.Sleep(15 * time.Second)
 			synctest.Wait()
-			calls, late = s.counted()
-			took := m.last(8, from)
-			t.Logf("%s: the last is told %v after the reset, %d calls, %d in vain in all", mode, took, calls-before, late)
+			calls, rejected = s.counts()
+			took := m.maxNotifyDelay(8, from)
+			t.Logf("%s: the last is told %v after the reset, %d calls, %d in vain in all", mode, took, calls-before, rejected)
 			if took > 12*time.Second {
 				t.Errorf("%s: the last is told %v after all watches were reset, by %d calls", mode, took, calls-before)
 			}
@@ -212,18 +212,18 @@
 }
 
 // Nothing of a cut-off discovery is waited for longer than a dial takes, on real waits.
-func TestStartOnACutLink(t *testing.T) {
+func TestStartWithHangingDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &serialDiscovery{limit: 3 * time.Second, seq: 7, up: true, instead: func(ctx context.Context) (net.Conn, error) {
+		s := &serialDiscovery{maxWait: 3 * time.Second, seq: 7, up: true, dialOverride: func(ctx context.Context) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}}
-		m := runGroup(t, 1, "on_request", known, map[string]*serialDiscovery{"one": s})
+		m := runGroup(t, 1, "on_request", cachedListJSON, map[string]*serialDiscovery{"one": s})
 		defer m.stop()
 		time.Sleep(1400 * time.Millisecond)
 		synctest.Wait()
-		if !m.all[0].Phases.Ready() {
-			t.Errorf("phase %v 1.4 s after a start without a way to discovery", m.all[0].Phases.Now())
+		if !m.dispatchers[0].Phases.Ready() {
+			t.Errorf("phase %v 1.4 s after a start without a way to discovery", m.dispatchers[0].Phases.Now())
 		}
 	})
 }
