--- a/internal/dispatcher/callers_test.go
+++ b/internal/dispatcher/callers_test.go
@@ -20,28 +20,28 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// serialDiscovery is a discovery that handles its calls in turn, in virtual time. One that would wait for longer
-// than limit gets 503 when that is over; one whose caller goes takes its time all the same.
+// serialDiscovery is a discovery that serves its calls one after the other, in virtual time. A call that would wait
+// longer than maxWait gets 503 after maxWait. A call whose caller has disconnected still takes its service time.
 type serialDiscovery struct {
 	sync.Mutex
 	serviceTime, maxWait time.Duration
-	servesRejected       bool // it works for those too that were rejected meanwhile
+	servesRejected       bool // rejected calls take their service time too
 	seq                  int
 	up                   bool
-	dialOverride         func(context.Context) (net.Conn, error) // what becomes of new connections; nil: they come up
-	freeAt               time.Time                               // when the last of those that wait is served
-	open, silenced       []net.Conn                              // silent ones stay open, and get nothing more
-	calls, rejected      int                                     // in all, and those rejected
+	dialOverride         func(context.Context) (net.Conn, error) // replaces dialling; nil: connections are established
+	freeAt               time.Time                               // when the last waiting call has been served
+	open, silenced       []net.Conn                              // silenced ones stay open but receive nothing more
+	calls, rejected      int                                     // all calls, and those rejected
 }
 
 func (s *serialDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	s.Lock()
 	defer s.Unlock()
 	if s.calls++; s.dialOverride != nil {
-		instead := s.dialOverride
+		override := s.dialOverride
 		s.Unlock()
 		defer s.Lock()
-		return instead(ctx)
+		return override(ctx)
 	}
 	if !s.up {
 		return nil, syscall.ECONNREFUSED
@@ -85,9 +85,9 @@
 		time.Sleep(2 * time.Second)
 		line = ""
 		s.Lock()
-		dumb := slices.Contains(s.silenced, c)
+		silenced := slices.Contains(s.silenced, c)
 		s.Unlock()
-		if dumb {
+		if silenced {
 			io.Copy(io.Discard, c)
 			return
 		}
@@ -100,14 +100,14 @@
 	return s.seq
 }
 
-// counts is how many calls there were, and how many of them were rejected.
+// counts returns the number of calls, and how many of them were rejected.
 func (s *serialDiscovery) counts() (calls, rejected int) {
 	s.Lock()
 	defer s.Unlock()
 	return s.calls, s.rejected
 }
 
-// closeWatches ends all watches; discovery goes on.
+// closeWatches closes all open watches and increments the version. Discovery stays up.
 func (s *serialDiscovery) closeWatches() {
 	s.Lock()
 	defer s.Unlock()
@@ -117,8 +117,8 @@
 	s.seq, s.open = s.seq+1, nil
 }
 
-// interruptWatches has all connections that are open fall silent, or ends them where discovery goes down; what it lists
-// from now on is another version.
+// interruptWatches silences all open connections if discovery stays up, or closes them if it goes down, and
+// increments the version of the list.
 func (s *serialDiscovery) interruptWatches(up bool) {
 	s.Lock()
 	defer s.Unlock()
@@ -132,7 +132,7 @@
 	s.open = nil
 }
 
-// dispatcherGroup runs so many dispatchers against it, and says when each was notified of which version and was ready.
+// dispatcherGroup runs dispatchers against serialDiscoveries and records when each was first notified of a version.
 type dispatcherGroup struct {
 	dispatchers []*Dispatcher
 	mu          sync.Mutex
@@ -169,7 +169,8 @@
 	return m
 }
 
-// maxNotifyDelay is how long after a moment the last one was notified of a version; those that were not count as an hour.
+// maxNotifyDelay returns how long after from the last dispatcher was notified of a version. A dispatcher that was not
+// notified counts as one hour.
 func (m *dispatcherGroup) maxNotifyDelay(seq int64, from time.Time) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,23 +189,23 @@
 		d.Stop()
 	}
 	m.running.Wait()
-	time.Sleep(5 * time.Second) // discovery notices with its next line
+	time.Sleep(5 * time.Second) // discovery notices the closed connections when it writes its next line
 }
 
-// Three hundred callers at once: after an outage of 8 s, after all watches have fallen silent, and after a new
-// configuration has moved discovery. All have the list in time where discovery can serve them in time at all.
+// 300 dispatchers call discovery at once: after an outage of 8 s, after all watches have gone silent, and after a
+// new configuration has moved discovery. If discovery can serve them in time, all must get the list in time.
 func TestAllWatchersAreNotifiedInTime(t *testing.T) {
 	n := 300
 	if raceEnabled {
-		n = 5 // beside discovery's time for each as with all
+		n = 5 // with the service time of each call as for 300
 	}
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, c := range []struct {
 			event       string
-			total       time.Duration // that discovery takes for all
+			total       time.Duration // service time of all calls together
 			limit       time.Duration
 			within      time.Duration
-			calls, down int // at most, from when they may be answered, and while discovery is down
+			calls, down int // limits: once calls can be answered, and while discovery is down
 		}{
 			{"outage", 3 * time.Second, 1500 * time.Millisecond, 6 * time.Second, 320, 1700},
 			{"outage", 4 * time.Second, time.Second, 6 * time.Second, 420, 1700},
@@ -222,7 +223,7 @@
 					defer m.stop()
 					time.Sleep(20 * time.Second)
 					if m.maxNotifyDelay(1, time.Now()) > 0 {
-						t.Fatal("not all have a watch after 20 s")
+						t.Fatal("not all dispatchers have a watch after 20 s")
 					}
 					before, _ := one.counts()
 					from := time.Now()
@@ -250,9 +251,9 @@
 					more, rejectedByTwo := two.counts()
 					took := m.maxNotifyDelay(2, from)
 					calls += more - before
-					t.Logf("the last is told %v after; %d calls, %d while discovery was down, %d turned away", took, calls, down, rejected+rejectedByTwo)
+					t.Logf("last dispatcher notified after %v; %d calls, %d while discovery was down, %d rejected", took, calls, down, rejected+rejectedByTwo)
 					if took > c.within || calls > c.calls*n/300 || down > c.down*n/300 {
-						t.Errorf("the last is told %v after, by %d calls in all, and %d while discovery was down; want %v, %d and %d at most",
+						t.Errorf("last dispatcher notified after %v with %d calls, and %d while discovery was down; want at most %v, %d and %d",
 							took, calls, down, c.within, c.calls*n/300, c.down*n/300)
 					}
 				})
@@ -261,8 +262,8 @@
 	}
 }
 
-// Thirty processes that start at once on no list, while discovery takes a quarter of a second for each: nine in
-// ten are ready within 10 s, though many are rejected.
+// 30 processes start at once without a cached list, while discovery takes 250 ms for each call. At least 90% of them
+// must be ready within 10 s, although discovery rejects many calls.
 func TestRestartedDispatchersAreReadyInTime(t *testing.T) {
 	const n = 30
 	for _, mode := range []string{"pushed", "on_request"} {
@@ -279,17 +280,17 @@
 					}
 				}
 				calls, rejected := s.counts()
-				t.Logf("%s, %v: %d ready, %d calls, %d turned away", mode, limit, ready, calls, rejected)
+				t.Logf("%s, maximum wait %v: %d ready, %d calls, %d rejected", mode, limit, ready, calls, rejected)
 				if ready < n*9/10 {
-					t.Errorf("%s, turned away after %v: %d of %d are ready after 10 s", mode, limit, ready, n)
+					t.Errorf("%s, calls rejected after %v: %d of %d dispatchers ready after 10 s, want nine in ten", mode, limit, ready, n)
 				}
 			})
 		}
 	}
 }
 
-// Whatever became of discovery, a dispatcher has the list within 6 s of its return, though its call then takes
-// nearly as long as it may; a call that was out on a cut link leaves a little less.
+// After any failure of discovery, a dispatcher must have the list within 6 s of discovery's return, even if that call
+// takes nearly the longest time allowed. If an earlier call hung on an open connection, slightly less time remains.
 func TestListArrivesInTimeAfterFailure(t *testing.T) {
 	const (
 		callTime          = 2950 * time.Millisecond
@@ -304,7 +305,7 @@
 	}
 	for name, c := range map[string]struct {
 		dialMeanwhile func(context.Context) (net.Conn, error)
-		reset         bool // open watches
+		reset         bool // whether open watches are closed
 		call          time.Duration
 	}{
 		"silent": {nil, false, callTime}, "reset": {nil, true, callTime}, "down": {refused, true, callTime},
@@ -320,10 +321,10 @@
 						defer m.stop()
 						time.Sleep(6*time.Second + time.Duration(chance.Float64()*float64(4*time.Second)))
 						synctest.Wait()
-						setDiscovery := func(cost time.Duration, instead func(context.Context) (net.Conn, error)) {
+						setDiscovery := func(serviceTime time.Duration, override func(context.Context) (net.Conn, error)) {
 							s.Lock()
 							defer s.Unlock()
-							s.serviceTime, s.dialOverride, s.up = cost, instead, true
+							s.serviceTime, s.dialOverride, s.up = serviceTime, override, true
 						}
 						s.interruptWatches(!c.reset)
 						setDiscovery(c.call, c.dialMeanwhile)
@@ -335,7 +336,7 @@
 						}
 						time.Sleep(10 * time.Second)
 						if took := m.maxNotifyDelay(2, from); took > 6*time.Second {
-							t.Errorf("seed %d: told %v after", seed, took)
+							t.Errorf("seed %d: notified after %v, want at most 6 s", seed, took)
 						}
 					})
 				}
--- a/internal/dispatcher/crossing_test.go
+++ b/internal/dispatcher/crossing_test.go
@@ -14,8 +14,9 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// A client's leaving stands in the loop's queue, behind what has the scheduler send: no attempt begins, the
-// first or a further one, and an attempt that waits for its connection writes nothing.
+// A client has disconnected, but the message is still queued in the loop behind an event that makes the scheduler send
+// the job. No attempt may start, neither the first nor a retry, and an attempt that waits for its connection must not
+// write anything.
 func TestDisconnectQueuedBehindDecision(t *testing.T) {
 	r := newRig(t)
 	first := r.arrive("first", "safe", time.Hour)
@@ -25,20 +26,20 @@
 		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
 	}
 	r.healthChecks = nil
-	r.advance(20 * time.Millisecond) // Start fails the test if it is sent
+	r.advance(20 * time.Millisecond) // rig.Start fails the test if the job is sent
 	if r.requests["first"] != nil || len(first.answers) > 0 {
-		t.Errorf("held on: %v, answers %v", r.requests["first"] != nil, first.answers)
+		t.Errorf("request still held: %v, answers %v; want false and none", r.requests["first"] != nil, first.answers)
 	}
 	r.handle(clientDisconnected{first.req})
 
 	further := r.startJob("further", "safe")
 	blocked := r.attemptRequests[len(r.attemptRequests)-1].Blocked
 	if end := blocked(); end != "" {
-		t.Errorf("blocked as %q with its client there", end)
+		t.Errorf("blocked as %q while its client is connected, want not blocked", end)
 	}
 	further.req.MarkDisconnected()
 	if end := blocked(); end != balance.Blocked {
-		t.Errorf("blocked as %q behind its client", end)
+		t.Errorf("got %q after its client has disconnected, want blocked", end)
 	}
 	further.inFlight.end(false)
 	r.handle(attemptEvent{r.requests["further"], 0, "a", upstream.AttemptEvent{Outcome: balance.Blocked}})
@@ -46,33 +47,33 @@
 	r.handle(clientDisconnected{further.req})
 	r.advance(time.Second)
 	if len(r.requests) > 0 || r.usage.netSlots != 0 {
-		t.Errorf("%d held, %v slots counted", len(r.requests), r.usage.netSlots)
+		t.Errorf("%d requests held, %v slots counted; want 0 and 0", len(r.requests), r.usage.netSlots)
 	}
 
-	// A result that was on its way before is one: what waits for this job may go.
+	// A result that was already under way still counts, so jobs that depend on this one may run.
 	served := r.startJob("served", "safe")
 	served.req.MarkDisconnected()
 	served.inFlight.end(true)
 	r.handle(attemptEvent{r.requests["served"], 0, "a", upstream.AttemptEvent{Outcome: balance.Served}})
 	if len(served.answers) != 1 || served.answers[0] != 200 {
-		t.Errorf("answers %v to what was served", served.answers)
+		t.Errorf("answers %v to a served request, want [200]", served.answers)
 	}
 }
 
-// While an attempt waits for its connection the entry of its worker changes. What was decided for the worker as
-// it was is not written to it any more: the job never ran, and goes elsewhere.
+// The endpoint of a worker changes while an attempt waits for its connection. The decision was made for the former
+// endpoint, so the attempt must not be written; the job has not run and must be sent to another worker.
 func TestEndpointChangeBlocksConnectingAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name, hosts string
 		blocks      bool
 	}{
-		{"the same again", `"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"active"},{"host":"b","dial":"1:2","site":"z","class":"k","health":"active"}]`, false},
-		{"the others change", `"hosts":[{"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]`, false},
-		{"it drains", `"hosts":[{"host":"W","dial":"A","site":"z","class":"k","health":"leaving"}]`, true},
-		{"it has left", `"hosts":[{"host":"W","health":"left"}]`, true},
-		{"it is not named any more", `"whole":true,"hosts":[{"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]`, true},
-		{"it is elsewhere", `"hosts":[{"host":"W","dial":"1:9","site":"z","class":"k","health":"active"}]`, true},
-		{"another process is there", `"hosts":[{"host":"W","dial":"A","site":"z","class":"k","health":"active","born_ms":1000000000000}]`, true},
+		{"unchanged", `"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"active"},{"host":"b","dial":"1:2","site":"z","class":"k","health":"active"}]`, false},
+		{"other workers change", `"hosts":[{"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]`, false},
+		{"worker drains", `"hosts":[{"host":"W","dial":"A","site":"z","class":"k","health":"leaving"}]`, true},
+		{"worker has left", `"hosts":[{"host":"W","health":"left"}]`, true},
+		{"worker missing from complete list", `"whole":true,"hosts":[{"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]`, true},
+		{"worker has a new address", `"hosts":[{"host":"W","dial":"1:9","site":"z","class":"k","health":"active"}]`, true},
+		{"worker is a new process", `"hosts":[{"host":"W","dial":"A","site":"z","class":"k","health":"active","born_ms":1000000000000}]`, true},
 	} {
 		r := newRig(t)
 		j := r.startJob("1", "unsafe")
@@ -103,13 +104,14 @@
 			r.healthChecks = nil
 		}
 		if len(r.attemptRequests) != 2 || r.attemptRequests[1].Blocked() != "" || len(j.answers) > 0 {
-			t.Errorf("%s: %d attempts, answers %v", c.name, len(r.attemptRequests), j.answers)
+			t.Errorf("%s: %d attempts, answers %v; want a second attempt that is not blocked, and no answer", c.name, len(r.attemptRequests), j.answers)
 		}
 	}
 }
 
-// A retry of a job with an idempotency key counts when it is at its worker, and the window begins when the first attempt
-// that may have run was: one that waits for its connection meanwhile is out by the end of that window, or not at all.
+// The deduplication window of a job with an idempotency key begins when the first attempt that may have run was
+// decided on, and a retry must reach its worker within it. A retry that waits for its connection must therefore be
+// sent by the end of the window or not at all.
 func TestKeyedRetryIsSentWithinTheWindow(t *testing.T) {
 	for _, c := range []struct {
 		class, first string
@@ -119,7 +121,7 @@
 		j := r.startJob("1", c.class)
 		decided := r.lastStepAt
 		if first := r.attemptRequests[0]; !first.SendBy.Equal(first.Deadline) || first.AtMostOnce != (c.class != "safe") {
-			t.Errorf("%v: the first attempt has until %v, once %v", c, first.SendBy, first.AtMostOnce)
+			t.Errorf("%v: first attempt: SendBy %v, AtMostOnce %v; want its deadline, and true unless the class is safe", c, first.SendBy, first.AtMostOnce)
 		}
 		r.handle(attemptEvent{r.requests["1"], 0, "", upstream.AttemptEvent{}})
 		r.advance(100 * time.Millisecond)
@@ -133,23 +135,23 @@
 			r.healthChecks = nil
 		}
 		if len(r.attemptRequests) != 2 {
-			t.Fatalf("%v: %d attempts, answers %v", c, len(r.attemptRequests), j.answers)
+			t.Fatalf("%v: got %d attempts and answers %v, want 2 attempts", c, len(r.attemptRequests), j.answers)
 		}
 		want := r.attemptRequests[1].Deadline
 		if c.window {
 			want = r.wallTime(decided + 9)
 		}
 		if got := r.attemptRequests[1].SendBy; got.Sub(want).Abs() > time.Microsecond {
-			t.Errorf("%v: out by %v after the first, want %v", c, got.Sub(r.wallTime(decided)), want.Sub(r.wallTime(decided)))
+			t.Errorf("%v: SendBy is %v after the first decision, want %v", c, got.Sub(r.wallTime(decided)), want.Sub(r.wallTime(decided)))
 		}
 	}
 }
 
-// blockingUpstream is the real egress, with a hook between an attempt's connection and its last look.
+// blockingUpstream is the real connection pool, and pauses an attempt between its connection and its Blocked check.
 type blockingUpstream struct {
 	*upstream.Pool
-	connected chan bool // an attempt has its connection
-	proceed   chan bool // it may go on
+	connected chan bool // receives a value when an attempt has its connection
+	proceed   chan bool // lets the attempt continue
 }
 
 func (e *blockingUpstream) Start(o *upstream.AttemptRequest, addr string, notify func(upstream.AttemptEvent)) upstream.Attempt {
@@ -162,7 +164,7 @@
 	return e.Pool.Start(o, addr, notify)
 }
 
-// noDownstream is a clients' side without connections.
+// noDownstream is a Downstream without connections.
 type noDownstream struct{ Downstream }
 
 func (noDownstream) InFlight() int           { return 0 }
@@ -171,8 +173,8 @@
 func (noDownstream) StopAccepting()          {}
 func (noDownstream) Drained() bool           { return true }
 
-// Over sockets: an attempt has its connection, and before its first byte its client leaves, of which the loop has
-// not heard, or discovery says that its worker drains. No byte comes to that worker.
+// An attempt over real sockets has its connection. Before its first byte is written, its client disconnects without
+// the loop knowing it, or discovery reports that its worker drains. The worker must not receive any byte.
 func TestNothingSentAfterDisconnectOrDrain(t *testing.T) {
 	const options = `{"balancers":1,"zone":"z","membership_mode":"pushed","round":0.004,
 		"lanes":[{"name":"unsafe","aim":1,"hard_limit":20,"semantics":"unsafe"}],"caps":{"max_attempts":3,"dial_timeout":5}}`
@@ -201,7 +203,7 @@
 		req := &downstream.Request{ID: "r", Class: "unsafe", Method: "POST", URI: "/unsafe", Body: []byte("b"), Slots: 1,
 			Arrived: time.Now(), Timeout: 20 * time.Second, Answer: func(a downstream.Answer) { answers <- a }}
 		d.Arrive(req)
-		wiretest.Get(t, e.connected, "a hop that has its connection")
+		wiretest.Get(t, e.connected, "an attempt that has its connection")
 		switch what {
 		case "leave":
 			req.MarkDisconnected()
@@ -211,22 +213,23 @@
 				t.Fatal(err)
 			}
 			wiretest.Get(t, each, "the watch")(u)
-			d.Stats() // the loop has taken it in
+			d.Stats() // returns once the loop has handled the update
 		}
 		close(e.proceed)
 		if what == "nothing" {
 			wiretest.Get(t, target.Calls, "the request").WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"x"}`))
-			if a := wiretest.Get(t, answers, "its answer"); a.Status != 200 {
-				t.Errorf("answered %d", a.Status)
+			if a := wiretest.Get(t, answers, "the answer"); a.Status != 200 {
+				t.Errorf("answered %d, want 200", a.Status)
 			}
-		} else if wiretest.Get(t, target.Ends, "the connection's end"); len(target.Calls) > 0 {
-			t.Errorf("%s: the request came to the worker", what)
+		} else if wiretest.Get(t, target.Ends, "the end of the connection"); len(target.Calls) > 0 {
+			t.Errorf("%s: the worker received the request", what)
 		}
 		d.Stop()
 	}
 }
 
-// An attempt has the settings that its job's class had on arrival: by a reload, and by the agreed configuration.
+// An attempt must use the settings of its class on arrival, after a reload and after a change of the agreed
+// configuration.
 func TestAttemptsFollowTheCurrentClass(t *testing.T) {
 	r := newRig(t)
 	unchanged := func(s *settings.Settings) *settings.Settings { return s }
@@ -248,6 +251,6 @@
 	m.changesAt = r.now
 	r.advance(8 * time.Millisecond)
 	if ruled := arriveOnce("4"); first || !reloaded || back || !ruled {
-		t.Errorf("once: %v at first, %v after a reload, %v after another, %v by rules", first, reloaded, back, ruled)
+		t.Errorf("atMostOnce: %v at first, %v after a reload, %v after a second one, %v by the agreed configuration; want false, true, false, true", first, reloaded, back, ruled)
 	}
 }
--- a/internal/dispatcher/deferred_test.go
+++ b/internal/dispatcher/deferred_test.go
@@ -18,7 +18,7 @@
 	return r
 }
 
-// reportFreeSlots has all health checks answered with so many free slots.
+// reportFreeSlots answers all health checks with a report of the given number of free slots, in three rounds.
 func (r *rig) reportFreeSlots(free float64) {
 	for range 3 {
 		for _, notify := range r.healthChecks {
@@ -32,7 +32,7 @@
 func (r *rig) finishJob(j *jobModel, o balance.Outcome) {
 	r.t.Helper()
 	if j.inFlight == nil {
-		r.t.Fatalf("%s is not out", j.req.ID)
+		r.t.Fatalf("%s is not in flight", j.req.ID)
 	}
 	h := j.inFlight
 	h.notify(upstream.AttemptEvent{})
@@ -55,7 +55,7 @@
 	c := r.arrive("c", "safe", 2*time.Second, "p")
 	r.reportFreeSlots(1e6)
 	if p.inFlight == nil || c.inFlight != nil {
-		t.Fatal("the child did not wait, or the parent did")
+		t.Fatal("the parent was not sent, or the child was sent before its end")
 	}
 	r.finishJob(p, balance.Served)
 	if c.inFlight == nil {
@@ -63,14 +63,14 @@
 	}
 	r.finishJob(c, balance.Served)
 	r.wantAnswer(c, 200)
-	// The parent has ended already.
+	// A job whose parents have been served already is sent too.
 	d := r.arrive("d", "safe", 2*time.Second, "p", "c")
 	r.reportFreeSlots(1e6)
 	r.finishJob(d, balance.Served)
 }
 
-// However a parent ends badly, its child gets its answer at once: one that a
-// client can try again where that can help, one that it can't where not.
+// If a parent fails, times out or its client disconnects, its child and grandchild must be answered at once, and so
+// must a child that arrives later: with 424, as a retry would not help.
 func TestChildEndsWithItsParent(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(r *rig, p *jobModel)
@@ -78,7 +78,7 @@
 	}{
 		"fails":     {func(r *rig, p *jobModel) { r.finishJob(p, balance.ConnectionLost) }, 424},
 		"times out": {func(r *rig, p *jobModel) { r.advance(520 * time.Millisecond) }, 424},
-		"client leaves": {func(r *rig, p *jobModel) {
+		"client disconnects": {func(r *rig, p *jobModel) {
 			p.disconnected = true
 			r.handle(clientDisconnected{p.req})
 			r.advance(8 * time.Millisecond)
@@ -92,13 +92,13 @@
 		c.end(r, p)
 		r.advance(8 * time.Millisecond)
 		if len(k.answers) != 1 || len(g.answers) != 1 || k.answers[0] != c.want || g.answers[0] != c.want {
-			t.Errorf("%s: child %v, its child %v, want %d", name, k.answers, g.answers, c.want)
+			t.Errorf("%s: child got %v, grandchild got %v, want %d", name, k.answers, g.answers, c.want)
 		}
 		r.wantAnswer(r.arrive("late", "safe", time.Second, "p"), c.want)
 	}
 }
 
-// A parent that is unknown may arrive within its grace.
+// An unknown parent may arrive within the grace time. A child whose parent does not arrive gets 503.
 func TestUnknownParent(t *testing.T) {
 	r := newDeferredRig(t)
 	c := r.arrive("c", "safe", 9*time.Second, "never")
@@ -116,15 +116,15 @@
 func TestStartTime(t *testing.T) {
 	r := newDeferredRig(t)
 	r.startDelay = 500 * time.Millisecond
-	a := r.arrive("a", "safe", 2*time.Second) // the model checks that it is not sent too soon
+	a := r.arrive("a", "safe", 2*time.Second) // rig.Start checks that it is not sent too soon
 	r.advance(480 * time.Millisecond)
 	if a.inFlight != nil {
-		t.Fatal("sent before its time")
+		t.Fatal("sent before its start time")
 	}
 	r.advance(40 * time.Millisecond)
 	r.reportFreeSlots(1e6)
 	r.finishJob(a, balance.Served)
-	// Its deadline comes first: the scheduler rejects what never ran.
+	// The deadline passes before the parent arrives: the scheduler rejects the job, which never ran.
 	r.startDelay = 0
 	b := r.arrive("b", "unsafe", 300*time.Millisecond, "c")
 	r.advance(310 * time.Millisecond)
@@ -133,9 +133,8 @@
 	r.wantAnswer(r.arrive("d", "safe", time.Second), 400)
 }
 
-// 10,000 children of one parent go to the scheduler a few at a time, and no more
-// of them out than there is capacity for; when it fails instead, all are answered
-// within 100 ms of the loop's time.
+// When a parent with 10,000 children is served, the children must be submitted to the scheduler in batches. When it
+// fails instead, all children must be answered within 100 ms of virtual time.
 func TestTenThousandChildren(t *testing.T) {
 	for _, o := range []balance.Outcome{balance.Served, balance.ConnectionLost} {
 		r := newDeferredRig(t)
@@ -150,33 +149,33 @@
 		h.end(true)
 		h.notify(upstream.AttemptEvent{Outcome: o, Result: []byte("x"), Report: []float64{5}})
 		before := r.now
-		for range 5 { // turns that come at once, as posts do: one round's worth goes
+		for range 5 { // turns within one batch interval, as after posted messages, release one batch
 			r.drainInbox()
 			r.runTurn(r.clock())
 		}
-		offered := 0
+		submitted := 0
 		for _, j := range all {
 			if r.Deferred.IsDeferred(j.req.ID) {
 				continue
 			}
-			offered++
+			submitted++
 		}
 		if o == balance.Served {
-			if offered == 0 || offered > deferredBatch {
-				t.Fatalf("%d offered in one round", offered)
+			if submitted == 0 || submitted > deferredBatch {
+				t.Fatalf("%d submitted in one batch interval, want 1 up to deferredBatch", submitted)
 			}
 			began := time.Now()
 			for r.Deferred.Pending() > 0 {
 				r.advance(4 * time.Millisecond)
 			}
-			t.Logf("a round of %d took %v in the mean", deferredBatch, time.Since(began)/(10_000/deferredBatch))
+			t.Logf("a batch of %d took %v on average", deferredBatch, time.Since(began)/(10_000/deferredBatch))
 			continue
 		}
 		for r.Deferred.Pending() > 0 {
 			r.advance(4 * time.Millisecond)
 		}
 		if took := r.now.Sub(before); took > 100*time.Millisecond {
-			t.Errorf("cascade took %v", took)
+			t.Errorf("answering all children took %v, want at most 100 ms", took)
 		}
 		for _, j := range all {
 			r.wantAnswer(j, 424)
@@ -184,8 +183,7 @@
 	}
 }
 
-// Requests that wait are counted by nobody as asked for more than once, and a
-// repeat of an id disturbs neither the job nor its children.
+// A request that repeats the id of a parent must get 409 and must affect neither the parent nor its children.
 func TestRepeatedParentID(t *testing.T) {
 	r := newDeferredRig(t)
 	p := r.arrive("p", "unsafe", 9*time.Second)
@@ -193,7 +191,7 @@
 	r.reportFreeSlots(1e6)
 	r.wantAnswer(r.arrive("p", "unsafe", 9*time.Second), 409)
 	if p.inFlight == nil || len(c.answers) > 0 {
-		t.Fatal("the repeat disturbed them")
+		t.Fatal("the repeated id affected the parent or the child")
 	}
 	r.finishJob(p, balance.Served)
 	r.finishJob(c, balance.Served)
--- a/internal/dispatcher/deferredcases_test.go
+++ b/internal/dispatcher/deferredcases_test.go
@@ -11,7 +11,7 @@
 	"example.org/bellstream/internal/endpoints"
 )
 
-// updateHealth delivers an endpoint list in which the hosts a and b are in a state.
+// updateHealth delivers an endpoint list in which the workers a and b have the given health.
 func (r *rig) updateHealth(seq int, health string) {
 	r.t.Helper()
 	u, err := endpoints.Parse([]byte(strings.ReplaceAll(strings.Replace(cachedListJSON, `"seq":1`, fmt.Sprintf(`"seq":%d`, seq), 1), "active", health)))
@@ -22,8 +22,8 @@
 	r.advance(8 * time.Millisecond)
 }
 
-// A job's time passes while all that can run it drain, or have gone: it waits on
-// like any other, for the next one or for its deadline, and is never failed.
+// The start time of a deferred job passes while all workers drain or have left. The job must wait like any other job
+// until a worker is available or its deadline passes, and must not fail.
 func TestDeferredJobDueWithoutWorkers(t *testing.T) {
 	for _, health := range []string{"leaving", "left"} {
 		r := newDeferredRig(t)
@@ -33,13 +33,13 @@
 		kept, lost := r.arrive("kept", "unsafe", 3*time.Second), r.arrive("lost", "unsafe", 500*time.Millisecond)
 		child := r.arrive("child", "unsafe", 3*time.Second, "p")
 		r.updateHealth(2, health)
-		r.finishJob(p, balance.Served) // what is out may end
+		r.finishJob(p, balance.Served) // an attempt in flight may finish
 		r.advance(400 * time.Millisecond)
 		if kept.inFlight != nil || lost.inFlight != nil || child.inFlight != nil {
-			t.Fatalf("%s: sent to one that may not be sent to", health)
+			t.Fatalf("%s: a job was sent to a worker in this state", health)
 		}
 		r.advance(100 * time.Millisecond)
-		r.wantAnswer(lost, 503) // refused, not failed: it never ran
+		r.wantAnswer(lost, 503) // rejected rather than failed, as it never ran
 		r.updateHealth(3, "active")
 		r.reportFreeSlots(1e6)
 		r.finishJob(kept, balance.Served)
@@ -49,8 +49,8 @@
 	}
 }
 
-// A child whose deadline is before its parent's is answered at its own, and the
-// parent is none the worse; what waits for the child ends with it.
+// A child whose deadline is before its parent's must be answered at its own deadline, together with the jobs that
+// depend on it. The parent and its other children must not be affected.
 func TestChildEndsBeforeItsParent(t *testing.T) {
 	r := newDeferredRig(t)
 	p := r.arrive("p", "unsafe", 2*time.Second)
@@ -61,19 +61,19 @@
 	r.wantAnswer(c, 503)
 	r.wantAnswer(g, 503)
 	if p.inFlight == nil || len(other.answers) > 0 {
-		t.Fatal("the end of the child disturbed others")
+		t.Fatal("the end of the child affected its parent or another child")
 	}
 	r.finishJob(p, balance.Served)
 	r.finishJob(other, balance.Served)
 	r.wantAnswer(p, 200)
 	r.wantAnswer(other, 200)
 	if s := r.Deferred.Stats(); s.Waiting != 0 || s.Bytes != 0 {
-		t.Errorf("left behind: %+v", s)
+		t.Errorf("jobs are still deferred: %+v", s)
 	}
 }
 
-// Nothing that waits survives a restart: the stop answers it, and the next life
-// knows neither the parent nor that it was served. Both may come again.
+// Deferred jobs do not survive a restart: a stop must answer them with 503. The next process does not know earlier
+// parents, so a child gets 503 unless its parent arrives as well.
 func TestRestartWhileWaiting(t *testing.T) {
 	r := newDeferredRig(t)
 	r.arrive("p", "unsafe", time.Hour)
@@ -98,15 +98,14 @@
 	next.wantAnswer(c, 200)
 }
 
-// What waits has filled its memory, or named more ids that never come than are
-// remembered: the next one is rejected at once and honestly, jobs that wait for
-// nothing go as ever, and when the flood is over nothing of it is left.
+// When deferred jobs reach the limit of bytes, of jobs or of unknown parents, the next one must be rejected with
+// 503 at once. Jobs without dependencies must be served as before, and nothing may remain after the flood.
 func TestFloodOfDeferredJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits func(*deferred.Limits)
 		after  func(i int) string
 		fit    int
-		ends   time.Duration // of those that were taken
+		ends   time.Duration // until the admitted jobs are answered
 	}{
 		"bytes":     {func(l *deferred.Limits) { l.Bytes = 100 * requestOverheadBytes }, func(int) string { return "parent" }, 100, 4 * time.Second},
 		"jobs":      {func(l *deferred.Limits) { l.Jobs = 100 }, func(int) string { return "parent" }, 100, 4 * time.Second},
@@ -122,7 +121,7 @@
 		}
 		for i, j := range all {
 			if taken := len(j.answers) == 0; taken != (i < c.fit) || !taken && j.answers[0] != 503 {
-				t.Fatalf("%s: job %d: answers %v at once", name, i, j.answers)
+				t.Fatalf("%s: job %d: answers %v on arrival, want none within the limit and then [503]", name, i, j.answers)
 			}
 		}
 		for i := range 50 {
@@ -136,16 +135,15 @@
 			r.wantAnswer(j, 503)
 		}
 		if s := r.Deferred.Stats(); s.Waiting+s.UnknownParents != 0 || s.Bytes != 0 || s.Ended > r.Deferred.RetainedOutcomes {
-			t.Errorf("%s: left behind: %+v", name, s)
+			t.Errorf("%s: deferred jobs or outcomes remain: %+v", name, s)
 		}
 		r.finishJob(parent, balance.Served)
 		r.wantAnswer(parent, 200)
 	}
 }
 
-// What waits is shown by stage, class and tenant, with the age of the oldest; a
-// promise that comes with a reload binds from then on, and one that is taken
-// back binds no more.
+// Stats must report waiting jobs by stage, class and tenant, with the age of the oldest. A promised wait applies
+// from the reload that adds it until the reload that removes it.
 func TestStatsAndMaxWaits(t *testing.T) {
 	r := newDeferredRig(t)
 	r.Depths = deferred.NewDepths()
@@ -163,7 +161,7 @@
 	f := r.stats()
 	if len(f.Depths) != 2 || f.Depths[0].Stage != deferred.StageDeferred || f.Depths[0].Jobs != 1 || f.Depths[1].Jobs != 21 ||
 		f.Depths[1].Class != "unsafe" || f.Depths[1].Tenant != "acme" || f.Depths[1].Oldest < 0.2 || f.Depths[1].Oldest > 0.22 {
-		t.Fatalf("%+v", f.Depths)
+		t.Fatalf("depths %+v, want 1 deferred job and 21 queued ones, the oldest for 0.2 s", f.Depths)
 	}
 	declined := func() (n int) {
 		r.advance(8 * time.Millisecond)
@@ -178,17 +176,17 @@
 	arriveTwenty("c")
 	before := declined()
 	if before == 0 || before == 20 {
-		t.Errorf("%d of 20 were refused as they came", before)
+		t.Errorf("%d of 20 jobs were rejected on arrival, want some but not all", before)
 	}
 	if f = r.stats(); len(f.FirstAttempts) != 1 || f.FirstAttempts[0].Declined != uint64(before) || f.FirstAttempts[0].Sent != 0 {
-		t.Errorf("%+v", f.FirstAttempts)
+		t.Errorf("first attempts %+v, want the rejected jobs as declined and none sent", f.FirstAttempts)
 	}
 	r.handle(maxWaitsChanged{nil})
 	arriveTwenty("d")
 	if n := declined(); n != before {
-		t.Errorf("%d were refused after the promise was taken back", n-before)
+		t.Errorf("%d jobs were rejected after the promised wait was removed, want 0", n-before)
 	}
-	r.advance(time.Second) // nobody has capacity: the promise is broken, and that shows
+	r.advance(time.Second) // no worker has capacity, so the promised wait is exceeded
 	r.reportFreeSlots(1e6)
 	for range 40 {
 		for _, h := range r.attempts {
@@ -199,9 +197,9 @@
 	}
 	f = r.stats()
 	if len(f.Depths) > 0 {
-		t.Errorf("%+v", f.Depths)
+		t.Errorf("depths %+v after all jobs were served, want none", f.Depths)
 	}
 	if h := f.FirstAttempts[len(f.FirstAttempts)-1]; h.Class != "unsafe" || h.Late != uint64(20-before) || h.Longest < 1 {
-		t.Errorf("%+v, want %d late", h, 20-before)
+		t.Errorf("first attempts %+v, want class unsafe with %d late and the longest wait at least 1 s", h, 20-before)
 	}
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -27,7 +27,7 @@
 const cachedListJSON = `{"seq":1,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"active"},
  {"host":"b","dial":"1:2","site":"z","class":"k","health":"active"}]}`
 
-// rig is a dispatcher whose clock, sockets and posts are the test's.
+// rig is a dispatcher whose clock, sockets and turns are controlled by the test.
 type rig struct {
 	*Dispatcher
 	t            *testing.T
@@ -37,32 +37,32 @@
 	healthChecks []func(upstream.AttemptEvent)
 
 	watches            chan watchCall
-	startDelay         time.Duration // of the next jobs
-	expectedUsage      float64       // attempts that were started and not proved unrun
+	startDelay         time.Duration // delay of the next jobs
+	expectedUsage      float64       // attempts that were started, except those proved never to have run
 	usage              usageCounter
-	closeIdleCalls     int // looks at idle connections
-	openConns          int // connections
-	stopAcceptingCalls int // how often the listener was
+	closeIdleCalls     int // calls of CloseIdle
+	openConns          int // open client connections
+	stopAcceptingCalls int // calls of StopAccepting
 	closedIdleTo       []string
 	attemptRequests    []*upstream.AttemptRequest
-	attemptAddrs       []string // to which they went
+	attemptAddrs       []string // worker addresses of attemptRequests
 }
 
-// usageCounter adds up what the loop counts.
+// usageCounter is a UsageRecorder that adds up what the loop records.
 type usageCounter struct{ arrivals, netSlots float64 }
 
 func (c *usageCounter) RecordArrival(string)                 { c.arrivals++ }
 func (c *usageCounter) RecordStart(_ string, slots float64)  { c.netSlots += slots }
 func (c *usageCounter) RecordRefund(_ string, slots float64) { c.netSlots -= slots }
 
-// watchCall is a watch that was asked for.
+// watchCall is a call of Options.Watch.
 type watchCall struct {
 	discovery string
 	seq       int64
 	ctx       context.Context
 }
 
-// jobModel is a request as the rules see it.
+// jobModel is the state of a request by which the rig checks the rules.
 type jobModel struct {
 	req          *downstream.Request
 	sentAt       time.Time
@@ -78,11 +78,11 @@
 	request       *upstream.AttemptRequest
 	notify        func(upstream.AttemptEvent)
 	addr          string
-	workerChanged bool // discovery has told something of its worker since
+	workerChanged bool // its worker's endpoint has changed since
 	done          bool
 }
 
-// Abandon is how the dispatcher ends an attempt.
+// Abandon ends the attempt for the dispatcher. Its job may have run.
 func (h *attemptModel) Abandon() { h.end(true) }
 
 func (h *attemptModel) end(mayRan bool) {
@@ -101,11 +101,11 @@
 	}
 	switch {
 	case j.inFlight != nil:
-		r.t.Fatalf("%s: two attempts out at once", o.ID)
+		r.t.Fatalf("%s: two attempts in flight at once", o.ID)
 	case len(j.answers) > 0 || j.disconnected || j.req.Disconnected():
-		r.t.Fatalf("%s: sent after its end", o.ID)
+		r.t.Fatalf("%s: sent after its answer or its client's disconnection", o.ID)
 	case j.req.Class == "unsafe" && j.mayHaveRun:
-		r.t.Fatalf("%s: sent again though it may have run", o.ID)
+		r.t.Fatalf("%s: sent again although it may have run", o.ID)
 	case j.attempts == 3:
 		r.t.Fatalf("%s: a fourth attempt", o.ID)
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	if at := j.sentAt.Add(j.req.Delay); at.After(r.now) {
-		r.t.Fatalf("%s: sent %v before its time", o.ID, at.Sub(r.now))
+		r.t.Fatalf("%s: sent %v before its start time", o.ID, at.Sub(r.now))
 	}
 	h := &attemptModel{job: j, request: o, addr: addr, notify: notify}
 	j.inFlight, j.attempts, r.attempts = h, j.attempts+1, append(r.attempts, h)
@@ -137,7 +137,7 @@
 
 func newRig(t *testing.T) *rig { return newRigWith(t, settingsJSON, 1) }
 
-// newRigWith is a dispatcher whom discovery has told at once that nothing has changed since the cached list.
+// newRigWith returns a rig whose discovery has confirmed that the cached list is current.
 func newRigWith(t *testing.T, options string, seed uint64) *rig {
 	r := newStartingRig(t, options, seed)
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
@@ -145,7 +145,7 @@
 	return r
 }
 
-// newStartingRig is one that has just started.
+// newStartingRig returns a rig that has just started and has no answer from discovery yet.
 func newStartingRig(t *testing.T, options string, seed uint64) *rig {
 	s, err := settings.Parse([]byte(options))
 	if err != nil {
@@ -167,7 +167,7 @@
 	return r
 }
 
-// advance lets time go by in rounds, as the loop would.
+// advance lets time pass in steps of 4 ms, with a turn of the loop in each.
 func (r *rig) advance(d time.Duration) {
 	for end := r.now.Add(d); ; r.now = r.now.Add(4 * time.Millisecond) {
 		select {
@@ -199,14 +199,14 @@
 		DependsOn: after, Delay: r.startDelay, Arrived: r.now, Timeout: timeout,
 		Answer: func(a downstream.Answer) {
 			if j.answers = append(j.answers, a.Status); len(j.answers) > 1 || j.disconnected {
-				r.t.Fatalf("%s: answered %v, left %v", id, j.answers, j.disconnected)
+				r.t.Fatalf("%s: answers %v, client disconnected %v; want one answer to a connected client", id, j.answers, j.disconnected)
 			}
 			if late := r.now.Sub(j.sentAt) - j.req.Timeout; late > 16*time.Millisecond {
 				r.t.Fatalf("%s: answered %v after its deadline", id, late)
 			}
-			// A rejection says that a retry is harmless.
+			// With 503 a client may send any job again.
 			if a.Status == 503 && class != "safe" && (j.mayHaveRun || j.inFlight != nil) {
-				r.t.Fatalf("%s: refused though it may have run", id)
+				r.t.Fatalf("%s: answered 503 although it may have run", id)
 			}
 		}}
 	r.jobs = append(r.jobs, j)
@@ -216,19 +216,18 @@
 
 var outcomes = []balance.Outcome{balance.Served, balance.Failed, balance.Overloaded, balance.Unreachable, balance.ConnectionLost, balance.StaleConnection}
 
-// FuzzRequests plays random steps of clients, workers, discovery and time
-// against the rules: one answer in time for each request, one attempt at a
-// time, nothing sent that may take effect twice.
+// FuzzRequests makes random steps of clients, workers, discovery and time, and checks the rules: one timely answer to
+// each request, one attempt at a time, and no job sent again that might then take effect twice.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15})
 	f.Add([]byte{0, 3, 19, 0, 3, 35, 0, 3, 51, 0, 3, 67, 0, 3, 83, 9, 9, 9})
 	f.Add([]byte{1, 48, 112, 32, 8, 3, 9, 3, 19, 7, 49, 113, 50, 9, 25, 3})
 	f.Add([]byte{0, 16, 32, 3, 3, 6, 22, 7, 9, 25, 8, 4, 0, 10, 3, 9, 9})
-	f.Add([]byte{0, 1, 2, 8, 26, 15, 31, 47, 8, 9, 42, 15, 31, 47, 8, 9})           // a worker drains during an attempt, and leaves
-	f.Add([]byte{0, 1, 2, 8, 151, 15, 31, 47, 3, 199, 15, 8, 9, 135, 15, 31, 9, 9}) // clients leave behind a decision
+	f.Add([]byte{0, 1, 2, 8, 26, 15, 31, 47, 8, 9, 42, 15, 31, 47, 8, 9})           // a worker drains during an attempt, then leaves
+	f.Add([]byte{0, 1, 2, 8, 151, 15, 31, 47, 3, 199, 15, 8, 9, 135, 15, 31, 9, 9}) // clients disconnect after a decision
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := newRig(t)
-		if len(data) > 0 && data[0]%2 == 1 { // jobs may wait for others, before and after them, and for a time
+		if len(data) > 0 && data[0]%2 == 1 { // jobs may depend on earlier or later ones, or have a start time
 			r.Deferred = deferred.New(deferred.Limits{Jobs: 10, Bytes: 1 << 20, Parents: 3, Depth: 4, UnknownParents: 3, UnknownParentGrace: 0.5, Retention: 5, RetainedOutcomes: 9})
 		}
 		wiretest.Steps(data, 200, func(b byte) {
@@ -257,25 +256,25 @@
 				if len(r.attempts) > 0 {
 					r.attempts[arg%len(r.attempts)].notify(upstream.AttemptEvent{})
 				}
-			case 7: // a client leaves
+			case 7: // a client disconnects
 				if len(r.jobs) > 0 {
 					if j := r.jobs[arg%len(r.jobs)]; len(j.answers) == 0 && !j.disconnected {
-						if j.req.MarkDisconnected(); arg >= 8 { // the loop decides before it handles that
+						if j.req.MarkDisconnected(); arg >= 8 { // the loop decides before it handles the disconnection
 							r.advance(4 * time.Millisecond)
 						}
 						j.disconnected = true
 						r.handle(clientDisconnected{j.req})
 						if j.inFlight != nil {
-							t.Fatal("the hop of a client that left stays out")
+							t.Fatal("the attempt of a disconnected client stays in flight")
 						}
 					}
 				}
-			case 15: // an attempt has got its connection, and looks once more
+			case 15: // an attempt has its connection and calls Blocked
 				if len(r.attempts) > 0 {
 					h := r.attempts[arg%len(r.attempts)]
 					blocked := h.request.Blocked()
 					if (h.job.req.Disconnected() || h.workerChanged) && blocked == "" {
-						t.Fatalf("a request goes out: client left %v, worker changed %v", h.job.req.Disconnected(), h.workerChanged)
+						t.Fatalf("an attempt is not blocked: client disconnected %v, worker changed %v", h.job.req.Disconnected(), h.workerChanged)
 					}
 					if !h.done && blocked != "" {
 						r.expectedUsage--
@@ -299,13 +298,13 @@
 				}
 			case 11:
 				r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
-			case 12: // an id that is held already must not disturb the first, nor run again one that was answered
+			case 12: // a repeated id must neither disturb the first request nor run it again
 				if len(r.jobs) > 0 {
 					status := 0
 					r.handle(requestArrived{&downstream.Request{ID: r.jobs[len(r.jobs)-1].req.ID, Class: "safe",
 						Answer: func(a downstream.Answer) { status = a.Status }}})
 					if status != 409 && (status != 503 || r.Phases.Now() < Closing) {
-						t.Fatalf("a repeated id got %d", status)
+						t.Fatalf("a repeated id was answered %d, want 409, or 503 from Closing on", status)
 					}
 				}
 			case 13:
@@ -324,29 +323,29 @@
 			}
 			r.attempts = live
 			if r.usage.netSlots != r.expectedUsage {
-				t.Fatalf("%v slots counted, %v may have run", r.usage.netSlots, r.expectedUsage)
+				t.Fatalf("%v slots counted, want %v, as many as may have run", r.usage.netSlots, r.expectedUsage)
 			}
 		})
 		r.advance(2 * time.Second)
 		for _, j := range r.jobs {
 			if len(j.answers) == 0 && !j.disconnected || j.inFlight != nil {
-				t.Fatalf("%s: answers %v, left %v, out %v after its deadline", j.req.ID, j.answers, j.disconnected, j.inFlight != nil)
+				t.Fatalf("%s: answers %v, client disconnected %v, in flight %v after its deadline", j.req.ID, j.answers, j.disconnected, j.inFlight != nil)
 			}
 		}
 		if len(r.requests) > 0 {
-			t.Fatalf("%d requests are still held", len(r.requests))
+			t.Fatalf("%d requests are still held, want 0", len(r.requests))
 		}
 		if r.Deferred != nil && (r.Deferred.Stats().Waiting > 0 || r.Deferred.Pending() > 0) {
-			t.Fatalf("left waiting: %+v", r.Deferred.Stats())
+			t.Fatalf("jobs are still deferred: %+v", r.Deferred.Stats())
 		}
 	})
 }
 
-// A stop is followed by answers for all, in the drain's time, and by the end.
+// After a stop all requests must be answered within the drain time, and then the loop must end.
 func TestDrain(t *testing.T) {
 	r := newRig(t)
 	if !r.Phases.Ready() {
-		t.Fatalf("phase %v with a known list", r.Phases.Now())
+		t.Fatalf("phase %v with an endpoint list, want ready", r.Phases.Now())
 	}
 	a := r.arrive("a", "unsafe", time.Hour)
 	r.advance(20 * time.Millisecond)
@@ -359,28 +358,28 @@
 	}
 	r.handle(stopRequested{r.clock()})
 	r.advance(1900 * time.Millisecond)
-	// The others may not be back yet: clients stay, though no new ones are wanted.
+	// Other processes may not be back yet: clients keep their connections, though new clients are not accepted.
 	if r.Phases.Now() != Retiring || r.Phases.Ready() || r.Phases.Ending() {
-		t.Fatalf("phase %v, ready %v, ending %v soon after a stop", r.Phases.Now(), r.Phases.Ready(), r.Phases.Ending())
+		t.Fatalf("phase %v, ready %v, ending %v 1.9 s after a stop; want retiring, false, false", r.Phases.Now(), r.Phases.Ready(), r.Phases.Ending())
 	}
 	r.advance(1500 * time.Millisecond)
 	if r.Phases.Now() != Draining || len(a.answers) > 0 {
-		t.Fatalf("phase %v, answers %v before the drain's time is over", r.Phases.Now(), a.answers)
+		t.Fatalf("phase %v, answers %v before the drain time is over; want draining and none", r.Phases.Now(), a.answers)
 	}
 	r.advance(200 * time.Millisecond)
 	if len(a.answers) != 1 || a.answers[0] == 503 || a.inFlight != nil {
-		t.Fatalf("answers %v: what may have run must fail, not be refused", a.answers)
+		t.Fatalf("answers %v: a job that may have run must fail and must not get 503", a.answers)
 	}
 	r.advance(300 * time.Millisecond)
 	if r.Phases.Now() != Stopped {
-		t.Fatalf("phase %v at the end", r.Phases.Now())
+		t.Fatalf("phase %v at the end, want stopped", r.Phases.Now())
 	}
 	if r.Phases.Enter(Serving) {
-		t.Error("a phase was entered again")
+		t.Error("Serving was entered after Stopped")
 	}
 }
 
-// A watch that another has replaced has no say: its end must not undo the new one.
+// Events of a replaced watch must be ignored: its end must not affect the new watch.
 func TestReplacedWatchIsIgnored(t *testing.T) {
 	r := newRig(t)
 	r.startWatch()
@@ -390,13 +389,13 @@
 	r.handle(endpointEvent{watchID: old, err: context.Canceled})
 	r.handle(endpointEvent{watchID: old, update: &endpoints.Update{Seq: 9, Complete: true}})
 	if len(r.pendingEvents) > 0 || r.endpoints.Seq != 1 || r.endpoints.Len() != 2 {
-		t.Errorf("got %v from a replaced watch, version %d", r.pendingEvents, r.endpoints.Seq)
+		t.Errorf("got events %v from a replaced watch and version %d, want none and 1", r.pendingEvents, r.endpoints.Seq)
 	}
 }
 
-// Where lists are pushed too, what a watch misses binds 6 s after it could be had. The next call goes out
-// at once after a watch that was open for long, and within 2.8 s after one that failed at once, so that it
-// has 3.1 s left; those of many dispatchers not all at once.
+// If a watch misses a change of the endpoint list, dispatchers must comply with it within 6 s, also if lists are
+// pushed. So the next call must start at once after a watch that was open for long, and within 2.8 s after one that
+// failed at once, which leaves 3.1 s for the call. Calls of many dispatchers must be spread over time.
 func TestWatchRetryDelay(t *testing.T) {
 	for _, c := range []struct {
 		lasted, min, max time.Duration
@@ -414,17 +413,17 @@
 			}
 			took := r.now.Sub(from)
 			if times[took] = true; took < c.min || took > c.max {
-				t.Errorf("seed %d: asked again %v after a call that lasted %v, want %v to %v", seed, took, c.lasted, c.min, c.max)
+				t.Errorf("seed %d: called again %v after a watch that lasted %v, want %v to %v", seed, took, c.lasted, c.min, c.max)
 			}
 		}
 		if len(times) < 10 {
-			t.Errorf("30 dispatchers ask again after %d different times, want them spread", len(times))
+			t.Errorf("30 dispatchers call again after only %d different times, want at least 10", len(times))
 		}
 	}
 }
 
-// A call that is out is not given up for another to the same discovery, which would cost it twice: neither
-// for one that was due when a new configuration came, nor when the scheduler asks by itself.
+// A pending call must not be replaced by another call to the same discovery, which would double discovery's work:
+// neither by a retry that was due when discovery's address changed, nor by a subscription of the scheduler.
 func TestDiscoveryIsCalledOnce(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for seed := range uint64(10) {
@@ -434,71 +433,71 @@
 			}
 			r.advance(10 * time.Millisecond)
 			wiretest.Get(t, r.watches, "the first watch")
-			r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded}) // another is due
+			r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded}) // a retry is due
 			r.advance(10 * time.Millisecond)
 			r.handle(discoveryChanged{"new"})
 			w := wiretest.Get(t, r.watches, "the new watch")
 			id := r.watchID
 			r.advance(3 * time.Second)
 			if r.watchID != id || w.ctx.Err() != nil {
-				t.Fatalf("%s, seed %d: %d more calls while one is out", mode, seed, r.watchID-id)
+				t.Fatalf("%s, seed %d: %d more calls while one is pending, want 0", mode, seed, r.watchID-id)
 			}
 			r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 2}})
 			r.advance(20 * time.Second)
 			if r.watchID != id || w.ctx.Err() != nil {
-				t.Fatalf("%s, seed %d: %d more calls though the watch is open", mode, seed, r.watchID-id)
+				t.Fatalf("%s, seed %d: %d more calls while the watch is open, want 0", mode, seed, r.watchID-id)
 			}
 			r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
 			r.advance(200 * time.Millisecond)
 			if r.watchID != id+1 {
-				t.Fatalf("%s, seed %d: asked for %d times when the watch ended", mode, seed, r.watchID-id)
+				t.Fatalf("%s, seed %d: %d calls after the watch ended, want 1", mode, seed, r.watchID-id)
 			}
 		}
 	}
 }
 
-// A new address of discovery's is watched at once, from what is held on, and
-// the old one never again. What is held goes on, in every phase.
+// After Redirect the loop must watch the new address at once, from its present version on, and never the old address
+// again. Requests and the endpoint list must be kept, in every phase.
 func TestRedirect(t *testing.T) {
 	r := newRig(t)
-	old := wiretest.Get(t, r.watches, "the first watch, which the module asks for at once")
+	old := wiretest.Get(t, r.watches, "the first watch, which the scheduler requests at once")
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 	r.handle(discoveryChanged{"new"})
 	w := wiretest.Get(t, r.watches, "the new watch")
 	if old.discovery != "old" || w.discovery != "new" || w.seq != 1 {
-		t.Errorf("watches %q, then %q from %d on", old.discovery, w.discovery, w.seq)
+		t.Errorf("watches at %q, then at %q from version %d on; want old, new, 1", old.discovery, w.discovery, w.seq)
 	}
 	<-old.ctx.Done()
 	r.handle(discoveryChanged{"new"})
 	r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 	r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
 	r.advance(3 * time.Second)
-	if w = wiretest.Get(t, r.watches, "the watch that is asked for again"); w.discovery != "new" || len(r.watches) > 0 {
-		t.Errorf("asked again at %q, and %d times more", w.discovery, len(r.watches))
+	if w = wiretest.Get(t, r.watches, "the next watch"); w.discovery != "new" || len(r.watches) > 0 {
+		t.Errorf("next watch at %q, and %d more; want new and 0", w.discovery, len(r.watches))
 	}
 	a := r.arrive("a", "safe", 100*time.Second)
 	r.handle(stopRequested{r.clock()})
 	r.handle(discoveryChanged{"newer"})
 	r.advance(0)
 	if w = wiretest.Get(t, r.watches, "a watch while draining"); w.discovery != "newer" || len(a.answers) > 0 || r.endpoints.Len() != 2 {
-		t.Errorf("watch at %q, answers %v, %d targets", w.discovery, a.answers, r.endpoints.Len())
+		t.Errorf("watch at %q, answers %v, %d workers; want newer, none, 2", w.discovery, a.answers, r.endpoints.Len())
 	}
 }
 
-// Ids are remembered for their span at least, and not without bound.
+// Ids must be remembered for at least the retention time, and their number must be bounded.
 func TestRecentIDs(t *testing.T) {
 	r := newRecentIDs(10, 0)
 	if !r.add("a", 1) || r.add("a", 1) || r.add("a", 10.5) || !r.add("b", 11) || r.add("a", 20) {
-		t.Error("an id was forgotten within its span, or never known")
+		t.Error("an id was forgotten within the retention time, or a new id was not reported as new")
 	}
 	if !r.add("c", 22) || !r.add("a", 33) {
-		t.Error("an id is never forgotten")
+		t.Error("an id was not forgotten long after the retention time")
 	}
 	for n := range 5 * maxRecentIDs {
 		r.add(fmt.Sprint(n), 34)
 	}
 	if all := len(r.current) + len(r.previous); all > 2*maxRecentIDs {
-		t.Errorf("%d ids are remembered", all)
+		t.Errorf("%d ids are remembered, more than two generations hold", all)
 	}
 }
 
@@ -510,7 +509,8 @@
 	}
 }
 
-// A new configuration may change who keeps the watch. One goes on being kept, and one call at a time is made.
+// A reload may change whether the loop or the scheduler keeps the watch open. There must still be a watch, and one
+// call at a time.
 func TestModeChangesWhileTheWatchIsDown(t *testing.T) {
 	for from, to := range map[string]string{"pushed": "on_request", "on_request": "pushed"} {
 		for _, state := range []string{"down", "asking", "open"} {
@@ -547,8 +547,8 @@
 	}
 }
 
-// A process that starts on no list at all asks for one at once, whoever asks; nothing else would make the
-// module take its first step, as no client comes before it is ready.
+// A process that starts without any list must call discovery at once, whether the loop or the scheduler does so.
+// Nothing else would cause the scheduler's first step, as no client connects before the process is ready.
 func TestStartWithoutList(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		s, err := settings.Parse([]byte(strings.Replace(settingsJSON, "on_request", mode, 1)))
--- a/internal/dispatcher/effectiveconfig_test.go
+++ b/internal/dispatcher/effectiveconfig_test.go
@@ -10,7 +10,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// configModel has one configuration before a moment and another from then on.
+// configModel is a ConfigSource with one configuration before changesAt and another from then on.
 type configModel struct {
 	changesAt     time.Time
 	before, after *EffectiveConfig
@@ -34,8 +34,8 @@
 	return &s
 }
 
-// What a lapsed lease forbids is not done, though nothing was posted to the loop and the
-// end of an attempt waits in its queue: a job that may have run does not go out again.
+// A lease lapses without a message to the loop, while the end of an attempt is already queued. The loop must decide
+// by the configuration without the lease: a job that may have run must not be sent again.
 func TestEffectiveConfigFollowsTheClock(t *testing.T) {
 	for _, lapses := range []bool{false, true} {
 		r := newRig(t)
@@ -44,9 +44,9 @@
 		r.ConfigSource = m
 		j := r.startJob("1", "safe")
 		if len(m.acknowledged) != 1 || m.acknowledged[0] != m.before {
-			t.Fatalf("took %v", m.acknowledged)
+			t.Fatalf("acknowledged %v, want the first configuration", m.acknowledged)
 		}
-		if lapses { // as a process that is stopped finds it
+		if lapses { // as after a suspension of the process
 			m.changesAt = r.now
 		}
 		j.inFlight.end(true)
@@ -60,16 +60,16 @@
 		}
 		r.advance(100 * time.Millisecond)
 		if again := len(r.attemptRequests) > 0; again == lapses {
-			t.Errorf("lapses %v: sent again %v, answers %v", lapses, again, j.answers)
+			t.Errorf("lease lapses %v: sent again %v, answers %v", lapses, again, j.answers)
 		}
 		if lapses && (len(m.acknowledged) != 2 || m.acknowledged[1] != m.after) {
-			t.Errorf("took %v", m.acknowledged)
+			t.Errorf("acknowledged %v, want both configurations", m.acknowledged)
 		}
 	}
 }
 
-// An attempt that is under way when the agreed configuration changes stops before its first byte if its worker is
-// cordoned by now, or if it is a repeat.
+// An attempt that waits for its connection when the agreed configuration changes must be blocked before its first byte
+// if its worker is now cordoned or if it is a retry.
 func TestConfigBlocksAttemptsUnderWay(t *testing.T) {
 	r := newRig(t)
 	unchanged := func(s *settings.Settings) *settings.Settings { return s }
@@ -82,21 +82,21 @@
 		got := []balance.Outcome{r.checkSend("a", false, decidedBy), r.checkSend("b", false, decidedBy), r.checkSend("b", true, decidedBy)}
 		for i := range want {
 			if got[i] != want[i] {
-				t.Errorf("blocked: %v, want %v", got, want)
+				t.Errorf("checkSend returned %v, want %v", got, want)
 			}
 		}
 	}
 	wantOutcomes("", "", "")
 	m.changesAt = r.now
-	wantOutcomes(balance.Unreachable, "", balance.Blocked) // what may not be repeated does not have b checked
+	wantOutcomes(balance.Unreachable, "", balance.Blocked) // Blocked is no evidence against worker b
 	r.advance(20 * time.Millisecond)
 	if !r.cordoned["a"] || r.cordoned["b"] {
-		t.Errorf("the module was told that %v are left out", r.cordoned)
+		t.Errorf("cordoned workers %v, want only a", r.cordoned)
 	}
 }
 
-// Changes that wait for the next step when the agreed configuration changes were made by the former one: they do
-// not come into force after it. A reload and a worker that operators take back come in the same turn here.
+// Changes that are pending when the agreed configuration changes were derived from the former configuration, and must
+// not come into force after the new one. Here a reload and an uncordon by operators are pending in the same turn.
 func TestConfigAppliesAfterEarlierDecisions(t *testing.T) {
 	r := newRig(t)
 	m := &configModel{changesAt: r.now.Add(time.Hour), before: &EffectiveConfig{Override: func(s *settings.Settings) *settings.Settings { return s }},
@@ -116,7 +116,7 @@
 		case balance.ConfigChanged:
 			for _, c := range e.Config.Classes {
 				if c.Idempotence != balance.NonIdempotent {
-					t.Errorf("class %s is %s by the last settings that are told", c.Name, c.Idempotence)
+					t.Errorf("class %s is %s in a pending configuration, want the agreed one", c.Name, c.Idempotence)
 				}
 			}
 		case balance.Cordon:
@@ -124,12 +124,12 @@
 		}
 	}
 	if !out || !r.cordoned["a"] {
-		t.Errorf("the last word to the module is that a is out: %v, events %v", out, r.pendingEvents)
+		t.Errorf("last cordon event excludes a: %v, want true; events %v", out, r.pendingEvents)
 	}
 }
 
-// An agreed configuration that can't be used with the settings is not acknowledged, and is tried again when the
-// settings change.
+// An agreed configuration that cannot be used with the settings must not be acknowledged, and must be tried
+// again when the settings change.
 func TestUnusableConfigIsNotAcknowledged(t *testing.T) {
 	r := newRig(t)
 	worth := -1.0
@@ -144,17 +144,17 @@
 	m.changesAt = r.now
 	r.advance(8 * time.Millisecond)
 	if len(m.acknowledged) != 1 || r.effectiveConfig != m.before {
-		t.Errorf("took %d rulings", len(m.acknowledged))
+		t.Errorf("acknowledged %d configurations, want 1 and the first in force", len(m.acknowledged))
 	}
 	worth = 1
 	r.ApplySettings(r.Settings)
 	r.advance(8 * time.Millisecond)
 	if len(m.acknowledged) != 2 || r.effectiveConfig != m.after {
-		t.Errorf("took %d rulings once they fit", len(m.acknowledged))
+		t.Errorf("acknowledged %d configurations after the reload, want 2 and the second in force", len(m.acknowledged))
 	}
 }
 
-// stubScheduler counts its steps and adds an action of its own to each.
+// stubScheduler counts its steps and adds a Reject action to the result of each.
 type stubScheduler struct {
 	*balance.Balancer
 	steps int
@@ -165,16 +165,16 @@
 	return append(x.Balancer.Step(now, events), balance.Reject{ID: "1", RetryAfter: 1})
 }
 
-// Another scheduler stands between the loop and its Balancer, and takes a step when it is woken.
+// A scheduler that wraps the Balancer must take a step after Wake.
 func TestSchedulerIsWoken(t *testing.T) {
 	r := newRig(t)
 	x := &stubScheduler{Balancer: r.scheduler.(*balance.Balancer)}
 	r.scheduler = x
 	j := r.arrive("1", "safe", time.Second)
-	r.pendingEvents = nil // nothing of it comes to the Balancer
+	r.pendingEvents = nil // the Balancer does not see the request
 	r.Wake()
 	r.advance(8 * time.Millisecond)
 	if x.steps == 0 || len(j.answers) != 1 || j.answers[0] != 503 {
-		t.Errorf("%d steps, answers %v", x.steps, j.answers)
+		t.Errorf("%d steps, answers %v; want at least 1 step and [503]", x.steps, j.answers)
 	}
 }
--- a/internal/dispatcher/reload_test.go
+++ b/internal/dispatcher/reload_test.go
@@ -14,7 +14,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// reload puts other settings into force: the rig's own with replacements.
+// reload applies the rig's settings with replacements.
 func (r *rig) reload(oldnew ...string) {
 	r.t.Helper()
 	s, err := settings.Parse([]byte(strings.NewReplacer(oldnew...).Replace(settingsJSON)))
@@ -25,22 +25,22 @@
 	r.advance(4 * time.Millisecond)
 }
 
-// Who keeps the watch open changes with the settings. Whatever it stands at then, one is open soon
-// behind a change, and is asked for again when it ends.
+// A reload changes whether the loop or the scheduler keeps the watch open, while the watch is open or has ended. Soon
+// after the reload a watch must be open, and it must be started again when it ends.
 func TestReloadOfEndpointMode(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		r := newRig(t)
-		wiretest.Get(t, r.watches, "the module's watch")
+		wiretest.Get(t, r.watches, "the scheduler's watch")
 		r.handle(endpointEvent{watchID: r.watchID, update: &endpoints.Update{Seq: 1}})
 		for _, mode := range []string{"pushed", "on_request", "pushed"} {
-			id := r.watchID // the next may be asked for at once
+			id := r.watchID // the next watch may start at once
 			if ended {
 				r.handle(endpointEvent{watchID: r.watchID, err: context.DeadlineExceeded})
 				r.advance(4 * time.Millisecond)
 			}
 			r.reload("on_request", mode)
 			if r.advance(4 * time.Second); ended == (r.watchID == id) || len(r.watches) > 1 {
-				t.Fatalf("%s, with the watch ended %v: asked %d times", mode, ended, r.watchID-id)
+				t.Fatalf("%s, watch ended %v: %d watches started", mode, ended, r.watchID-id)
 			}
 			if ended {
 				wiretest.Get(t, r.watches, mode+": a watch")
@@ -50,8 +50,8 @@
 	}
 }
 
-// A report that was asked for by the fields before a reload has its values in their order: behind the
-// reload it would be read as something else.
+// A load report that was requested before a reload has its values in the order of the former fields. If the reload
+// changes the fields, the report must be dropped, as its values would be taken for those of other fields.
 func TestLoadReportAfterReload(t *testing.T) {
 	for _, c := range []struct {
 		fields string
@@ -62,7 +62,7 @@
 		r.execute(r.clock(), balance.HealthCheck{Worker: "a"})
 		s, err := settings.Parse([]byte(strings.Replace(settingsJSON, `["x0"]`, c.fields, 1)))
 		if err != nil || len(r.healthChecks) == 0 || j.inFlight == nil {
-			t.Fatalf("%v, %d probes, out %v", err, len(r.healthChecks), j.inFlight != nil)
+			t.Fatalf("error %v, %d health checks, attempt in flight %v", err, len(r.healthChecks), j.inFlight != nil)
 		}
 		r.handle(settingsChanged{s})
 		r.pendingEvents = nil
@@ -81,21 +81,21 @@
 				continue
 			}
 			if seen++; (report != nil) != c.counts {
-				t.Errorf("fields %s behind [x0]: %T told of %v", c.fields, e, report)
+				t.Errorf("fields %s after [x0]: %T carries report %v", c.fields, e, report)
 			}
 		}
 		if seen != 2 {
-			t.Errorf("%d ends of a probe and an attempt", seen)
+			t.Errorf("got %d ends of a health check and an attempt, want 2", seen)
 		}
 	}
 }
 
-// A reload to a shorter grace has deadlines looked at by the tick that goes with it.
+// After a reload with a shorter answer grace, the timers must use the shorter tick that goes with it.
 func TestReloadOfAnswerGrace(t *testing.T) {
 	r := newRig(t)
 	r.reload(`"grace_to_answer":0.016`, `"grace_to_answer":0.004`)
 	var jobs []*jobModel
-	for n := range 4 { // a millisecond from one to the next: 4 ms are one tick of the longer grace
+	for n := range 4 { // deadlines 1 ms apart, as the tick of the longer grace is 4 ms
 		j := r.arrive(fmt.Sprint(n), "unsafe", time.Duration(300+n)*time.Millisecond)
 		for r.advance(8 * time.Millisecond); j.inFlight == nil && r.now.Before(j.sentAt.Add(200*time.Millisecond)); r.advance(4 * time.Millisecond) {
 			for _, notify := range r.healthChecks {
--- a/internal/dispatcher/shutdown_test.go
+++ b/internal/dispatcher/shutdown_test.go
@@ -19,7 +19,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// runUntilStopped lets time go by until the loop is over, and returns how long that took.
+// runUntilStopped lets time pass until the loop ends, and returns how long that took.
 func (r *rig) runUntilStopped() time.Duration {
 	r.t.Helper()
 	from := r.now
@@ -30,61 +30,61 @@
 			return r.now.Sub(from)
 		}
 	}
-	r.t.Fatal("the loop does not end")
+	r.t.Fatal("the loop has not ended after 1 min")
 	return 0
 }
 
-// A loop that was held up over the drain's time, and over that for the last answers, has all that
-// is held answered before it ends.
+// If the loop is delayed past the end of the drain, or even past the time for the last answers, all requests must
+// still be answered before it ends.
 func TestLoopDelayedPastDrain(t *testing.T) {
 	for _, late := range []time.Duration{3500 * time.Millisecond, 3560 * time.Millisecond, 5 * time.Second} {
 		r := newRig(t)
-		out, waits := r.startJob("out", "unsafe"), r.arrive("waits", "unsafe", time.Hour)
+		sent, queued := r.startJob("out", "unsafe"), r.arrive("waits", "unsafe", time.Hour)
 		r.handle(stopRequested{r.clock()})
 		r.now = r.now.Add(late)
 		r.runUntilStopped()
-		if len(out.answers) != 1 || len(waits.answers) != 1 || out.answers[0] == 503 {
-			t.Errorf("held up for %v: answers %v to one that is out, %v to one that waits", late, out.answers, waits.answers)
+		if len(sent.answers) != 1 || len(queued.answers) != 1 || sent.answers[0] == 503 {
+			t.Errorf("loop delayed by %v: answers %v to a sent request, %v to a queued one", late, sent.answers, queued.answers)
 		}
 	}
 }
 
-// The time of a stop runs from the signal, not from when the loop handles it: SIGKILL's does.
+// The drain time is counted from the signal, as that of SIGKILL is, and not from when the loop handles the stop.
 func TestStopCountsFromTheSignal(t *testing.T) {
 	r := newRig(t)
 	a := r.startJob("a", "unsafe")
 	r.Stop()
-	r.now = r.now.Add(time.Second) // the loop is held up
+	r.now = r.now.Add(time.Second) // the loop is delayed
 	r.advance(2500 * time.Millisecond)
 	if len(a.answers) != 1 {
-		t.Errorf("answers %v 3.5 s after the signal", a.answers)
+		t.Errorf("answers %v 3.5 s after the signal, want one", a.answers)
 	}
 }
 
-// What comes in the moment in which nothing is open any more has to be found before the loop ends:
-// it stops the listener and looks again.
+// A connection that is accepted just when no other is open must be served before the loop ends: the loop must stop
+// accepting and then check again for open connections.
 func TestConnectionAcceptedDuringClosing(t *testing.T) {
 	r := newRig(t)
 	r.handle(stopRequested{r.clock()})
 	for n := 0; r.stopAcceptingCalls == 0 && n < 1000; n++ {
 		r.advance(4 * time.Millisecond)
 	}
-	r.openConns = 1 // Accept handed it over meanwhile
+	r.openConns = 1 // accepted just before StopAccepting
 	r.advance(4 * time.Millisecond)
 	a := r.arrive("a", "safe", time.Hour)
 	if len(a.answers) != 1 || a.answers[0] != 503 || r.Phases.Now() == Stopped || !r.Phases.Ending() {
-		t.Errorf("answers %v in phase %v", a.answers, r.Phases.Now())
+		t.Errorf("answers %v in phase %v, want [503] before stopped", a.answers, r.Phases.Now())
 	}
 	r.openConns = 0
 	if took := r.runUntilStopped(); took > 8*time.Millisecond {
-		t.Errorf("ended %v after the last connection", took)
+		t.Errorf("loop ended %v after the last connection, want at most 8 ms", took)
 	}
 	if r.stopAcceptingCalls != 1 {
-		t.Errorf("shut %d times", r.stopAcceptingCalls)
+		t.Errorf("StopAccepting was called %d times, want 1", r.stopAcceptingCalls)
 	}
 }
 
-// downstreamStub is the clients' side of a loop that runs, with something to happen when the loop looks at it.
+// downstreamStub is a Downstream without connections. It calls onCheck when the loop calls Open or Drained.
 type downstreamStub struct {
 	checks, inFlight atomic.Int64
 	stopped          atomic.Bool
@@ -103,7 +103,7 @@
 	return d.stopped.Load()
 }
 
-// startDispatcher is a dispatcher whose own loop runs; ended is closed when it is over.
+// startDispatcher starts a dispatcher with its own loop; ended is closed when the loop has ended.
 func startDispatcher(t *testing.T, in *downstreamStub) (d *Dispatcher, ended chan struct{}) {
 	t.Helper()
 	s, err := settings.Parse([]byte(settingsJSON))
@@ -126,8 +126,8 @@
 	return d, ended
 }
 
-// A request that is posted between the loop's last look and its end, while it ends, or behind it,
-// is answered: nobody may wait for a loop that is gone.
+// A request that is posted after the loop's last check of its inbox, while the loop ends, or after its end must be
+// answered, so that no client waits for a loop that has ended.
 func TestRequestArrivesAsLoopEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var d *Dispatcher
@@ -138,20 +138,20 @@
 			d.Arrive(&downstream.Request{ID: fmt.Sprint(kind, n), Class: "safe", Arrived: time.Now(), Timeout: time.Hour,
 				Answer: func(a downstream.Answer) {
 					if answered.Add(1); a.Status != 503 {
-						t.Errorf("%s: got %d", kind, a.Status)
+						t.Errorf("%s: answered %d, want 503", kind, a.Status)
 					}
 				}})
 		}
-		in.onCheck = func() { // few, as the inbox must have room: this is called on the loop
+		in.onCheck = func() { // runs on the loop, so it posts few requests, for which the inbox has room
 			if in.checks.Add(1); in.checks.Load() == 1 || in.stopped.Load() && in.checks.Load() < 100 {
-				post("last look ")
+				post("last check ")
 			}
 		}
 		d, ended := startDispatcher(t, in)
 		synctest.Wait()
 		d.Stop()
 		<-ended
-		post("behind the end ")
+		post("after the end ")
 		synctest.Wait()
 		if posted.Load() < 2 || answered.Load() != posted.Load() {
 			t.Errorf("%d of %d requests were answered", answered.Load(), posted.Load())
@@ -159,7 +159,7 @@
 	})
 }
 
-// The same with many at once, at any moment of the end.
+// Like TestRequestArrivesAsLoopEnds, with many concurrent requests at any time while the loop ends.
 func TestManyRequestsArriveAsLoopEnds(t *testing.T) {
 	d, ended := startDispatcher(t, &downstreamStub{onCheck: func() {}})
 	d.Phases.Enter(Serving)
@@ -175,7 +175,7 @@
 				select {
 				case <-answer:
 				case <-time.After(10 * time.Second):
-					t.Errorf("request %d of %d has no answer", i, n)
+					t.Errorf("request %d of client %d has no answer", i, n)
 					return
 				}
 			}
@@ -186,12 +186,12 @@
 	all.Wait()
 }
 
-// A reload behind a stop does not have it last longer, as SIGKILL's time stands, nor keep jobs past an
-// earlier one.
+// A reload after a stop must not lengthen the drain, as the time of SIGKILL is fixed, but must shorten it if the
+// longest deadline becomes shorter.
 func TestReloadAfterStop(t *testing.T) {
 	for _, c := range []struct {
-		before, behind string // the longest deadlines
-		most           time.Duration
+		before, after string // the longest deadlines, in seconds
+		most          time.Duration
 	}{{"0.5", "30", 950 * time.Millisecond}, {"30", "0.5", 950 * time.Millisecond}, {"2", "2", 2450 * time.Millisecond}} {
 		longest := func(v string) string {
 			return strings.NewReplacer(`"hard_limit":3`, `"hard_limit":`+v, `"hard_limit":2`, `"hard_limit":0.3`).Replace(settingsJSON)
@@ -200,7 +200,7 @@
 		a := r.startJob("a", "unsafe")
 		r.handle(stopRequested{r.clock()})
 		from := r.now
-		s, err := settings.Parse([]byte(longest(c.behind)))
+		s, err := settings.Parse([]byte(longest(c.after)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,15 +209,16 @@
 			r.advance(4 * time.Millisecond)
 		}
 		if took := r.now.Sub(from); took < c.most || took > c.most+20*time.Millisecond {
-			t.Errorf("deadlines of %s s, then %s s: answered after %v, want %v", c.before, c.behind, took, c.most)
+			t.Errorf("deadlines of %s s, then %s s: answered after %v, want %v", c.before, c.after, took, c.most)
 		}
 	}
 }
 
-// A stop before the first list: what is held goes out when a list comes, and all else is as in any stop.
+// After a stop before the first list, held requests must be sent when a list arrives, and the rest of the stop must
+// be as usual.
 func TestStopBeforeTheFirstList(t *testing.T) {
 	r := newRig(t)
-	for host := range r.endpoints.Hosts() { // nothing is known
+	for host := range r.endpoints.Hosts() { // no worker is known any more
 		u, _ := endpoints.Parse([]byte(`{"seq":2,"hosts":[{"host":"` + host + `","health":"left"}]}`))
 		r.handle(endpointEvent{watchID: r.watchID, update: u})
 	}
@@ -228,7 +229,7 @@
 	if r.Phases.Now() != Retiring || len(a.answers) > 0 {
 		t.Fatalf("phase %v, answers %v", r.Phases.Now(), a.answers)
 	}
-	u, _ := endpoints.Parse([]byte(strings.Replace(cachedListJSON, `"seq":1`, `"seq":3`, 1))) // an older one would open nothing
+	u, _ := endpoints.Parse([]byte(strings.Replace(cachedListJSON, `"seq":1`, `"seq":3`, 1))) // a list with an older version would not add workers
 	r.handle(endpointEvent{watchID: r.watchID, update: u})
 	r.advance(40 * time.Millisecond)
 	for _, notify := range r.healthChecks {
@@ -236,7 +237,7 @@
 	}
 	r.advance(40 * time.Millisecond)
 	if a.inFlight == nil || b.inFlight == nil {
-		t.Fatal("not sent once a list is there")
+		t.Fatal("not sent after a list arrived")
 	}
 	for _, h := range slices.Clone(r.attempts) {
 		h.end(true)
@@ -244,24 +245,24 @@
 	}
 	r.runUntilStopped()
 	if len(a.answers) != 1 || len(b.answers) != 1 || a.answers[0] != 200 || b.answers[0] != 200 {
-		t.Errorf("answers %v and %v", a.answers, b.answers)
+		t.Errorf("answers %v and %v, want [200] and [200]", a.answers, b.answers)
 	}
 }
 
-// A result that comes with the end of the drain's time, before or behind the scheduler's answers, and one
-// that comes as the loop ends: each request has one answer, a result where it was there in time.
+// A result arrives at the end of the drain: before Closing begins, while the scheduler's Shutdown event is pending, or
+// after the request was answered. Each request must get one answer, and its result if that arrived in time.
 func TestResultsAtClosing(t *testing.T) {
 	for _, c := range []struct {
 		when string
 		want int
-	}{{"before", 200}, {"told", 200}, {"answered", 502}} {
+	}{{"before", 200}, {"shutdown pending", 200}, {"answered", 502}} {
 		r := newRig(t)
 		a := r.startJob("a", "unsafe")
 		h := a.inFlight
 		r.handle(stopRequested{r.clock()})
 		served := func() {
 			if h.end(true); c.when == "answered" {
-				h.done = false // it was abandoned, and tells all the same
+				h.done = false // an abandoned attempt that still reports its result
 			}
 			h.notify(upstream.AttemptEvent{Outcome: balance.Served})
 			r.drainInbox()
@@ -274,8 +275,8 @@
 		}
 		r.now = r.now.Add(4 * time.Millisecond)
 		r.runTurn(r.clock())
-		r.advancePhase(r.clock()) // the scheduler is told by the next step
-		if c.when == "told" {
+		r.advancePhase(r.clock()) // the scheduler gets Shutdown in the next step
+		if c.when == "shutdown pending" {
 			if r.Phases.Now() != Closing || len(a.answers) > 0 {
 				t.Fatalf("phase %v, answers %v", r.Phases.Now(), a.answers)
 			}
@@ -294,7 +295,7 @@
 	}
 }
 
-// One that is drained and comes to yield goes on to close idle connections.
+// A process that starts to yield while it drains must continue to close idle connections.
 func TestYieldWhileItDrains(t *testing.T) {
 	r := newRig(t)
 	r.startJob("a", "unsafe")
@@ -304,21 +305,21 @@
 		t.Fatalf("phase %v", r.Phases.Now())
 	}
 	r.ApplyOperatorState(&handoff.OperatorState{}, false)
-	looks := r.closeIdleCalls
-	if r.advance(200 * time.Millisecond); r.closeIdleCalls < looks+3 {
-		t.Errorf("%d looks at idle connections in 0.2 s", r.closeIdleCalls-looks)
+	calls := r.closeIdleCalls
+	if r.advance(200 * time.Millisecond); r.closeIdleCalls < calls+3 {
+		t.Errorf("%d calls of CloseIdle in 0.2 s, want at least 3", r.closeIdleCalls-calls)
 	}
 }
 
-// A class that names no deadline has 60 s, also for what a stop and the memory of ids go by.
+// A class without a deadline has 60 s, which must also apply to the drain time and to the retention of ids.
 func TestStopWithoutDeadlines(t *testing.T) {
 	r := newRigWith(t, strings.NewReplacer(`"hard_limit":2,`, "", `"hard_limit":3,`, "").Replace(settingsJSON), 1)
 	a := r.startJob("a", "unsafe")
 	r.handle(stopRequested{r.clock()})
 	if r.advance(3400 * time.Millisecond); len(a.answers) > 0 {
-		t.Errorf("answers %v to one with time left", a.answers)
+		t.Errorf("answers %v before the drain time is over, want none", a.answers)
 	}
 	if r.recentIDs.retention != 60 {
-		t.Errorf("ids are remembered for %v s", r.recentIDs.retention)
+		t.Errorf("ids are remembered for %v s, want 60", r.recentIDs.retention)
 	}
 }
--- a/internal/dispatcher/start_test.go
+++ b/internal/dispatcher/start_test.go
@@ -16,13 +16,13 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// newerListJSON is what discovery lists by now: one worker of the start's list has left, another has come.
+// newerListJSON is discovery's current list: one worker of the cached list has left, another has been added.
 const newerListJSON = `{"seq":7,"whole":true,"hosts":[{"host":"a","dial":"1:1","site":"z","class":"k","health":"left"},
  {"host":"c","dial":"1:3","site":"z","class":"k","health":"active"}]}`
 
 var errUnavailable = errors.New("discovery answered 503 Service Unavailable")
 
-// answerHealthChecks has each worker that is checked report free slots.
+// answerHealthChecks answers all pending health checks with a report of free slots.
 func (r *rig) answerHealthChecks() {
 	for _, notify := range r.healthChecks {
 		notify(upstream.AttemptEvent{Outcome: balance.Served, Report: []float64{3}})
@@ -39,8 +39,8 @@
 	return u
 }
 
-// A process that was away for long starts on an old cached list. What discovery had long before binds it from its first
-// moment: nothing goes to a worker that has left meanwhile, and it is not ready before it knows.
+// A process starts with an outdated cached list after a long time. It must comply with discovery's current list from
+// the start: it must send nothing to a worker that has left, and must not be ready before discovery has answered.
 func TestStartDoesNotUseOutdatedList(t *testing.T) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		r := newStartingRig(t, strings.Replace(settingsJSON, "on_request", mode, 1), 1)
@@ -53,7 +53,7 @@
 			t.Fatalf("%s: %d calls to discovery, want one, made at once", mode, r.watchID)
 		}
 		if len(r.attemptRequests) > 0 || len(r.healthChecks) > 0 || r.Phases.Now() != Starting {
-			t.Fatalf("%s: %d hops to %v, %d probes, phase %v before discovery has told anything", mode, len(r.attemptRequests), r.attemptAddrs, len(r.healthChecks), r.Phases.Now())
+			t.Fatalf("%s: %d attempts to %v, %d health checks, phase %v before discovery has answered; want none and starting", mode, len(r.attemptRequests), r.attemptAddrs, len(r.healthChecks), r.Phases.Now())
 		}
 		r.handle(endpointEvent{watchID: r.watchID, update: parseUpdate(t, newerListJSON)})
 		for range 10 {
@@ -61,7 +61,7 @@
 			r.answerHealthChecks()
 		}
 		if r.Phases.Now() != Serving || len(r.attemptRequests) == 0 {
-			t.Fatalf("%s: phase %v, %d hops once discovery has told", mode, r.Phases.Now(), len(r.attemptRequests))
+			t.Fatalf("%s: phase %v, %d attempts after discovery has answered, want serving and some", mode, r.Phases.Now(), len(r.attemptRequests))
 		}
 		for range 10 {
 			for _, h := range r.attempts {
@@ -74,18 +74,19 @@
 			r.answerHealthChecks()
 		}
 		if slices.Contains(r.attemptAddrs, "1:1") {
-			t.Errorf("%s: hops to %v, one of which has left", mode, r.attemptAddrs)
+			t.Errorf("%s: attempts to %v include 1:1, whose worker has left", mode, r.attemptAddrs)
 		}
 		for _, j := range jobs {
 			if len(j.answers) != 1 || j.answers[0] != 200 {
-				t.Errorf("%s: %s was answered %v, it came before the list did", mode, j.req.ID, j.answers)
+				t.Errorf("%s: request %s, which arrived before the list, got answers %v, want [200]", mode, j.req.ID, j.answers)
 			}
 		}
 	}
 }
 
-// A discovery that is down notifies nobody, and the cached list is used at once. One that lets
-// a caller wait in vain is there, and is asked again; a start that never gets a word of it ends its wait all the same.
+// If discovery is down, it cannot have notified other dispatchers of a newer list, and the cached list must be used at
+// once. A discovery that rejects a caller after a long wait is up, and must be called again; a process that never gets
+// a list from it must use the cached list after 20 s.
 func TestStartWithoutDiscovery(t *testing.T) {
 	for name, c := range map[string]struct {
 		lasts time.Duration
@@ -123,14 +124,15 @@
 				want = c.lasts
 			}
 			if took < want || took > want+20*time.Millisecond {
-				t.Errorf("%s, %s: serves by the list of the start after %v, want %v", name, mode, took, want)
+				t.Errorf("%s, %s: serves with the cached list after %v, want %v", name, mode, took, want)
 			}
 		}
 	}
 }
 
-// Three hundred processes that start again at once on an old cached list, while discovery serves its callers in turn: nine
-// in ten are ready within 10 s, and none is before discovery has answered it; nor where a part of the calls is rejected.
+// 300 processes restart at once with an outdated cached list, while discovery serves its callers one after the
+// other. At least 90% must be ready within 10 s, and none before discovery has answered it, even if discovery
+// rejects some calls.
 func TestManyStartWithOutdatedList(t *testing.T) {
 	n := 300
 	if raceEnabled {
@@ -150,7 +152,7 @@
 						notified := !m.notifiedAt[i][7].IsZero()
 						m.mu.Unlock()
 						if d.Phases.Ready() && !notified {
-							t.Fatalf("%s, turned away after %v: %d is ready before it was told", mode, limit, i)
+							t.Fatalf("%s, calls rejected after %v: dispatcher %d is ready before discovery has answered it", mode, limit, i)
 						}
 					}
 				}
@@ -161,22 +163,22 @@
 					}
 				}
 				calls, rejected := s.counts()
-				t.Logf("%s, %v: %d ready, %d calls, %d turned away", mode, limit, ready, calls, rejected)
+				t.Logf("%s, maximum wait %v: %d ready, %d calls, %d rejected", mode, limit, ready, calls, rejected)
 				if ready < n*9/10 {
-					t.Errorf("%s, turned away after %v: %d of %d are ready after 10 s", mode, limit, ready, n)
+					t.Errorf("%s, calls rejected after %v: %d of %d dispatchers ready after 10 s, want nine in ten", mode, limit, ready, n)
 				}
 			})
 		}
 	}
 }
 
-// Eighty dispatchers at a discovery that bears fifteen calls a second, lets a caller wait for 2 s, and works for those as
-// well that it has rejected. That all call at once, again and again, would keep it so busy for ever that hardly anyone is
-// served: they get through at a start, and behind a reset of all watches.
+// 80 dispatchers use a discovery that can serve 15 calls a second, rejects a caller after a wait of 2 s, and spends
+// time on rejected calls too. If all of them kept calling at the same time, discovery would stay overloaded and
+// serve hardly any of them. They must all be served at the start, and again after all watches were closed.
 func TestManyCallersOfSlowDiscovery(t *testing.T) {
 	n := 80
 	if raceEnabled {
-		n = 5 // beside discovery's time for each as with all
+		n = 5 // with the service time of each call as for 80
 	}
 	for _, mode := range []string{"pushed", "on_request"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -192,9 +194,9 @@
 				}
 			}
 			calls, rejected := s.counts()
-			t.Logf("%s: %d ready after 10 s, %d calls, %d in vain", mode, ready, calls, rejected)
+			t.Logf("%s: %d ready after 10 s, %d calls, %d rejected", mode, ready, calls, rejected)
 			if ready < n*9/10 || rejected > n/2 {
-				t.Errorf("%s: %d of %d are ready after 10 s, %d calls in vain", mode, ready, n, rejected)
+				t.Errorf("%s: %d of %d dispatchers ready after 10 s, %d calls rejected", mode, ready, n, rejected)
 			}
 			time.Sleep(20 * time.Second)
 			from, before := time.Now(), calls
@@ -203,15 +205,15 @@
 			synctest.Wait()
 			calls, rejected = s.counts()
 			took := m.maxNotifyDelay(8, from)
-			t.Logf("%s: the last is told %v after the reset, %d calls, %d in vain in all", mode, took, calls-before, rejected)
+			t.Logf("%s: last dispatcher notified %v after all watches were closed, %d calls, %d rejected in total", mode, took, calls-before, rejected)
 			if took > 12*time.Second {
-				t.Errorf("%s: the last is told %v after all watches were reset, by %d calls", mode, took, calls-before)
+				t.Errorf("%s: last dispatcher notified %v after all watches were closed, with %d calls; want at most 12 s", mode, took, calls-before)
 			}
 		})
 	}
 }
 
-// Nothing of a cut-off discovery is waited for longer than a dial takes, on real waits.
+// If dials to discovery hang, a start must not wait longer than the dial timeout before it uses the cached list.
 func TestStartWithHangingDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &serialDiscovery{maxWait: 3 * time.Second, seq: 7, up: true, dialOverride: func(ctx context.Context) (net.Conn, error) {
@@ -223,7 +225,7 @@
 		time.Sleep(1400 * time.Millisecond)
 		synctest.Wait()
 		if !m.dispatchers[0].Phases.Ready() {
-			t.Errorf("phase %v 1.4 s after a start without a way to discovery", m.dispatchers[0].Phases.Now())
+			t.Errorf("phase %v 1.4 s after a start with hanging dials, want ready", m.dispatchers[0].Phases.Now())
 		}
 	})
 }
