--- a/internal/dispatcher/recentids.go
+++ b/internal/dispatcher/recentids.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// dispatchers returns all remembered ids, in no particular order.
+// all returns all remembered ids, in no particular order.
 func (r *recentIDs) all() []string {
 	return slices.AppendSeq(slices.Collect(maps.Keys(r.previous)), maps.Keys(r.current))
 }
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -133,7 +133,7 @@
 	d.downstream.StopAccepting()
 }
 
-// finishJob handles the messages that arrived while the loop ended, and ensures that no caller waits for the loop
+// finish handles the messages that arrived while the loop ended, and ensures that no caller waits for the loop
 // afterwards.
 func (d *Dispatcher) finish(now float64) {
 	d.drainInbox()
