--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Leave reports that a request's client has disconnected.
-func (d *Dispatcher) Leave(r *downstream.Request) { d.post(clientDisconnected{r}) }
+// ClientDisconnected reports that a request's client has disconnected.
+func (d *Dispatcher) ClientDisconnected(r *downstream.Request) { d.post(clientDisconnected{r}) }
 
 // Stop begins draining. The drain time is counted from the call, even if the loop handles it late, as SIGKILL
 // does not wait for the loop.
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -21,7 +21,7 @@
 }
 
 func (d *desk) Arrive(r *Request) { d.arrivals <- r }
-func (d *desk) Leave(r *Request) {
+func (d *desk) ClientDisconnected(r *Request) {
 	if !r.Disconnected() {
 		panic("told of a client's leaving that the request does not know of")
 	}
--- a/internal/downstream/serve.go
+++ b/internal/downstream/serve.go
@@ -124,7 +124,7 @@
 		}
 		return answer, nil
 	case <-clientGone: //nolint:errcheck // whatever ended it, the client is gone
-		s.handler.Leave(job)
+		s.handler.ClientDisconnected(job)
 		return Answer{}, errClientDisconnected
 	}
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -29,8 +29,8 @@
 
 // Handler receives requests. Its methods return soon.
 type Handler interface {
-	Arrive(*Request) // the request is owed one Answer
-	Leave(*Request)  // its client disconnected: no answer is owed any more
+	Arrive(*Request)             // the request is owed one Answer
+	ClientDisconnected(*Request) // its client disconnected: no answer is owed any more
 }
 
 // Phase is what a connection needs to know of the program's phase.
