--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -39,7 +39,7 @@
 
 const (
 	listName = "KNOWN-RED.txt"
-	maxLines = 6 // the tests that are listed now: one more takes a change of this bound
+	maxLines = 7 // the tests that are listed now: one more takes a change of this bound
 )
 
 func main() {
