--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -26,14 +26,14 @@
 type sender struct {
 	addr     string
 	answered map[string]int // by id
-	wrong    []string
+	errors   []string
 }
 
 func (s *sender) run(no int, ready func(), brought func() bool) {
 	for n := 0; brought(); {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
-			s.wrong = append(s.wrong, err.Error())
+			s.errors = append(s.errors, err.Error())
 			return
 		}
 		c.SetDeadline(time.Now().Add(20 * time.Second))
@@ -47,7 +47,7 @@
 			}
 			if err != nil {
 				if !used { // a connection that was used may end between two requests, a new one not
-					s.wrong = append(s.wrong, fmt.Sprintf("%s: a new connection: %v", id, err))
+					s.errors = append(s.errors, fmt.Sprintf("%s: a new connection: %v", id, err))
 				}
 				break
 			}
@@ -57,7 +57,7 @@
 				resp.Body.Close()
 			}
 			if err != nil {
-				s.wrong = append(s.wrong, fmt.Sprintf("%s: a broken answer: %v", id, err))
+				s.errors = append(s.errors, fmt.Sprintf("%s: a broken answer: %v", id, err))
 				break
 			}
 			if s.answered[id] = resp.StatusCode; resp.Close {
@@ -106,7 +106,7 @@
 
 // Clients send on every open connection until the process ends, while it shuts down: each forwarded request gets
 // its response, and no new connection ends without one. Tests of the loop check when the process ends.
-func TestClientsSendUpToTheEnd(t *testing.T) {
+func TestClientsSendUntilShutdownEnds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a second")
 	}
@@ -153,7 +153,7 @@
 	all.Wait()
 	answered := 0
 	for _, s := range senders {
-		for _, w := range s.wrong {
+		for _, w := range s.errors {
 			t.Error(w)
 		}
 		for id, status := range s.answered {
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -128,8 +128,8 @@
 	return resp.StatusCode, body
 }
 
-// matches compares what is made with a golden file.
-func matches(t *testing.T, name string, got []byte) (want []byte) {
+// checkGolden compares what is made with a golden file.
+func checkGolden(t *testing.T, name string, got []byte) (want []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -190,7 +190,7 @@
 		lines = append(lines, fmt.Sprintf("%s %s {%s}\n", m[1], types[m[1]], m[2]))
 	}
 	slices.Sort(lines)
-	matches(t, "metrics.txt", []byte(strings.Join(lines, "")))
+	checkGolden(t, "metrics.txt", []byte(strings.Join(lines, "")))
 }
 
 // filler gives every field of a value something of its own.
@@ -258,7 +258,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := matches(t, file, append(raw, '\n'))
+			want := checkGolden(t, file, append(raw, '\n'))
 			back := reflect.New(full.Type().Elem())
 			if err := json.Unmarshal(want, back.Interface()); err != nil {
 				t.Errorf("%s: %v", file, err)
@@ -315,5 +315,5 @@
 		run.phases.Enter(phase)
 		play("STATUS", "PAUSE", "RESUME")
 	}
-	matches(t, "control.txt", got.Bytes())
+	checkGolden(t, "control.txt", got.Bytes())
 }
--- a/internal/service/life_client_test.go
+++ b/internal/service/life_client_test.go
@@ -13,14 +13,14 @@
 
 // scriptedClient is a scripted client on one connection.
 type scriptedClient struct {
-	p         *scenario
-	conn      *net.TCPConn
-	queue     []*clientRequest // written whole and not answered
-	partial   *clientRequest   // of which rest is not written yet
-	unwritten string
-	left      bool
-	closing   bool // an answer said that it is the last
-	ended     bool // by the other side
+	scenario       *scenario
+	conn           *net.TCPConn
+	queue          []*clientRequest // written whole and not answered
+	partial        *clientRequest   // of which rest is not written yet
+	unwritten      string
+	disconnected   bool
+	closeAnnounced bool // an answer said that it is the last
+	closedByServer bool // by the other side
 }
 
 func (p *scenario) connect() *scriptedClient {
@@ -29,14 +29,14 @@
 		p.fail("dial: %v", err)
 		return nil
 	}
-	c := &scriptedClient{p: p, conn: conn.(*net.TCPConn)}
+	c := &scriptedClient{scenario: p, conn: conn.(*net.TCPConn)}
 	p.wg.Add(1)
 	go c.read()
 	return c
 }
 
 func (c *scriptedClient) read() {
-	defer c.p.wg.Done()
+	defer c.scenario.wg.Done()
 	r := bufio.NewReader(c.conn)
 	for {
 		_, err := r.Peek(1)
@@ -51,42 +51,42 @@
 				err = fmt.Errorf("half an answer: %w", err)
 			}
 		}
-		c.p.mu.Lock()
+		c.scenario.mu.Lock()
 		switch {
-		case c.left && err != nil:
+		case c.disconnected && err != nil:
 		case err != nil:
-			c.ended = true
+			c.closedByServer = true
 			if strings.HasPrefix(err.Error(), "half") {
-				c.p.fail("%v", err)
+				c.scenario.fail("%v", err)
 			}
 			for _, a := range c.queue {
-				a.Never = !a.received && (c.closing || c.p.mayCloseConnections)
+				a.Never = !a.received && (c.closeAnnounced || c.scenario.mayCloseConnections)
 				if !a.Never {
-					c.p.fail("request %s (taken: %v) saw its connection end unanswered: %v", a.ID, a.received, err)
+					c.scenario.fail("request %s (taken: %v) saw its connection end unanswered: %v", a.ID, a.received, err)
 				}
 			}
 		case len(c.queue) > 0:
 			a := c.queue[0]
 			if c.queue = c.queue[1:]; len(c.queue) > 0 {
-				c.queue[0].SentAt = max(c.queue[0].SentAt, c.p.now()) // it is read now
+				c.queue[0].SentAt = max(c.queue[0].SentAt, c.scenario.now()) // it is read now
 			}
-			a.Answers = append(a.Answers, invariants.Answer{At: c.p.now(), Status: resp.StatusCode, Body: string(body)})
+			a.Answers = append(a.Answers, invariants.Answer{At: c.scenario.now(), Status: resp.StatusCode, Body: string(body)})
 			switch resp.StatusCode {
 			case 200:
-				c.p.served++
+				c.scenario.served++
 			case 502, 503, 504:
 			case 408:
 				if a.SentAt-a.firstByteAt < 1.5 {
-					c.p.timingViolations = append(c.p.timingViolations, fmt.Sprintf("request %s got 408 %.3f s after its first byte", a.ID, a.SentAt-a.firstByteAt))
+					c.scenario.timingViolations = append(c.scenario.timingViolations, fmt.Sprintf("request %s got 408 %.3f s after its first byte", a.ID, a.SentAt-a.firstByteAt))
 				}
 			default:
-				c.p.fail("request %s got %d", a.ID, resp.StatusCode)
+				c.scenario.fail("request %s got %d", a.ID, resp.StatusCode)
 			}
 		case resp.StatusCode != 408 || c.unwritten == "":
-			c.p.fail("%d, which nobody asked for", resp.StatusCode)
+			c.scenario.fail("%d, which nobody asked for", resp.StatusCode)
 		}
-		c.closing = c.closing || err == nil && resp.Close
-		c.p.mu.Unlock()
+		c.closeAnnounced = c.closeAnnounced || err == nil && resp.Close
+		c.scenario.mu.Unlock()
 		if err != nil {
 			c.conn.Close()
 			return
@@ -94,9 +94,9 @@
 	}
 }
 
-// begin starts a new request and writes a fraction of it, from 0 to 1.
-func (c *scriptedClient) begin(class string, patience, part float64) {
-	p := c.p
+// startRequest starts a new request and writes a fraction of it, from 0 to 1.
+func (c *scriptedClient) startRequest(class string, patience, part float64) {
+	p := c.scenario
 	p.mu.Lock()
 	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: patience}}
 	p.requests, p.requestsByID[a.ID] = append(p.requests, a), a
@@ -110,17 +110,17 @@
 		c.conn.Write([]byte(raw[:n]))
 	} else if n == len(raw) {
 		c.unwritten = raw
-		c.finish()
+		c.finishRequest()
 	}
 }
 
-// finish writes the rest of a request, which counts as sent from before its last byte on.
-func (c *scriptedClient) finish() {
-	p := c.p
+// finishRequest writes the rest of a request, which counts as sent from before its last byte on.
+func (c *scriptedClient) finishRequest() {
+	p := c.scenario
 	p.mu.Lock()
 	a, rest := c.partial, c.unwritten
 	c.partial, c.unwritten = nil, ""
-	a.SentAt, a.Never = p.now(), c.ended || p.loopEnded
+	a.SentAt, a.Never = p.now(), c.closedByServer || p.loopEnded
 	if !a.Never {
 		c.queue = append(c.queue, a)
 	}
@@ -128,11 +128,11 @@
 	c.conn.Write([]byte(rest))
 }
 
-// leave ends the connection from the client's side.
-func (c *scriptedClient) leave(how int) {
-	c.p.mu.Lock()
-	c.left = true
-	c.p.mu.Unlock()
+// disconnect ends the connection from the client's side.
+func (c *scriptedClient) disconnect(how int) {
+	c.scenario.mu.Lock()
+	c.disconnected = true
+	c.scenario.mu.Unlock()
 	switch how {
 	case 0:
 		c.conn.Close()
@@ -142,12 +142,12 @@
 	case 2:
 		c.conn.CloseWrite() // what comes is still read
 	}
-	c.p.mu.Lock()
+	c.scenario.mu.Lock()
 	for _, a := range c.queue {
-		a.DisconnectedAt, a.leftHow = c.p.now(), []string{"with its connection closed", "with a reset", "with its sending ended"}[how]
+		a.DisconnectedAt, a.disconnectKind = c.scenario.now(), []string{"with its connection closed", "with a reset", "with its sending ended"}[how]
 		if c.unwritten != "" {
-			a.leftHow += ", behind bytes it had sent on"
+			a.disconnectKind += ", behind bytes it had sent on"
 		}
 	}
-	c.p.mu.Unlock()
+	c.scenario.mu.Unlock()
 }
--- a/internal/service/life_run_test.go
+++ b/internal/service/life_run_test.go
@@ -21,8 +21,8 @@
 	ended   chan struct{} // the loop has ended
 }
 
-// playScenario plays the steps that the seed gives and records violations.
-func playScenario(t *testing.T, seed uint64, stalled *stallMonitor) *scenario {
+// runScenario plays the steps that the seed gives and records violations.
+func runScenario(t *testing.T, seed uint64, stalled *stallMonitor) *scenario {
 	rng := rand.New(rand.NewPCG(seed, 24))
 	r := &scenarioRun{scenario: newScenario(t, rng), rng: rng, ended: make(chan struct{})}
 	go r.runLoop()
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, i := range p.rng.Perm(len(p.clients)) {
-		if c := p.clients[i]; !c.left && !c.ended && fits(c) {
+		if c := p.clients[i]; !c.disconnected && !c.closedByServer && fits(c) {
 			return c
 		}
 	}
@@ -80,7 +80,7 @@
 
 // idleClient returns a client that may send, if need be a new one.
 func (p *scenarioRun) idleClient() *scriptedClient {
-	c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 0 && c.unwritten == "" && !c.closing })
+	c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 0 && c.unwritten == "" && !c.closeAnnounced })
 	if c == nil && len(p.clients) < 12 {
 		if c = p.connect(); c != nil {
 			p.clients = append(p.clients, c)
@@ -89,7 +89,7 @@
 	return c
 }
 
-func (p *scenarioRun) draw() (class string, patience float64) {
+func (p *scenarioRun) randomClassAndTimeout() (class string, patience float64) {
 	return scenarioClasses[p.rng.IntN(len(scenarioClasses))].Name, 0.1 + 0.6*p.rng.Float64()
 }
 
@@ -98,33 +98,33 @@
 	switch step {
 	default: // a whole request
 		if c := p.idleClient(); c != nil {
-			class, patience := p.draw()
-			c.begin(class, patience, 1)
+			class, patience := p.randomClassAndTimeout()
+			c.startRequest(class, patience, 1)
 		}
 	case 10, 11, 12: // half of one
 		if c := p.idleClient(); c != nil {
-			class, patience := p.draw()
-			c.begin(class, patience, p.rng.Float64())
+			class, patience := p.randomClassAndTimeout()
+			c.startRequest(class, patience, p.rng.Float64())
 		}
 	case 13, 14, 15: // its rest
 		if c := p.pick(func(c *scriptedClient) bool { return c.unwritten != "" }); c != nil {
-			c.finish()
+			c.finishRequest()
 		}
 	case 16: // one more behind one that waits for its answer
-		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 1 && c.unwritten == "" && !c.closing }); c != nil {
-			class, _ := p.draw()
-			c.begin(class, 1, 1) // its time counts from when the first is answered
+		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 1 && c.unwritten == "" && !c.closeAnnounced }); c != nil {
+			class, _ := p.randomClassAndTimeout()
+			c.startRequest(class, 1, 1) // its time counts from when the first is answered
 		}
 	case 17, 18, 19:
 		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) > 0 }); c != nil {
-			c.leave(p.rng.IntN(3))
+			c.disconnect(p.rng.IntN(3))
 		}
 	case 20: // leaves behind sent bytes
 		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) > 0 && c.unwritten == "" }); c != nil {
-			class, patience := p.draw()
-			c.begin(class, patience, 0.5)
+			class, patience := p.randomClassAndTimeout()
+			c.startRequest(class, patience, 0.5)
 			time.Sleep(time.Duration(p.rng.IntN(3000)) * time.Microsecond)
-			c.leave(p.rng.IntN(2))
+			c.disconnect(p.rng.IntN(2))
 		}
 	}
 }
@@ -208,7 +208,7 @@
 func (p *scenarioRun) validate(stalled *stallMonitor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	slack := disconnectDelay + stalled.since(p.started)
+	slack := disconnectDelay + stalled.delayBoundSince(p.started)
 	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 0.1, Sockets: slack}, Classes: scenarioClasses, EndpointChanges: p.notifications}
 	for n, w := range p.workers {
 		h.Workers = append(h.Workers, invariants.Worker{Name: w.name, Zone: string("zy"[n%2]), Cell: 1, Slots: 1})
@@ -223,7 +223,7 @@
 		}
 		h.Attempts = append(h.Attempts, x.Attempt)
 		if a != nil && a.DisconnectedAt > 0 && x.Last > a.DisconnectedAt+slack {
-			p.timingViolations = append(p.timingViolations, fmt.Sprintf("request %s came to %s %.3f s after its client had left %s", x.ID, x.Worker, x.Last-a.DisconnectedAt, a.leftHow))
+			p.timingViolations = append(p.timingViolations, fmt.Sprintf("request %s came to %s %.3f s after its client had left %s", x.ID, x.Worker, x.Last-a.DisconnectedAt, a.disconnectKind))
 		}
 	}
 	all := h.Check()
--- a/internal/service/life_stall_test.go
+++ b/internal/service/life_stall_test.go
@@ -16,8 +16,8 @@
 }
 
 type stall struct {
-	at   time.Time
-	long time.Duration
+	at       time.Time
+	duration time.Duration
 }
 
 // watch sends a byte to and fro over the loopback until it is closed.
@@ -61,14 +61,14 @@
 // maxStallSeconds is the bound above which a play with a stop in its midst proves nothing.
 const maxStallSeconds = 0.3
 
-// since is a bound for what happened since a time, in seconds: a leave or an answer goes by way
+// delayBoundSince is a bound for what happened since a time, in seconds: a leave or an answer goes by way
 // of three goroutines, each of which may have been held up as long as the longest time seen.
-func (s *stallMonitor) since(from time.Time) (most float64) {
+func (s *stallMonitor) delayBoundSince(from time.Time) (most float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.stalls {
 		if x.at.After(from) {
-			most = max(most, 3*x.long.Seconds())
+			most = max(most, 3*x.duration.Seconds())
 		}
 	}
 	return most
--- a/internal/service/life_test.go
+++ b/internal/service/life_test.go
@@ -72,18 +72,18 @@
 // clientRequest is a request as its client knows it.
 type clientRequest struct {
 	invariants.Request
-	received    bool    // the dispatcher has it
-	leftHow     string  // its client left
-	firstByteAt float64 // to be written
+	received       bool    // the dispatcher has it
+	disconnectKind string  // its client left
+	firstByteAt    float64 // to be written
 }
 
 // workerAttempt is an attempt as its worker knows it.
 type workerAttempt struct {
 	invariants.Attempt
-	conn            net.Conn
-	cutByDispatcher bool // ended by the dispatcher
-	mayHaveQueued   bool // it may have stood in the backlog for a while
-	ended           bool
+	conn               net.Conn
+	closedByDispatcher bool // ended by the dispatcher
+	mayHaveQueued      bool // it may have stood in the backlog for a while
+	ended              bool
 }
 
 func (p *scenario) now() float64 { return 1 + time.Since(p.started).Seconds() }
@@ -95,17 +95,17 @@
 // recordingHandler is the dispatcher's handler; it records the requests that it receives.
 type recordingHandler struct {
 	*dispatcher.Dispatcher
-	p *scenario
+	scenario *scenario
 }
 
 func (d recordingHandler) Arrive(q *downstream.Request) {
-	d.p.mu.Lock()
-	if a := d.p.requestsByID[q.ID]; a == nil || a.received {
-		d.p.fail("request %s was taken twice, or none asked for it", q.ID)
+	d.scenario.mu.Lock()
+	if a := d.scenario.requestsByID[q.ID]; a == nil || a.received {
+		d.scenario.fail("request %s was taken twice, or none asked for it", q.ID)
 	} else {
 		a.received = true
 	}
-	d.p.mu.Unlock()
+	d.scenario.mu.Unlock()
 	d.Dispatcher.Arrive(q)
 }
 
@@ -120,7 +120,7 @@
 		return l
 	}
 	for n := range 4 {
-		w := &worker{p: p, no: n, name: fmt.Sprintf("w%d", n), l: listen(), rng: rand.New(rand.NewPCG(rng.Uint64(), 0)), open: map[net.Conn]bool{}}
+		w := &worker{scenario: p, index: n, name: fmt.Sprintf("w%d", n), l: listen(), rng: rand.New(rand.NewPCG(rng.Uint64(), 0)), open: map[net.Conn]bool{}}
 		p.workers, p.health = append(p.workers, w), append(p.health, "active")
 		p.wg.Add(1)
 		go w.accept()
@@ -162,10 +162,10 @@
 	if a == nil {
 		return ""
 	}
-	s := fmt.Sprintf("\n\t\t%s: begun %.3f, asked %.3f for %.3f s, taken %v, left %.3f %s, answers %+v", a.Class, a.firstByteAt, a.SentAt, a.ClientTimeout, a.received, a.DisconnectedAt, a.leftHow, a.Answers)
+	s := fmt.Sprintf("\n\t\t%s: begun %.3f, asked %.3f for %.3f s, taken %v, left %.3f %s, answers %+v", a.Class, a.firstByteAt, a.SentAt, a.ClientTimeout, a.received, a.DisconnectedAt, a.disconnectKind, a.Answers)
 	for _, t := range p.attempts {
 		if t.ID == id {
-			s += fmt.Sprintf("\n\t\tat %s from %.3f to %.3f, ended %.3f (by the dispatcher: %v; unstarted: %v; %q)", t.Worker, t.First, t.Last, t.End, t.cutByDispatcher, t.Unstarted, t.Result)
+			s += fmt.Sprintf("\n\t\tat %s from %.3f to %.3f, ended %.3f (by the dispatcher: %v; unstarted: %v; %q)", t.Worker, t.First, t.Last, t.End, t.closedByDispatcher, t.Unstarted, t.Result)
 		}
 	}
 	return s
@@ -173,7 +173,7 @@
 
 // Random steps of clients, workers, discovery and operators, each play by its seed.
 // BELLSTREAM_LIVES says how many, where more than a few are to be played, BELLSTREAM_LIFE plays one.
-func TestLives(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	lives, first := 60, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("BELLSTREAM_LIVES")); err == nil {
 		lives = n
@@ -185,7 +185,7 @@
 	for range 4 {
 		stalled.watch(t)
 	}
-	totals := &scenarioTotals{ends: map[string]int{}}
+	totals := &scenarioTotals{outcomes: map[string]int{}}
 	var wg sync.WaitGroup
 	places := make(chan struct{}, 24)
 	for n := range lives {
@@ -193,13 +193,13 @@
 		wg.Go(func() {
 			defer func() { <-places }()
 			seed := first + uint64(n)
-			p, late := playUntilSure(t, seed, stalled)
+			p, late := runWithRetries(t, seed, stalled)
 			totals.mu.Lock()
 			defer totals.mu.Unlock()
 			if len(late) > 0 && len(p.violations) == 0 {
 				t.Logf("seed %d, not each time:\n\t%s", seed, strings.Join(late, "\n\t"))
 			}
-			if p.stoppedInFlight && stalled.since(p.started) > maxStallSeconds {
+			if p.stoppedInFlight && stalled.delayBoundSince(p.started) > maxStallSeconds {
 				totals.notJudged++ // what a stop leaves unanswered goes by the clock
 				return
 			}
@@ -213,7 +213,7 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%v", totals.ends)
+	t.Logf("%v", totals.outcomes)
 	t.Logf("%d plays: %d requests, %d attempts, %d served; %d were held up by the machine and not judged",
 		lives, totals.requests, totals.attempts, totals.served, totals.notJudged)
 	if totals.notJudged == lives {
@@ -221,17 +221,17 @@
 	}
 }
 
-// playUntilSure plays a scenario up to four times while it has timing violations only: a machine that delays a
+// runWithRetries plays a scenario up to four times while it has timing violations only: a machine that delays a
 // goroutine makes a time look wrong now and then, a fault in the program does so each time.
-func playUntilSure(t *testing.T, seed uint64, stalled *stallMonitor) (p *scenario, late []string) {
-	p = playScenario(t, seed, stalled)
+func runWithRetries(t *testing.T, seed uint64, stalled *stallMonitor) (p *scenario, late []string) {
+	p = runScenario(t, seed, stalled)
 	for n := 1; len(p.violations) == 0 && len(p.timingViolations) > 0; n++ {
 		late = append(late, p.timingViolations...)
 		if n == 4 {
 			p.violations = late
 			break
 		}
-		p = playScenario(t, seed, stalled)
+		p = runScenario(t, seed, stalled)
 	}
 	return p, late
 }
@@ -243,7 +243,7 @@
 	attempts  int
 	served    int
 	notJudged int
-	ends      map[string]int // requests by how they ended
+	outcomes  map[string]int // requests by how they ended
 }
 
 func (s *scenarioTotals) add(p *scenario) {
@@ -253,13 +253,13 @@
 	for _, a := range p.requests {
 		switch {
 		case a.Never:
-			s.ends["never"]++
+			s.outcomes["never"]++
 		case len(a.Answers) > 0:
-			s.ends[fmt.Sprint(a.Answers[0].Status)]++
+			s.outcomes[fmt.Sprint(a.Answers[0].Status)]++
 		case a.DisconnectedAt > 0:
-			s.ends["left"]++
+			s.outcomes["left"]++
 		default:
-			s.ends["none"]++
+			s.outcomes["none"]++
 		}
 	}
 }
--- a/internal/service/life_worker_test.go
+++ b/internal/service/life_worker_test.go
@@ -20,24 +20,24 @@
 
 // worker is a zone worker that answers in a way drawn anew for each request.
 type worker struct {
-	p    *scenario
-	no   int
-	name string
-	l    net.Listener
-	mu   sync.Mutex
-	rng  *rand.Rand
-	open map[net.Conn]bool
-	slow atomic.Bool // takes its time to accept
+	scenario *scenario
+	index    int
+	name     string
+	l        net.Listener
+	mu       sync.Mutex
+	rng      *rand.Rand
+	open     map[net.Conn]bool
+	slow     atomic.Bool // takes its time to accept
 }
 
-func (w *worker) draw(n int) int {
+func (w *worker) randInt(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
 func (w *worker) accept() {
-	defer w.p.wg.Done()
+	defer w.scenario.wg.Done()
 	for {
 		slow := w.slow.Load()
 		if slow {
@@ -50,7 +50,7 @@
 		w.mu.Lock()
 		w.open[c] = true
 		w.mu.Unlock()
-		w.p.wg.Add(1)
+		w.scenario.wg.Add(1)
 		go w.serve(c, slow)
 	}
 }
@@ -61,15 +61,15 @@
 		delete(w.open, c)
 		w.mu.Unlock()
 		c.Close()
-		w.p.wg.Done()
+		w.scenario.wg.Done()
 	}()
 	r := bufio.NewReader(c)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		first := w.p.now()
-		if w.draw(40) == 0 { // before the request was read whole
+		first := w.scenario.now()
+		if w.randInt(40) == 0 { // before the request was read whole
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -84,7 +84,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":4}")
 			continue
 		}
-		t := w.p.recordAttempt(w, c, slow, req.Header.Get("Request-Id"), first)
+		t := w.scenario.recordAttempt(w, c, slow, req.Header.Get("Request-Id"), first)
 		if !w.respond(c, r, t) {
 			return
 		}
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	var others []*workerAttempt
 	for _, o := range p.attempts {
-		if o.ID == id && (!o.ended || o.cutByDispatcher || o.End > first) {
+		if o.ID == id && (!o.ended || o.closedByDispatcher || o.End > first) {
 			others = append(others, o)
 		}
 	}
@@ -109,7 +109,7 @@
 	for _, o := range others {
 		var was *workerAttempt
 		p.mu.Lock()
-		done := o.ended && !o.cutByDispatcher // by its worker, which may have closed its end
+		done := o.ended && !o.closedByDispatcher // by its worker, which may have closed its end
 		p.mu.Unlock()
 		for end := time.Now().Add(closeVisibleWithin); was == nil && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
 			if !done && !connstate.IsQuiet(o.conn) {
@@ -130,7 +130,7 @@
 			if was.End == 0 || was.End > next {
 				was.End = next
 			}
-			was.ended, was.cutByDispatcher, was.First = true, true, min(was.First, was.End)
+			was.ended, was.closedByDispatcher, was.First = true, true, min(was.First, was.End)
 		}
 		p.mu.Unlock()
 	}
@@ -147,7 +147,7 @@
 	if t.ended {
 		return
 	}
-	t.ended, t.Result, t.Unstarted, t.cutByDispatcher = true, result, unstarted, cut
+	t.ended, t.Result, t.Unstarted, t.closedByDispatcher = true, result, unstarted, cut
 	if t.End == 0 {
 		t.End = p.now()
 	}
@@ -155,7 +155,7 @@
 
 // respond answers one request, and says whether the connection goes on.
 func (w *worker) respond(c net.Conn, r *bufio.Reader, t *workerAttempt) bool {
-	p := w.p
+	p := w.scenario
 	line := func(rest string) string { return fmt.Sprintf(`{"id":%q,"from":%q,"state":%s}`, t.ID, w.name, rest) }
 	// pass waits, and is false if the other side ended the connection meanwhile.
 	pass := func(d time.Duration) bool {
@@ -175,8 +175,8 @@
 		p.endAttempt(t, "", false, true)
 		return false
 	}
-	kind := w.draw(24)
-	if kind < 12 && !pass(time.Duration(w.draw(40))*time.Millisecond) {
+	kind := w.randInt(24)
+	if kind < 12 && !pass(time.Duration(w.randInt(40))*time.Millisecond) {
 		return false
 	}
 	result := "from " + w.name
@@ -188,18 +188,18 @@
 		io.WriteString(c, done)
 	case 10, 11: // served in pieces
 		io.WriteString(c, wiretest.Lines(false, line(`"started"`)))
-		if !pass(time.Duration(w.draw(60)) * time.Millisecond) {
+		if !pass(time.Duration(w.randInt(60)) * time.Millisecond) {
 			return false
 		}
 		p.endAttempt(t, result, false, false)
 		last := line(fmt.Sprintf(`"done","result":%q`, result))
 		fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(last)+1, last)
-		pass(time.Duration(w.draw(5)) * time.Millisecond)
+		pass(time.Duration(w.randInt(5)) * time.Millisecond)
 		io.WriteString(c, "0\r\n\r\n")
 	case 12: // with a second answer some milliseconds later
 		p.endAttempt(t, result, false, false)
 		io.WriteString(c, done)
-		time.Sleep(time.Duration(w.draw(8)) * time.Millisecond)
+		time.Sleep(time.Duration(w.randInt(8)) * time.Millisecond)
 		io.WriteString(c, done)
 	case 13:
 		p.endAttempt(t, "", false, false)
@@ -223,7 +223,7 @@
 		io.WriteString(c, wiretest.Lines(false, line(`"started"`))+"40\r\n{\"id")
 		return false
 	case 19: // a reset, at once or later
-		if w.draw(2) == 0 && !pass(time.Duration(w.draw(150))*time.Millisecond) {
+		if w.randInt(2) == 0 && !pass(time.Duration(w.randInt(150))*time.Millisecond) {
 			return false
 		}
 		p.endAttempt(t, "", false, false)
--- a/internal/service/listen_test.go
+++ b/internal/service/listen_test.go
@@ -13,9 +13,9 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// inherited is a clients' socket as the platform hands it over, where calls wait in the system, and
+// inheritListener is a clients' socket as the platform hands it over, where calls wait in the system, and
 // what listen makes of it.
-func inherited(t *testing.T, multipath bool) sharedListener {
+func inheritListener(t *testing.T, multipath bool) sharedListener {
 	t.Helper()
 	var c net.ListenConfig
 	c.SetMultipathTCP(multipath)
@@ -46,8 +46,8 @@
 
 // An Accept on a socket that is handed to a newer process just then must not wait in the system:
 // nothing but a client would wake it, neither Hold nor the end.
-func TestInheritedSocketThatWaits(t *testing.T) {
-	l := inherited(t, true)
+func TestAcceptOnBlockingInheritedSocket(t *testing.T) {
+	l := inheritListener(t, true)
 	accepted := make(chan error, 1)
 	l.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	go func() {
@@ -66,8 +66,8 @@
 }
 
 // The same where that is set between the look at it and the call.
-func TestInheritedSocketWaitsForAMoment(t *testing.T) {
-	l := inherited(t, false)
+func TestBlockingAcceptOnInheritedSocketTimesOut(t *testing.T) {
+	l := inheritListener(t, false)
 	raw, err := l.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -47,7 +47,7 @@
 
 // An id that one process has taken, before the other came or beside it, is
 // turned away by the other.
-func TestIDsOfOtherProcesses(t *testing.T) {
+func TestIDsTakenByOtherProcessesAreRejected(t *testing.T) {
 	path := statedir.Path(t.TempDir(), "n", "l")
 	join := func() *processGroup {
 		_, d, run := newTestProcess(t)
--- a/internal/service/stop_test.go
+++ b/internal/service/stop_test.go
@@ -17,25 +17,25 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// part is a subsystem that the test plays.
-type part struct {
+// fakeSubsystem is a subsystem that the test plays.
+type fakeSubsystem struct {
 	reload, leave func()
 	closed        atomic.Bool
 }
 
-func (p *part) Reload(*operatorconfig.File) error {
+func (p *fakeSubsystem) Reload(*operatorconfig.File) error {
 	p.reload()
 	return nil
 }
-func (p *part) Leave() { p.leave() }
-func (p *part) Close() { p.closed.Store(true) }
+func (p *fakeSubsystem) Leave() { p.leave() }
+func (p *fakeSubsystem) Close() { p.closed.Store(true) }
 
 // The loop stops though a subsystem's Leave blocks, and it stops once, however many signals arrive.
 func TestStopDoesNotWaitForSubsystems(t *testing.T) {
 	_, d, run := newTestProcess(t)
 	go d.Run(run.server)
 	left, goes := make(chan struct{}), make(chan struct{})
-	p := &subsystems{running: []subsystem{&part{leave: func() {
+	p := &subsystems{running: []subsystem{&fakeSubsystem{leave: func() {
 		close(left)
 		<-goes
 	}}}}
@@ -53,13 +53,13 @@
 }
 
 // A reload that is under way as the program ends is waited for: what is closed is not called any more.
-func TestReloadAsItEnds(t *testing.T) {
+func TestCloseWaitsForReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.hcl")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	ended, calls := make(chan struct{}), 0
-	p, x := &subsystems{}, &part{}
+	p, x := &subsystems{}, &fakeSubsystem{}
 	x.reload = func() {
 		calls++
 		go func() {
@@ -84,7 +84,7 @@
 
 // A stop that comes while the program starts ends it before anybody is let in: its time runs since the
 // signal, and a start may take long. Here it would fail, as the address is taken.
-func TestStopWhileItStarts(t *testing.T) {
+func TestStopDuringStartup(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
