--- a/cmd/bellstream/control_test.go
+++ b/cmd/bellstream/control_test.go
@@ -147,7 +147,7 @@
 	}
 	write(t, path, next)
 	cmd.Process.Signal(syscall.SIGHUP)
-	if said := logged(t, log, "the settings are new: "); said != "class d appears (unsafe), class c vanishes" {
+	if said := logged(t, log, "settings changed: "); said != "class d added (unsafe), class c removed" {
 		t.Errorf("the log says %q", said)
 	}
 	wiretest.Until(t, "the new class", func() bool { return post("d", fmt.Sprint("d", time.Now().UnixNano())) == 200 })
--- a/cmd/bellstream/main_test.go
+++ b/cmd/bellstream/main_test.go
@@ -124,7 +124,7 @@
 	logged(t, log, "the old configuration stays in force")
 	write(t, path, strings.Replace(next, "127.0.0.1:0", "127.0.0.1:1", 1))
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "discovery is at "+discovery.Addr)
+	logged(t, log, "discovery address is now "+discovery.Addr)
 	logged(t, log, "listen address stay")
 	if c := wiretest.Get(t, discovery.Calls, "the new watch"); c.Req.URL.Query().Get("index") != "7" {
 		t.Errorf("watch asked for %s", c.Req.URL)
--- a/cmd/bellstream/upgrade_test.go
+++ b/cmd/bellstream/upgrade_test.go
@@ -294,11 +294,11 @@
 		file *os.File
 		want string
 	}{
-		{"3", file, "RELAY_INHERITED_FD: descriptor 3 is no listening socket"},
-		{"3", uf, "RELAY_INHERITED_FD: descriptor 3 is no TCP socket"},
-		{"77", file, "RELAY_INHERITED_FD: descriptor 77 is no listening socket"},
-		{"three", file, `RELAY_INHERITED_FD: "three" is no descriptor`},
-		{"1", file, `RELAY_INHERITED_FD: "1" is no descriptor`},
+		{"3", file, "RELAY_INHERITED_FD: descriptor 3 is not a listening socket"},
+		{"3", uf, "RELAY_INHERITED_FD: descriptor 3 is not a TCP socket"},
+		{"77", file, "RELAY_INHERITED_FD: descriptor 77 is not a listening socket"},
+		{"three", file, `RELAY_INHERITED_FD: "three" is not a descriptor number`},
+		{"1", file, `RELAY_INHERITED_FD: "1" is not a descriptor number`},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		write(t, path, fmt.Sprintf(sampleConfig, "127.0.0.1:1", "127.0.0.1:1"))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP listener for operators, which serves metrics and state. It is enabled by the admin
-// block of the operator's file.
+// Package admin implements the HTTP listener for operators, which serves metrics and state. The admin block of the
+// operator's file enables it.
 package admin
 
 import (
@@ -21,7 +21,7 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Server is the listener. Subsystems register metrics and JSON content before Start.
+// Server is the HTTP server of the admin listener. Subsystems register metrics and JSON content before Start.
 type Server struct {
 	Registry *prometheus.Registry
 	mux      *http.ServeMux
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// metrics writes the text format. The package promhttp would link compressors into the program that take memory
-// in every instance, even without an admin listener.
+// metrics writes the metrics in the Prometheus text format. Package promhttp is not used, as it would link compressors
+// into the program that take memory in every instance, even without an admin listener.
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	families, err := s.Registry.Gather()
 	if err != nil {
@@ -72,7 +72,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// JSON serves the value that content returns as JSON at a path; nil is answered with 404.
+// JSON serves, at a path, the value that content returns, encoded as JSON. If the value is nil, the answer is 404.
 func (s *Server) JSON(path string, content func() any) {
 	s.mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		value := content()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -27,14 +27,15 @@
 	Formats = []string{formatJSON, formatConsole}
 )
 
-// New creates a logger. An empty level means info, an empty format JSON.
+// New creates a logger that writes to w. An empty levelName selects info, an empty format JSON; unknown names are
+// errors.
 func New(w io.Writer, levelName, format string) (zerolog.Logger, error) {
 	level := zerolog.InfoLevel
 	if levelName != "" {
 		var err error
 		level, err = zerolog.ParseLevel(levelName)
 		if err != nil {
-			return zerolog.Nop(), fmt.Errorf("level %q is none of %v", levelName, Levels)
+			return zerolog.Nop(), fmt.Errorf("level %q is not one of %v", levelName, Levels)
 		}
 	}
 	switch format {
@@ -43,7 +44,7 @@
 	case formatConsole:
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: consoleTimeFormat, NoColor: true}
 	default:
-		return zerolog.Nop(), fmt.Errorf("format %q is none of %v", format, Formats)
+		return zerolog.Nop(), fmt.Errorf("format %q is not one of %v", format, Formats)
 	}
 	return zerolog.New(zerolog.SyncWriter(w)).Level(level).With().Timestamp().Logger(), nil
 }
@@ -53,8 +54,8 @@
 	return func(format string, args ...any) { l.Info().Msgf(format, args...) }
 }
 
-// Limited limits log lines to one per key and interval, and counts the suppressed ones. Keys must come from a small
-// fixed set, never from received data.
+// Limited limits log lines to one per key and interval, and counts the lines that it suppresses. Keys must come from
+// a small fixed set, never from received data.
 type Limited struct {
 	interval time.Duration
 	now      func() time.Time
@@ -65,7 +66,7 @@
 
 type keyState struct {
 	lastWritten time.Time
-	suppressed  int // since lastWritten
+	suppressed  int // lines since lastWritten
 }
 
 // NewLimited creates a limiter that reads the time from now.
@@ -77,7 +78,8 @@
 	}
 }
 
-// Do calls write with the number of lines suppressed since the last one, or suppresses this line.
+// Do calls write with the number of lines suppressed since the last written one, or suppresses this line: write is
+// then not called.
 func (l *Limited) Do(key string, write func(suppressed int)) {
 	if suppressed, ok := l.allow(key); ok {
 		write(suppressed)
--- a/internal/service/build.go
+++ b/internal/service/build.go
@@ -14,7 +14,7 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// builder starts the subsystems of an operator's file and sets the loop's options that belong to them.
+// builder starts the subsystems that an operator's file enables, and sets their options of the loop.
 type builder struct {
 	file       *operatorconfig.File
 	conf       *settings.Instance
@@ -51,7 +51,8 @@
 	return b.subsystems, nil
 }
 
-// listenAdmin opens the admin listener, which serves once the other subsystems are registered.
+// listenAdmin opens the admin listener. Requests are served from serveAdmin on, when the other subsystems have
+// registered with it.
 func (b *builder) listenAdmin() error {
 	if b.file.Admin == nil {
 		return nil
@@ -105,7 +106,7 @@
 		if status := leases.MigrationStatus(); status != nil {
 			return status
 		}
-		return nil // a nil pointer in an interface would not be nil
+		return nil // without this, the interface would hold a nil pointer and not be nil
 	})
 	return nil
 }
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// serveAdmin starts the admin listener when everything else is registered with it.
+// serveAdmin starts the admin listener. It is the last step, as all paths and metrics must be registered before.
 func (b *builder) serveAdmin() {
 	if b.admin == nil {
 		return
@@ -174,11 +175,11 @@
 	}
 }
 
-// adminSubsystem is the admin listener; its address changes by a restart only.
+// adminSubsystem is the admin listener. A change of its address needs a restart.
 type adminSubsystem struct{ *admin.Server }
 
 // Reload does nothing.
 func (adminSubsystem) Reload(*operatorconfig.File) error { return nil }
 
-// Leave does nothing: operators can watch the shutdown.
+// Leave does nothing, so that operators can watch the shutdown.
 func (adminSubsystem) Leave() {}
--- a/internal/service/check.go
+++ b/internal/service/check.go
@@ -8,8 +8,8 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// Check validates an operator's file and prints the bounds that it guarantees. With the path of a platform's
-// configuration it validates the file against that as well.
+// Check validates an operator's file and prints its warnings and the bounds that it guarantees. If configPath is not
+// empty, it also validates the file against that configuration of the platform.
 func Check(out io.Writer, operatorPath, configPath string) error {
 	file, err := operatorconfig.Load(operatorPath)
 	if err != nil {
@@ -24,7 +24,7 @@
 		}
 	}
 	if file.Config != nil && file.Lease == nil {
-		fmt.Fprintf(out, "%s: warning: nobody proposes the rules block, as there is no accord block\n", operatorPath)
+		fmt.Fprintf(out, "%s: warning: the rules block is not proposed, as there is no accord block\n", operatorPath)
 	}
 	if file.Lease != nil {
 		leaseSettings, err := file.LeaseSettings()
--- a/internal/service/control_client.go
+++ b/internal/service/control_client.go
@@ -14,7 +14,8 @@
 
 const controlTimeout = 5 * time.Second
 
-// SendCommand sends a line to a control address and prints the answer. An answer "fail REASON" is an error.
+// SendCommand sends the words as one command line to a control address and prints the answer. It returns an error if
+// the command is invalid, if no answer arrives within controlTimeout, or if the answer is "fail REASON".
 func SendCommand(out io.Writer, address string, words []string) error {
 	line := strings.Join(words, " ")
 	if _, err := control.Parse([]byte(line)); err != nil {
@@ -26,7 +27,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(controlTimeout))
-	_, _ = fmt.Fprintln(conn, line) // a failed write shows in the read
+	_, _ = fmt.Fprintln(conn, line) // a failed write makes the read below fail
 	answer, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		return fmt.Errorf("control address %s: no answer: %w", address, err)
--- a/internal/service/deferred.go
+++ b/internal/service/deferred.go
@@ -5,11 +5,11 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// deferredSubsystem applies reloaded limits of the waiting block to jobs that arrive from then on.
+// deferredSubsystem applies reloaded limits of the waiting block to jobs that arrive after the reload.
 type deferredSubsystem struct{ subsystems *subsystems }
 
-// Reload applies new limits. A file without the block is ignored until a restart, as deferred jobs would be
-// lost.
+// Reload applies new limits. If the file no longer has the block, the limits stay until a restart, as switching the
+// feature off would lose deferred jobs.
 func (s deferredSubsystem) Reload(file *operatorconfig.File) error {
 	if file.Deferred == nil {
 		return nil
@@ -28,10 +28,10 @@
 // Close does nothing.
 func (deferredSubsystem) Close() {}
 
-// maxWaitSubsystem applies reloaded maximum waits of the ageing blocks to jobs that arrive from then on.
+// maxWaitSubsystem applies reloaded maximum waits of the ageing blocks to jobs that arrive after the reload.
 type maxWaitSubsystem struct {
 	subsystems *subsystems
-	conf       *settings.Instance // in force
+	conf       *settings.Instance // the configuration in force
 }
 
 // Reload applies new maximum waits.
--- a/internal/service/embedded.go
+++ b/internal/service/embedded.go
@@ -11,16 +11,16 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// Subsystems are the subsystems of an operator's file for a caller that supplies its own loop, such as the
-// lab's hollow instances.
+// Subsystems are the subsystems of an operator's file for a caller that supplies its own loop, such as package hollow
+// of the lab.
 type Subsystems struct {
-	// Options hold what the subsystems set for the loop: Usage, ConfigSource and NewScheduler.
+	// Options are the loop's options. The subsystems set Usage, ConfigSource and NewScheduler, among others.
 	Options    dispatcher.Options
 	subsystems *subsystems
 }
 
-// NewSubsystems reads a dispatcher's configuration and its operator's file, and starts the subsystems of the
-// latter. They call no loop before Bind.
+// NewSubsystems reads a dispatcher's configuration and its operator's file, and starts the subsystems that the file
+// enables. Their calls of the loop are dropped until Bind.
 func NewSubsystems(configPath, operatorPath string, log zerolog.Logger) (*Subsystems, error) {
 	conf, err := settings.Load(configPath)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Shards returns the shard router; it is nil if the file has no shards block, and before
-// Options.NewScheduler was called.
+// Shards returns the shard router. It is nil if the file has no shards block, and until Options.NewScheduler has been
+// called.
 func (s *Subsystems) Shards() *shardrouter.Router {
 	for _, running := range s.subsystems.running {
 		if shards, ok := running.(*shardSubsystem); ok {
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// Leave announces the shutdown.
+// Leave announces the shutdown to the subsystems.
 func (s *Subsystems) Leave() { s.subsystems.leave() }
 
-// Close ends the subsystems; nothing may use them any more.
+// Close ends the subsystems; they must not be used afterwards.
 func (s *Subsystems) Close() { s.subsystems.close() }
 
 // ApplyLimits applies the CPU and memory limits of a dispatcher's configuration to this process.
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -17,7 +17,7 @@
 // gossipSubsystem is the instance's membership in its cluster.
 type gossipSubsystem struct{ *gossip.Node }
 
-// Reload rotates the encryption keys; all other settings change by a restart.
+// Reload rotates the encryption keys; changes of all other settings need a restart.
 func (s gossipSubsystem) Reload(file *operatorconfig.File) error {
 	if file.Gossip == nil || file.Gossip.KeyFile == "" {
 		return s.RotateKeys(nil)
@@ -80,7 +80,7 @@
 		Int("homes", bounds.Owners).
 		Float64("slices_error", bounds.AllotmentError).
 		Float64("news_near_s", bounds.RegionalUsageDelay).
-		Msgf("peers listens on %s; these are the stated errors", node.Addr())
+		Msgf("peers listens on %s with these error bounds", node.Addr())
 	return node, nil
 }
 
@@ -104,11 +104,11 @@
 	return options, err
 }
 
-// incarnationRandomBits distinguish starts within one millisecond.
+// incarnationRandomBits is the number of low bits that distinguish starts within one millisecond.
 const incarnationRandomBits = 20
 
-// incarnation returns a number that is unique to a start and grows from one start to the next: milliseconds,
-// then random bits. It is only compared with earlier starts under the same name.
+// incarnation returns a number that is unique to a start and increases from one start to the next: Unix time in
+// milliseconds in the high bits, random bits below. It is only compared with earlier starts under the same name.
 func incarnation(now time.Time, random uint64) uint64 {
 	return uint64(now.UnixMilli())<<incarnationRandomBits | random&(1<<incarnationRandomBits-1)
 }
--- a/internal/service/instance.go
+++ b/internal/service/instance.go
@@ -10,7 +10,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// instance is what a reload of the platform's configuration changes.
+// instance holds the parts of a dispatcher that a reload of the platform's configuration changes.
 type instance struct {
 	configPath string
 	server     *downstream.Server
@@ -20,11 +20,11 @@
 	logf       func(format string, args ...any)
 
 	mu        sync.Mutex
-	conf      *settings.Instance // in force
-	processes int                // that share the limits, including this one
+	conf      *settings.Instance // the configuration in force
+	processes int                // number that share the limits, including this one
 }
 
-// newInstance returns an instance that has the limits to itself; server and pool are for the caller to set.
+// newInstance returns an instance whose process has the limits to itself. The caller sets server and pool.
 func newInstance(
 	configPath string, conf *settings.Instance, loop *dispatcher.Dispatcher, options *dispatcher.Options,
 ) *instance {
@@ -38,7 +38,7 @@
 	}
 }
 
-// setProcesses changes by how many processes the limits are divided.
+// setProcesses sets the number of processes that share the limits, and applies this process's part.
 func (i *instance) setProcesses(processes int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -46,7 +46,7 @@
 	i.resize()
 }
 
-// resize applies the limits; the caller holds mu.
+// resize applies this process's part of the limits; the caller holds mu.
 func (i *instance) resize() {
 	applyLimits(i.conf, i.processes)
 	budget := splitDescriptors(descriptorBudget(i.conf) / i.processes)
@@ -54,7 +54,7 @@
 	i.pool.Resize(budget.upstream)
 }
 
-// reload reads the configuration again and applies it. An invalid file changes nothing, and the result is false.
+// reload reads the configuration again and applies it. If the file is invalid, it changes nothing and returns false.
 func (i *instance) reload() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -75,20 +75,21 @@
 
 // apply puts a configuration into force; the caller holds mu.
 func (i *instance) apply(next *settings.Instance) {
-	// Name and addresses stay until a restart, so that each reload reports how the file differs.
+	// Name, listen address and control address stay until a restart. Keeping the values in use makes each reload
+	// report how the file differs from them.
 	next.Name = i.conf.Name
 	next.Listen = i.conf.Listen
 	next.Control = i.conf.Control
 	*i.conf = *next
 	i.resize()
 	i.pool.SetTimeouts(poolTimeouts(next.Settings))
-	// The loop first: it has to know a class before the first job of it arrives.
+	// The loop is updated before the server: it must know a class before the first job of the class arrives.
 	i.loop.ApplySettings(next.Settings)
 	i.server.SetClasses(classes(next.Settings))
 	i.loop.Redirect(next.Discovery)
 }
 
-// classes returns the settings' classes in the form of the clients' side.
+// classes returns the settings' classes by name, as package downstream uses them.
 func classes(s *settings.Settings) map[string]downstream.Class {
 	byName := map[string]downstream.Class{}
 	for _, class := range s.Classes {
--- a/internal/service/leases.go
+++ b/internal/service/leases.go
@@ -19,7 +19,7 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// cachedConfigs is two versions, each with and without a lease.
+// cachedConfigs is the size of the cache: two versions, each with and without a lease.
 const cachedConfigs = 4
 
 // configSource gives the loop the configuration that the instance's lease permits. Each table is converted
@@ -88,10 +88,10 @@
 // leaseSubsystem proposes the operator file's rules block at the start and on each reload.
 type leaseSubsystem struct{ *agent.Agent }
 
-// Reload proposes the rules block of the file, or withdraws a pending proposal if there is none any more.
+// Reload proposes the file's rules block. If the file no longer has one, a pending proposal is withdrawn.
 func (s leaseSubsystem) Reload(file *operatorconfig.File) error {
 	if file.Lease == nil {
-		return errors.New("accord: it can't be switched off while the program runs: restart it")
+		return errors.New("accord: can't be disabled by a reload: restart the program")
 	}
 	var proposal agent.Proposal
 	if p := file.Proposal(); p != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Leave does nothing: jobs in flight are served under the lease until the process ends. Releasing it as the
+// Leave does nothing: jobs in flight are served under the lease until the process ends. Releasing the lease when the
 // shutdown begins would prevent retries of idempotent jobs during a rolling restart.
 func (s leaseSubsystem) Leave() {}
 
@@ -159,8 +159,8 @@
 	return options, nil
 }
 
-// migrationOptions converts the clusters block; the result is nil without one. Workers' slow start is the
-// platform's setting.
+// migrationOptions converts the clusters block; the result is nil if the file has none. The slow start of workers is
+// taken from the platform's settings.
 func migrationOptions(file *operatorconfig.File, conf *settings.Instance) (*agent.Migration, error) {
 	block := file.Migration
 	if block == nil {
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -12,7 +12,7 @@
 
 const (
 	defaultDescriptors  = 1024
-	reservedDescriptors = 24 // for the log, the listener, the watch and the runtime
+	reservedDescriptors = 24 // for the log, the listener, the watch of discovery and the runtime
 	minFreeDescriptors  = 16
 
 	defaultDialTimeoutSeconds = 0.25
@@ -20,12 +20,12 @@
 	defaultDrainGraceSeconds  = 60
 )
 
-// descriptorSplit is how many connections each side may have open.
+// descriptorSplit is the number of connections that may be open to clients and to workers.
 type descriptorSplit struct {
 	downstream, upstream int
 }
 
-// seconds converts a setting to a duration; one that is not positive is replaced by the default.
+// seconds converts a setting in seconds to a duration. A value that is not positive is replaced by the default.
 func seconds(value, defaultValue float64) time.Duration {
 	if value <= 0 {
 		value = defaultValue
@@ -34,7 +34,8 @@
 }
 
 // applyLimits sets the runtime's CPU and memory limits. The memory limit is divided among the processes of the
-// dispatcher; the garbage collector's limit is 3/4 of it, as the platform kills a process that exceeds it.
+// dispatcher. The garbage collector's limit is 3/4 of the result, as the platform kills a process that exceeds its
+// memory limit.
 func applyLimits(conf *settings.Instance, processes int) {
 	if conf.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Cores))))
@@ -44,7 +45,8 @@
 	}
 }
 
-// descriptorBudget returns the number of descriptors without those of the control address.
+// descriptorBudget returns the number of descriptors for clients and workers: the configured number without the
+// descriptors of the control address. It is 0 if no number is configured.
 func descriptorBudget(conf *settings.Instance) int {
 	if conf.Control != "" && conf.Sockets > 0 {
 		return conf.Sockets - server.MaxConnections - 1
@@ -52,8 +54,9 @@
 	return conf.Sockets
 }
 
-// splitDescriptors divides the descriptors between clients and workers. A job in flight takes one of each side,
-// a queued one only the client's. One client connection in 17 is kept free to reject clients with an answer.
+// splitDescriptors divides the descriptors between clients and workers. A job in flight takes one of each side, a
+// queued job only the client's. Of the clients' descriptors, 1 in 17 is kept free, so that a client beyond the limit
+// can be rejected with an answer.
 func splitDescriptors(descriptors int) descriptorSplit {
 	if descriptors <= 0 {
 		descriptors = defaultDescriptors
@@ -66,8 +69,8 @@
 	}
 }
 
-// poolTimeouts returns the timeouts of a dial and of an idle connection. A dial never takes longer than the
-// drain grace: the attempt would go to a worker that drains.
+// poolTimeouts returns the timeouts of a dial and of an idle connection. A dial never takes longer than the drain
+// grace: otherwise an attempt could be sent to a worker whose drain grace is over.
 func poolTimeouts(s *settings.Settings) (dial, idle time.Duration) {
 	dialTimeout := seconds(s.Capabilities.DialTimeout, defaultDialTimeoutSeconds)
 	drainGrace := seconds(s.FleetRules.DrainGrace, defaultDrainGraceSeconds)
--- a/internal/service/listen.go
+++ b/internal/service/listen.go
@@ -20,9 +20,9 @@
 	firstInheritedDescriptor = 3 // after standard input, output and error
 )
 
-// listen opens the clients' socket, or takes over the one that the platform passes. The caller leaves it to the end
-// of the process to close an inherited one: Close blocks for ever if another process has cleared the socket's
-// O_NONBLOCK flag, as a blocked accept ignores deadlines.
+// listen opens the clients' socket, or takes over the one that the platform passes. The caller must not close an
+// inherited one, but leave that to the exit of the process: Close blocks for ever if another process has cleared the
+// socket's O_NONBLOCK flag, as a blocked accept ignores deadlines.
 func listen(address string) (l net.Listener, inherited bool, err error) {
 	value := os.Getenv(inheritedKey)
 	if value == "" {
@@ -31,7 +31,7 @@
 	}
 	descriptor, err := strconv.Atoi(value)
 	if err != nil || descriptor < firstInheritedDescriptor {
-		return nil, false, fmt.Errorf("%s: %q is no descriptor from %d on",
+		return nil, false, fmt.Errorf("%s: %q is not a descriptor number of at least %d",
 			inheritedKey, value, firstInheritedDescriptor)
 	}
 	shared, err := openInherited(descriptor)
@@ -44,10 +44,10 @@
 func openInherited(descriptor int) (net.Listener, error) {
 	accepting, err := unix.GetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d is no listening socket (%w)", descriptor, err)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket (%w)", descriptor, err)
 	}
 	if accepting != 1 {
-		return nil, fmt.Errorf("descriptor %d is no listening socket", descriptor)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket", descriptor)
 	}
 	timeout := unix.NsecToTimeval(maxBlockingAccept.Nanoseconds())
 	if err := unix.SetsockoptTimeval(descriptor, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout); err != nil {
@@ -62,13 +62,13 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		l.Close()
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", descriptor)
+		return nil, fmt.Errorf("descriptor %d is not a TCP socket", descriptor)
 	}
 	return sharedListener{tcp}, nil
 }
 
 // sharedListener is a listening socket that other processes hold as well. All of them share its O_NONBLOCK flag,
-// and whoever passes it to a new process may clear the flag. A blocking accept ignores deadlines and delays Close
+// and a process that passes it to a new one may clear the flag. A blocking accept ignores deadlines and delays Close
 // until a client connects. So Accept sets the flag each time; an accept that races with a change is bounded by
 // SO_RCVTIMEO, which multipath TCP sockets ignore.
 type sharedListener struct{ *net.TCPListener }
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -12,7 +12,7 @@
 	counter = prometheus.CounterValue
 )
 
-// metricFamily is one metric and how its value is read from a status.
+// metricFamily is one metric, with the function that reads its value from a status.
 type metricFamily[Status any] struct {
 	desc  *prometheus.Desc
 	kind  prometheus.ValueType
@@ -33,7 +33,7 @@
 	return prometheus.MustNewConstMetric(f.desc, f.kind, f.value(status), labelValues...)
 }
 
-// statsReader returns the loop's statistics, and false if there are none.
+// statsReader returns the loop's statistics, or false if they are not available.
 type statsReader func() (dispatcher.Stats, bool)
 
 // deferredCollector exports the store of deferred jobs. Each scrape reads the loop's statistics once.
@@ -86,8 +86,8 @@
 	}
 }
 
-// queueCollector exports queue depths by stage, class and tenant, and by class how long jobs waited for their
-// first attempt. Each scrape reads the loop's statistics once.
+// queueCollector exports queue depths by stage, class and tenant, and statistics of the wait for the first attempt by
+// class. Each scrape reads the loop's statistics once.
 type queueCollector struct {
 	read          statsReader
 	depths        []metricFamily[deferred.Depth]
--- a/internal/service/process_group.go
+++ b/internal/service/process_group.go
@@ -13,31 +13,32 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// How often a process polls the shared state: while it starts or there are other processes, and otherwise.
+// Intervals at which a process polls the shared state: pollFast while it starts or other processes exist, otherwise
+// pollSlow.
 const (
 	pollFast = 5 * time.Millisecond
 	pollSlow = 50 * time.Millisecond
 )
 
 // processGroup applies operators' commands to the loop and shares them with the other processes of the same
-// dispatcher. Without a state directory it has this process only.
+// dispatcher. Without a state directory it consists of this process only.
 type processGroup struct {
 	loop     *dispatcher.Dispatcher
 	instance *instance
 	member   *statedir.Membership // nil without a state directory
 
 	mu    sync.Mutex             // guards state
-	state *handoff.OperatorState // without a state directory
+	state *handoff.OperatorState // used only without a state directory
 
 	otherProcesses int
 	pendingIDsMu   sync.Mutex
-	pendingIDs     []string // request ids taken here, to be published
+	pendingIDs     []string // ids of requests accepted here, to be published
 	done           chan struct{}
 	wg             sync.WaitGroup
 }
 
-// newProcessGroup joins the dispatcher's state directory below $TMPDIR. Without one, commands apply to this
-// process only, until it ends.
+// newProcessGroup joins the dispatcher's state directory below $TMPDIR. If that is not possible, commands apply to
+// this process only, until it ends.
 func newProcessGroup(
 	conf *settings.Instance, loop *dispatcher.Dispatcher, inst *instance, logf func(string, ...any),
 ) *processGroup {
@@ -49,12 +50,12 @@
 	}
 	tmp := os.Getenv("TMPDIR")
 	if tmp == "" {
-		logf("handoff: no TMPDIR: operator commands end with this process")
+		logf("handoff: TMPDIR is not set: operator commands are lost when this process ends")
 		return g
 	}
 	member, err := statedir.Join(statedir.Path(tmp, conf.Name, conf.Listen), logf)
 	if err != nil {
-		logf("handoff: operator commands end with this process: %v", err)
+		logf("handoff: operator commands are lost when this process ends: %v", err)
 		return g
 	}
 	g.member = member
@@ -63,7 +64,7 @@
 	return g
 }
 
-// poll exchanges state with the other processes until close.
+// poll exchanges state with the other processes until close is called.
 func (g *processGroup) poll() {
 	timer := time.NewTimer(pollFast)
 	defer timer.Stop()
@@ -77,8 +78,8 @@
 	}
 }
 
-// exchange publishes the state of this process, applies that of the others, and returns the time until the next
-// exchange.
+// exchange publishes the state of this process, applies the state of the other processes, and returns the time until
+// the next exchange.
 func (g *processGroup) exchange() time.Duration {
 	phase := g.instance.phases.Now()
 	g.publishPhase(phase)
@@ -105,7 +106,7 @@
 }
 
 // adopt applies the shared state. Accepting is paused first: when the loop logs that another process leads, this
-// one accepts no connection any more.
+// process no longer accepts connections.
 func (g *processGroup) adopt(view statedir.View) {
 	g.instance.server.Pause(!view.IsLeader)
 	g.loop.ApplyOperatorState(view.OperatorState, view.IsLeader)
@@ -167,14 +168,14 @@
 // Status implements the STATUS command.
 func (g *processGroup) Status() error { return g.loop.Status() }
 
-// Pause implements the PAUSE command: the dispatcher drains and is not ready.
+// Pause implements the PAUSE command: the dispatcher drains and reports that it is not ready.
 func (g *processGroup) Pause() error { return g.setPaused(true) }
 
 // Resume implements the RESUME command, which ends a pause.
 func (g *processGroup) Resume() error { return g.setPaused(false) }
 
-// Suspend implements the SUSPEND command, which cordons a worker. Before the first endpoint list an unknown
-// worker is cordoned as well, though the command fails.
+// Suspend implements the SUSPEND command, which cordons a worker. The command fails for an unknown worker, but
+// before the first endpoint list arrives, the unknown worker is cordoned nevertheless.
 func (g *processGroup) Suspend(worker string) error {
 	known, listed := g.loop.KnowsWorker(worker)
 	if !known && listed {
@@ -190,7 +191,8 @@
 	return err
 }
 
-// Restore implements the RESTORE command, which uncordons a worker however often it was cordoned.
+// Restore implements the RESTORE command, which uncordons a worker. One call is enough, however often the worker was
+// cordoned.
 func (g *processGroup) Restore(worker string) error {
 	known, _ := g.loop.KnowsWorker(worker)
 	return g.updateState(func(s *handoff.OperatorState) (*handoff.OperatorState, error) {
@@ -213,7 +215,7 @@
 // unknownWorkerError is the answer to a command that names a worker which is not in the endpoint list.
 type unknownWorkerError struct {
 	worker   string
-	cordoned bool // there is no endpoint list yet, and the worker is cordoned for when it appears
+	cordoned bool // there is no endpoint list yet; the worker stays cordoned when it appears in one
 }
 
 func (e unknownWorkerError) Error() string {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -25,11 +25,11 @@
 // Version is the version of the build; the linker sets it.
 var Version = "dev"
 
-// Serve runs a dispatcher until SIGTERM or SIGINT, and returns when all requests are answered. Without an
-// operator's file only the platform's configuration applies.
+// Serve runs a dispatcher until SIGTERM or SIGINT, and returns when all requests are answered. If operatorPath is
+// empty, only the platform's configuration applies.
 func Serve(configPath, operatorPath string) error {
-	// Separate channels, so that many signals of one kind can't displace the other. They are registered first,
-	// as an unhandled SIGHUP would end the program.
+	// Each kind of signal has its own channel, so that many signals of one kind can't displace the other. The handlers
+	// are registered first, as an unhandled SIGHUP would end the program.
 	stops := make(chan os.Signal, 1)
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
@@ -99,7 +99,7 @@
 	}
 }
 
-// load reads the platform's configuration and the operator's file, which is nil without a path.
+// load reads the platform's configuration and the operator's file; the file is nil if operatorPath is empty.
 func load(configPath, operatorPath string) (*settings.Instance, *operatorconfig.File, error) {
 	conf, err := settings.Load(configPath)
 	if err != nil {
@@ -150,12 +150,12 @@
 	}
 }
 
-// stoppedEarly reports whether the stop signal arrived during the start. Clients aren't accepted then: they could
-// connect for a moment only.
+// stoppedEarly reports whether the stop signal arrived during startup. In that case no client is accepted, as its
+// connection would be closed again at once.
 func stoppedEarly(stops <-chan os.Signal, logf func(string, ...any)) bool {
 	select {
 	case sig := <-stops:
-		logf("%s: stopping before the start is over", sig)
+		logf("%s: stopping during startup", sig)
 		return true
 	default:
 		return false
@@ -172,8 +172,8 @@
 	}
 }
 
-// openControl opens the control address if there is one, and joins the processes of the same dispatcher if
-// there is one or if the clients' socket is inherited. The returned function ends both.
+// openControl opens the control address if one is configured. If so, or if the clients' socket is inherited, it also
+// joins the other processes of the same dispatcher. The returned function ends both.
 func openControl(inst *instance, inherited bool) (func(), error) {
 	address := inst.conf.Control
 	if address == "" && !inherited {
@@ -199,8 +199,8 @@
 	}, nil
 }
 
-// awaitStop waits for the stop signal and begins the shutdown; further signals change nothing. The loop is
-// stopped first, as a subsystem's Leave may block and the time until SIGKILL is running.
+// awaitStop waits for the stop signal and begins the shutdown; further signals have no effect. The loop is stopped
+// first, as a subsystem's Leave may block while the time until the platform's SIGKILL passes.
 func awaitStop(
 	stops <-chan os.Signal, loop *dispatcher.Dispatcher, running *subsystems, logf func(string, ...any),
 ) {
--- a/internal/service/shards.go
+++ b/internal/service/shards.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// shardReportInterval is how often an instance reports its shards and polls for transfers to start.
+	// shardReportInterval is the interval at which an instance reports its shards to the leader and asks for transfers
+	// to start.
 	shardReportInterval = time.Second
 
 	shardWarningInterval   = time.Minute
@@ -37,7 +38,7 @@
 	warnings *logging.Limited
 }
 
-// newShardSubsystem sets the loop's scheduler, which is the shard router; it needs the loop's Balancer.
+// newShardSubsystem makes the shard router the loop's scheduler. The router is created when the loop has its Balancer.
 func newShardSubsystem(b *builder) (*shardSubsystem, error) {
 	s := &shardSubsystem{
 		agent:    b.agent,
@@ -90,7 +91,7 @@
 	}
 }
 
-// propose queues changes of the shard map. With a full queue they are dropped, and the router repeats them.
+// propose queues changes of the shard map. If the queue is full they are dropped; the router proposes them again.
 func (s *shardSubsystem) propose(changes []shard.OwnerChange) {
 	select {
 	case s.changes <- changes:
@@ -98,7 +99,7 @@
 	}
 }
 
-// run reports owner changes to the leader and starts the transfers that it requests.
+// run reports owner changes to the leader and starts the transfers that the leader requests, until Close.
 func (s *shardSubsystem) run() {
 	defer close(s.ended)
 	ticker := time.NewTicker(shardReportInterval)
@@ -131,10 +132,10 @@
 	}
 }
 
-// Reload applies the addresses of other instances; all other settings change by a restart.
+// Reload applies the addresses of other instances; changes of all other settings need a restart.
 func (s *shardSubsystem) Reload(file *operatorconfig.File) error {
 	if file.Shards == nil {
-		return errors.New("shards: they can't be switched off while the program runs: restart it")
+		return errors.New("shards: can't be disabled by a reload: restart the program")
 	}
 	s.mesh.SetPeers(file.Shards.Instances)
 	return nil
--- a/internal/service/show.go
+++ b/internal/service/show.go
@@ -25,9 +25,9 @@
 	tableColumnPadding = 2
 )
 
-// AdminQuery is the instance that a command reads from, and how it prints the response.
+// AdminQuery selects the instance that a command reads from, and the format in which it prints the response.
 type AdminQuery struct {
-	Address      string // of the admin listener; empty: from the operator's file
+	Address      string // of the admin listener; if empty, it is read from the operator's file
 	OperatorPath string
 	JSON         bool // print the response's JSON unchanged
 }
@@ -50,7 +50,7 @@
 	return table.Flush()
 }
 
-// ShowPeers prints the cluster as an instance sees it.
+// ShowPeers prints an instance's view of its cluster: the peers and the tenants' reservations.
 func ShowPeers(out io.Writer, query AdminQuery) error {
 	var status gossip.Status
 	done, err := query.fetch(out, "/peers", &status)
@@ -126,8 +126,8 @@
 	}
 }
 
-// fetch reads a path of the admin listener. It decodes the response into a value, or copies it to out if the
-// query is for JSON: then done is true.
+// fetch reads a path of the admin listener. It decodes the response into value; if the query is for JSON, it copies
+// the response to out instead and returns done as true.
 func (q AdminQuery) fetch(out io.Writer, path string, value any) (done bool, err error) {
 	body, err := q.get(path)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return body, nil
 }
 
-// address returns the address of the admin listener.
+// address returns the address of the admin listener, or an error if neither the query nor the operator's file has one.
 func (q AdminQuery) address() (string, error) {
 	if q.Address != "" {
 		return q.Address, nil
--- a/internal/service/subsystems.go
+++ b/internal/service/subsystems.go
@@ -13,8 +13,7 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// Loop is the part of a dispatcher's loop that subsystems call. No call blocks for longer than until its
-// queue has room.
+// Loop is the part of a dispatcher's loop that subsystems call. A call blocks at most until the loop's queue has room.
 type Loop interface {
 	UpdateQuotas(updates []balance.QuotaUpdate)
 	Wake()
@@ -24,10 +23,10 @@
 	Stats() (dispatcher.Stats, bool)
 }
 
-// subsystem is a feature that a block of the operator's file enables. A new one needs a step in builder; the
-// loop doesn't know the subsystems.
+// subsystem is a feature that a block of the operator's file enables. A new subsystem needs a step in builder; the
+// loop doesn't depend on subsystems.
 type subsystem interface {
-	// Reload applies the file as it is after a SIGHUP.
+	// Reload applies the operator's file as read again after a SIGHUP.
 	Reload(file *operatorconfig.File) error
 	// Leave is called when the shutdown begins.
 	Leave()
@@ -37,15 +36,15 @@
 
 // subsystems are the running subsystems; there are none without an operator's file.
 type subsystems struct {
-	mu      sync.Mutex // held during calls, so that a closed subsystem isn't called any more
+	mu      sync.Mutex // held during Reload, Leave and Close, so that a closed subsystem isn't called
 	running []subsystem
 	loop    atomic.Pointer[Loop]
-	sharded bool // a shard's owner applies the whole reservation, so that no parts of it are lent
+	sharded bool // quota updates are dropped, as each shard's owner applies the full reservation
 }
 
 func (s *subsystems) add(added subsystem) { s.running = append(s.running, added) }
 
-// bind sets the loop that the subsystems call; until then their calls are dropped.
+// bind sets the loop that the subsystems call. Calls before bind are dropped.
 func (s *subsystems) bind(loop Loop) { s.loop.Store(&loop) }
 
 func (s *subsystems) updateQuotas(updates []balance.QuotaUpdate) {
@@ -92,7 +91,7 @@
 	s.running = nil
 }
 
-// reload reads the operator's file again. An invalid file changes nothing.
+// reload reads the operator's file again and applies it. An invalid file changes nothing.
 func (s *subsystems) reload(path string, log zerolog.Logger) {
 	file, err := operatorconfig.Load(path)
 	if err != nil {
