--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -21,16 +21,16 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// sender sends one job after the other on a connection that it keeps, as the protocol's clients do, up to
-// the connection's end and, while new ones are brought, on the next.
+// sender sends one job after the other on a persistent connection, as the protocol's clients do. When the connection
+// ends, it opens the next one as long as keepSending returns true.
 type sender struct {
 	addr     string
-	answered map[string]int // by id
+	answered map[string]int // status by id
 	errors   []string
 }
 
-func (s *sender) run(no int, ready func(), brought func() bool) {
-	for n := 0; brought(); {
+func (s *sender) run(index int, ready func(), keepSending func() bool) {
+	for n := 0; keepSending(); {
 		c, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			s.errors = append(s.errors, err.Error())
@@ -38,16 +38,16 @@
 		}
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		r := bufio.NewReader(c)
-		for used := false; ; used = true {
-			id := fmt.Sprintf("%d-%d", no, n)
+		for reused := false; ; reused = true {
+			id := fmt.Sprintf("%d-%d", index, n)
 			n++
 			_, err := fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Timeout: 0.3\r\nContent-Length: 2\r\n\r\nhi", id)
-			if _, peek := r.Peek(1); err == nil {
-				err = peek
+			if _, peekErr := r.Peek(1); err == nil {
+				err = peekErr
 			}
 			if err != nil {
-				if !used { // a connection that was used may end between two requests, a new one not
-					s.errors = append(s.errors, fmt.Sprintf("%s: a new connection: %v", id, err))
+				if !reused { // only a connection that has served a request may end between two requests
+					s.errors = append(s.errors, fmt.Sprintf("%s: a new connection ended without an answer: %v", id, err))
 				}
 				break
 			}
@@ -57,7 +57,7 @@
 				resp.Body.Close()
 			}
 			if err != nil {
-				s.errors = append(s.errors, fmt.Sprintf("%s: a broken answer: %v", id, err))
+				s.errors = append(s.errors, fmt.Sprintf("%s: incomplete answer: %v", id, err))
 				break
 			}
 			if s.answered[id] = resp.StatusCode; resp.Close {
@@ -95,20 +95,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handed, err := unix.Dup(int(f.Fd()))
+	duplicate, err := unix.Dup(int(f.Fd()))
 	f.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(inheritedKey, strconv.Itoa(handed))
+	t.Setenv(inheritedKey, strconv.Itoa(duplicate))
 	return l
 }
 
-// Clients send on every open connection until the process ends, while it shuts down: each forwarded request gets
-// its response, and no new connection ends without one. Tests of the loop check when the process ends.
+// Clients keep sending on all connections while the process shuts down. Guards against a forwarded request that gets
+// no response, and against a new connection that ends without one. Tests of the loop check when the process ends.
 func TestClientsSendUntilShutdownEnds(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes a second")
+		t.Skip("takes about a second")
 	}
 	target, discovery := wiretest.NewTarget(t), wiretest.NewTarget(t)
 	var sent sync.Map
@@ -127,8 +127,8 @@
 	stops, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { ended <- serve(config, "", stops, nil) }()
 
-	var stopped atomic.Int64 // when, in nanoseconds
-	brought := func() bool {
+	var stopped atomic.Int64 // time of the stop signal in Unix nanoseconds; 0: not sent yet
+	keepSending := func() bool {
 		at := stopped.Load()
 		return at == 0 || time.Since(time.Unix(0, at)) < 300*time.Millisecond
 	}
@@ -141,13 +141,13 @@
 		warm.Add(1)
 		go func() {
 			defer all.Done()
-			s.run(n, sync.OnceFunc(warm.Done), brought)
+			s.run(n, sync.OnceFunc(warm.Done), keepSending)
 		}()
 	}
 	warm.Wait()
 	stopped.Store(time.Now().UnixNano())
 	stops <- syscall.SIGTERM
-	if err := wiretest.Get(t, ended, "the end"); err != nil && !errors.Is(err, net.ErrClosed) {
+	if err := wiretest.Get(t, ended, "serve to return"); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 	all.Wait()
@@ -158,16 +158,16 @@
 		}
 		for id, status := range s.answered {
 			sent.Delete(id)
-			if answered++; status != 200 && status < 502 { // 502 and 504 where this machine is slow
-				t.Errorf("%s: got %d", id, status)
+			if answered++; status != 200 && status < 502 { // 502 and 504 occur on a slow machine
+				t.Errorf("%s: got status %d, want 200 or at least 502", id, status)
 			}
 		}
 	}
 	sent.Range(func(id, _ any) bool {
-		t.Errorf("%s was sent on and has no answer", id)
+		t.Errorf("request %s was forwarded but not answered", id)
 		return true
 	})
 	if answered < len(senders) {
-		t.Errorf("%d answers", answered)
+		t.Errorf("got %d answers, want at least one per sender", answered)
 	}
 }
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -34,14 +34,15 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the current output")
 
 const goldenConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
  "known":{"seq":1,"whole":true,"hosts":[{"host":"w","dial":"127.0.0.1:1","health":"active"}]},
  "settings":{"balancers":1,"lanes":[{"name":"c","hard_limit":60,"semantics":"safe"}],"parties":[{"name":"t","quota_per_s":10}],
   "membership_mode":"on_request","round":0.004,"caps":{"max_attempts":2}}}`
 
-// startGolden starts a service with each of its subsystems, none of which reaches another instance.
+// startGolden starts a service with all subsystems. None of them can connect to another instance. It returns the base
+// URL of the admin listener.
 func startGolden(t *testing.T) (base string, p *subsystems) {
 	t.Helper()
 	conf, err := settings.ParseInstance([]byte(goldenConfig))
@@ -128,7 +129,8 @@
 	return resp.StatusCode, body
 }
 
-// checkGolden compares what is made with a golden file.
+// checkGolden compares the output with a golden file, and returns the file's content. With -update it writes the file
+// first.
 func checkGolden(t *testing.T, name string, got []byte) (want []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -147,11 +149,11 @@
 	return want
 }
 
-// Every metric has the name, the labels and the type that dashboards and alerts know it by.
+// Guards against a change of a metric's name, labels or type, which would break dashboards and alerts.
 func TestGoldenMetrics(t *testing.T) {
 	_, p := startGolden(t)
 	registry := p.running[0].(adminSubsystem).Registry
-	types := map[string]string{ // of labelled ones that need not have a sample yet
+	types := map[string]string{ // of labelled metrics that may have no sample yet
 		"bellstream_peers_dropped_total":  "COUNTER",
 		"bellstream_accord_dropped_total": "COUNTER",
 		"bellstream_shards_events_total":  "COUNTER",
@@ -163,16 +165,16 @@
 		}
 		for _, f := range families {
 			if old := types[f.GetName()]; old != "" && old != f.GetType().String() {
-				t.Errorf("%s is a %s and a %s", f.GetName(), old, f.GetType())
+				t.Errorf("%s has type %s and type %s", f.GetName(), old, f.GetType())
 			}
 			types[f.GetName()] = f.GetType().String()
 		}
 	}
-	wiretest.Until(t, "tenants to have parts of their reservations", func() bool {
+	wiretest.Until(t, "tenants to have shares of their reservations", func() bool {
 		gather(registry)
 		return types["bellstream_peers_slice_ratio"] != ""
 	})
-	full := prometheus.NewRegistry() // a job that waits, so that each has a sample
+	full := prometheus.NewRegistry() // with a waiting job, so that each metric has a sample
 	full.MustRegister(newQueueCollector(func() (dispatcher.Stats, bool) {
 		return dispatcher.Stats{Depths: []deferred.Depth{{}}, FirstAttempts: []deferred.FirstAttempts{{}}}, true
 	}))
@@ -180,12 +182,12 @@
 	descriptions := make(chan *prometheus.Desc, 1000)
 	registry.Describe(descriptions)
 	close(descriptions)
-	form := regexp.MustCompile(`^Desc\{fqName: "(\w+)", help: ".*", constLabels: \{\}, variableLabels: \{(.*)\}\}$`)
+	pattern := regexp.MustCompile(`^Desc\{fqName: "(\w+)", help: ".*", constLabels: \{\}, variableLabels: \{(.*)\}\}$`)
 	var lines []string
 	for d := range descriptions {
-		m := form.FindStringSubmatch(d.String())
+		m := pattern.FindStringSubmatch(d.String())
 		if m == nil {
-			t.Fatalf("%s", d)
+			t.Fatalf("description has an unexpected form: %s", d)
 		}
 		lines = append(lines, fmt.Sprintf("%s %s {%s}\n", m[1], types[m[1]], m[2]))
 	}
@@ -193,7 +195,7 @@
 	checkGolden(t, "metrics.txt", []byte(strings.Join(lines, "")))
 }
 
-// filler gives every field of a value something of its own.
+// filler sets every field of a value, so that none is empty and numbers and texts differ.
 type filler struct{ n int }
 
 func (f *filler) fill(v reflect.Value) {
@@ -226,11 +228,11 @@
 	case reflect.Uint8, reflect.Uint32, reflect.Uint64:
 		v.SetUint(uint64(f.n % 256))
 	default:
-		panic(fmt.Sprintf("no way to fill a %s", v.Type()))
+		panic(fmt.Sprintf("filler does not support type %s", v.Type()))
 	}
 }
 
-// Each path of the admin listener shows the keys that it always had, in their order.
+// Guards against a change of the JSON keys, or of their order, at the paths of the admin listener.
 func TestGoldenAdmin(t *testing.T) {
 	base, p := startGolden(t)
 	var shardsStatus any
@@ -240,8 +242,8 @@
 		}
 	}
 	for _, c := range []struct {
-		path string
-		form any
+		path    string
+		example any
 	}{
 		{"/peers", gossip.Status{}},
 		{"/counts", gossip.UsageReport{}},
@@ -251,7 +253,7 @@
 		{"/waiting", dispatcher.Stats{}},
 	} {
 		name := c.path[1:]
-		full := reflect.New(reflect.TypeOf(c.form))
+		full := reflect.New(reflect.TypeOf(c.example))
 		(&filler{}).fill(full.Elem())
 		for file, v := range map[string]any{name + ".json": full.Interface(), name + "-empty.json": reflect.Zero(full.Type().Elem()).Interface()} {
 			raw, err := json.MarshalIndent(v, "", "  ")
@@ -264,13 +266,13 @@
 				t.Errorf("%s: %v", file, err)
 			}
 			if again, err := json.MarshalIndent(back.Interface(), "", "  "); err != nil || string(again)+"\n" != string(want) {
-				t.Errorf("%s: decoded and encoded again it is %s, %v", file, again, err)
+				t.Errorf("%s: after decoding and encoding again got %s, error %v", file, again, err)
 			}
 		}
 		status, body := get(t, base+c.path)
 		var live, known map[string]any
 		if err := json.Unmarshal(body, &live); err != nil || status != http.StatusOK {
-			t.Fatalf("%s: %d, %v, %s", c.path, status, err, body)
+			t.Fatalf("%s: got status %d, error %v, body %s", c.path, status, err, body)
 		}
 		raw, err := json.Marshal(full.Interface())
 		if err != nil {
@@ -280,40 +282,40 @@
 			t.Fatal(err)
 		}
 		for key := range live {
-			if _, ok := known[key]; !ok && name != "counts" { // its keys are tenants
-				t.Errorf("%s: there is a key %q", c.path, key)
+			if _, ok := known[key]; !ok && name != "counts" { // the keys of /counts are tenants
+				t.Errorf("%s: unexpected key %q", c.path, key)
 			}
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// The answers of the control address in each phase are those that operators' tools know.
+// Guards against a change of the control address's answers in any phase, which operators' tools parse.
 func TestGoldenControl(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	conf, d, run := newTestProcess(t)
-	over := newProcessGroup(conf, d, run, run.logf)
-	defer over.close()
+	group := newProcessGroup(conf, d, run, run.logf)
+	defer group.close()
 	var got bytes.Buffer
-	play := func(lines ...string) {
+	execute := func(lines ...string) {
 		for _, line := range lines {
 			call, err := control.Parse([]byte(line))
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&got, "%s, %s: %s", run.phases.Now(), line, control.Answer(call.Execute(over)))
+			fmt.Fprintf(&got, "%s, %s: %s", run.phases.Now(), line, control.Answer(call.Execute(group)))
 		}
 	}
-	play("STATUS")
+	execute("STATUS")
 	run.phases.Enter(dispatcher.Serving)
-	play("STATUS", "SUSPEND w", "SUSPEND v", "RESTORE v", "RESTORE v", "RESTORE w", "PAUSE", "STATUS", "RESUME", "RESUME", "STATUS")
+	execute("STATUS", "SUSPEND w", "SUSPEND v", "RESTORE v", "RESTORE v", "RESTORE w", "PAUSE", "STATUS", "RESUME", "RESUME", "STATUS")
 	run.phases.Enter(dispatcher.Serving)
 	run.phases.SetYielding(true)
-	play("STATUS")
+	execute("STATUS")
 	run.phases.SetYielding(false)
 	for _, phase := range []dispatcher.Phase{dispatcher.Retiring, dispatcher.Draining, dispatcher.Closing, dispatcher.Stopped} {
 		run.phases.Enter(phase)
-		play("STATUS", "PAUSE", "RESUME")
+		execute("STATUS", "PAUSE", "RESUME")
 	}
 	checkGolden(t, "control.txt", got.Bytes())
 }
--- a/internal/service/life_client_test.go
+++ b/internal/service/life_client_test.go
@@ -15,12 +15,12 @@
 type scriptedClient struct {
 	scenario       *scenario
 	conn           *net.TCPConn
-	queue          []*clientRequest // written whole and not answered
-	partial        *clientRequest   // of which rest is not written yet
+	queue          []*clientRequest // written completely and not yet answered
+	partial        *clientRequest   // request whose remaining bytes, unwritten, are not sent yet
 	unwritten      string
 	disconnected   bool
-	closeAnnounced bool // an answer said that it is the last
-	closedByServer bool // by the other side
+	closeAnnounced bool // an answer announced that the connection closes
+	closedByServer bool // the dispatcher has ended the connection
 }
 
 func (p *scenario) connect() *scriptedClient {
@@ -48,7 +48,7 @@
 				resp.Body.Close()
 			}
 			if err != nil {
-				err = fmt.Errorf("half an answer: %w", err)
+				err = fmt.Errorf("incomplete answer: %w", err)
 			}
 		}
 		c.scenario.mu.Lock()
@@ -56,19 +56,19 @@
 		case c.disconnected && err != nil:
 		case err != nil:
 			c.closedByServer = true
-			if strings.HasPrefix(err.Error(), "half") {
+			if strings.HasPrefix(err.Error(), "incomplete answer") {
 				c.scenario.fail("%v", err)
 			}
 			for _, a := range c.queue {
 				a.Never = !a.received && (c.closeAnnounced || c.scenario.mayCloseConnections)
 				if !a.Never {
-					c.scenario.fail("request %s (taken: %v) saw its connection end unanswered: %v", a.ID, a.received, err)
+					c.scenario.fail("connection of request %s (received: %v) ended without an answer: %v", a.ID, a.received, err)
 				}
 			}
 		case len(c.queue) > 0:
 			a := c.queue[0]
 			if c.queue = c.queue[1:]; len(c.queue) > 0 {
-				c.queue[0].SentAt = max(c.queue[0].SentAt, c.scenario.now()) // it is read now
+				c.queue[0].SentAt = max(c.queue[0].SentAt, c.scenario.now()) // the dispatcher reads the next request only now
 			}
 			a.Answers = append(a.Answers, invariants.Answer{At: c.scenario.now(), Status: resp.StatusCode, Body: string(body)})
 			switch resp.StatusCode {
@@ -80,10 +80,10 @@
 					c.scenario.timingViolations = append(c.scenario.timingViolations, fmt.Sprintf("request %s got 408 %.3f s after its first byte", a.ID, a.SentAt-a.firstByteAt))
 				}
 			default:
-				c.scenario.fail("request %s got %d", a.ID, resp.StatusCode)
+				c.scenario.fail("request %s got unexpected status %d", a.ID, resp.StatusCode)
 			}
 		case resp.StatusCode != 408 || c.unwritten == "":
-			c.scenario.fail("%d, which nobody asked for", resp.StatusCode)
+			c.scenario.fail("got status %d without a request", resp.StatusCode)
 		}
 		c.closeAnnounced = c.closeAnnounced || err == nil && resp.Close
 		c.scenario.mu.Unlock()
@@ -94,17 +94,18 @@
 	}
 }
 
-// startRequest starts a new request and writes a fraction of it, from 0 to 1.
-func (c *scriptedClient) startRequest(class string, patience, part float64) {
+// startRequest creates a request and writes a fraction of it, from 0 to 1. Unless the fraction is 1, finishRequest
+// has to write the rest. clientTimeout is in seconds.
+func (c *scriptedClient) startRequest(class string, clientTimeout, fraction float64) {
 	p := c.scenario
 	p.mu.Lock()
-	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: patience}}
+	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: clientTimeout}}
 	p.requests, p.requestsByID[a.ID] = append(p.requests, a), a
-	a.Never, a.firstByteAt = true, p.now() // until all of it is written
+	a.Never, a.firstByteAt = true, p.now() // Never holds until all of it is written
 	p.mu.Unlock()
 	raw := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nTenant: acme\r\nRequest-Timeout: %.3f\r\nContent-Length: 4\r\n\r\nbody",
-		class, a.ID, a.ID, patience)
-	n := int(part * float64(len(raw)))
+		class, a.ID, a.ID, clientTimeout)
+	n := int(fraction * float64(len(raw)))
 	c.partial, c.unwritten = a, raw[n:]
 	if n > 0 && n < len(raw) {
 		c.conn.Write([]byte(raw[:n]))
@@ -114,7 +115,7 @@
 	}
 }
 
-// finishRequest writes the rest of a request, which counts as sent from before its last byte on.
+// finishRequest writes the rest of a request. SentAt is taken before the last byte is written.
 func (c *scriptedClient) finishRequest() {
 	p := c.scenario
 	p.mu.Lock()
@@ -128,25 +129,26 @@
 	c.conn.Write([]byte(rest))
 }
 
-// disconnect ends the connection from the client's side.
-func (c *scriptedClient) disconnect(how int) {
+// disconnect ends the connection from the client's side. Mode 0 closes it, 1 resets it, and 2 closes the sending side
+// only.
+func (c *scriptedClient) disconnect(mode int) {
 	c.scenario.mu.Lock()
 	c.disconnected = true
 	c.scenario.mu.Unlock()
-	switch how {
+	switch mode {
 	case 0:
 		c.conn.Close()
 	case 1:
 		c.conn.SetLinger(0)
 		c.conn.Close()
 	case 2:
-		c.conn.CloseWrite() // what comes is still read
+		c.conn.CloseWrite() // answers are still read
 	}
 	c.scenario.mu.Lock()
 	for _, a := range c.queue {
-		a.DisconnectedAt, a.disconnectKind = c.scenario.now(), []string{"with its connection closed", "with a reset", "with its sending ended"}[how]
+		a.DisconnectedAt, a.disconnectKind = c.scenario.now(), []string{"with its connection closed", "with a reset", "with its sending side closed"}[mode]
 		if c.unwritten != "" {
-			a.disconnectKind += ", behind bytes it had sent on"
+			a.disconnectKind += ", after part of another request"
 		}
 	}
 	c.scenario.mu.Unlock()
--- a/internal/service/life_discovery_test.go
+++ b/internal/service/life_discovery_test.go
@@ -12,7 +12,8 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// endpointLine is the complete endpoint list, or a change of it.
+// endpointLine returns a message of discovery's watch with the given workers: the complete endpoint list, or with
+// whole = false a change of it.
 func (p *scenario) endpointLine(whole bool, which ...int) string {
 	var hosts []string
 	for _, n := range which {
@@ -29,14 +30,14 @@
 	return which
 }
 
-// recordNotifications records what discovery has written; the caller holds mu.
+// recordNotifications records that discovery has sent the states of the given workers; the caller holds mu.
 func (p *scenario) recordNotifications(which ...int) {
 	for _, n := range which {
 		p.notifications = append(p.notifications, invariants.EndpointChange{Dispatcher: "d", Worker: p.workers[n].name, State: p.health[n], At: p.now()})
 	}
 }
 
-// serveDiscovery serves watches at one of the addresses.
+// serveDiscovery serves watches at one of discovery's addresses, until the listener is closed.
 func (p *scenario) serveDiscovery(l net.Listener) {
 	defer p.wg.Done()
 	for {
@@ -63,7 +64,7 @@
 			p.recordNotifications(p.allWorkers()...)
 			p.watches[c] = true
 			p.mu.Unlock()
-			r.Peek(1) // its end
+			r.Peek(1) // wait until the other side ends the watch
 			p.mu.Lock()
 			delete(p.watches, c)
 			p.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// changeHealth sends a worker's new state on all watches.
+// changeHealth sets a worker's state and sends it on all watches, unless discovery is silent.
 func (p *scenario) changeHealth(n int, health string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/service/life_run_test.go
+++ b/internal/service/life_run_test.go
@@ -13,16 +13,16 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// scenarioRun plays one scenario.
+// scenarioRun executes one scenario.
 type scenarioRun struct {
 	*scenario
 	rng     *rand.Rand
 	clients []*scriptedClient
-	ended   chan struct{} // the loop has ended
+	ended   chan struct{} // closed when the loop has ended
 }
 
-// runScenario plays the steps that the seed gives and records violations.
-func runScenario(t *testing.T, seed uint64, stalled *stallMonitor) *scenario {
+// runScenario executes steps drawn from the seed, checks the history and records violations.
+func runScenario(t *testing.T, seed uint64, stalls *stallMonitor) *scenario {
 	rng := rand.New(rand.NewPCG(seed, 24))
 	r := &scenarioRun{scenario: newScenario(t, rng), rng: rng, ended: make(chan struct{})}
 	go r.runLoop()
@@ -37,7 +37,7 @@
 		} else {
 			r.operatorStep(kind)
 		}
-		time.Sleep(time.Duration(rng.IntN(12000)) * time.Microsecond) // so that steps meet what earlier ones began
+		time.Sleep(time.Duration(rng.IntN(12000)) * time.Microsecond) // let steps overlap with the effects of earlier steps
 	})
 	if stops {
 		r.mu.Lock()
@@ -52,9 +52,9 @@
 	r.mayCloseConnections = true
 	r.mu.Unlock()
 	r.loop.Stop()
-	wiretest.Get(t, r.ended, "the loop's end")
+	wiretest.Get(t, r.ended, "the loop to end")
 	r.closeAll()
-	r.validate(stalled)
+	r.validate(stalls)
 	return r.scenario
 }
 
@@ -66,7 +66,7 @@
 	close(p.ended)
 }
 
-// pick returns a random connected client that fits, or nil.
+// pick returns a random connected client for which fits returns true, or nil.
 func (p *scenarioRun) pick(fits func(c *scriptedClient) bool) *scriptedClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// idleClient returns a client that may send, if need be a new one.
+// idleClient returns a connected client without unfinished requests. If there is none, it connects a new one, up to 12;
+// it returns nil beyond that.
 func (p *scenarioRun) idleClient() *scriptedClient {
 	c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 0 && c.unwritten == "" && !c.closeAnnounced })
 	if c == nil && len(p.clients) < 12 {
@@ -89,51 +90,51 @@
 	return c
 }
 
-func (p *scenarioRun) randomClassAndTimeout() (class string, patience float64) {
+func (p *scenarioRun) randomClassAndTimeout() (class string, clientTimeout float64) {
 	return scenarioClasses[p.rng.IntN(len(scenarioClasses))].Name, 0.1 + 0.6*p.rng.Float64()
 }
 
-// clientStep plays a step of the clients.
+// clientStep executes a step of the clients.
 func (p *scenarioRun) clientStep(step byte) {
 	switch step {
-	default: // a whole request
+	default: // a complete request
 		if c := p.idleClient(); c != nil {
-			class, patience := p.randomClassAndTimeout()
-			c.startRequest(class, patience, 1)
+			class, clientTimeout := p.randomClassAndTimeout()
+			c.startRequest(class, clientTimeout, 1)
 		}
-	case 10, 11, 12: // half of one
+	case 10, 11, 12: // part of a request
 		if c := p.idleClient(); c != nil {
-			class, patience := p.randomClassAndTimeout()
-			c.startRequest(class, patience, p.rng.Float64())
+			class, clientTimeout := p.randomClassAndTimeout()
+			c.startRequest(class, clientTimeout, p.rng.Float64())
 		}
-	case 13, 14, 15: // its rest
+	case 13, 14, 15: // the rest of a partial request
 		if c := p.pick(func(c *scriptedClient) bool { return c.unwritten != "" }); c != nil {
 			c.finishRequest()
 		}
-	case 16: // one more behind one that waits for its answer
+	case 16: // a pipelined request after one that is not answered yet
 		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) == 1 && c.unwritten == "" && !c.closeAnnounced }); c != nil {
 			class, _ := p.randomClassAndTimeout()
-			c.startRequest(class, 1, 1) // its time counts from when the first is answered
+			c.startRequest(class, 1, 1) // its timeout counts from the answer to the first request
 		}
 	case 17, 18, 19:
 		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) > 0 }); c != nil {
 			c.disconnect(p.rng.IntN(3))
 		}
-	case 20: // leaves behind sent bytes
+	case 20: // disconnects after sending part of another request
 		if c := p.pick(func(c *scriptedClient) bool { return len(c.queue) > 0 && c.unwritten == "" }); c != nil {
-			class, patience := p.randomClassAndTimeout()
-			c.startRequest(class, patience, 0.5)
+			class, clientTimeout := p.randomClassAndTimeout()
+			c.startRequest(class, clientTimeout, 0.5)
 			time.Sleep(time.Duration(p.rng.IntN(3000)) * time.Microsecond)
 			c.disconnect(p.rng.IntN(2))
 		}
 	}
 }
 
-// operatorStep plays a step of discovery, operators or workers.
+// operatorStep executes a step of discovery, operators or workers.
 func (p *scenarioRun) operatorStep(step byte) {
 	switch step {
 	case 21, 22:
-		p.changeHealth(p.rng.IntN(3), []string{"leaving", "active"}[p.rng.IntN(2)]) // the fourth stays
+		p.changeHealth(p.rng.IntN(3), []string{"leaving", "active"}[p.rng.IntN(2)]) // the fourth worker stays active
 	case 23:
 		p.mu.Lock()
 		p.discoverySilent = !p.discoverySilent
@@ -141,7 +142,7 @@
 	case 24: // the watches end
 		p.mu.Lock()
 		p.discoveryDown = p.rng.IntN(2) == 0
-		for c := range p.watches { // by half: what was told on them arrives
+		for c := range p.watches { // closes the sending side only, so that lines already sent arrive
 			c.(*net.TCPConn).CloseWrite()
 		}
 		p.mu.Unlock()
@@ -160,7 +161,7 @@
 	case 29:
 		w := p.workers[p.rng.IntN(len(p.workers))]
 		w.mu.Lock()
-		for c := range w.open { // whatever is under way on them
+		for c := range w.open { // with any attempts in flight on them
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
@@ -168,7 +169,8 @@
 	}
 }
 
-// settled reports whether each request is answered or abandoned.
+// settled reports whether each request is answered, abandoned by its client or known to get no answer, or the loop
+// has ended.
 func (p *scenarioRun) settled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +182,7 @@
 	return true
 }
 
-// closeAll closes all sockets and waits for their goroutines.
+// closeAll closes all sockets and waits for the goroutines that use them.
 func (p *scenarioRun) closeAll() {
 	for _, c := range p.clients {
 		c.conn.Close()
@@ -204,11 +206,12 @@
 	p.wg.Wait()
 }
 
-// validate checks the history against the rules.
-func (p *scenarioRun) validate(stalled *stallMonitor) {
+// validate checks the history against the rules of package invariants. Violations that remain with an unlimited time
+// tolerance don't depend on the clock; the others are timing violations.
+func (p *scenarioRun) validate(stalls *stallMonitor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	slack := disconnectDelay + stalled.delayBoundSince(p.started)
+	slack := disconnectDelay + stalls.delayBoundSince(p.started)
 	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 0.1, Sockets: slack}, Classes: scenarioClasses, EndpointChanges: p.notifications}
 	for n, w := range p.workers {
 		h.Workers = append(h.Workers, invariants.Worker{Name: w.name, Zone: string("zy"[n%2]), Cell: 1, Slots: 1})
@@ -219,16 +222,16 @@
 	for _, x := range p.attempts {
 		a := p.requestsByID[x.ID]
 		if x.mayHaveQueued && a != nil && a.DisconnectedAt > 0 && x.First > a.DisconnectedAt {
-			x.First, x.Last = a.DisconnectedAt, a.DisconnectedAt // it may have come before
+			x.First, x.Last = a.DisconnectedAt, a.DisconnectedAt // it may have arrived before the disconnect
 		}
 		h.Attempts = append(h.Attempts, x.Attempt)
 		if a != nil && a.DisconnectedAt > 0 && x.Last > a.DisconnectedAt+slack {
-			p.timingViolations = append(p.timingViolations, fmt.Sprintf("request %s came to %s %.3f s after its client had left %s", x.ID, x.Worker, x.Last-a.DisconnectedAt, a.disconnectKind))
+			p.timingViolations = append(p.timingViolations, fmt.Sprintf("request %s reached %s %.3f s after its client disconnected %s", x.ID, x.Worker, x.Last-a.DisconnectedAt, a.disconnectKind))
 		}
 	}
 	all := h.Check()
 	h.Limits.Sockets = 1e6
-	for _, f := range h.Check() { // whatever the clock says
+	for _, f := range h.Check() { // violations that don't depend on the clock
 		p.violations = append(p.violations, f.String()+p.describe(f.ID))
 		all = slices.DeleteFunc(all, func(g invariants.Violation) bool { return g == f })
 	}
--- a/internal/service/life_stall_test.go
+++ b/internal/service/life_stall_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stallMonitor measures by how much the machine holds this program up: what a time on the wire may be
-// off by, as both sides of it are played here.
+// stallMonitor measures how long the machine delays this process. A time measured on a connection may be wrong by as
+// much, as the test runs both sides of the connection.
 type stallMonitor struct {
 	mu     sync.Mutex
 	stalls []stall
@@ -20,37 +20,37 @@
 	duration time.Duration
 }
 
-// watch sends a byte to and fro over the loopback until it is closed.
+// watch sends a byte to and fro over a loopback connection until the test ends, and records round trips of over 5 ms.
 func (s *stallMonitor) watch(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	here, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	there, err := l.Accept()
+	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { here.Close() })
+	t.Cleanup(func() { client.Close() })
 	go func() {
-		defer there.Close()
-		io.Copy(there, there)
+		defer server.Close()
+		io.Copy(server, server)
 	}()
 	go func() {
 		b := make([]byte, 1)
 		for {
-			began := time.Now()
-			here.Write(b)
-			if _, err := here.Read(b); err != nil {
+			start := time.Now()
+			client.Write(b)
+			if _, err := client.Read(b); err != nil {
 				return
 			}
-			if late := time.Since(began); late > 5*time.Millisecond {
+			if roundTrip := time.Since(start); roundTrip > 5*time.Millisecond {
 				s.mu.Lock()
-				s.stalls = append(s.stalls, stall{time.Now(), late})
+				s.stalls = append(s.stalls, stall{time.Now(), roundTrip})
 				s.mu.Unlock()
 			}
 			time.Sleep(time.Millisecond)
@@ -58,18 +58,18 @@
 	}()
 }
 
-// maxStallSeconds is the bound above which a play with a stop in its midst proves nothing.
+// maxStallSeconds is the delay bound above which a run whose loop is stopped with requests in flight is not judged.
 const maxStallSeconds = 0.3
 
-// delayBoundSince is a bound for what happened since a time, in seconds: a leave or an answer goes by way
-// of three goroutines, each of which may have been held up as long as the longest time seen.
-func (s *stallMonitor) delayBoundSince(from time.Time) (most float64) {
+// delayBoundSince returns an upper bound, in seconds, of the delay of an event since a time. A disconnect or an answer
+// passes through three goroutines, each of which may have been delayed as long as the longest stall.
+func (s *stallMonitor) delayBoundSince(from time.Time) (bound float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.stalls {
 		if x.at.After(from) {
-			most = max(most, 3*x.duration.Seconds())
+			bound = max(bound, 3*x.duration.Seconds())
 		}
 	}
-	return most
+	return bound
 }
--- a/internal/service/life_test.go
+++ b/internal/service/life_test.go
@@ -19,7 +19,8 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// The figures that the model plays by: short, so that windows and graces close within a play.
+// scenarioSettings are the dispatcher's settings, for fmt.Sprintf with the membership mode and the maximum number of
+// attempts. Times are short, so that repeat windows and grace periods end within a run.
 const scenarioSettings = `{"me":0,"balancers":1,"zone":"z","membership_mode":%q,"round":0.004,"kinds":["k"],
  "lanes":[{"name":"safe","aim":0.3,"hard_limit":1,"semantics":"safe","value":1},
   {"name":"unsafe","aim":0.3,"hard_limit":1,"semantics":"unsafe","value":1},
@@ -32,20 +33,20 @@
 var scenarioClasses = []invariants.Class{{Name: "safe", Repeat: "safe"}, {Name: "unsafe", Repeat: "unsafe"},
 	{Name: "zoned", Repeat: "keyed", Scope: "zone", Window: 0.2}, {Name: "keyed", Repeat: "keyed", Scope: "all", Window: 0.2}}
 
-// disconnectDelay is how long after its client left an attempt may begin, and what times of the wire may
-// be off by beside it.
+// disconnectDelay is how long, in seconds, after its client disconnected an attempt may begin. It is also the tolerance
+// of times measured on connections.
 const disconnectDelay = 0.1
 
-// scenario is one play: a dispatcher between clients, workers and discovery that the test plays, all
-// over sockets of the loopback. What these see is written down in a history, which the rules
-// are held against. Each request is taken, waits, is out, and is answered or left.
+// scenario is one randomized run of a dispatcher with clients, workers and discovery simulated by the test, all over
+// loopback sockets. The simulated parties record what they observe in a history, which is checked against the rules of
+// package invariants. Each request is received, queued, sent to a worker, and answered or abandoned by its client.
 type scenario struct {
 	started            time.Time
 	loop               *dispatcher.Dispatcher
 	server             *downstream.Server
 	pool               *upstream.Pool
 	addr               string
-	membershipMode     string // how the module learns of workers
+	membershipMode     string // how the dispatcher learns of workers
 	workers            []*worker
 	discoveryListeners [2]net.Listener
 	wg                 sync.WaitGroup // goroutines of clients and workers
@@ -55,34 +56,34 @@
 	requests            []*clientRequest
 	attempts            []*workerAttempt
 	notifications       []invariants.EndpointChange
-	violations          []string // whatever the clock says
-	timingViolations    []string // by the clock
+	violations          []string // independent of the clock
+	timingViolations    []string // dependent on the clock
 	log                 []string
 	seq                 int
-	health              []string // of workers
+	health              []string // by worker
 	watches             map[net.Conn]bool
-	discoverySilent     bool // discovery
-	discoveryDown       bool
+	discoverySilent     bool // discovery sends no changes
+	discoveryDown       bool // discovery resets new watches
 	mayCloseConnections bool // the dispatcher may close connections between requests
 	loopEnded           bool // the loop has ended
-	stoppedInFlight     bool // while requests were under way
+	stoppedInFlight     bool // the loop was stopped while requests were in flight
 	served              int
 }
 
-// clientRequest is a request as its client knows it.
+// clientRequest is a client's record of a request.
 type clientRequest struct {
 	invariants.Request
-	received       bool    // the dispatcher has it
-	disconnectKind string  // its client left
-	firstByteAt    float64 // to be written
+	received       bool    // the dispatcher has received it
+	disconnectKind string  // how its client disconnected
+	firstByteAt    float64 // when its first byte was written
 }
 
-// workerAttempt is an attempt as its worker knows it.
+// workerAttempt is a worker's record of an attempt.
 type workerAttempt struct {
 	invariants.Attempt
 	conn               net.Conn
-	closedByDispatcher bool // ended by the dispatcher
-	mayHaveQueued      bool // it may have stood in the backlog for a while
+	closedByDispatcher bool // the dispatcher closed the connection
+	mayHaveQueued      bool // its connection may have waited in the accept backlog
 	ended              bool
 }
 
@@ -101,7 +102,7 @@
 func (d recordingHandler) Arrive(q *downstream.Request) {
 	d.scenario.mu.Lock()
 	if a := d.scenario.requestsByID[q.ID]; a == nil || a.received {
-		d.scenario.fail("request %s was taken twice, or none asked for it", q.ID)
+		d.scenario.fail("request %s was received twice, or no client sent it", q.ID)
 	} else {
 		a.received = true
 	}
@@ -156,13 +157,13 @@
 	return p
 }
 
-// describe returns all that is known of a request.
+// describe returns the records of a request and its attempts.
 func (p *scenario) describe(id string) string {
 	a := p.requestsByID[id]
 	if a == nil {
 		return ""
 	}
-	s := fmt.Sprintf("\n\t\t%s: begun %.3f, asked %.3f for %.3f s, taken %v, left %.3f %s, answers %+v", a.Class, a.firstByteAt, a.SentAt, a.ClientTimeout, a.received, a.DisconnectedAt, a.disconnectKind, a.Answers)
+	s := fmt.Sprintf("\n\t\t%s: first byte %.3f, sent %.3f with timeout %.3f s, received %v, disconnected %.3f %s, answers %+v", a.Class, a.firstByteAt, a.SentAt, a.ClientTimeout, a.received, a.DisconnectedAt, a.disconnectKind, a.Answers)
 	for _, t := range p.attempts {
 		if t.ID == id {
 			s += fmt.Sprintf("\n\t\tat %s from %.3f to %.3f, ended %.3f (by the dispatcher: %v; unstarted: %v; %q)", t.Worker, t.First, t.Last, t.End, t.closedByDispatcher, t.Unstarted, t.Result)
@@ -171,79 +172,80 @@
 	return s
 }
 
-// Random steps of clients, workers, discovery and operators, each play by its seed.
-// BELLSTREAM_LIVES says how many, where more than a few are to be played, BELLSTREAM_LIFE plays one.
+// Executes random steps of clients, workers, discovery and operators, and checks the rules of package
+// invariants. Each run has a seed. BELLSTREAM_LIVES sets the number of runs; BELLSTREAM_LIFE is the seed of a
+// single run, which also prints the log if it fails.
 func TestRandomScenarios(t *testing.T) {
-	lives, first := 60, uint64(1)
+	runs, first := 60, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("BELLSTREAM_LIVES")); err == nil {
-		lives = n
+		runs = n
 	}
 	if n, err := strconv.ParseUint(os.Getenv("BELLSTREAM_LIFE"), 10, 64); err == nil {
-		lives, first = 1, n
+		runs, first = 1, n
 	}
-	stalled := &stallMonitor{}
+	stalls := &stallMonitor{}
 	for range 4 {
-		stalled.watch(t)
+		stalls.watch(t)
 	}
 	totals := &scenarioTotals{outcomes: map[string]int{}}
 	var wg sync.WaitGroup
-	places := make(chan struct{}, 24)
-	for n := range lives {
-		places <- struct{}{}
+	semaphore := make(chan struct{}, 24)
+	for n := range runs {
+		semaphore <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			seed := first + uint64(n)
-			p, late := runWithRetries(t, seed, stalled)
+			p, timingViolations := runWithRetries(t, seed, stalls)
 			totals.mu.Lock()
 			defer totals.mu.Unlock()
-			if len(late) > 0 && len(p.violations) == 0 {
-				t.Logf("seed %d, not each time:\n\t%s", seed, strings.Join(late, "\n\t"))
+			if len(timingViolations) > 0 && len(p.violations) == 0 {
+				t.Logf("seed %d, timing violations that did not recur in each repetition:\n\t%s", seed, strings.Join(timingViolations, "\n\t"))
 			}
-			if p.stoppedInFlight && stalled.delayBoundSince(p.started) > maxStallSeconds {
-				totals.notJudged++ // what a stop leaves unanswered goes by the clock
+			if p.stoppedInFlight && stalls.delayBoundSince(p.started) > maxStallSeconds {
+				totals.notJudged++ // which requests a stop leaves unanswered depends on the clock
 				return
 			}
 			totals.add(p)
 			if len(p.violations) > 0 {
 				t.Errorf("seed %d:\n\t%s", seed, strings.Join(p.violations, "\n\t"))
-				if lives == 1 {
+				if runs == 1 {
 					t.Logf("log:\n\t%s", strings.Join(p.log, "\n\t"))
 				}
 			}
 		})
 	}
 	wg.Wait()
-	t.Logf("%v", totals.outcomes)
-	t.Logf("%d plays: %d requests, %d attempts, %d served; %d were held up by the machine and not judged",
-		lives, totals.requests, totals.attempts, totals.served, totals.notJudged)
-	if totals.notJudged == lives {
-		t.Error("the machine held up every play")
+	t.Logf("outcomes of requests: %v", totals.outcomes)
+	t.Logf("%d runs: %d requests, %d attempts, %d served; %d runs were delayed by the machine and not judged",
+		runs, totals.requests, totals.attempts, totals.served, totals.notJudged)
+	if totals.notJudged == runs {
+		t.Error("no run was judged: the machine delayed each of them")
 	}
 }
 
-// runWithRetries plays a scenario up to four times while it has timing violations only: a machine that delays a
-// goroutine makes a time look wrong now and then, a fault in the program does so each time.
-func runWithRetries(t *testing.T, seed uint64, stalled *stallMonitor) (p *scenario, late []string) {
-	p = runScenario(t, seed, stalled)
+// runWithRetries runs a scenario up to four times while it has timing violations only: a machine that delays a
+// goroutine causes them now and then, a fault in the program each time.
+func runWithRetries(t *testing.T, seed uint64, stalls *stallMonitor) (p *scenario, timingViolations []string) {
+	p = runScenario(t, seed, stalls)
 	for n := 1; len(p.violations) == 0 && len(p.timingViolations) > 0; n++ {
-		late = append(late, p.timingViolations...)
+		timingViolations = append(timingViolations, p.timingViolations...)
 		if n == 4 {
-			p.violations = late
+			p.violations = timingViolations
 			break
 		}
-		p = runScenario(t, seed, stalled)
+		p = runScenario(t, seed, stalls)
 	}
-	return p, late
+	return p, timingViolations
 }
 
-// scenarioTotals sums up the scenarios that were judged.
+// scenarioTotals sums up the runs that were judged, and counts the runs that were not.
 type scenarioTotals struct {
 	mu        sync.Mutex
 	requests  int
 	attempts  int
 	served    int
 	notJudged int
-	outcomes  map[string]int // requests by how they ended
+	outcomes  map[string]int // number of requests by outcome
 }
 
 func (s *scenarioTotals) add(p *scenario) {
--- a/internal/service/life_worker_test.go
+++ b/internal/service/life_worker_test.go
@@ -18,7 +18,7 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// worker is a zone worker that answers in a way drawn anew for each request.
+// worker is a simulated worker that answers each request in a randomly chosen way.
 type worker struct {
 	scenario *scenario
 	index    int
@@ -27,7 +27,7 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	open     map[net.Conn]bool
-	slow     atomic.Bool // takes its time to accept
+	slow     atomic.Bool // accepts connections with a delay
 }
 
 func (w *worker) randInt(n int) int {
@@ -41,7 +41,7 @@
 	for {
 		slow := w.slow.Load()
 		if slow {
-			time.Sleep(5 * time.Millisecond) // what stands in the backlog was sent before it is read
+			time.Sleep(5 * time.Millisecond) // requests on connections in the backlog are sent well before they are read
 		}
 		c, err := w.l.Accept()
 		if err != nil {
@@ -69,7 +69,7 @@
 			return
 		}
 		first := w.scenario.now()
-		if w.randInt(40) == 0 { // before the request was read whole
+		if w.randInt(40) == 0 { // reset before the request is read completely
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -92,55 +92,55 @@
 	}
 }
 
-// recordAttempt records an attempt that was read completely. Where another one of the same request is in flight, one of the
-// two connections was ended before the other attempt went out, and that has to show: that one came
-// first, whichever was read first here.
+// recordAttempt records an attempt whose request was read completely. If another attempt of the same request is in
+// flight, the dispatcher must have ended the connection of one of the two before it sent the other. The one whose
+// connection has ended was sent first, in whatever order the workers read them.
 func (p *scenario) recordAttempt(w *worker, c net.Conn, slow bool, id string, first float64) *workerAttempt {
 	t := &workerAttempt{Attempt: invariants.Attempt{ID: id, Worker: w.name, Dispatcher: "d", First: first, Last: p.now()}, conn: c, mayHaveQueued: slow}
 	p.mu.Lock()
-	var others []*workerAttempt
+	var overlapping []*workerAttempt
 	for _, o := range p.attempts {
 		if o.ID == id && (!o.ended || o.closedByDispatcher || o.End > first) {
-			others = append(others, o)
+			overlapping = append(overlapping, o)
 		}
 	}
 	p.attempts = append(p.attempts, t)
 	p.mu.Unlock()
-	for _, o := range others {
-		var was *workerAttempt
+	for _, o := range overlapping {
+		var closed *workerAttempt
 		p.mu.Lock()
-		done := o.ended && !o.closedByDispatcher // by its worker, which may have closed its end
+		done := o.ended && !o.closedByDispatcher // ended by its worker, which may have closed the connection
 		p.mu.Unlock()
-		for end := time.Now().Add(closeVisibleWithin); was == nil && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
+		for end := time.Now().Add(closeVisibleWithin); closed == nil && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
 			if !done && !connstate.IsQuiet(o.conn) {
-				was = o
+				closed = o
 			} else if !connstate.IsQuiet(c) {
-				was = t
-			} // else the system may be late to tell
+				closed = t
+			} // else the system may not have reported the end yet
 		}
 		p.mu.Lock()
-		if was == nil {
-			p.fail("request %s went to %s while it was out at %s", id, w.name, o.Worker)
+		if closed == nil {
+			p.fail("request %s was sent to %s while an attempt was in flight at %s", id, w.name, o.Worker)
 		} else {
 			next := t.First
-			if was == t {
+			if closed == t {
 				next = o.First
 			}
 			next -= 1e-6
-			if was.End == 0 || was.End > next {
-				was.End = next
+			if closed.End == 0 || closed.End > next {
+				closed.End = next
 			}
-			was.ended, was.closedByDispatcher, was.First = true, true, min(was.First, was.End)
+			closed.ended, closed.closedByDispatcher, closed.First = true, true, min(closed.First, closed.End)
 		}
 		p.mu.Unlock()
 	}
 	return t
 }
 
-// closeVisibleWithin is how long the end of a connection may take to be seen at its other end.
+// closeVisibleWithin is the time within which the end of a connection must be visible at its other side.
 const closeVisibleWithin = 250 * time.Millisecond
 
-// endAttempt notes the end of an attempt, once.
+// endAttempt records the end of an attempt. Later calls for the same attempt have no effect.
 func (p *scenario) endAttempt(t *workerAttempt, result string, unstarted, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,18 +153,18 @@
 	}
 }
 
-// respond answers one request, and says whether the connection goes on.
+// respond answers one request, and reports whether the connection stays open.
 func (w *worker) respond(c net.Conn, r *bufio.Reader, t *workerAttempt) bool {
 	p := w.scenario
 	line := func(rest string) string { return fmt.Sprintf(`{"id":%q,"from":%q,"state":%s}`, t.ID, w.name, rest) }
-	// pass waits, and is false if the other side ended the connection meanwhile.
-	pass := func(d time.Duration) bool {
+	// wait pauses for a duration. It returns false if the other side ends the connection or sends bytes meanwhile.
+	wait := func(d time.Duration) bool {
 		c.SetReadDeadline(time.Now().Add(d))
 		defer c.SetReadDeadline(time.Time{})
 		_, err := r.Peek(1)
 		if err == nil {
 			p.mu.Lock()
-			p.fail("%s: bytes behind request %s, which is not answered", w.name, t.ID)
+			p.fail("%s: received bytes after request %s, which is not answered yet", w.name, t.ID)
 			p.mu.Unlock()
 			return false
 		}
@@ -176,27 +176,27 @@
 		return false
 	}
 	kind := w.randInt(24)
-	if kind < 12 && !pass(time.Duration(w.randInt(40))*time.Millisecond) {
+	if kind < 12 && !wait(time.Duration(w.randInt(40))*time.Millisecond) {
 		return false
 	}
 	result := "from " + w.name
 	done := wiretest.Lines(true, line(`"started"`), line(`"running","share":0.4`), line(fmt.Sprintf(`"done","result":%q`, result)))
-	turned := "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+	rejected := "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	switch kind {
 	default:
 		p.endAttempt(t, result, false, false)
 		io.WriteString(c, done)
-	case 10, 11: // served in pieces
+	case 10, 11: // the answer is sent in pieces
 		io.WriteString(c, wiretest.Lines(false, line(`"started"`)))
-		if !pass(time.Duration(w.randInt(60)) * time.Millisecond) {
+		if !wait(time.Duration(w.randInt(60)) * time.Millisecond) {
 			return false
 		}
 		p.endAttempt(t, result, false, false)
 		last := line(fmt.Sprintf(`"done","result":%q`, result))
 		fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(last)+1, last)
-		pass(time.Duration(w.randInt(5)) * time.Millisecond)
+		wait(time.Duration(w.randInt(5)) * time.Millisecond)
 		io.WriteString(c, "0\r\n\r\n")
-	case 12: // with a second answer some milliseconds later
+	case 12: // a second answer follows some milliseconds later
 		p.endAttempt(t, result, false, false)
 		io.WriteString(c, done)
 		time.Sleep(time.Duration(w.randInt(8)) * time.Millisecond)
@@ -206,40 +206,40 @@
 		io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	case 14:
 		p.endAttempt(t, "", true, false)
-		io.WriteString(c, turned)
+		io.WriteString(c, rejected)
 	case 15:
 		p.endAttempt(t, "", true, false)
 		io.WriteString(c, wiretest.Lines(true, line(`"returned"`)))
 	case 16:
 		p.endAttempt(t, "", false, false)
 		io.WriteString(c, wiretest.Lines(true, line(`"started"`), line(`"lost"`)))
-	case 17: // half a line, and nothing more
+	case 17: // half a line, then nothing
 		io.WriteString(c, wiretest.Lines(false, line(`"started"`))+"40\r\n{\"id")
-		for pass(time.Hour) {
+		for wait(time.Hour) {
 		}
 		return false
-	case 18: // half a line, and the end
+	case 18: // half a line, then the connection is closed
 		p.endAttempt(t, "", false, false)
 		io.WriteString(c, wiretest.Lines(false, line(`"started"`))+"40\r\n{\"id")
 		return false
-	case 19: // a reset, at once or later
-		if w.randInt(2) == 0 && !pass(time.Duration(w.randInt(150))*time.Millisecond) {
+	case 19: // a reset, immediately or after a delay
+		if w.randInt(2) == 0 && !wait(time.Duration(w.randInt(150))*time.Millisecond) {
 			return false
 		}
 		p.endAttempt(t, "", false, false)
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	case 20: // nothing at all
-		for pass(time.Hour) {
+	case 20: // no answer
+		for wait(time.Hour) {
 		}
 		return false
-	case 21: // the end without a word
+	case 21: // the connection is closed without an answer
 		p.endAttempt(t, "", false, false)
 		return false
-	case 22: // for another request
+	case 22: // an answer with the id of another request
 		p.endAttempt(t, "", false, false)
 		io.WriteString(c, strings.ReplaceAll(done, t.ID, "r-other"))
-	case 23: // another one's end rests until the dispatcher ends it
+	case 23: // the job fails
 		p.endAttempt(t, "", false, false)
 		io.WriteString(c, wiretest.Lines(true, line(`"failed"`)))
 	}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -20,7 +20,7 @@
 	"example.org/bellstream/internal/upstream"
 )
 
-// newTestProcess makes one process's parts; its loop does not run.
+// newTestProcess returns the parts of one process of a dispatcher. The loop is not running.
 func newTestProcess(t *testing.T) (*settings.Instance, *dispatcher.Dispatcher, *instance) {
 	t.Helper()
 	conf, err := settings.ParseInstance([]byte(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
@@ -45,8 +45,8 @@
 		phases: phases, logf: logf, processes: 1}
 }
 
-// An id that one process has taken, before the other came or beside it, is
-// turned away by the other.
+// Guards against a request id that is accepted by two processes of a dispatcher, whether the first process accepted it
+// before the second one started or while both run.
 func TestIDsTakenByOtherProcessesAreRejected(t *testing.T) {
 	path := statedir.Path(t.TempDir(), "n", "l")
 	join := func() *processGroup {
@@ -61,12 +61,12 @@
 		t.Cleanup(func() { m.Leave(); d.Stop() })
 		return o
 	}
-	// arrive returns the answer, or 0 where the request was taken.
+	// arrive sends a request and returns the answer's status, or 0 if the request was accepted.
 	arrive := func(o *processGroup, id string) int {
 		status := make(chan int, 1)
 		o.loop.Arrive(&downstream.Request{ID: id, Class: "c", Slots: 1, Arrived: time.Now(), Timeout: time.Hour,
 			Answer: func(a downstream.Answer) { status <- a.Status }})
-		// The loop has seen to it when it sees to what comes behind it.
+		// The loop handles calls in order, so it has handled the request when Stats returns.
 		o.loop.Stats()
 		select {
 		case s := <-status:
@@ -75,10 +75,10 @@
 			return 0
 		}
 	}
-	// told waits until the loop has streamed so many ids, and publishes them.
-	told := func(o *processGroup, n int) {
+	// publishIDs waits until the loop has streamed at least n ids, and publishes them.
+	publishIDs := func(o *processGroup, n int) {
 		t.Helper()
-		wiretest.Until(t, "ids to be told", func() bool {
+		wiretest.Until(t, "ids to be streamed", func() bool {
 			o.pendingIDsMu.Lock()
 			defer o.pendingIDsMu.Unlock()
 			return len(o.pendingIDs) >= n
@@ -87,50 +87,50 @@
 	}
 	a := join()
 	if got := arrive(a, "early"); got == 409 {
-		t.Fatal("the first of its id was turned away")
+		t.Fatal("the first request with an id was rejected")
 	}
 	b := join()
 	a.exchange()
-	told(a, 1)
+	publishIDs(a, 1)
 	b.exchange()
 	if got := arrive(b, "early"); got != 409 {
-		t.Errorf("an id that was taken before the overlap got %d", got)
+		t.Errorf("an id accepted before the second process started got status %d, want 409", got)
 	}
 	arrive(a, "late")
-	told(a, 1)
+	publishIDs(a, 1)
 	b.exchange()
 	if got := arrive(b, "late"); got != 409 {
-		t.Errorf("an id that was taken in the overlap got %d", got)
+		t.Errorf("an id accepted while both processes run got status %d, want 409", got)
 	}
 	arrive(b, "back")
-	told(b, 1)
+	publishIDs(b, 1)
 	a.exchange()
 	if got := arrive(a, "back"); got != 409 {
-		t.Errorf("an id that the new process has taken got %d from the old one", got)
+		t.Errorf("an id accepted by the new process got status %d from the old one, want 409", got)
 	}
 }
 
-// Operators' commands are answered and applied though the loop doesn't run.
+// Operators' commands are answered and applied even while the loop doesn't run.
 func TestCommandsDoNotWaitForTheLoop(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	conf, d, run := newTestProcess(t)
 	logf := run.logf
-	over := newProcessGroup(conf, d, run, logf)
-	defer over.close()
+	group := newProcessGroup(conf, d, run, logf)
+	defer group.close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer server.Open(l, over, logf).Close()
+	defer server.Open(l, group, logf).Close()
 	phases := run.phases
 	phases.Enter(dispatcher.Serving)
 	for _, call := range []struct {
 		line, want string
-		binds      func() bool
+		applied    func() bool
 	}{
 		{"STATUS", "ok", phases.Ready},
 		{"SUSPEND w", "ok", func() bool { return d.IsCordoned("w") }},
-		{"SUSPEND v", "fail unknown worker", func() bool { return d.IsCordoned("v") }}, // no list has come yet
+		{"SUSPEND v", "fail unknown worker", func() bool { return d.IsCordoned("v") }}, // no endpoint list has arrived yet
 		{"RESTORE v", "ok", func() bool { return !d.IsCordoned("v") }},
 		{"RESTORE v", "fail unknown worker", func() bool { return !d.IsCordoned("v") }},
 		{"SUSPEND w", "ok", func() bool { return d.IsCordoned("w") }},
@@ -147,24 +147,24 @@
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		fmt.Fprintf(c, "%s\n", call.line)
 		a, err := bufio.NewReader(c).ReadString('\n')
-		if err != nil || !strings.HasPrefix(a, call.want) || !call.binds() {
-			t.Errorf("%s: %q, %v; it binds: %v", call.line, a, err, call.binds())
+		if err != nil || !strings.HasPrefix(a, call.want) || !call.applied() {
+			t.Errorf("%s: got answer %q, error %v; command applied: %v", call.line, a, err, call.applied())
 		}
 		c.Close()
 	}
 }
 
-// All that may be open at once must fit, and with few descriptors the targets'
-// side must not be starved: a fleet day with 128 ran short at 12 connections.
+// All connections that may be open at once must fit into the descriptors, and with few descriptors the workers' side
+// must get enough of them: with 128 descriptors, a recorded day ran short at 12 connections.
 func TestSplitDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 128, 256, 1024, 4096} {
 		split := splitDescriptors(sockets)
 		in, out := split.downstream, split.upstream
 		if all := in + in/16 + 1 + out + 24; all > sockets || all < sockets-4 {
-			t.Errorf("%d descriptors: %d may be open", sockets, all)
+			t.Errorf("%d descriptors: up to %d may be open", sockets, all)
 		}
 		if out*3 < in*2 || out > in {
-			t.Errorf("%d descriptors: %d for clients, %d for targets", sockets, in, out)
+			t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, in, out)
 		}
 	}
 }
