--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,25 +6,26 @@
 	"testing"
 )
 
-// randomDay plays random but lawful events and checks the rules: one final answer for each job, no send after it, no
-// non-idempotent retry, no send to a worker that drains, attempts within the limit, nothing kept.
-type randomDay struct {
+// randomRun generates random but valid events and checks these rules: each job gets one final answer and no
+// send after it, a non-idempotent job that may have run is not sent again, no job is sent to a draining worker,
+// attempts stay within the limit, and no job remains stored after its end.
+type randomRun struct {
 	*rig
 	seed     uint64
 	rng      *rand.Rand
 	cfg      Config
-	inFlight []dayAttempt
-	jobs     map[string]*dayJob
+	inFlight []trackedAttempt
+	jobs     map[string]*trackedJob
 	draining map[string]bool
 }
 
-type dayAttempt struct {
+type trackedAttempt struct {
 	Send
 	number    int
 	cancelled bool
 }
 
-type dayJob struct {
+type trackedJob struct {
 	class      string
 	deadline   float64
 	attempts   int
@@ -32,21 +33,21 @@
 	mayHaveRun bool
 }
 
-var dayOutcomes = []Outcome{
+var randomOutcomes = []Outcome{
 	Served, Served, Served, Failed, Overloaded, Unreachable, ConnectionLost, StaleConnection, Blocked,
 }
 
-// playDay plays some steps and has all end.
-func playDay(t *testing.T, seed uint64, steps int) {
-	cfg := base()
+// runRandomEvents runs a number of random steps and then lets all jobs end.
+func runRandomEvents(t *testing.T, seed uint64, steps int) {
+	cfg := testConfig()
 	cfg.Hedging = seed%2 == 0
 	cfg.Cancellation = seed%3 > 0
-	d := &randomDay{
-		rig:      newRig(t, cfg, up("u", "v", "w", "x")...),
+	d := &randomRun{
+		rig:      newRig(t, cfg, runningWorkers("u", "v", "w", "x")...),
 		seed:     seed,
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		cfg:      cfg,
-		jobs:     map[string]*dayJob{},
+		jobs:     map[string]*trackedJob{},
 		draining: map[string]bool{},
 	}
 	for i := range steps {
@@ -56,8 +57,8 @@
 	d.finish()
 }
 
-// play plays one step, in which a job may arrive.
-func (d *randomDay) play(mayArrive bool) {
+// play generates the events of one step, in which a job may arrive if mayArrive is set.
+func (d *randomRun) play(mayArrive bool) {
 	var events []Event
 	if d.rng.IntN(3) > 0 && mayArrive {
 		events = append(events, d.arrive())
@@ -84,14 +85,14 @@
 	d.check(d.step(append(events, TimerFired{})...))
 }
 
-func (d *randomDay) arrive() Event {
+func (d *randomRun) arrive() Event {
 	j := d.job([]string{"read", "write", "put"}[d.rng.IntN(3)], []string{"a", "b"}[d.rng.IntN(2)])
-	d.jobs[j.ID] = &dayJob{class: j.Class, deadline: d.now + j.Timeout}
+	d.jobs[j.ID] = &trackedJob{class: j.Class, deadline: d.now + j.Timeout}
 	return j
 }
 
-// toggle has a worker drain, or run again.
-func (d *randomDay) toggle(w string) Event {
+// toggle makes a running worker drain, or a draining one run again.
+func (d *randomRun) toggle(w string) Event {
 	d.draining[w] = !d.draining[w]
 	state := Running
 	if d.draining[w] {
@@ -100,9 +101,9 @@
 	return EndpointUpdate{Kind: EndpointsDelta, Workers: []WorkerInfo{{ID: w, Zone: "here", State: state}}}
 }
 
-// end draws how an attempt ends.
-func (d *randomDay) end(a dayAttempt, late bool) Event {
-	o := dayOutcomes[d.rng.IntN(len(dayOutcomes))]
+// end chooses the outcome of an attempt.
+func (d *randomRun) end(a trackedAttempt, late bool) Event {
+	o := randomOutcomes[d.rng.IntN(len(randomOutcomes))]
 	switch {
 	case late:
 		o = TimedOut
@@ -112,14 +113,14 @@
 	j := d.jobs[a.ID]
 	j.answered = j.answered || o == Served
 	if o == Overloaded || o == Unreachable || o == Blocked {
-		other := slices.ContainsFunc(d.inFlight, func(x dayAttempt) bool { return x.ID == a.ID })
+		other := slices.ContainsFunc(d.inFlight, func(x trackedAttempt) bool { return x.ID == a.ID })
 		j.mayHaveRun = other || d.b.jobs[a.ID] != nil && d.b.jobs[a.ID].mayHaveRun
 	}
 	return AttemptDone{ID: a.ID, Attempt: a.number, Worker: a.Worker, Outcome: o, JobFinished: j.answered}
 }
 
-// finish has time pass until all that is in flight has timed out.
-func (d *randomDay) finish() {
+// finish advances time until all attempts in flight have timed out, and checks that all jobs are answered.
+func (d *randomRun) finish() {
 	for range 400 {
 		d.now += 0.1
 		d.check(d.step(TimerFired{}))
@@ -137,23 +138,23 @@
 	}
 	for id, j := range d.jobs {
 		if !j.answered {
-			d.t.Fatalf("seed %d: %s never answered", d.seed, id)
+			d.t.Fatalf("seed %d: job %s was never answered", d.seed, id)
 		}
 	}
 	if len(d.b.jobs) != 0 {
-		d.t.Fatalf("seed %d: %d jobs kept after all ended", d.seed, len(d.b.jobs))
+		d.t.Fatalf("seed %d: %d jobs still stored after all ended", d.seed, len(d.b.jobs))
 	}
 }
 
-// check checks actions against the rules and carries them out.
-func (d *randomDay) check(actions []Action) {
+// check checks the actions against the rules and carries them out.
+func (d *randomRun) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			d.checkSend(a)
 		case Cancel:
 			if d.jobs[a.ID].class == "write" {
-				d.t.Fatalf("seed %d: non-idempotent job %s cancelled", d.seed, a.ID)
+				d.t.Fatalf("seed %d: non-idempotent job %s was cancelled", d.seed, a.ID)
 			}
 			for k := range d.inFlight {
 				if x := &d.inFlight[k]; x.ID == a.ID && x.number == a.Attempt {
@@ -163,44 +164,46 @@
 		case Reject:
 			j := d.jobs[a.ID]
 			if j.answered || j.class != "read" && j.mayHaveRun {
-				d.t.Fatalf("seed %d: rejected %s: answered %v, class %s", d.seed, a.ID, j.answered, j.class)
+				d.t.Fatalf("seed %d: job %s must not be rejected: already answered %v, class %s",
+					d.seed, a.ID, j.answered, j.class)
 			}
 			j.answered = true
 		case Fail:
 			if d.jobs[a.ID].answered {
-				d.t.Fatalf("seed %d: %s answered twice", d.seed, a.ID)
+				d.t.Fatalf("seed %d: job %s was answered twice", d.seed, a.ID)
 			}
 			d.jobs[a.ID].answered = true
 		}
 	}
 }
 
-func (d *randomDay) checkSend(a Send) {
+func (d *randomRun) checkSend(a Send) {
 	j := d.jobs[a.ID]
 	if j.answered || d.draining[a.Worker] || j.attempts >= d.cfg.MaxAttempts {
-		d.t.Fatalf("seed %d: send %v: answered %v, drains %v, attempt %d", d.seed, a, j.answered, d.draining[a.Worker], j.attempts)
+		d.t.Fatalf("seed %d: send %v is not allowed: job answered %v, worker draining %v, earlier attempts %d",
+			d.seed, a, j.answered, d.draining[a.Worker], j.attempts)
 	}
 	if j.class == "write" && j.mayHaveRun {
-		d.t.Fatalf("seed %d: non-idempotent job %s sent again", d.seed, a.ID)
+		d.t.Fatalf("seed %d: non-idempotent job %s was sent again", d.seed, a.ID)
 	}
 	for _, x := range d.inFlight {
 		if !d.cfg.Hedging && x.ID == a.ID {
-			d.t.Fatalf("seed %d: two attempts of %s in flight at once", d.seed, a.ID)
+			d.t.Fatalf("seed %d: two attempts of job %s in flight without hedging", d.seed, a.ID)
 		}
 	}
-	d.inFlight = append(d.inFlight, dayAttempt{Send: a, number: j.attempts})
+	d.inFlight = append(d.inFlight, trackedAttempt{Send: a, number: j.attempts})
 	j.attempts++
 	j.mayHaveRun = true
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
-		playDay(t, seed, 600)
+		runRandomEvents(t, seed, 600)
 	}
 }
 
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1), uint16(200))
 	f.Add(uint64(42), uint16(900))
-	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { playDay(t, seed, int(steps%1000)) })
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { runRandomEvents(t, seed, int(steps%1000)) })
 }
--- a/internal/cluster/config/history.go
+++ b/internal/cluster/config/history.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// VersionChange is what one version changed.
+// VersionChange is a version with the keys that it changed.
 type VersionChange struct {
 	Version    uint64
 	ProposedBy string
@@ -14,34 +14,34 @@
 
 // OutdatedError is returned for a proposal on a version that is not the newest.
 type OutdatedError struct {
-	Base, Newest  uint64
-	ForgottenUpTo uint64          // the last version whose changes are not known any more, 0 if all are
-	Changes       []VersionChange // since Base, as far as they are known
+	Base, Newest uint64
+	UnknownUpTo  uint64          // the last version whose changes are no longer known; 0 if all are known
+	Changes      []VersionChange // since Base, as far as they are known
 }
 
 func (e *OutdatedError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "the rules are based on version %d, the newest is %d", e.Base, e.Newest)
 	if e.Base > e.Newest {
-		text.WriteString(", which this instance knows of: " +
+		text.WriteString(", as far as this instance knows: " +
 			"wait until it has received a later one, or correct rules.based_on")
 		return text.String()
 	}
-	if e.ForgottenUpTo > 0 {
-		fmt.Fprintf(&text, "; up to version %d it is not remembered who changed what", e.ForgottenUpTo)
+	if e.UnknownUpTo > 0 {
+		fmt.Fprintf(&text, "; who changed what up to version %d is no longer known", e.UnknownUpTo)
 	}
 	for _, change := range e.Changes {
 		fmt.Fprintf(&text, "; version %d by %q changed %s", change.Version, change.ProposedBy, abbreviate(change.Keys))
 	}
-	fmt.Fprintf(&text, ": take that into the file, set rules.based_on = %d and send SIGHUP", e.Newest)
+	fmt.Fprintf(&text, ": include the changes in the file, set rules.based_on = %d and send SIGHUP", e.Newest)
 	return text.String()
 }
 
-// CheckBase returns how a proposal on a version is outdated, or nil. The history
-// is in ascending order without gaps and ends with the newest version; the further
-// it goes back, the more changes the error has. Versions that changed nothing but
-// shard owners or the capacity ledger, which a file does not contain, outdate no
-// proposal.
+// CheckBase returns an error if a proposal on version base is outdated, or nil. The
+// history is in ascending order without gaps and ends with the newest version. It
+// must not be empty. The error lists the changes since base that the history covers.
+// Versions that only changed shard owners or the capacity ledger, which an
+// operator's file does not contain, do not outdate a proposal.
 func CheckBase(base uint64, history []*Table) *OutdatedError {
 	newest := history[len(history)-1]
 	if base == newest.Version {
@@ -49,7 +49,7 @@
 	}
 	outdated := &OutdatedError{Base: base, Newest: newest.Version}
 	if history[0].Version > base {
-		outdated.ForgottenUpTo = history[0].Version
+		outdated.UnknownUpTo = history[0].Version
 	}
 	for i, t := range history[1:] {
 		if t.Version <= base {
@@ -60,7 +60,7 @@
 			outdated.Changes = append(outdated.Changes, change)
 		}
 	}
-	if base < newest.Version && outdated.ForgottenUpTo == 0 && outdated.Changes == nil {
+	if base < newest.Version && outdated.UnknownUpTo == 0 && outdated.Changes == nil {
 		return nil
 	}
 	return outdated
--- a/internal/cluster/consensus/storage_load.go
+++ b/internal/cluster/consensus/storage_load.go
@@ -14,13 +14,13 @@
 )
 
 var (
-	errNotWritten    = errors.New("it is not what was written")
+	errInvalidRecord = errors.New("its checksum or content is invalid")
 	errEntryMissing  = errors.New("it is missing")
-	errNotVoterFile  = errors.New("it is no voter's file")
-	errBucketMissing = errors.New("half of it is missing")
+	errNotVoterFile  = errors.New("it is not a voter's file")
+	errBucketMissing = errors.New("one of its two buckets is missing")
 )
 
-// load reads and checks the whole file.
+// load reads and validates all records of the file.
 func (s *storage) load(tx *bbolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	log := tx.Bucket(bucketLog)
@@ -55,7 +55,7 @@
 	return s.Append(entries)
 }
 
-// readRecord reports whether there is a record.
+// readRecord decodes the record of a key, and reports whether it exists.
 func readRecord(records *bbolt.Bucket, key []byte, record proto.Message) (bool, error) {
 	value := records.Get(key)
 	if value == nil {
@@ -63,7 +63,7 @@
 	}
 	encoded, ok := boltfile.DecodeRecord(key, value)
 	if !ok || proto.Unmarshal(encoded, record) != nil {
-		return true, errNotWritten
+		return true, errInvalidRecord
 	}
 	return true, nil
 }
@@ -73,7 +73,7 @@
 	found, err := readRecord(records, keyOwner, owner)
 	validIdentity := len(owner.Identity) == 0 || len(owner.Identity) == len(wire.Identity{})
 	if err != nil || !found || len(owner.Seed) != wire.SeedLen || !validIdentity {
-		return nil, s.corrupt(recordOwner, errors.Join(errors.New("it can't be read"), err))
+		return nil, s.corrupt(recordOwner, errors.Join(errors.New("it is missing or invalid"), err))
 	}
 	return owner, nil
 }
@@ -85,7 +85,7 @@
 		return nil, s.corrupt(recordLogState, err)
 	}
 	if found != (len(owner.Identity) > 0) {
-		return nil, s.corrupt(recordLogState, errors.New("it is missing, or there without an identity"))
+		return nil, s.corrupt(recordLogState, errors.New("it is missing, or present although there is no identity"))
 	}
 	return state, nil
 }
@@ -110,9 +110,8 @@
 	return snapshot, nil
 }
 
-// loadEntries returns the entries after the snapshot. It compares the last one
-// with the log state, as a log whose end is missing, or an older state of it,
-// looks complete by itself.
+// loadEntries returns the entries after the snapshot. It compares the last one with
+// the log state, because a log whose last entries are missing looks valid by itself.
 func (s *storage) loadEntries(
 	log *bbolt.Bucket, snapshot *raftpb.Snapshot, state *wire.LogState,
 ) ([]*raftpb.Entry, error) {
@@ -133,14 +132,15 @@
 		return nil, err
 	}
 	if lastIndex != state.LastIndex || lastTerm != state.LastTerm || state.Commit > lastIndex {
-		err := fmt.Errorf("the log ends with entry %d of term %d, not %d of %d",
+		err := fmt.Errorf("the log ends with entry %d of term %d, not with entry %d of term %d",
 			lastIndex, lastTerm, state.LastIndex, state.LastTerm)
 		return nil, s.corrupt(fmt.Sprintf("entry %d", state.LastIndex), err)
 	}
 	return entries, nil
 }
 
-// decodeEntry returns the entry after the one of lastIndex and lastTerm.
+// decodeEntry decodes and validates the entry that follows the one with lastIndex
+// and lastTerm.
 func decodeEntry(key, value []byte, lastIndex, lastTerm uint64) (*raftpb.Entry, error) {
 	if len(key) != 8 || binary.BigEndian.Uint64(key) != lastIndex+1 {
 		return nil, errEntryMissing
@@ -148,10 +148,10 @@
 	entry := &raftpb.Entry{}
 	encoded, ok := boltfile.DecodeRecord(key, value)
 	if !ok || proto.Unmarshal(encoded, entry) != nil {
-		return nil, errNotWritten
+		return nil, errInvalidRecord
 	}
 	if entry.GetIndex() != lastIndex+1 || entry.GetTerm() < lastTerm {
-		return nil, errNotWritten
+		return nil, errInvalidRecord
 	}
 	if _, _, err := wire.DecodeVoterChange(entry); err != nil {
 		return nil, err
--- a/internal/cluster/lease/model_step_test.go
+++ b/internal/cluster/lease/model_step_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// send adds a message. One with the same content as another is the same message.
+// send adds a message, unless a message with the same content is already in transit.
 func (w *world) send(m message) {
 	m.key = m.sortKey()
 	at, found := slices.BinarySearchFunc(w.messages, m, func(a, b message) int {
@@ -17,9 +17,10 @@
 	}
 }
 
-// commit applies an entry to the leader's state.
-func (w *world) commit(e Entry, on protocol) bool {
-	if e.Kind == EntryAdvance && !on.termCheck {
+// commit applies an entry to the leader's state and reports whether that changed the state. If a stage is switched
+// off, the state skips it.
+func (w *world) commit(e Entry, rules protocolRules) bool {
+	if e.Kind == EntryAdvance && !rules.termCheck {
 		e.Term = w.term
 	}
 	state := w.node(w.leader).state
@@ -29,10 +30,10 @@
 	}
 	view := *state.View()
 	switch {
-	case !on.announced && view.Revision.Stage == StageAnnounced:
+	case !rules.announced && view.Revision.Stage == StageAnnounced:
 		view.Revision.Stage = StageIntersection
 		state.setView(&view)
-	case !on.intersection && view.Revision.Stage == StageIntersection:
+	case !rules.intersection && view.Revision.Stage == StageIntersection:
 		view.Revision.Stage = StageInForce
 		view.InForce = view.Next
 		view.Next = Version{}
@@ -41,7 +42,7 @@
 	return true
 }
 
-// catchUp applies to a node what is committed.
+// catchUp gives a node the committed state, which is that of the leader.
 func (w *world) catchUp(i int) *node {
 	committed := *w.nodes[w.leader].state
 	n := w.node(i)
@@ -50,47 +51,48 @@
 }
 
 // elect makes a node the leader of the next term.
-func (w *world) elect(i int, on protocol) {
+func (w *world) elect(i int, rules protocolRules) {
 	n := w.catchUp(i)
 	w.leader = i
 	w.term++
 	n.grantor.SetTerm(w.leaderClock(), w.term)
-	n.grantor.caughtUp = true // its own instance sends requests as well
-	if !on.inheritedLeases {
+	n.grantor.caughtUp = true // by requests of the leader's own instance, which the model omits
+	if !rules.inheritedLeases {
 		n.grantor.termStart = longAgo
 	}
-	if !on.longestLease {
+	if !rules.longestLease {
 		n.state.longestLeaseSeconds = n.grantor.settings.grantorLeaseSeconds()
 	}
 }
 
-// nextEntry returns what a node that believes it is the leader may propose.
-func (w *world) nextEntry(i int, on protocol) (Entry, bool) {
+// nextEntry returns the entry that a node may propose. The node may be a deposed leader that has not noticed.
+func (w *world) nextEntry(i int, rules protocolRules) (Entry, bool) {
 	g := w.node(i).grantor
-	if !on.waitForLeases {
+	if !rules.waitForLeases {
 		g.leases = nil
 		g.termStart = longAgo
 	}
 	return g.NextEntry(w.leaderClock())
 }
 
-// deliver handles the arrival of a message. It returns false if the message changes nothing, now or ever.
-func (w *world) deliver(m message, to int, on protocol) bool {
+// deliver handles the arrival of a message at node to, or at the message's holder. It returns false if the message has
+// no effect, in which case no later delivery is needed either.
+func (w *world) deliver(m message, to int, rules protocolRules) bool {
 	switch m.kind {
 	case requestMessage:
-		return w.deliverRequest(m, to, on)
+		return w.deliverRequest(m, to, rules)
 	case grantMessage:
-		return w.deliverGrant(m, on)
+		return w.deliverGrant(m, rules)
 	case entryMessage:
-		return w.commit(m.entry, on)
+		return w.commit(m.entry, rules)
 	}
 	w.node(w.leader).grantor.Release(m.release)
 	return true
 }
 
-func (w *world) deliverRequest(m message, to int, on protocol) bool {
+func (w *world) deliverRequest(m message, to int, rules protocolRules) bool {
 	g := w.node(to).grantor
-	if to != w.leader && on.confirmedGrants {
+	if to != w.leader && rules.confirmedGrants {
 		return false
 	}
 	if g.ReceiveRequest(w.leaderClock(), m.request) != nil {
@@ -104,36 +106,37 @@
 	return true
 }
 
-func (w *world) deliverGrant(m message, on protocol) bool {
+func (w *world) deliverGrant(m message, rules protocolRules) bool {
 	h := w.holder(m.holder).holder
 	grant := m.grant
-	if !on.incarnationCheck {
+	if !rules.incarnationCheck {
 		grant.Incarnation = h.incarnation
 	}
-	if !on.nonceCheck {
+	if !rules.nonceCheck {
 		grant.Nonce = h.request.nonce
 	}
-	if !on.monotonic {
+	if !rules.monotonic {
 		h.knownRevision = Revision{}
 	}
 	if h.HandleGrant(w.clock(m.holder), grant) != nil {
 		return false
 	}
-	if !on.leaseFromSending {
+	if !rules.leaseFromSending {
 		h.expiresAt = w.clock(m.holder) + h.settings.LeaseSeconds
 	}
 	return true
 }
 
-// isStale reports whether m is a request that the holder has superseded.
+// isStale reports whether m is a request of a former process, or not the latest request of the holder.
 func (w *world) isStale(m message) bool {
 	h := w.holders[m.holder].holder
 	return m.kind == requestMessage && (m.request.Incarnation != h.incarnation || m.request.Nonce != h.request.nonce)
 }
 
-// prune drops messages that can't change anything any more, by trying them.
-// Stale requests are delivered as far as the bound on duplicates allows.
-func (w *world) prune(on protocol) {
+// prune drops messages that can't have an effect any more, which it finds out for
+// entries and releases by delivering them to a copy. Stale requests are kept as
+// long as the bound on duplicates allows to deliver them.
+func (w *world) prune(rules protocolRules) {
 	w.messages = slices.DeleteFunc(slices.Clone(w.messages), func(m message) bool {
 		h := w.holders[m.holder].holder
 		switch m.kind {
@@ -141,23 +144,24 @@
 			return w.isStale(m) && w.remaining.duplicates == 0
 		case grantMessage:
 			answersPending := m.grant.Incarnation == h.incarnation && m.grant.Nonce == h.request.nonce && h.request.pending
-			return on.nonceCheck && on.incarnationCheck && !answersPending
+			return rules.nonceCheck && rules.incarnationCheck && !answersPending
 		}
 		next := *w
-		return !next.deliver(m, w.leader, on)
+		return !next.deliver(m, w.leader, rules)
 	})
 }
 
-// successors collects the worlds that can follow one.
+// successors collects the worlds that can follow from one.
 type successors struct {
-	from *world
-	on   protocol
-	list []*world
+	from  *world
+	rules protocolRules
+	list  []*world
 }
 
-// successors returns the worlds that can follow. A violation that shows only in a transition is returned at once.
-func (w *world) successors(on protocol) (list []*world, violation string) {
-	s := &successors{from: w, on: on}
+// successors returns the worlds that can follow from w by one event. If an event itself violates an invariant, it
+// returns that violation and no worlds.
+func (w *world) successors(rules protocolRules) (list []*world, violation string) {
+	s := &successors{from: w, rules: rules}
 	s.addClockTick()
 	s.addProposals()
 	s.addLeaderEvents()
@@ -171,12 +175,14 @@
 	return s.list, ""
 }
 
+// fork returns a copy of the world, to which an event can be applied.
 func (s *successors) fork() *world {
 	next := *s.from
 	next.previous = s.from
 	return &next
 }
 
+// add adds the world that results from an event. The event is a format with the verb %d for its subject.
 func (s *successors) add(event string, subject int, apply func(next *world)) {
 	next := s.fork()
 	next.event = event
@@ -187,28 +193,28 @@
 
 func (s *successors) addClockTick() {
 	if s.from.now < s.from.remaining.ticks {
-		s.add("at %d the clock advances", s.from.now, func(next *world) { next.now++ })
+		s.add("at tick %d the clock advances", s.from.now, func(next *world) { next.now++ })
 	}
 }
 
 func (s *successors) addProposals() {
-	left := s.from.remaining
+	remaining := s.from.remaining
 	view := s.from.nodes[s.from.leader].state.View()
-	if left.versions > 0 && view.Next.Number == 0 {
-		s.add("table %d is proposed", left.versions, func(next *world) {
+	if remaining.versions > 0 && view.Next.Number == 0 {
+		s.add("table %d is proposed", remaining.versions, func(next *world) {
 			next.remaining.versions--
-			next.propose(left.versions, false, s.on)
+			next.propose(remaining.versions, false, s.rules)
 		})
 	}
-	if left.withdrawals > 0 && view.Next.Number != 0 {
+	if remaining.withdrawals > 0 && view.Next.Number != 0 {
 		s.add("version %d is withdrawn", int(view.Next.Number), func(next *world) {
 			next.remaining.withdrawals--
-			next.propose(int(tableBit(view.InForce.Table)>>1), true, s.on)
+			next.propose(int(tableBit(view.InForce.Table)>>1), true, s.rules)
 		})
 	}
 }
 
-func (w *world) propose(table int, withdraws bool, on protocol) {
+func (w *world) propose(table int, withdraws bool, rules protocolRules) {
 	base := w.nodes[w.leader].state.View().NewestNumber()
 	w.commit(Entry{
 		Kind:      EntryPropose,
@@ -217,7 +223,7 @@
 		Table:     modelTables[table],
 		Exclusive: true,
 		Withdraws: withdraws,
-	}, on)
+	}, rules)
 }
 
 func (s *successors) addLeaderEvents() {
@@ -227,17 +233,17 @@
 		if w.remaining.elections > 0 {
 			s.add("n%d is elected", i, func(next *world) {
 				next.remaining.elections--
-				next.elect(i, s.on)
+				next.elect(i, s.rules)
 			})
 		}
-		// The state of a node that never led has no effect.
+		// A node that has never been the leader proposes and grants nothing, so its state has no effect.
 		if i != w.leader && n.grantor.term > 0 && n.state.digest != view.Digest() {
-			s.add("n%d applies what is committed", i, func(next *world) { next.catchUp(i) })
+			s.add("n%d applies the committed entries", i, func(next *world) { next.catchUp(i) })
 		}
 		if n.grantor.term == 0 || n.state.View().Next.Number == 0 {
 			continue
 		}
-		if e, ok := s.fork().nextEntry(i, s.on); ok {
+		if e, ok := s.fork().nextEntry(i, s.rules); ok {
 			s.add("n%d proposes to advance", i, func(next *world) {
 				next.send(message{kind: entryMessage, entry: e})
 			})
@@ -248,7 +254,7 @@
 func (s *successors) addClusterFaults() {
 	leader := s.from.leader
 	if s.from.remaining.shorterLeases > 0 {
-		s.add("n%d and all others get a shorter lease", leader, func(next *world) {
+		s.add("n%d and all others are configured with shorter leases", leader, func(next *world) {
 			next.remaining.shorterLeases--
 			for i := range next.nodes {
 				next.node(i).grantor.settings.LeaseSeconds /= 2
@@ -260,21 +266,21 @@
 			next.remaining.fileLosses--
 			next.filesLost = true
 			*next.node(leader).state = initialState(s.from.nodes[leader].state.longestLeaseSeconds)
-			next.elect(leader, s.on)
+			next.elect(leader, s.rules)
 		})
 	}
 }
 
 func (s *successors) addHolderEvents(i int) (violation string) {
 	x := s.from.holders[i]
-	left := s.from.remaining
-	if !x.holder.released && left.requests > 0 {
-		s.add("h%d sends a request", i, func(next *world) { next.sendRequest(i, s.on) })
+	remaining := s.from.remaining
+	if !x.holder.released && remaining.requests > 0 {
+		s.add("h%d sends a request", i, func(next *world) { next.sendRequest(i, s.rules) })
 	}
-	if left.restarts > 0 {
-		s.add("h%d restarts", i, func(next *world) { next.restart(i, s.on) })
+	if remaining.restarts > 0 {
+		s.add("h%d restarts", i, func(next *world) { next.restart(i, s.rules) })
 	}
-	if !x.holder.released && left.releases > 0 {
+	if !x.holder.released && remaining.releases > 0 {
 		s.add("h%d shuts down", i, func(next *world) { next.shutDown(i) })
 	}
 	effective := x.holder.EffectiveConfig(s.from.clock(i))
@@ -282,30 +288,30 @@
 		return ""
 	}
 	if effective.Revision.Compare(x.highestRevision) < 0 {
-		return fmt.Sprintf("h%d falls from %v to %v%s", i, x.highestRevision, effective.Revision, s.from.trace())
+		return fmt.Sprintf("h%d goes back from %v to %v%s", i, x.highestRevision, effective.Revision, s.from.trace())
 	}
-	s.add("the loop of h%d runs", i, func(next *world) { next.runLoop(i, effective) })
+	s.add("the event loop of h%d runs", i, func(next *world) { next.runLoop(i, effective) })
 	return ""
 }
 
-func (w *world) sendRequest(i int, on protocol) {
+func (w *world) sendRequest(i int, rules protocolRules) {
 	w.remaining.requests--
 	h := w.holder(i).holder
 	h.request.nextAt = 0
 	request, _, _ := h.NextRequest(w.clock(i))
-	if !on.acknowledgement {
+	if !rules.acknowledgement {
 		request.AppliedRevision = h.knownRevision
 	}
 	w.send(message{kind: requestMessage, holder: i, request: request})
 }
 
-func (w *world) restart(i int, on protocol) {
+func (w *world) restart(i int, rules protocolRules) {
 	w.remaining.restarts--
 	x := w.holder(i)
 	old := x.holder
 	x.holder = NewHolder(old.instance, old.incarnation+1, old.settings)
 	x.expiresAt = 0
-	if on.monotonic {
+	if rules.monotonic {
 		x.holder.Restore(old.DurableState())
 	}
 }
@@ -317,7 +323,7 @@
 	w.send(message{kind: releaseMessage, holder: i, release: x.holder.Release()})
 }
 
-// runLoop has an instance's event loop act on what is in effect.
+// runLoop runs an instance's event loop: the instance acts on the effective configuration and acknowledges it.
 func (w *world) runLoop(i int, effective EffectiveConfig) {
 	x := w.holder(i)
 	view := x.holder.content.view
@@ -334,19 +340,20 @@
 	w := s.from
 	for i, m := range w.messages {
 		for to := range w.nodes {
-			if to == w.leader || m.kind == requestMessage && !s.on.confirmedGrants {
+			if to == w.leader || m.kind == requestMessage && !s.rules.confirmedGrants {
 				s.addDelivery(i, m, to)
 			}
 		}
 	}
 }
 
-// addDelivery adds the worlds in which message i arrives, and in which a duplicate of it follows.
+// addDelivery adds the world in which message i arrives and, if the bound on duplicates allows it, the world in which
+// the message arrives while a duplicate stays in transit.
 func (s *successors) addDelivery(i int, m message, to int) {
 	w := s.from
 	arrives := func(next *world) bool {
 		next.messages = slices.Delete(slices.Clone(next.messages), i, i+1)
-		return next.deliver(m, to, s.on)
+		return next.deliver(m, to, s.rules)
 	}
 	if next := s.fork(); arrives(next) {
 		if w.isStale(m) {
@@ -362,7 +369,7 @@
 	if next := s.fork(); arrives(next) {
 		next.remaining.duplicates--
 		next.send(m)
-		next.event = "once, with a duplicate to follow: " + deliveryEvents[m.kind]
+		next.event = "with a duplicate still in transit: " + deliveryEvents[m.kind]
 		next.subject = m.holder
 		s.list = append(s.list, next)
 	}
