--- a/internal/service/life_client_test.go
+++ b/internal/service/life_client_test.go
@@ -13,14 +13,14 @@
 
 // scriptedClient is a scripted client on one connection.
 type scriptedClient struct {
-	p         *scenario
-	conn      *net.TCPConn
-	queue     []*clientRequest // written whole and not answered
-	partial   *clientRequest   // of which rest is not written yet
-	unwritten string
-	left      bool
-	closing   bool // an answer said that it is the last
-	ended     bool // by the other side
+	scenario       *scenario
+	conn           *net.TCPConn
+	queue          []*clientRequest // written completely and not yet answered
+	partial        *clientRequest   // request whose remaining bytes, unwritten, are not sent yet
+	unwritten      string
+	disconnected   bool
+	closeAnnounced bool // an answer announced that the connection closes
+	closedByServer bool // the dispatcher has ended the connection
 }
 
 func (p *scenario) connect() *scriptedClient {
@@ -29,14 +29,14 @@
 		p.fail("dial: %v", err)
 		return nil
 	}
-	c := &scriptedClient{p: p, conn: conn.(*net.TCPConn)}
+	c := &scriptedClient{scenario: p, conn: conn.(*net.TCPConn)}
 	p.wg.Add(1)
 	go c.read()
 	return c
 }
 
 func (c *scriptedClient) read() {
-	defer c.p.wg.Done()
+	defer c.scenario.wg.Done()
 	r := bufio.NewReader(c.conn)
 	for {
 		_, err := r.Peek(1)
@@ -48,45 +48,45 @@
 				resp.Body.Close()
 			}
 			if err != nil {
-				err = fmt.Errorf("half an answer: %w", err)
+				err = fmt.Errorf("incomplete answer: %w", err)
 			}
 		}
-		c.p.mu.Lock()
+		c.scenario.mu.Lock()
 		switch {
-		case c.left && err != nil:
+		case c.disconnected && err != nil:
 		case err != nil:
-			c.ended = true
-			if strings.HasPrefix(err.Error(), "half") {
-				c.p.fail("%v", err)
+			c.closedByServer = true
+			if strings.HasPrefix(err.Error(), "incomplete answer") {
+				c.scenario.fail("%v", err)
 			}
 			for _, a := range c.queue {
-				a.Never = !a.received && (c.closing || c.p.mayCloseConnections)
+				a.Never = !a.received && (c.closeAnnounced || c.scenario.mayCloseConnections)
 				if !a.Never {
-					c.p.fail("request %s (taken: %v) saw its connection end unanswered: %v", a.ID, a.received, err)
+					c.scenario.fail("connection of request %s (received: %v) ended without an answer: %v", a.ID, a.received, err)
 				}
 			}
 		case len(c.queue) > 0:
 			a := c.queue[0]
 			if c.queue = c.queue[1:]; len(c.queue) > 0 {
-				c.queue[0].SentAt = max(c.queue[0].SentAt, c.p.now()) // it is read now
+				c.queue[0].SentAt = max(c.queue[0].SentAt, c.scenario.now()) // the dispatcher reads the next request only now
 			}
-			a.Answers = append(a.Answers, invariants.Answer{At: c.p.now(), Status: resp.StatusCode, Body: string(body)})
+			a.Answers = append(a.Answers, invariants.Answer{At: c.scenario.now(), Status: resp.StatusCode, Body: string(body)})
 			switch resp.StatusCode {
 			case 200:
-				c.p.served++
+				c.scenario.served++
 			case 502, 503, 504:
 			case 408:
 				if a.SentAt-a.firstByteAt < 1.5 {
-					c.p.timingViolations = append(c.p.timingViolations, fmt.Sprintf("request %s got 408 %.3f s after its first byte", a.ID, a.SentAt-a.firstByteAt))
+					c.scenario.timingViolations = append(c.scenario.timingViolations, fmt.Sprintf("request %s got 408 %.3f s after its first byte", a.ID, a.SentAt-a.firstByteAt))
 				}
 			default:
-				c.p.fail("request %s got %d", a.ID, resp.StatusCode)
+				c.scenario.fail("request %s got unexpected status %d", a.ID, resp.StatusCode)
 			}
 		case resp.StatusCode != 408 || c.unwritten == "":
-			c.p.fail("%d, which nobody asked for", resp.StatusCode)
+			c.scenario.fail("got status %d without a request", resp.StatusCode)
 		}
-		c.closing = c.closing || err == nil && resp.Close
-		c.p.mu.Unlock()
+		c.closeAnnounced = c.closeAnnounced || err == nil && resp.Close
+		c.scenario.mu.Unlock()
 		if err != nil {
 			c.conn.Close()
 			return
@@ -94,33 +94,34 @@
 	}
 }
 
-// begin starts a new request and writes a fraction of it, from 0 to 1.
-func (c *scriptedClient) begin(class string, patience, part float64) {
-	p := c.p
+// startRequest creates a request and writes a fraction of it, from 0 to 1. Unless the fraction is 1, finishRequest
+// has to write the rest. clientTimeout is in seconds.
+func (c *scriptedClient) startRequest(class string, clientTimeout, fraction float64) {
+	p := c.scenario
 	p.mu.Lock()
-	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: patience}}
+	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: clientTimeout}}
 	p.requests, p.requestsByID[a.ID] = append(p.requests, a), a
-	a.Never, a.firstByteAt = true, p.now() // until all of it is written
+	a.Never, a.firstByteAt = true, p.now() // Never holds until all of it is written
 	p.mu.Unlock()
 	raw := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nTenant: acme\r\nRequest-Timeout: %.3f\r\nContent-Length: 4\r\n\r\nbody",
-		class, a.ID, a.ID, patience)
-	n := int(part * float64(len(raw)))
+		class, a.ID, a.ID, clientTimeout)
+	n := int(fraction * float64(len(raw)))
 	c.partial, c.unwritten = a, raw[n:]
 	if n > 0 && n < len(raw) {
 		c.conn.Write([]byte(raw[:n]))
 	} else if n == len(raw) {
 		c.unwritten = raw
-		c.finish()
+		c.finishRequest()
 	}
 }
 
-// finish writes the rest of a request, which counts as sent from before its last byte on.
-func (c *scriptedClient) finish() {
-	p := c.p
+// finishRequest writes the rest of a request. SentAt is taken before the last byte is written.
+func (c *scriptedClient) finishRequest() {
+	p := c.scenario
 	p.mu.Lock()
 	a, rest := c.partial, c.unwritten
 	c.partial, c.unwritten = nil, ""
-	a.SentAt, a.Never = p.now(), c.ended || p.loopEnded
+	a.SentAt, a.Never = p.now(), c.closedByServer || p.loopEnded
 	if !a.Never {
 		c.queue = append(c.queue, a)
 	}
@@ -128,26 +129,27 @@
 	c.conn.Write([]byte(rest))
 }
 
-// leave ends the connection from the client's side.
-func (c *scriptedClient) leave(how int) {
-	c.p.mu.Lock()
-	c.left = true
-	c.p.mu.Unlock()
-	switch how {
+// disconnect ends the connection from the client's side. Mode 0 closes it, 1 resets it, and 2 closes the sending side
+// only.
+func (c *scriptedClient) disconnect(mode int) {
+	c.scenario.mu.Lock()
+	c.disconnected = true
+	c.scenario.mu.Unlock()
+	switch mode {
 	case 0:
 		c.conn.Close()
 	case 1:
 		c.conn.SetLinger(0)
 		c.conn.Close()
 	case 2:
-		c.conn.CloseWrite() // what comes is still read
+		c.conn.CloseWrite() // answers are still read
 	}
-	c.p.mu.Lock()
+	c.scenario.mu.Lock()
 	for _, a := range c.queue {
-		a.DisconnectedAt, a.leftHow = c.p.now(), []string{"with its connection closed", "with a reset", "with its sending ended"}[how]
+		a.DisconnectedAt, a.disconnectKind = c.scenario.now(), []string{"with its connection closed", "with a reset", "with its sending side closed"}[mode]
 		if c.unwritten != "" {
-			a.leftHow += ", behind bytes it had sent on"
+			a.disconnectKind += ", after part of another request"
 		}
 	}
-	c.p.mu.Unlock()
+	c.scenario.mu.Unlock()
 }
