--- a/internal/deferred/entry.go
+++ b/internal/deferred/entry.go
@@ -2,14 +2,14 @@
 
 import "container/heap"
 
-// state is where a job stands.
+// state is the state of an entry.
 type state int
 
 const (
-	unknownParent state = iota // others depend on it, and it has not arrived
+	unknownParent state = iota // has not arrived, but deferred jobs depend on it
 	deferred
-	due // in the queue that Drain empties
-	active
+	due    // in the queue that Drain returns jobs from
+	active // handed over, or eligible on arrival
 	ended
 )
 
@@ -18,7 +18,7 @@
 	id            string
 	state         state
 	outcome       Outcome
-	stateSince    float64 // of an ended job and of an unknown parent
+	stateSince    float64 // set for ended jobs and unknown parents
 	job           Job
 	pending       int // parents that have not been served
 	beforeStart   bool
@@ -28,16 +28,16 @@
 	endedChildren int
 	cause         *Cause
 	expired       bool
-	timerIndex    [timerKinds]int // in the heap; noTimer: none
-	visit         uint64          // the last search that came here
+	timerIndex    [timerKinds]int // indexes in the heap, or noTimer
+	visit         uint64          // number of the last search that visited the entry
 }
 
 // timerKind is one of the timers that an entry may have.
 type timerKind int
 
 const (
-	startTimer    timerKind = iota // its start time; of an unknown parent the end of its grace
-	deadlineTimer                  // its deadline
+	startTimer    timerKind = iota // the start time of a job, or the end of an unknown parent's grace
+	deadlineTimer                  // the deadline of a job
 	timerKinds
 )
 
@@ -49,7 +49,8 @@
 	entry *entry
 }
 
-// timers is a heap by time that records the index of each entry's timers. It implements heap.Interface.
+// timers is a heap ordered by time, which keeps the timerIndex of entries up to date. It implements
+// heap.Interface.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
--- a/internal/deferred/limits.go
+++ b/internal/deferred/limits.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Limits bound what a Store keeps. None may be 0 but Retention.
+// Limits bound what a Store keeps. All but Retention must be above 0.
 type Limits struct {
-	Jobs               int     // deferred at one time
-	Bytes              int64   // of their bodies and heads
-	Parents            int     // of one job
-	Depth              int     // of a chain of deferred jobs
-	UnknownParents     int     // ids that jobs depend on and that have not arrived
-	UnknownParentGrace float64 // seconds for which such an id may still arrive
+	Jobs               int     // jobs deferred at the same time
+	Bytes              int64   // bytes of the bodies and heads of deferred jobs
+	Parents            int     // distinct dependencies of one job
+	Depth              int     // length of a chain of deferred jobs
+	UnknownParents     int     // ids that deferred jobs depend on and that have not arrived
+	UnknownParentGrace float64 // seconds that such an id may take to arrive
 	Retention          float64 // seconds for which the outcome of a job is kept
 	RetainedOutcomes   int     // outcomes kept at most; the oldest are dropped first
 }
 
-// Defaults are limits for some 30 MB of deferred jobs.
+// Defaults returns limits that allow about 30 MB of deferred jobs.
 func Defaults() Limits {
 	return Limits{
 		Jobs:               20_000,
@@ -28,10 +28,11 @@
 	}
 }
 
-// maxRetentionSeconds bounds Retention.
+// maxRetentionSeconds is the upper bound of Limits.Retention.
 const maxRetentionSeconds = 86400
 
-// Check finds limits that can't be used, and returns the key that the operator's file has for the first one.
+// Check returns an error for the first limit that is out of range, and the key of that limit in the operator's
+// file.
 func (l Limits) Check() (key string, err error) {
 	for _, limit := range []struct {
 		key   string
--- a/internal/deferred/release.go
+++ b/internal/deferred/release.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// minChildrenCompaction is the number of ended children from which a parent's list is compacted.
+// minChildrenCompaction is the number of ended children above which a parent's list may be compacted.
 const minChildrenCompaction = 16
 
-// releaseIfReady hands a job over if it depends on nothing any more.
+// releaseIfReady moves a deferred job to the due queue if it has become eligible.
 func (s *Store) releaseIfReady(e *entry) {
 	if e.state == deferred && e.pending == 0 && !e.beforeStart {
 		s.stats.Released++
@@ -13,7 +13,7 @@
 	}
 }
 
-// enqueueDue appends a job to those that Drain returns.
+// enqueueDue appends a deferred job to the queue that Drain returns jobs from.
 func (s *Store) enqueueDue(e *entry) {
 	s.stopTimers(e)
 	e.state = due
@@ -21,7 +21,8 @@
 	s.release(e)
 }
 
-// release gives up what a deferred job counts against the limits, and unlinks it from its parents.
+// release subtracts a job that is no longer deferred from the counts that are limited, and unlinks it from its
+// parents.
 func (s *Store) release(e *entry) {
 	s.stats.Waiting--
 	s.stats.Bytes -= e.job.Size
@@ -34,7 +35,8 @@
 	e.job = Job{}
 }
 
-// unlinkChild records that one of a parent's children is no longer deferred.
+// unlinkChild records that one of a parent's children is no longer deferred. An unknown parent without deferred
+// children is removed.
 func (s *Store) unlinkChild(parent *entry) {
 	parent.endedChildren++
 	if parent.endedChildren > minChildrenCompaction && parent.endedChildren*2 > len(parent.children) {
@@ -48,14 +50,14 @@
 	}
 }
 
-// Drain returns at most limit jobs that leave the store, in the order in which they became due. The rest
-// stays for the next call, so that one parent with thousands of children doesn't hold up everything else.
+// Drain returns at most limit jobs that leave the store, in the order in which they became due. The others
+// remain for the next call, so that one parent with thousands of children doesn't delay other work.
 func (s *Store) Drain(limit int) (list []Due) {
 	for s.dueHead < len(s.dueQueue) && len(list) < limit {
 		e := s.dueQueue[s.dueHead]
 		s.dueQueue[s.dueHead] = nil
 		s.dueHead++
-		if e.state != due && e.cause == nil { // its client disconnected meanwhile
+		if e.state != due && e.cause == nil { // the client has disconnected since
 			continue
 		}
 		list = append(list, Due{ID: e.id, Cause: e.cause, Expired: e.expired})
@@ -68,7 +70,7 @@
 	return list
 }
 
-// compactQueue drops the removed entries before head where they are most of the array.
+// compactQueue drops the removed entries before head if they make up more than half of the array.
 func compactQueue(queue []*entry, head int) ([]*entry, int) {
 	if head == len(queue) {
 		return queue[:0], 0
@@ -79,11 +81,12 @@
 	return queue, head
 }
 
-// Pending is how many jobs Drain has to return.
+// Pending returns the number of queued entries that Drain has not processed yet.
 func (s *Store) Pending() int { return len(s.dueQueue) - s.dueHead }
 
-// End records the outcome of a job that was tracked, handed over or is deferred. Jobs that depend on it
-// become eligible, or end with it.
+// End records the outcome of a job that is deferred, due, or active (tracked or handed over); other ids are
+// ignored. If the job was served, jobs that depend on no other become eligible; otherwise all jobs that depend
+// on it end.
 func (s *Store) End(now float64, id string, outcome Outcome) {
 	e := s.byID[id]
 	if e == nil || e.state == ended || e.state == unknownParent {
@@ -95,14 +98,15 @@
 	s.end(now, e, outcome)
 }
 
-// endDeferred takes a deferred job out. Its state changes before its parents are compacted.
+// endDeferred ends a deferred job. It sets the state before it calls release, which compacts the lists of
+// children by their state.
 func (s *Store) endDeferred(e *entry) {
 	s.stopTimers(e)
 	e.state = ended
 	s.release(e)
 }
 
-// end applies a job's outcome to all that depend on it.
+// end retains the outcome of a job and applies it to the jobs that depend on it.
 func (s *Store) end(now float64, e *entry, outcome Outcome) {
 	s.retain(now, e, outcome)
 	if outcome != Served {
@@ -118,7 +122,8 @@
 	e.children = nil
 }
 
-// cascade ends all jobs that depend on one that was not served, directly or not.
+// cascade ends all jobs that depend directly or indirectly on a job that was not served. They are Refused if
+// the cause is retryable, otherwise Failed.
 func (s *Store) cascade(now float64, e *entry, cause *Cause) {
 	outcome := Failed
 	if cause.Retryable() {
@@ -143,7 +148,7 @@
 	}
 }
 
-// retain keeps the outcome of a job.
+// retain marks a job as ended and keeps its outcome.
 func (s *Store) retain(now float64, e *entry, outcome Outcome) {
 	e.state = ended
 	e.outcome = outcome
@@ -153,7 +158,7 @@
 	s.expireOutcomes(now)
 }
 
-// expireOutcomes drops outcomes that are older than Retention, and the oldest beyond RetainedOutcomes.
+// expireOutcomes drops outcomes that are older than Retention, and the oldest ones above RetainedOutcomes.
 func (s *Store) expireOutcomes(now float64) {
 	for s.endedHead < len(s.ended) && s.oldestOutcomeExpired(now) {
 		e := s.ended[s.endedHead]
--- a/internal/deferred/stages.go
+++ b/internal/deferred/stages.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Stage is what a job waits for before its first attempt, or its next one.
+// Stage is what a job waits for before its first or next attempt.
 type Stage string
 
 // The stages of a wait.
 const (
-	StageDeferred Stage = "held"   // it is not eligible yet
-	StageQueued   Stage = "queued" // for a worker
+	StageDeferred Stage = "held"   // the job is not eligible yet
+	StageQueued   Stage = "queued" // the job waits for a worker
 )
 
-// Depths counts waiting jobs by stage, class and tenant, and knows the oldest of each. All methods cost O(1)
-// but for Read; memory is that of the jobs that wait now.
+// Depths counts waiting jobs by stage, class and tenant, and records when the oldest one of each started to
+// wait. All methods but Read take O(1); memory is proportional to the number of waiting jobs.
 type Depths struct {
-	queues        map[queueKey]*list.List // of times, oldest first
+	queues        map[queueKey]*list.List // times at which jobs were entered, oldest first
 	firstAttempts map[string]*FirstAttempts
 }
 
@@ -28,7 +28,7 @@
 	tenant string
 }
 
-// QueuePlace is a job's place among the Depths; the zero value is none.
+// QueuePlace is a job's place in one of the queues of Depths. The zero value is a job that is in no queue.
 type QueuePlace struct {
 	element *list.Element
 	key     queueKey
@@ -40,18 +40,19 @@
 	Class  string  `json:"class"`
 	Tenant string  `json:"tenant"`
 	Jobs   int     `json:"jobs"`
-	Oldest float64 `json:"oldest_s"` // wait of the job that has waited longest
+	Oldest float64 `json:"oldest_s"` // seconds that the oldest job has waited
 }
 
-// FirstAttempts are figures on how long jobs of a class were eligible before their first attempt, in seconds.
+// FirstAttempts counts the first attempts of the jobs of a class, and how long those jobs were eligible before
+// them, in seconds.
 type FirstAttempts struct {
 	Class    string  `json:"class"`
 	Sent     uint64  `json:"sent_total"`
 	Waited   float64 `json:"waited_s_total"`
 	Longest  float64 `json:"longest_s"`
-	Late     uint64  `json:"late_total"`    // later than promised
-	Unsent   uint64  `json:"unsent_total"`  // admitted under a promise and ended without an attempt
-	Declined uint64  `json:"refused_total"` // on arrival: no attempt in time could be promised
+	Late     uint64  `json:"late_total"`    // first attempts made later than promised
+	Unsent   uint64  `json:"unsent_total"`  // jobs that were promised an attempt and ended without one
+	Declined uint64  `json:"refused_total"` // jobs rejected on arrival: no attempt in time could be promised
 }
 
 // NewDepths returns empty counts.
@@ -62,7 +63,8 @@
 	}
 }
 
-// Enter records that a job waits from now on, which must not decrease. It leaves its former place.
+// Enter records that a job waits in a stage from now on. If place is in a queue, the job leaves that queue
+// first. The value of now must not decrease between calls.
 func (d *Depths) Enter(now float64, place *QueuePlace, stage Stage, class, tenant string) {
 	d.Leave(place)
 	place.key = queueKey{stage: stage, class: class, tenant: tenant}
@@ -74,7 +76,7 @@
 	place.element = queue.PushBack(now)
 }
 
-// Leave records that a job waits no more.
+// Leave removes a job from its queue, if it is in one.
 func (d *Depths) Leave(place *QueuePlace) {
 	if place.element == nil {
 		return
@@ -87,7 +89,7 @@
 	place.element = nil
 }
 
-// FirstAttempts returns the figures of a class, to be added to.
+// FirstAttempts returns the counters of a class, which the caller may update.
 func (d *Depths) FirstAttempts(class string) *FirstAttempts {
 	figures := d.firstAttempts[class]
 	if figures == nil {
@@ -97,8 +99,8 @@
 	return figures
 }
 
-// Observe records a first attempt after a wait, and reports whether it came later than promised; 0 means
-// that nothing was promised.
+// Observe records a first attempt that was made after a wait, in seconds, and reports whether that was later
+// than promised. If promised is 0, no maximum wait was promised.
 func (f *FirstAttempts) Observe(wait, promised float64) (late bool) {
 	f.Sent++
 	f.Waited += wait
@@ -110,7 +112,7 @@
 	return late
 }
 
-// Read returns all counts and figures, sorted.
+// Read returns the depths sorted by stage, class and tenant, and the first attempts sorted by class.
 func (d *Depths) Read(now float64) (depths []Depth, attempts []FirstAttempts) {
 	for key, queue := range d.queues {
 		depths = append(depths, Depth{
--- a/internal/deferred/store.go
+++ b/internal/deferred/store.go
@@ -5,17 +5,17 @@
 	"errors"
 )
 
-// Stats are figures for operators.
+// Stats are the counters that operators see.
 type Stats struct {
 	Waiting        int    `json:"waiting"`
 	Bytes          int64  `json:"bytes"`
 	UnknownParents int    `json:"strangers"`
-	Ended          int    `json:"ended"` // outcomes kept
+	Ended          int    `json:"ended"` // retained outcomes
 	Released       uint64 `json:"released_total"`
-	Cascaded       uint64 `json:"cascaded_total"` // ended with a parent
+	Cascaded       uint64 `json:"cascaded_total"` // ended because a parent was not served
 	Expired        uint64 `json:"over_total"`     // handed over before they were eligible
-	Refused        uint64 `json:"refused_total"`  // on arrival, as a limit was reached
-	Invalid        uint64 `json:"bad_total"`
+	Refused        uint64 `json:"refused_total"`  // rejected on arrival because a limit was reached
+	Invalid        uint64 `json:"bad_total"`      // rejected on arrival because of an invalid field
 }
 
 // Store keeps deferred jobs and the outcomes that they may depend on.
@@ -23,16 +23,16 @@
 	Limits
 	byID       map[string]*entry
 	timers     timers
-	dueQueue   []*entry // oldest first, from dueHead on
+	dueQueue   []*entry // valid from dueHead on, oldest first
 	dueHead    int
-	ended      []*entry // oldest first, from endedHead on
+	ended      []*entry // valid from endedHead on, oldest first
 	endedHead  int
-	visits     uint64 // searches so far
+	visits     uint64 // number of searches so far
 	stats      Stats
-	endedCount int // ended entries that are still in byID
+	endedCount int // entries in ended, from endedHead on
 }
 
-// minQueueCompaction is the number of removed entries from which a queue's array is compacted.
+// minQueueCompaction is the number of removed entries above which a queue's array may be compacted.
 const minQueueCompaction = 1024
 
 // New returns an empty store.
@@ -40,19 +40,19 @@
 	return &Store{Limits: limits, byID: map[string]*entry{}}
 }
 
-// Stats are the present figures.
+// Stats returns the current counters.
 func (s *Store) Stats() Stats {
 	s.stats.Ended = s.endedCount
 	return s.stats
 }
 
-// IsDeferred reports whether a job is in the store and not handed over yet.
+// IsDeferred reports whether a job is deferred, or due but not yet returned by Drain.
 func (s *Store) IsDeferred(id string) bool {
 	e := s.byID[id]
 	return e != nil && (e.state == deferred || e.state == due)
 }
 
-// Track records the arrival of a job that depends on nothing: others may depend on it.
+// Track records the arrival of a job that is eligible, so that other jobs can depend on it.
 func (s *Store) Track(now float64, id string) {
 	s.expireOutcomes(now)
 	e := s.byID[id]
@@ -62,10 +62,10 @@
 	case e.state == unknownParent:
 		s.stopTimer(e, startTimer)
 		s.stats.UnknownParents--
-	case e.state == ended: // the id arrives again, long after
+	case e.state == ended: // the id is used again for a new job
 		e = s.insert(id)
 	default:
-		return // ids are fresh: a repeat was rejected before
+		return // the caller rejects repeated ids before
 	}
 	e.state = active
 }
@@ -76,8 +76,8 @@
 	return e
 }
 
-// Add stores a job that may have to wait. If it need not, it is tracked and eligible is true. An error is an
-// *InvalidDependencyError, *LimitError or *ParentFailedError; the job is not stored then.
+// Add stores a job that may have to wait. If the job is eligible at once, Add tracks it and returns true. An
+// error is an *InvalidDependencyError, *LimitError or *ParentFailedError; the job is not stored then.
 func (s *Store) Add(now float64, job Job) (eligible bool, err error) {
 	s.expireOutcomes(now)
 	if err := s.check(now, &job); err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// pendingParents counts the jobs among ids that have not ended.
+// pendingParents returns how many of the jobs with these ids have not ended.
 func (s *Store) pendingParents(ids []string) (pending int) {
 	for _, id := range ids {
 		if parent := s.byID[id]; parent == nil || parent.state != ended {
@@ -129,7 +129,7 @@
 	return pending
 }
 
-// entryOf returns the entry of a job that arrives: the one that others depend on already, or a new one.
+// entryOf returns the entry for an arriving job: that of the unknown parent with its id, or else a new one.
 func (s *Store) entryOf(id string) *entry {
 	e := s.byID[id]
 	if e == nil || e.state != unknownParent {
@@ -140,7 +140,8 @@
 	return e
 }
 
-// addParent links a job to one that it depends on, unless that one has ended.
+// addParent links a job to the parent with an id, unless that has ended. If no such job has arrived, it adds an
+// unknown parent.
 func (s *Store) addParent(now float64, e *entry, id string) {
 	parent := s.byID[id]
 	if parent != nil && parent.state == ended {
@@ -157,7 +158,7 @@
 	e.parents = append(e.parents, parent)
 }
 
-// Tick fires the timers up to now.
+// Tick fires the timers that are due by now, and drops expired outcomes.
 func (s *Store) Tick(now float64) {
 	for len(s.timers) > 0 && s.timers[0].at <= now {
 		fired := heap.Pop(&s.timers).(timer)
@@ -177,7 +178,7 @@
 	s.expireOutcomes(now)
 }
 
-// Next is when Tick is to be called next; false if there is no timer.
+// Next returns when Tick has to be called next, or false if there is no timer.
 func (s *Store) Next() (at float64, ok bool) {
 	if len(s.timers) == 0 {
 		return 0, false
@@ -185,8 +186,8 @@
 	return s.timers[0].at, true
 }
 
-// ExpireAll hands over all deferred jobs, the earliest timer first, as if their deadlines had come: the
-// program ends, and the scheduler answers them.
+// ExpireAll hands over all deferred jobs, ordered by their earliest timer, as if their deadlines had passed. It
+// is for a program that stops: the scheduler then answers the jobs.
 func (s *Store) ExpireAll() {
 	for _, e := range s.byID {
 		if e.state == deferred {
--- a/internal/deferred/validate.go
+++ b/internal/deferred/validate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// check validates a job before anything is changed. It sorts the job's dependencies, each once.
+// check validates a job and does not change the store. It sorts the job's dependencies and removes duplicates.
 func (s *Store) check(now float64, job *Job) error {
 	if err := checkNotBefore(now, job); err != nil {
 		return err
@@ -14,7 +14,7 @@
 	slices.Sort(job.DependsOn)
 	job.DependsOn = slices.Compact(job.DependsOn)
 	if len(job.DependsOn) > s.Parents {
-		return invalidDependency("names %d jobs, at most %d", len(job.DependsOn), s.Parents)
+		return invalidDependency("names %d jobs, at most %d are allowed", len(job.DependsOn), s.Parents)
 	}
 	depth, unknown, err := s.checkParents(job)
 	if err != nil {
@@ -31,15 +31,16 @@
 
 func checkNotBefore(now float64, job *Job) error {
 	if math.IsNaN(job.NotBefore) || math.IsInf(job.NotBefore, 0) || job.NotBefore < 0 {
-		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not a time"}
+		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not a valid time"}
 	}
 	if job.NotBefore >= job.Deadline && job.NotBefore > now {
-		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "after the job's own deadline"}
+		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not earlier than the job's deadline"}
 	}
 	return nil
 }
 
-// checkParents returns the depth of the deepest deferred parent and the number of unknown parents.
+// checkParents returns the depth of the deepest deferred parent and the number of parents that the store has no
+// entry for.
 func (s *Store) checkParents(job *Job) (depth, unknown int, err error) {
 	for _, id := range job.DependsOn {
 		if id == job.ID {
@@ -61,26 +62,26 @@
 }
 
 func (s *Store) chainTooLong() error {
-	return invalidDependency("a chain of more than %d waiting jobs", s.Depth)
+	return invalidDependency("the chain of deferred jobs would be longer than %d", s.Depth)
 }
 
 func (s *Store) checkLimits(job *Job, unknown int) error {
 	switch {
 	case s.stats.Waiting >= s.Jobs:
-		return &LimitError{Resource: "jobs"}
+		return &LimitError{Resource: "deferred jobs"}
 	case s.stats.Bytes+job.Size > s.Bytes:
-		return &LimitError{Resource: "bytes of jobs"}
+		return &LimitError{Resource: "bytes of deferred jobs"}
 	case s.stats.UnknownParents+unknown > s.UnknownParents:
-		return &LimitError{Resource: "jobs for ids that have not come"}
+		return &LimitError{Resource: "dependencies on jobs that have not arrived"}
 	}
 	return nil
 }
 
-// maxDescendantsVisited is how many jobs that depend on an arriving one are searched.
+// maxDescendantsVisited limits how many jobs that depend on an arriving one are searched.
 const maxDescendantsVisited = 4096
 
-// checkDescendants searches the jobs that depend on one that arrives only now: none of them may be among its
-// parents, and their chains must not become too long.
+// checkDescendants searches the jobs that already depend on an arriving one. None of them may be among its
+// parents, which would be a cycle, and no chain may become longer than the Depth limit.
 func (s *Store) checkDescendants(job *Job, depth int) error {
 	root := s.byID[job.ID]
 	if root == nil || len(root.children) == 0 {
@@ -98,10 +99,10 @@
 			e.visit = s.visits
 			visited++
 			if visited > maxDescendantsVisited {
-				return invalidDependency("more than %d jobs wait for this one already", maxDescendantsVisited)
+				return invalidDependency("more than %d jobs already depend on this one", maxDescendantsVisited)
 			}
 			if slices.Contains(job.DependsOn, e.id) {
-				return invalidDependency("a circle: job %s waits for this one", e.id)
+				return invalidDependency("dependency cycle: job %s depends on this one", e.id)
 			}
 			next = append(next, e.children...)
 		}
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// updateDepths sets the depth of an arriving job and of those that depended on it already.
+// updateDepths sets the depth of an arriving job and of the jobs that already depend on it.
 func (s *Store) updateDepths(added *entry) {
 	work := []*entry{added}
 	for len(work) > 0 {
