--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -2,7 +2,7 @@
 
 import "example.org/bellstream/balance"
 
-// Config is the decision module's configuration.
+// Config returns the decision module's configuration.
 func (s *Settings) Config() balance.Config {
 	c := balance.Config{
 		Index:                s.Index,
@@ -59,7 +59,7 @@
 	}
 }
 
-// workerKind is the only kind of worker that runs a class; empty: any.
+// workerKind returns the only kind of worker that runs a class, or an empty string if any kind does.
 func (s *Settings) workerKind(class int) string {
 	kinds := s.WorkerFamily.ClassKinds
 	if class >= len(kinds) {
@@ -72,9 +72,9 @@
 	return s.WorkerKinds[kind]
 }
 
-// reportFields is the meaning of the values of a load report, in order; empty: unused.
+// reportFields returns the meaning of each value of a load report, in order; empty strings are unused values.
 func (s *Settings) reportFields() (fields []string) {
-	if s.LoadReports.Mode == ReportsSilent { // no report comes, whatever is named
+	if s.LoadReports.Mode == ReportsSilent { // workers send no reports, even if fields are given
 		return nil
 	}
 	for _, field := range s.LoadReports.Fields {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -8,7 +8,7 @@
 	"example.org/bellstream/balance"
 )
 
-// The platform's configuration is read as it always was, key by key.
+// Each key of the platform's configuration files keeps its meaning.
 func TestGoldenFiles(t *testing.T) {
 	every := Settings{
 		Index:        1,
--- a/internal/settings/instance.go
+++ b/internal/settings/instance.go
@@ -10,26 +10,26 @@
 	"github.com/tidwall/gjson"
 )
 
-// ErrNoFile is returned where no configuration file is named.
+// ErrNoFile is returned by Load if the path is empty.
 var ErrNoFile = errors.New("RELAY_CONFIG names no configuration file")
 
-// Instance is the configuration file of one real dispatcher.
+// Instance is the decoded configuration file of a real dispatcher.
 type Instance struct {
 	Name            string
 	Listen          string
 	Discovery       string
-	Control         string // where operators' commands are accepted; empty: nowhere
+	Control         string // address at which operators' commands are accepted; empty: none
 	Seed            uint64
 	Cores           float64
 	MemoryMB        int
 	Sockets         int
-	CachedEndpoints []byte // the endpoint list as last cached, in discovery's form
+	CachedEndpoints []byte // the cached endpoint list, in discovery's JSON format
 	Settings        *Settings
 
 	presentKeys map[string]bool // see collectKeys
 }
 
-// Load reads an instance's configuration file.
+// Load reads an instance's configuration file. Errors name the file; an empty path is [ErrNoFile].
 func Load(path string) (*Instance, error) {
 	if path == "" {
 		return nil, ErrNoFile
@@ -45,7 +45,7 @@
 	return i, nil
 }
 
-// ParseInstance decodes a configuration file. Unknown keys are skipped.
+// ParseInstance decodes the text of a configuration file. Unknown keys are ignored.
 func ParseInstance(raw []byte) (*Instance, error) {
 	if !gjson.ValidBytes(raw) {
 		return nil, errNotJSON
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// check finds what cannot be used in the instance's own keys.
+// check validates the instance's own keys, not its settings.
 func (i *Instance) check() error {
 	switch {
 	case i.Listen == "":
@@ -100,7 +100,7 @@
 	case i.Control != "" && !validAddress(i.Control):
 		return &KeyError{"control", fmt.Sprintf("%q is not host:port", i.Control)}
 	case i.MemoryMB < 0 || i.Sockets < 0 || i.Cores < 0:
-		return &KeyError{"limits", "a figure is below 0"}
+		return &KeyError{"limits", "a value is below 0"}
 	}
 	return nil
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -13,15 +13,16 @@
 	errNotObject = errors.New("not an object")
 )
 
-// KeyError is a value of the settings that cannot be used.
+// KeyError reports a key that is missing or has an invalid value.
 type KeyError struct {
-	Key     string // its path
+	Key     string // path of the key
 	Problem string
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// Parse decodes a settings object. Unknown keys are skipped.
+// Parse decodes a settings object. Unknown keys are ignored. The first value of a wrong type is reported as a
+// *KeyError.
 func Parse(raw []byte) (*Settings, error) {
 	s, err := parse(raw)
 	if err != nil {
@@ -128,14 +129,14 @@
 	}
 }
 
-// reader takes values out of an object. A value that is missing or null is its type's zero; one of another
-// type is an error, of which the first is kept.
+// reader reads values from a JSON object. A missing or null value is read as the zero value; a value of another
+// type is an error. Only the first error is kept.
 type reader struct {
 	root gjson.Result
 	err  error
 }
 
-// fail keeps the first error.
+// fail records an error unless there is one already.
 func (r *reader) fail(err error) {
 	if r.err == nil {
 		r.err = err
@@ -164,7 +165,7 @@
 	return texts
 }
 
-// each calls read with a reader for every element of an array.
+// each calls read with a reader for each element of an array.
 func (r *reader) each(path string, read func(*reader)) {
 	v := r.get(path, gjson.JSON)
 	if v.Exists() && !v.IsArray() {
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -9,12 +9,12 @@
 	"example.org/bellstream/balance"
 )
 
-// maxBatchInterval is in seconds.
+// maxBatchInterval is the upper bound of Settings.BatchInterval, in seconds.
 const maxBatchInterval = 1
 
-// Reload reads the file again, for a program that runs. It is checked as a whole, and more strictly than
-// at a start, where a missing key has a default: a key that the present file has and this one lacks was
-// lost by mistake.
+// Reload reads a configuration file for a running program and checks it more strictly than Load does at start,
+// when a missing key has a default. A key that the current file has must be in the new one too: its absence is
+// taken for a mistake.
 func (i *Instance) Reload(path string) (*Instance, error) {
 	next, err := Load(path)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return next, nil
 }
 
-// collectKeys returns the keys of a configuration by their paths. A key of the classes is included if all
-// classes have it, as some belong to one degree of idempotence only. What a start alone needs is left out.
+// collectKeys returns the paths of the keys of a configuration, without those that are used only at start. A key
+// of the classes is included if all classes have it, unless only classes with idempotency keys use it.
 func collectKeys(root gjson.Result) map[string]bool {
 	keys := map[string]bool{}
 	addKeys(keys, "", root)
@@ -46,10 +46,10 @@
 	return keys
 }
 
-// isOptionalClassKey reports whether a class without idempotency keys has no use for a key.
+// isOptionalClassKey reports whether only classes with idempotency keys use a key.
 func isOptionalClassKey(key string) bool { return key == "dedup_scope" || key == "repeat_window" }
 
-// isStartKey reports whether a key is needed at a start only.
+// isStartKey reports whether a key is used only at start.
 func isStartKey(path string) bool { return path == "known" || path == "seed" }
 
 func addKeys(keys map[string]bool, prefix string, object gjson.Result) {
@@ -66,8 +66,7 @@
 	})
 }
 
-// checkComplete finds a key that is missing beside those of the present file, and values that cannot be
-// used.
+// checkComplete returns an error if one of the present keys is missing, or if a value is invalid.
 func (i *Instance) checkComplete(present map[string]bool) error {
 	var missing []string
 	for path := range present {
@@ -120,7 +119,7 @@
 	case balance.Idempotent, balance.NonIdempotent:
 	case balance.IdempotentWithKey:
 		if !(c.DedupWindow > 0) {
-			return &KeyError{path + "repeat_window", "a keyed class wants a positive number"}
+			return &KeyError{path + "repeat_window", "not a positive number, which a keyed class needs"}
 		}
 	default:
 		return &KeyError{path + "semantics", fmt.Sprintf("unknown %q", c.Idempotence)}
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -9,8 +9,8 @@
 
 const sampleInstance = `{"name":"n","listen":"x:1","discovery":"y:1","seed":"1f","known":{"seq":1},"limits":{"cores":1},"settings":` + sampleSettings + `}`
 
-// A file that a running program reloads is checked as a whole: what is wrong is one line that names the key,
-// and what a start alone needs may be missing.
+// Reload rejects an invalid file with an error on one line that names the key. Keys that are used only at start
+// may be missing.
 func TestReload(t *testing.T) {
 	i, err := ParseInstance([]byte(sampleInstance))
 	if err != nil {
@@ -46,7 +46,7 @@
 	} {
 		next := strings.Replace(sampleInstance, c.old, c.new, 1)
 		if c.old != "" && next == sampleInstance {
-			t.Fatalf("%s is not in the file", c.old)
+			t.Fatalf("%s is not in the sample file", c.old)
 		}
 		os.WriteFile(path, []byte(next), 0o600)
 		_, err := i.Reload(path)
@@ -54,11 +54,11 @@
 			t.Errorf("%s -> %s: got %v, want %q", c.old, c.new, err, c.err)
 		}
 	}
-	// Truncated anywhere, it is never accepted.
+	// No truncated file is accepted.
 	for n := range len(sampleInstance) {
 		os.WriteFile(path, []byte(sampleInstance[:n]), 0o600)
 		if _, err := i.Reload(path); err == nil {
-			t.Fatalf("cut after %d bytes it was accepted", n)
+			t.Fatalf("a file truncated to %d bytes was accepted", n)
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,17 +1,17 @@
-// Package settings holds the platform's settings of a dispatcher. The simulator sends them in its first
-// message and a real dispatcher finds them in its configuration file; both decode them here, where the
-// names of the platform's keys are mapped to those of the code.
+// Package settings decodes the settings that the platform gives a dispatcher. The simulator sends them in its
+// first message; a real dispatcher reads them from its configuration file. The package maps the names of the
+// platform's keys to the names used in the code.
 package settings
 
-// defaultTimeout is a client's timeout where the settings name none, in seconds.
+// defaultTimeout is a client's timeout, in seconds, if the settings have none.
 const defaultTimeout = 60
 
-// Class is one class of requests. Times are in seconds.
+// Class is a class of requests. Times are in seconds.
 type Class struct {
 	Name               string
 	LatencyObjective   float64
 	ObjectiveStretch   float64
-	ClientTimeout      float64 // 0: the default, see Deadline
+	ClientTimeout      float64 // 0: the default; see Deadline
 	PriorityWeight     float64
 	LateWeightFraction float64
 	Idempotence        string
@@ -19,7 +19,7 @@
 	DedupWindow        float64
 }
 
-// Deadline is the client's whole timeout, in seconds. The default is that of [balance.Class].
+// Deadline returns the client's timeout in seconds. The default is the same as that of [balance.Class].
 func (c Class) Deadline() float64 {
 	if c.ClientTimeout <= 0 {
 		return defaultTimeout
@@ -27,11 +27,11 @@
 	return c.ClientTimeout
 }
 
-// Tenant is one tenant.
+// Tenant is a tenant with its quota.
 type Tenant struct {
 	Name   string
 	Quota  float64 // jobs per second
-	Weight float64 // 0 means 1; set by the agreed configuration only
+	Weight float64 // 0 means 1; set only by the configuration that instances agree on
 }
 
 // Settings is the part of the platform's settings that a dispatcher uses. Times are in seconds.
@@ -52,28 +52,28 @@
 	FleetRules         FleetRules
 }
 
-// EndpointsOnRequest is the EndpointMode in which the endpoint list is served on request only.
+// EndpointsOnRequest is the EndpointMode in which discovery sends the endpoint list only on request.
 const EndpointsOnRequest = "on_request"
 
-// WorkerFamily is what the workers have in common.
+// WorkerFamily is what all workers have in common.
 type WorkerFamily struct {
-	ClassKinds         []int     // by class: an index of Settings.WorkerKinds, or none
-	ClassStretches     []float64 // by class
+	ClassKinds         []int     // by class: index into Settings.WorkerKinds; out of range: any kind
+	ClassStretches     []float64 // by class: used if the class has no ObjectiveStretch
 	ReportX0           string    // meaning of the load report's field x0
 	ReportX1           string    // meaning of the load report's field x1
 	StartNotifications bool
 }
 
-// LoadReports is how workers report their load.
+// LoadReports describes how workers report their load.
 type LoadReports struct {
 	Mode   string
 	Fields []string
 }
 
-// ReportsSilent is the Mode of LoadReports in which workers send none.
+// ReportsSilent is the Mode of LoadReports in which workers send no reports.
 const ReportsSilent = "silent"
 
-// Capabilities is what the platform supports.
+// Capabilities is what the platform supports. Times are in seconds.
 type Capabilities struct {
 	Cancellation  bool
 	Hedging       bool
@@ -85,7 +85,7 @@
 	MaxAttempts   int
 }
 
-// FleetRules is what holds for the fleet as a whole.
+// FleetRules are the rules that apply to the whole fleet. Times are in seconds.
 type FleetRules struct {
 	PollInterval         float64
 	SlowStartFloor       float64
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,16 +30,16 @@
 		t.Errorf("got %+v", c.Classes)
 	}
 	if got := strings.Join(c.ReportFields, ","); got != ",waiting,free_slots,free_memory" {
-		t.Errorf("report fields %s", got)
+		t.Errorf("got report fields %s", got)
 	}
 	if s, err = Parse([]byte(strings.Replace(sampleSettings, "pull", "silent", 1))); err != nil || len(s.Config().ReportFields) > 0 {
-		t.Errorf("silent workers report %v, %v", s.Config().ReportFields, err)
+		t.Errorf("silent workers: got report fields %v, error %v", s.Config().ReportFields, err)
 	}
 }
 
-// A configuration that can't be used is one plain error, never a panic or a
-// dispatcher that runs on zeros.
-func TestBadConfiguration(t *testing.T) {
+// An invalid configuration is reported as one error on one line. It never causes a panic, nor a dispatcher that
+// runs with zero values.
+func TestInvalidConfiguration(t *testing.T) {
 	for _, c := range [][2]string{
 		{`{`, "not valid JSON"},
 		{`{"listen":5}`, "listen: unexpected Number"},
@@ -61,13 +61,13 @@
 		t.Errorf("got %+v, %v", i, err)
 	}
 	if _, err := Load("/does/not/exist"); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("loading a missing file returned no error")
 	}
 }
 
-// Names are passed on unchanged: settings under other names mean the same under those names, and
-// what they do not give is the same for all.
-func TestNamesMeanNothing(t *testing.T) {
+// The names of classes, tenants, zones and worker kinds are passed on unchanged and have no other effect: with
+// other names in the settings, only the names in the configuration differ.
+func TestNamesHaveNoEffect(t *testing.T) {
 	parse := func(text string) balance.Config {
 		s, err := Parse([]byte(text))
 		if err != nil {
@@ -75,20 +75,20 @@
 		}
 		return s.Config()
 	}
-	// In JSON's quotes, so that no other key or figure is met.
-	others := []string{`"a"`, `"zz 9"`, `"b"`, `"a"`, `"p"`, `"fana"`, `"fana"`, `"p"`, `"big"`, `"small"`, `"small"`, `"ä"`}
-	again := strings.NewReplacer(others...)
-	want, got := parse(sampleSettings), parse(again.Replace(sampleSettings))
-	as := func(name string) string { return strings.Trim(again.Replace(`"`+name+`"`), `"`) }
-	want.Zone = as(want.Zone)
+	// The names include the quotes, so that no part of another key or value is replaced.
+	replacements := []string{`"a"`, `"zz 9"`, `"b"`, `"a"`, `"p"`, `"fana"`, `"fana"`, `"p"`, `"big"`, `"small"`, `"small"`, `"ä"`}
+	replacer := strings.NewReplacer(replacements...)
+	want, got := parse(sampleSettings), parse(replacer.Replace(sampleSettings))
+	renamed := func(name string) string { return strings.Trim(replacer.Replace(`"`+name+`"`), `"`) }
+	want.Zone = renamed(want.Zone)
 	for i := range want.Classes {
-		k := &want.Classes[i]
-		k.Name, k.WorkerKind = as(k.Name), as(k.WorkerKind)
+		class := &want.Classes[i]
+		class.Name, class.WorkerKind = renamed(class.Name), renamed(class.WorkerKind)
 	}
 	for i := range want.Tenants {
-		want.Tenants[i].Name = as(want.Tenants[i].Name)
+		want.Tenants[i].Name = renamed(want.Tenants[i].Name)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("under other names %+v, want %+v", got, want)
+		t.Errorf("with other names got %+v, want %+v", got, want)
 	}
 }
