--- a/internal/operatorconfig/ageing.go
+++ b/internal/operatorconfig/ageing.go
@@ -8,14 +8,14 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// MaxWaits are the guaranteed maximum waits by class, in seconds. Classes are
-// those that exist, with their deadlines; nil: they are not checked.
+// MaxWaits returns the guaranteed maximum waits by class, in seconds. Unless classes
+// is nil, each class must be one of them and its deadline must be later.
 func (f *File) MaxWaits(classes []settings.Class) (map[string]float64, error) {
 	waits := map[string]float64{}
 	for i, block := range f.Ageing {
 		maxWait, err := time.ParseDuration(block.MaxWait)
 		if err != nil || maxWait <= 0 {
-			return nil, f.ageingError(i, "max_wait", "%q is no duration above 0 such as \"5s\"", block.MaxWait)
+			return nil, f.ageingError(i, "max_wait", "%q is not a duration above 0 (example: \"5s\")", block.MaxWait)
 		}
 		for _, name := range block.Classes {
 			if waits[name] > 0 {
@@ -37,7 +37,7 @@
 	return f.text.ErrorAt("ageing", block, key, fmt.Errorf(format, args...))
 }
 
-// checkMaxWait checks that a class exists and its deadline is later than the maximum wait.
+// checkMaxWait checks that a class exists and that its deadline, if it has one, is longer than the maximum wait.
 func (f *File) checkMaxWait(block int, maxWait time.Duration, name string, classes []settings.Class) error {
 	i := slices.IndexFunc(classes, func(c settings.Class) bool { return c.Name == name })
 	if i < 0 {
--- a/internal/operatorconfig/deferred.go
+++ b/internal/operatorconfig/deferred.go
@@ -7,7 +7,7 @@
 	"example.org/bellstream/internal/deferred"
 )
 
-// DeferredLimits are the limits of the waiting block, with defaults where it has none.
+// DeferredLimits returns the limits in the waiting block, with defaults for missing keys.
 func (f *File) DeferredLimits() (deferred.Limits, error) {
 	limits := deferred.Defaults()
 	block := f.Deferred
@@ -32,21 +32,22 @@
 	return limits, nil
 }
 
-// override sets a value that the file has.
+// override replaces a setting by the value in the file, if there is one.
 func override[T any](setting, value *T) {
 	if value != nil {
 		*setting = *value
 	}
 }
 
-// overrideSeconds sets a duration of the waiting block that the file has.
+// overrideSeconds sets seconds to the duration in text, the value of a key of the waiting block, unless that is
+// empty.
 func (f *File) overrideSeconds(seconds *float64, key, text string) error {
 	if text == "" {
 		return nil
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		return f.ErrorAt("waiting", key, fmt.Errorf("%q is no duration such as \"2s\"", text))
+		return f.ErrorAt("waiting", key, fmt.Errorf("%q is not a duration (example: \"2s\")", text))
 	}
 	*seconds = duration.Seconds()
 	return nil
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,5 +1,5 @@
-// Package operatorconfig reads the operator's file: HCL, with every error located
-// by file, line and key. All its features are off where there is no file.
+// Package operatorconfig reads the operator's file, which is written in HCL. Errors
+// name the file, line and key. Without a file, all features that it configures are off.
 package operatorconfig
 
 import (
@@ -18,7 +18,7 @@
 
 const maxRegionBytes = 64
 
-// File is the decoded file.
+// File is a decoded operator's file. A nil block is absent, and its feature is off.
 type File struct {
 	Log    *Log    `hcl:"log,block"`
 	Admin  *Admin  `hcl:"admin,block"`
@@ -30,13 +30,13 @@
 	// Ageing guarantees classes a maximum wait.
 	Ageing []*Ageing `hcl:"ageing,block"`
 
-	// Config proposes a version of the config that instances agree on.
+	// Config proposes a version of the configuration that instances agree on.
 	Config *config.Block `hcl:"rules,block"`
 
-	// Lease has instances agree on a config.
+	// Lease makes instances agree on a configuration and act on it under leases.
 	Lease *Lease `hcl:"accord,block"`
 
-	// Shards gives each tenant's queue to one instance.
+	// Shards assigns each tenant's queue to one instance.
 	Shards *Shards `hcl:"shards,block"`
 
 	// Migration migrates services between clusters.
@@ -51,17 +51,17 @@
 	Format string `hcl:"format,optional"`
 }
 
-// Admin is the operators' listener.
+// Admin configures the listener for operators.
 type Admin struct {
 	Listen string `hcl:"listen"`
 }
 
 // Gossip configures how instances of a cluster find each other.
 type Gossip struct {
-	Name      string   `hcl:"name,optional"`      // default: the instance's own
-	Region    string   `hcl:"region,optional"`    // owners are spread over regions
-	Listen    string   `hcl:"listen"`             // UDP and TCP
-	Advertise string   `hcl:"advertise,optional"` // address that others dial; default: listen
+	Name      string   `hcl:"name,optional"`      // default: the instance's name
+	Region    string   `hcl:"region,optional"`    // quota owners are spread over regions
+	Listen    string   `hcl:"listen"`             // for UDP and TCP
+	Advertise string   `hcl:"advertise,optional"` // address that other instances dial; default: listen
 	Join      []string `hcl:"join,optional"`
 	KeyFile   string   `hcl:"key_file,optional"`
 	Period    string   `hcl:"period,optional"`
@@ -70,7 +70,7 @@
 
 // Usage configures the exchange of usage counters.
 type Usage struct {
-	Owners     *int     `hcl:"homes,optional"` // 0: none, as builds before owners
+	Owners     *int     `hcl:"homes,optional"` // 0: all instances, as in builds without owners
 	Staleness  string   `hcl:"staleness,optional"`
 	ShareFloor *float64 `hcl:"floor,optional"`
 	MaxError   *float64 `hcl:"max_error,optional"`
@@ -81,7 +81,7 @@
 	Exchange   *bool    `hcl:"exchange,optional"`
 }
 
-// Deferred limits deferred jobs.
+// Deferred configures the limits of deferred jobs.
 type Deferred struct {
 	Jobs               *int   `hcl:"jobs,optional"`
 	Bytes              *int64 `hcl:"bytes,optional"`
@@ -93,14 +93,14 @@
 	RetainedOutcomes   *int   `hcl:"ended,optional"`
 }
 
-// Ageing guarantees jobs of some classes that they are sent within a time, or
-// rejected on arrival.
+// Ageing guarantees that jobs of some classes are either sent to a worker within a
+// maximum wait, or rejected on arrival.
 type Ageing struct {
 	MaxWait string   `hcl:"max_wait"`
 	Classes []string `hcl:"classes"`
 }
 
-// Proposal is the rules block, nil where there is none.
+// Proposal returns the proposal in the rules block, or nil if there is none.
 func (f *File) Proposal() *config.Proposal {
 	if f.Config == nil {
 		return nil
@@ -108,7 +108,7 @@
 	return f.Config.Proposal(f.text)
 }
 
-// Load reads a file. All its errors are joined, a line each.
+// Load reads, decodes and validates a file. All errors of its content are joined, one per line.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,7 +117,8 @@
 	return Parse(path, raw)
 }
 
-// Parse decodes a file's text and validates it on its own.
+// Parse decodes the text of a file and validates it without other configuration. If the text can be decoded, the
+// file is returned even with an error.
 func Parse(path string, raw []byte) (*File, error) {
 	f := &File{}
 	text, err := hclfile.Decode(path, raw, f)
@@ -128,23 +129,23 @@
 	return f, f.check()
 }
 
-// ErrorAt is an error at a key of a block: file, line, block.key, what.
+// ErrorAt adds the location of a key of a block to an error: file, line and block.key.
 func (f *File) ErrorAt(block, key string, err error) error { return f.text.ErrorAt(block, 0, key, err) }
 
-// collector gathers the errors of a file, in the order in which they are found.
+// collector collects the errors of a file in the order in which they are found.
 type collector struct {
 	file *File
 	errs []error
 }
 
-// add adds an error at a key of a block; nil is none.
+// add adds an error at a key of a block, unless it is nil.
 func (c *collector) add(block, key string, err error) {
 	if err != nil {
 		c.errs = append(c.errs, c.file.ErrorAt(block, key, err))
 	}
 }
 
-// addLocated adds an error that names file, line and key already; nil is none.
+// addLocated adds an error that already names file, line and key, unless it is nil.
 func (c *collector) addLocated(err error) {
 	if err != nil {
 		c.errs = append(c.errs, err)
@@ -200,7 +201,7 @@
 		c.add("peers", "join", checkAddress(address, true))
 	}
 	if g.Cluster == "" {
-		c.add("peers", "cluster", errors.New("must not be empty: instances of other clusters are told by it"))
+		c.add("peers", "cluster", errors.New("must not be empty: it tells instances of other clusters apart"))
 	}
 	if g.KeyFile != "" {
 		_, err := Keys(g.KeyFile)
@@ -212,7 +213,7 @@
 	if s == "" || slices.Contains(list, s) {
 		return nil
 	}
-	return fmt.Errorf("%q is none of %s", s, strings.Join(list, ", "))
+	return fmt.Errorf("%q is not one of %s", s, strings.Join(list, ", "))
 }
 
 func checkAddress(s string, needsPort bool) error {
@@ -228,22 +229,23 @@
 	return nil
 }
 
-// Warnings are the blocks of a file that have no effect.
+// Warnings returns a warning for each block of the file that has no effect.
 func (f *File) Warnings() (list []string) {
 	if f.Config != nil && f.Lease == nil {
 		err := errors.New("has no effect without an accord block (docs/operators/accord.md): " +
-			"the platform's settings hold")
+			"the platform's settings apply")
 		list = append(list, f.ErrorAt("rules", "", err).Error())
 	}
 	return list
 }
 
-// Warnings are settings of the platform's own file that leave the dispatcher without free slots.
+// Warnings returns a warning if the settings in the platform's file don't let the dispatcher know how many slots
+// of a worker are free.
 func Warnings(s *settings.Settings) (list []string) {
 	freeSlots := slices.Contains(s.Config().ReportFields, "free_slots")
 	if s.LoadReports.Mode != "silent" && s.LoadReports.Mode != "" && !freeSlots {
 		list = append(list, "settings: no report field gives free slots (family_info.report_x0 or report_x1): "+
-			"every worker counts for one job at a time until it starts, and most of the fleet may stand idle")
+			"each worker is given one job at a time until that job has started, so most of the fleet may be idle")
 	}
 	return list
 }
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -12,11 +12,11 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// Every error is located by file, line and key, all of them at once.
+// Each error in a file names file, line and key, and all errors are reported at once.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	dir := t.TempDir()
-	bad := filepath.Join(dir, "keys")
-	os.WriteFile(bad, []byte("# keys\nc2VjcmV0IHNlY3JldA==\n"), 0o600)
+	badKeyFile := filepath.Join(dir, "keys")
+	os.WriteFile(badKeyFile, []byte("# keys\nc2VjcmV0IHNlY3JldA==\n"), 0o600)
 	const peers = "peers {\n listen = \"127.0.0.1:1\"\n cluster = \"c\"\n"
 	const moves = "\nclusters {\n self = \"east\"\n"
 	const accord = "accord {\n cluster = \"c\"\n listen = \"127.0.0.1:1\"\n folder = \"f\"\n" +
@@ -24,7 +24,7 @@
 	for _, c := range []struct{ text, want string }{
 		{"log {", "f.hcl:1: "},
 		{"nothing {}", "f.hcl:1: Unsupported block type"},
-		{"log {\n level = \"loud\"\n}", "f.hcl:2: log.level: \"loud\" is none of debug"},
+		{"log {\n level = \"loud\"\n}", "f.hcl:2: log.level: \"loud\" is not one of debug"},
 		{"log {\n format = \"xml\"\n}", "f.hcl:2: log.format"},
 		{"log {\n colour = true\n}", "f.hcl:2: Unsupported argument"},
 		{"admin {\n}", "f.hcl:1: Missing required argument"},
@@ -32,16 +32,16 @@
 		{"admin {\n listen = 5\n}\nadmin {\n listen = \"127.0.0.1:1\"\n}", "f.hcl:4: Duplicate admin block"},
 		{peers + " join = [\"n2.example:1\"]\n}", "f.hcl:4: peers.join: \"n2.example:1\": \"n2.example\" is not an IP address"},
 		{peers + " join = [\"127.0.0.1:0\"]\n}", "f.hcl:4: peers.join: \"127.0.0.1:0\" has no port"},
-		{peers + " period = \"fast\"\n}", "f.hcl:4: peers.period: \"fast\" is no duration"},
+		{peers + " period = \"fast\"\n}", "f.hcl:4: peers.period: \"fast\" is not a duration"},
 		{peers + " period = \"1ms\"\n}", "f.hcl:4: peers.period: 0.001 s"},
-		{peers + " key_file = \"" + bad + "\"\n}", "keys:2: not a key"},
+		{peers + " key_file = \"" + badKeyFile + "\"\n}", "keys:2: not a key"},
 		{peers + " key_file = \"/none\"\n}", "f.hcl:4: peers.key_file: open /none"},
 		{peers + "}\ncounts {\n loss = 0.9\n}", "f.hcl:6: counts.loss: 0.9"},
 		{peers + "}\ncounts {\n staleness = \"500ms\"\n}", "f.hcl:6: counts.staleness: 0.50 s is too short"},
 		{peers + "}\ncounts {\n instances = -1\n}", "f.hcl:6: counts.instances"},
 		{peers + "}\ncounts {\n homes = 17\n}", "f.hcl:6: counts.homes"},
 		{peers + "}\ncounts {\n homes = -1\n}", "f.hcl:6: counts.homes"},
-		{"waiting {\n grace = \"later\"\n}", "f.hcl:2: waiting.grace: \"later\" is no duration"},
+		{"waiting {\n grace = \"later\"\n}", "f.hcl:2: waiting.grace: \"later\" is not a duration"},
 		{"ageing {\n max_wait = \"long\"\n classes = [\"c\"]\n}", "f.hcl:2: ageing.max_wait: \"long\""},
 		{"ageing {\n max_wait = \"5s\"\n classes = [\"c\", \"c\"]\n}", "f.hcl:3: ageing.classes: class \"c\" is named twice"},
 		{"waiting {\n jobs = 0\n}", "f.hcl:2: waiting.jobs: 0 is not above 0"},
@@ -49,8 +49,8 @@
 		{"counts {\n floor = 0.1\n}", "f.hcl:1: counts: has no effect"},
 		{"clusters {\n self = \"east\"\n}", "f.hcl:1: clusters: has no effect without an accord block"},
 		{moves + " at_once = 0\n}", "f.hcl:4: clusters.at_once: 0 is not from 1"},
-		{moves + " linger = \"long\"\n}", "f.hcl:4: clusters.linger: \"long\" is no duration"},
-		{moves + " peer \"east\" {\n  cluster = \"c\"\n  voters = { a = \"x:1\" }\n }\n}", "f.hcl:2: clusters: peer \"east\": the name is taken"},
+		{moves + " linger = \"long\"\n}", "f.hcl:4: clusters.linger: \"long\" is not a duration"},
+		{moves + " peer \"east\" {\n  cluster = \"c\"\n  voters = { a = \"x:1\" }\n }\n}", "f.hcl:2: clusters: peer \"east\": the name is already used"},
 		{moves + " peer \"west\" {\n  cluster = \"c\"\n  voters = { a = \"x:1\" }\n }\n}", "voter \"a\": \"x:1\": \"x\" is not an IP address"},
 		{moves + "}\nrules {\n based_on = 0\n}", "f.hcl:3: clusters.self: the rules block has no cluster \"east\""},
 		{"rules {\n}", "f.hcl:1: Missing required argument"},
@@ -63,16 +63,16 @@
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s\ngot  %v\nwant %s", c.text, err, c.want)
 		} else if strings.Contains(err.Error(), "c2VjcmV0") {
-			t.Errorf("the error holds a key: %v", err)
+			t.Errorf("the error contains a key: %v", err)
 		}
 	}
-	two, err := Parse("f.hcl", []byte("log {\n level = \"loud\"\n format = \"xml\"\n}"))
-	if two == nil || strings.Count(err.Error(), "\n") != 1 {
-		t.Errorf("want both mistakes, got %v", err)
+	file, err := Parse("f.hcl", []byte("log {\n level = \"loud\"\n format = \"xml\"\n}"))
+	if file == nil || strings.Count(err.Error(), "\n") != 1 {
+		t.Errorf("got %v, want an error of two lines", err)
 	}
 }
 
-// Bounds that can't be met are rejected, with the setting to change.
+// A max_error that can't be met is rejected with an error that names the setting to change.
 func TestQuotaBounds(t *testing.T) {
 	parse := func(counts string) *File {
 		f, err := Parse("f.hcl", []byte("peers {\n listen = \"127.0.0.1:1\"\n cluster = \"c\"\n}\ncounts {\n"+counts+"\n}"))
@@ -83,12 +83,12 @@
 	}
 	tenants := []quota.Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 8}, {Name: "none"}}
 	if _, b, err := parse("max_error = 0.2").FitQuota(5, tenants); err != nil || b.ShareError <= 0 || b.ShareError > 0.2 {
-		t.Errorf("%+v, %v", b, err)
+		t.Errorf("got %+v, %v, want a share error above 0, up to 0.2", b, err)
 	}
 	// There are three owners by default, and loans expire sooner without owners.
 	for counts, want := range map[string]quota.Bounds{"": {Owners: 3, LoanExpiry: 20}, "homes = 0": {Owners: 5, LoanExpiry: 4}, "homes = 2\nstaleness = \"6s\"": {Owners: 2, LoanExpiry: 6}} {
 		if _, b, err := parse(counts).FitQuota(5, tenants); err != nil || b.Owners != want.Owners || b.LoanExpiry != want.LoanExpiry || b.AllotmentError != 0 || b.FailoverDelay < b.ShiftDelay || b.RemainingFraction != 1-1/float64(want.Owners) {
-			t.Errorf("%s: %+v, %v", counts, b, err)
+			t.Errorf("%s: got bounds %+v, %v", counts, b, err)
 		}
 	}
 	for counts, want := range map[string]string{
@@ -108,7 +108,7 @@
 	}
 }
 
-// Settings that leave the dispatcher without free slots are warned of.
+// Settings without a report field for free slots cause a warning.
 func TestWarnsWithoutFreeSlots(t *testing.T) {
 	const text = `{"lanes":[{"name":"c","semantics":"safe"}],"reporting":{"how":"pull","fields":["x0"]}%s}`
 	for more, want := range map[string]int{"": 1, `,"family_info":{"report_x0":"free slots"}`: 0, `,"family_info":{"report_x0":"free memory"}`: 1} {
@@ -117,14 +117,14 @@
 			t.Fatal(err)
 		}
 		if got := Warnings(s); len(got) != want {
-			t.Errorf("%s: %v", more, got)
+			t.Errorf("%s: got warnings %v", more, got)
 		}
 	}
 }
 
 // A maximum wait must be for an existing class, and shorter than its deadline.
 func TestMaxWaitsFitClasses(t *testing.T) {
-	lanes := []settings.Class{{Name: "c", ClientTimeout: 4}, {Name: "d"}}
+	classes := []settings.Class{{Name: "c", ClientTimeout: 4}, {Name: "d"}}
 	for text, want := range map[string]string{
 		"ageing {\n max_wait = \"3s\"\n classes = [\"c\"]\n}\nageing {\n max_wait = \"9s\"\n classes = [\"d\"]\n}": "",
 		"ageing {\n max_wait = \"3s\"\n classes = [\"x\"]\n}":                                                      "there is no class",
@@ -134,14 +134,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		waits, err := f.MaxWaits(lanes)
+		waits, err := f.MaxWaits(classes)
 		if want == "" && (err != nil || waits["c"] != 3 || waits["d"] != 9) || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: %v, %v", text, waits, err)
+			t.Errorf("%s: got %v, %v", text, waits, err)
 		}
 	}
 }
 
-// The commented examples of the file in deploy are valid, also together; rules alone are warned of.
+// The commented examples in the file in deploy are valid, also together. A rules block without an accord block
+// causes a warning.
 func TestExamples(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/bellstream.hcl")
 	if err != nil {
@@ -151,25 +152,25 @@
 		_, text, ok := strings.Cut(string(raw), "\n# "+block+" {\n")
 		text, _, end := strings.Cut(text, "\n# }\n")
 		if !ok || !end {
-			t.Fatalf("no example of %s", block)
+			t.Fatalf("the file has no example of a %s block", block)
 		}
 		return block + " {\n" + strings.ReplaceAll("\n"+text, "\n#", "\n") + "\n}\n"
 	}
 	f, err := Parse("f.hcl", []byte(example("rules")))
 	if err != nil || len(f.Config.Tenants) != 1 || f.Config.Placements[0].Cluster != "east" {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("rules: got %+v, %v", f, err)
 	}
 	if w := f.Warnings(); len(w) != 1 || !strings.HasPrefix(w[0], "f.hcl:1: rules: has no effect without an accord block") {
-		t.Errorf("rules alone: %q", w)
+		t.Errorf("rules without accord: got warnings %q", w)
 	}
 	f, err = Parse("f.hcl", []byte(example("rules")+example("accord")+example("clusters")))
 	if err != nil || len(f.Warnings()) != 0 || len(f.Lease.Voters) != 3 {
-		t.Errorf("%+v, %v, %q", f.Lease, err, f.Warnings())
+		t.Errorf("all blocks: got %+v, %v, warnings %q", f.Lease, err, f.Warnings())
 	}
-	for field := range reflect.TypeFor[Lease]().Fields() { // each key is documented
+	for field := range reflect.TypeFor[Lease]().Fields() { // each key has a commented line in the example
 		key, _, _ := strings.Cut(field.Tag.Get("hcl"), ",")
 		if !regexp.MustCompile(`(?m)^# +#? ?` + key + ` +=.*#`).MatchString(string(raw)) {
-			t.Errorf("accord.%s is not in the example, with what it costs", key)
+			t.Errorf("the example has no line with a comment for accord.%s", key)
 		}
 	}
 }
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -15,20 +15,19 @@
 	"example.org/bellstream/internal/deferred"
 )
 
-// content is what a golden file decodes to: its blocks, and the settings that the program derives
-// from them.
+// content is what a golden file is decoded to: its blocks, and the settings that are derived from them.
 type content struct {
-	file      *File
-	shares    quota.Settings
-	leases    lease.Settings
-	limits    deferred.Limits
-	waits     map[string]float64
-	proposal  *config.Table
-	bounds    shard.Bounds
-	entries   shard.Limits
-	atOnce    int
-	linger    time.Duration
-	instances int
+	file            *File
+	quotaSettings   quota.Settings
+	leaseSettings   lease.Settings
+	deferredLimits  deferred.Limits
+	maxWaits        map[string]float64
+	proposal        *config.Table
+	shardBounds     shard.Bounds
+	shardLimits     shard.Limits
+	concurrentMoves int
+	settledTime     time.Duration
+	instances       int
 }
 
 func decode(t *testing.T, path string) content {
@@ -44,42 +43,42 @@
 			t.Fatal(err)
 		}
 	}
-	c.shares, err = f.QuotaSettings(c.instances)
+	c.quotaSettings, err = f.QuotaSettings(c.instances)
 	must(err)
-	c.leases, err = f.LeaseSettings()
+	c.leaseSettings, err = f.LeaseSettings()
 	must(err)
-	c.limits, err = f.DeferredLimits()
+	c.deferredLimits, err = f.DeferredLimits()
 	must(err)
-	c.waits, err = f.MaxWaits(nil)
+	c.maxWaits, err = f.MaxWaits(nil)
 	must(err)
 	if p := f.Proposal(); p != nil {
 		c.proposal, err = p.TableOn([]*config.Table{{Version: f.Config.BaseVersion}}, "n1")
 		must(err)
 	}
 	if f.Shards != nil {
-		c.bounds, c.entries = f.Shards.Settings()
+		c.shardBounds, c.shardLimits = f.Shards.Settings()
 	}
 	if f.Migration != nil {
-		c.atOnce, c.linger, err = f.Migration.Settings()
+		c.concurrentMoves, c.settledTime, err = f.Migration.Settings()
 		must(err)
 	}
 	f.text = nil
 	return c
 }
 
-// Operators' files decode to the same content as ever, key by key.
+// Each key of the operators' file keeps its meaning.
 func TestGoldenFiles(t *testing.T) {
 	for path, want := range map[string]content{
 		"testdata/golden/every.hcl":      everyKey(),
-		"../../deploy/bellstream.hcl":    deployed(),
-		"../../deploy/regions.hcl":       regions(),
-		"testdata/golden/nothing.hcl":    nothing(),
+		"../../deploy/bellstream.hcl":    deployedFile(),
+		"../../deploy/regions.hcl":       regionsFile(),
+		"testdata/golden/nothing.hcl":    emptyFile(),
 		"testdata/golden/only-rules.hcl": onlyRules(),
 	} {
 		want.instances = 7
 		got := decode(t, filepath.FromSlash(path))
 		if diff := cmp.Diff(want, got, cmp.Exporter(func(reflect.Type) bool { return true })); diff != "" {
-			t.Errorf("%s: wanted -, got +:\n%s", path, diff)
+			t.Errorf("%s: decoded content differs (-want +got):\n%s", path, diff)
 		}
 	}
 }
@@ -183,7 +182,7 @@
 				SettledTime:        "31s",
 			},
 		},
-		shares: quota.Settings{
+		quotaSettings: quota.Settings{
 			Period:            0.3,
 			LeaseDuration:     21,
 			RetainedFraction:  0.03,
@@ -194,8 +193,8 @@
 			Owners:            2,
 			Region:            "north",
 		},
-		leases: lease.Settings{LeaseSeconds: 3.5, RenewIntervalSeconds: 0.8, NetworkDelaySeconds: 0.045, ClockDrift: 0.012, PollIntervalSeconds: 0.055},
-		limits: deferred.Limits{
+		leaseSettings: lease.Settings{LeaseSeconds: 3.5, RenewIntervalSeconds: 0.8, NetworkDelaySeconds: 0.045, ClockDrift: 0.012, PollIntervalSeconds: 0.055},
+		deferredLimits: deferred.Limits{
 			Jobs:               20001,
 			Bytes:              33554433,
 			Parents:            33,
@@ -205,7 +204,7 @@
 			Retention:          61,
 			RetainedOutcomes:   100001,
 		},
-		waits: map[string]float64{"a": 5, "b": 5, "c": 7},
+		maxWaits: map[string]float64{"a": 5, "b": 5, "c": 7},
 		proposal: &config.Table{
 			Version:           7,
 			BaseVersion:       6,
@@ -234,18 +233,18 @@
 			Clusters:   []config.Cluster{{Name: "east", Capacity: 200}, {Name: "west", Capacity: 300}},
 			Placements: []config.Placement{{Service: "north", Cluster: "west", ForceRelease: true, Origin: "east"}},
 		},
-		bounds:  shard.Bounds{Tolerance: 0.2, MaxTransfers: 9},
-		entries: shard.Limits{MaxJobs: 100002},
-		atOnce:  5,
-		linger:  31 * time.Second,
+		shardBounds:     shard.Bounds{Tolerance: 0.2, MaxTransfers: 9},
+		shardLimits:     shard.Limits{MaxJobs: 100002},
+		concurrentMoves: 5,
+		settledTime:     31 * time.Second,
 	}
 }
 
-// nothing is a file without blocks: all of it is off.
-func nothing() content {
+// emptyFile is the content of a file without blocks: all settings are defaults.
+func emptyFile() content {
 	return content{
 		file: &File{},
-		shares: quota.Settings{
+		quotaSettings: quota.Settings{
 			Period:            0.25,
 			LeaseDuration:     20,
 			RetainedFraction:  0.02,
@@ -255,8 +254,8 @@
 			LossRate:          0.01,
 			Owners:            3,
 		},
-		leases: lease.Settings{LeaseSeconds: 3, RenewIntervalSeconds: 0.75, NetworkDelaySeconds: 0.05, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
-		limits: deferred.Limits{
+		leaseSettings: lease.Settings{LeaseSeconds: 3, RenewIntervalSeconds: 0.75, NetworkDelaySeconds: 0.05, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
+		deferredLimits: deferred.Limits{
 			Jobs:               20000,
 			Bytes:              33554432,
 			Parents:            32,
@@ -266,20 +265,20 @@
 			Retention:          60,
 			RetainedOutcomes:   100000,
 		},
-		waits: map[string]float64{},
+		maxWaits: map[string]float64{},
 	}
 }
 
-// onlyRules has an empty rules block.
+// onlyRules is the content of a file with an empty rules block.
 func onlyRules() content {
-	c := nothing()
+	c := emptyFile()
 	c.file.Config = &config.Block{}
 	c.proposal = &config.Table{}
 	return c
 }
 
-func deployed() content {
-	c := nothing()
+func deployedFile() content {
+	c := emptyFile()
 	c.file = &File{
 		Log:   &Log{Level: "info", Format: "json"},
 		Admin: &Admin{Listen: "127.0.0.1:9090"},
@@ -310,12 +309,12 @@
 			RetainedOutcomes:   new(100000),
 		},
 	}
-	c.shares.ExpectedInstances = 2
+	c.quotaSettings.ExpectedInstances = 2
 	return c
 }
 
-func regions() content {
-	c := nothing()
+func regionsFile() content {
+	c := emptyFile()
 	shardInstances, seats := map[string]string{}, []string{}
 	for region := 1; region <= 6; region++ {
 		for k, letter := range []string{"a", "b"} {
@@ -351,9 +350,9 @@
 		},
 		Config: &config.Block{ShardInstances: seats},
 	}
-	c.leases = lease.Settings{LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.1, ClockDrift: 0.01, PollIntervalSeconds: 0.05}
+	c.leaseSettings = lease.Settings{LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.1, ClockDrift: 0.01, PollIntervalSeconds: 0.05}
 	c.proposal = &config.Table{Version: 1, ProposedBy: "n1", ShardInstances: seats}
-	c.bounds = shard.Bounds{Tolerance: 0.1, MaxTransfers: 8}
-	c.entries = shard.Limits{MaxJobs: 100000}
+	c.shardBounds = shard.Bounds{Tolerance: 0.1, MaxTransfers: 8}
+	c.shardLimits = shard.Limits{MaxJobs: 100000}
 	return c
 }
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Keys reads a key file: a key per line in base64, of 16, 24 or 32 bytes. The
-// first one encrypts, all decrypt. Comment lines (#) and empty ones are skipped.
-// Errors never contain any part of a key.
+// Keys reads a key file, which has one key of 16, 24 or 32 bytes per line, in
+// base64. The first key is used to encrypt, all keys to decrypt. Empty lines and
+// comment lines (#) are skipped. Errors never contain any part of a key.
 func Keys(path string) (keys [][]byte, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operatorconfig/quota.go
+++ b/internal/operatorconfig/quota.go
@@ -9,7 +9,7 @@
 	"example.org/bellstream/internal/cluster/quota"
 )
 
-// Defaults of the exchange, for a network within one or two data centres.
+// Defaults of the exchange of usage counters, for a network within one or two data centers.
 const (
 	DefaultPeriod                 = 250 * time.Millisecond
 	DefaultStaleness              = 20 * time.Second // with owners at a few instances
@@ -19,7 +19,7 @@
 	DefaultDelay                  = 50 * time.Millisecond
 	DefaultShareFloor             = 0.02
 	DefaultLoss                   = 0.01
-	BoundWindowSeconds            = 10.0 // over which the stated error of a share counts
+	BoundWindowSeconds            = 10.0 // window for which the error of a share is stated
 )
 
 func (f *File) instances() int {
@@ -29,8 +29,8 @@
 	return f.Usage.Instances
 }
 
-// QuotaSettings are the exchange's settings, for so many instances where the file
-// names no number.
+// QuotaSettings returns the settings of the exchange of usage counters. The number
+// of instances is used if the file has none.
 func (f *File) QuotaSettings(instances int) (quota.Settings, error) {
 	s := quota.Settings{
 		Period:            DefaultPeriod.Seconds(),
@@ -59,7 +59,7 @@
 	return s, errors.Join(c.errs...)
 }
 
-// usage sets what the counts block has.
+// usage replaces settings by the values in the counts block.
 func (c *collector) usage(block *Usage, s *quota.Settings) {
 	c.duration("counts", "staleness", block.Staleness, &s.LeaseDuration)
 	c.duration("counts", "forget", block.Retention, &s.ForgetAfter)
@@ -75,20 +75,21 @@
 	}
 }
 
-// duration sets seconds to a duration that the file has.
+// duration sets seconds to the duration in text, the value of a key, unless that is empty. The duration must not
+// be below 0.
 func (c *collector) duration(block, key, text string, seconds *float64) {
 	if text == "" {
 		return
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
-		c.add(block, key, fmt.Errorf("%q is no duration such as \"250ms\" or \"4s\"", text))
+		c.add(block, key, fmt.Errorf("%q is not a duration of 0 or more (examples: \"250ms\", \"4s\")", text))
 		return
 	}
 	*seconds = duration.Seconds()
 }
 
-// fraction sets a setting to a fraction that the counts block has.
+// fraction replaces a setting by the value of a key of the counts block, if there is one. It must be from 0 to 1.
 func (c *collector) fraction(key string, value, setting *float64) {
 	if value == nil {
 		return
@@ -100,7 +101,7 @@
 	*setting = *value
 }
 
-// checkQuota validates the exchange's settings on their own.
+// checkQuota validates the settings of the exchange without the tenants' quotas.
 func (f *File) checkQuota() error {
 	s, err := f.QuotaSettings(1)
 	if err != nil {
@@ -120,8 +121,9 @@
 	return f.ErrorAt("counts", key, err)
 }
 
-// FitQuota checks that the file's bounds can be met for these tenants, of which
-// the smallest reservation counts, and returns the bounds.
+// FitQuota returns the settings of the exchange and the bounds that they give for
+// the tenant with the smallest reservation. It is an error if the max_error in the
+// file can't be met for that tenant.
 func (f *File) FitQuota(instances int, tenants []quota.Tenant) (quota.Settings, quota.Bounds, error) {
 	s, err := f.QuotaSettings(instances)
 	if err != nil {
@@ -138,7 +140,7 @@
 	return s, s.Bounds(s.ExpectedInstances, smallest, BoundWindowSeconds), nil
 }
 
-// smallestQuota is the smallest reservation above 0; 0: there is none.
+// smallestQuota returns the smallest quota above 0, or 0 if there is none.
 func smallestQuota(tenants []quota.Tenant) float64 {
 	smallest := 0.0
 	for _, t := range tenants {
--- a/internal/operatorconfig/shards.go
+++ b/internal/operatorconfig/shards.go
@@ -7,14 +7,14 @@
 	"example.org/bellstream/internal/cluster/shard"
 )
 
-// Shards gives each tenant's queue to one instance.
+// Shards configures shards, each of which belongs to one instance and holds the queues of some tenants.
 type Shards struct {
-	Count        int               `hcl:"count"`     // of shards; fixed once their owners are agreed on
-	Listen       string            `hcl:"listen"`    // TCP, for other instances
+	Count        int               `hcl:"count"`     // number of shards; fixed once their owners are agreed on
+	Listen       string            `hcl:"listen"`    // TCP address for other instances
 	Instances    map[string]string `hcl:"instances"` // addresses by name
 	Tolerance    *float64          `hcl:"tolerance,optional"`
 	MaxTransfers *int              `hcl:"at_once,optional"`
-	MaxJobs      *int              `hcl:"entries,optional"` // of one shard
+	MaxJobs      *int              `hcl:"entries,optional"` // per shard
 }
 
 // Defaults of the shards block.
@@ -24,7 +24,7 @@
 	DefaultShardJobs      = 100000
 )
 
-// Settings are the bounds and limits of the shards block, with defaults where it has none.
+// Settings returns the bounds and limits in the shards block, with defaults for missing keys.
 func (s *Shards) Settings() (bounds shard.Bounds, limits shard.Limits) {
 	bounds = shard.Bounds{
 		Tolerance:    DefaultShardTolerance,
@@ -37,14 +37,14 @@
 	return bounds, limits
 }
 
-// checkShards validates the shards block on its own.
+// checkShards validates the shards block.
 func (f *File) checkShards(errs *collector) {
 	s := f.Shards
 	if s == nil {
 		return
 	}
 	if f.Lease == nil {
-		errs.add("shards", "", errors.New("has no effect without an accord block: who seats a shard is agreed on"))
+		errs.add("shards", "", errors.New("has no effect without an accord block, which shard owners need"))
 	}
 	if s.Count < 1 || s.Count > shard.MaxShards {
 		errs.add("shards", "count", fmt.Errorf("%d is not from 1 to %d", s.Count, shard.MaxShards))
