--- a/internal/hclfile/decode.go
+++ b/internal/hclfile/decode.go
@@ -10,7 +10,7 @@
 	"github.com/zclconf/go-cty/cty/gocty"
 )
 
-// The kinds of fields, after the name in a tag.
+// The kinds of fields, as they follow the name in a tag.
 const (
 	kindRequired = ""
 	kindOptional = "optional"
@@ -18,9 +18,9 @@
 	kindLabel    = "label"
 )
 
-// decode is gohcl's DecodeBody for the tags that are used here. gohcl also
-// encodes HCL, and the initialization of its encoder costs every process 0.2 MB,
-// with a file or without.
+// decode does what gohcl's DecodeBody does, for the tags that this project uses.
+// gohcl is not used because it also has an encoder, whose initialization takes
+// 0.2 MB of memory in every process, even without a file.
 func decode(body hcl.Body, into reflect.Value) hcl.Diagnostics {
 	content, diags := body.Content(schemaOf(into.Type()))
 	if content == nil {
@@ -40,7 +40,7 @@
 	return diags
 }
 
-// schemaOf is the schema of a struct's body.
+// schemaOf returns the schema of the body that a struct is decoded from.
 func schemaOf(structure reflect.Type) *hcl.BodySchema {
 	schema := &hcl.BodySchema{}
 	forEachField(structure, func(f field) {
@@ -57,7 +57,7 @@
 			})
 		case kindLabel:
 		default:
-			panic(fmt.Sprintf("%s: there is no kind %q of HCL fields", structure, f.kind))
+			panic(fmt.Sprintf("%s: unknown kind %q in an hcl tag", structure, f.kind))
 		}
 	})
 	return schema
@@ -103,7 +103,7 @@
 	}}
 }
 
-// setLabels sets the label fields of a block, in their order.
+// setLabels sets the label fields of a block, in the order in which the struct has them.
 func setLabels(block reflect.Value, labels []string) {
 	next := 0
 	forEachField(block.Type(), func(f field) {
@@ -119,7 +119,7 @@
 	value, diags := expression.Value(nil)
 	wanted, err := gocty.ImpliedType(into.Addr().Interface())
 	if err != nil {
-		panic(fmt.Sprintf("%s can't stand in an HCL file: %v", into.Type(), err))
+		panic(fmt.Sprintf("%s can't be decoded from HCL: %v", into.Type(), err))
 	}
 	value, err = convert.Convert(value, wanted)
 	if err == nil {
@@ -137,7 +137,8 @@
 	})
 }
 
-// structType is the struct of a block's field, which is a pointer to one or a slice of them or of pointers to them.
+// structType returns the struct type of a block field, which is a pointer to a struct, or a slice of structs or of
+// pointers to them.
 func structType(t reflect.Type) reflect.Type {
 	for t.Kind() != reflect.Struct {
 		t = t.Elem()
@@ -145,7 +146,7 @@
 	return t
 }
 
-// field is a struct's field with a tag.
+// field is a struct field that has an hcl tag.
 type field struct {
 	index     int
 	name      string
@@ -153,7 +154,7 @@
 	fieldType reflect.Type
 }
 
-// forEachField calls visit for the fields that have a tag.
+// forEachField calls visit for each field of a struct that has an hcl tag.
 func forEachField(structure reflect.Type, visit func(field)) {
 	for i := range structure.NumField() {
 		structField := structure.Field(i)
--- a/internal/hclfile/decode_test.go
+++ b/internal/hclfile/decode_test.go
@@ -30,9 +30,9 @@
 	Beside  int
 }
 
-// What is decoded, and what is said of mistakes, is what gohcl makes of the same file.
+// decode returns the same values and errors as gohcl for the same file.
 func TestDecodesAsGohcl(t *testing.T) {
-	const whole = `
+	const allKinds = `
 text = "a"
 number = 3
 large = 18446744073709551615
@@ -48,7 +48,7 @@
 several "m" "1" { part = 1 }
 several "m" "2" {}
 `
-	for _, text := range []string{whole, `text = "a"`, "", `number = 3`, `text = 5`, `text = ["a"]`, `text = null`,
+	for _, text := range []string{allKinds, `text = "a"`, "", `number = 3`, `text = 5`, `text = ["a"]`, `text = null`,
 		"text = \"a\"\nnumber = 1.5", "text = \"a\"\nnumber = \"7\"", "text = \"a\"\nnumber = \"seven\"", "text = \"a\"\nlarge = -1", "text = \"a\"\nyes = 1",
 		"text = \"a\"\nlist = \"x\"", "text = \"a\"\nlist = [1, \"x\"]", "text = \"a\"\nlist = [1, {}]", "text = \"a\"\nnone = 1", "text = \"a\"\nnone {}",
 		"text = name", "text = \"a${1}\"", "text = upper(\"a\")", "text = \"a\"\nmany \"n\" {}", "text = \"a\"\nmany \"n\" \"k\" \"x\" {}",
@@ -59,26 +59,26 @@
 			t.Fatalf("%q: %v", text, diags)
 		}
 		var got, want outer
-		said, meant := decode(parsed.Body, reflect.ValueOf(&got).Elem()), gohcl.DecodeBody(parsed.Body, nil, &want)
-		if said.HasErrors() != meant.HasErrors() || said.HasErrors() && diagnosticsError(said).Error() != diagnosticsError(meant).Error() {
-			t.Errorf("%q: said %v, gohcl says %v", text, said, meant)
+		gotDiags, wantDiags := decode(parsed.Body, reflect.ValueOf(&got).Elem()), gohcl.DecodeBody(parsed.Body, nil, &want)
+		if gotDiags.HasErrors() != wantDiags.HasErrors() || gotDiags.HasErrors() && diagnosticsError(gotDiags).Error() != diagnosticsError(wantDiags).Error() {
+			t.Errorf("%q: got diagnostics %v, gohcl returns %v", text, gotDiags, wantDiags)
 		}
-		if !meant.HasErrors() && !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: got %+v, gohcl makes %+v of it", text, got, want)
+		if !wantDiags.HasErrors() && !reflect.DeepEqual(got, want) {
+			t.Errorf("%q: got %+v, gohcl decodes %+v", text, got, want)
 		}
 	}
 }
 
-// All mistakes of a file are named, each with its line.
+// All errors in a file are reported, each with its line.
 func TestReportsAllErrors(t *testing.T) {
-	var x outer
-	_, err := Decode("f.hcl", []byte("number = \"x\"\none \"n\" \"k\" {\n  part = \"y\"\n}\nmany \"a\" \"b\" {\n  none = 1\n}\n"), &x)
+	var decoded outer
+	_, err := Decode("f.hcl", []byte("number = \"x\"\none \"n\" \"k\" {\n  part = \"y\"\n}\nmany \"a\" \"b\" {\n  none = 1\n}\n"), &decoded)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("a file with errors was accepted")
 	}
 	for _, want := range []string{"f.hcl:1: Missing required argument", "f.hcl:1: Unsuitable value type", "f.hcl:3: Unsuitable value type", "f.hcl:6: Unsupported argument"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in:\n%v", want, err)
+			t.Errorf("%q is missing in the error:\n%v", want, err)
 		}
 	}
 }
--- a/internal/hclfile/hclfile.go
+++ b/internal/hclfile/hclfile.go
@@ -1,5 +1,5 @@
-// Package hclfile decodes settings written in HCL, with every error located by
-// file, line and key.
+// Package hclfile decodes settings that are written in HCL. Errors name the file,
+// the line and the key.
 package hclfile
 
 import (
@@ -12,14 +12,15 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Text is a parsed file, for the lines of its keys.
+// Text is a parsed file. It is used to look up the lines of keys.
 type Text struct {
 	path string
 	body *hclsyntax.Body
 }
 
-// Decode decodes a file's text into a struct with gohcl's tags: `hcl:"name"`, and
-// after the name optional, block or label. All errors of form are joined, a line each.
+// Decode decodes the text of a file into a struct, passed as a pointer, that has
+// gohcl's tags: `hcl:"name"`, where optional, block or label may follow the name.
+// All errors are joined, one per line.
 func Decode(path string, raw []byte, into any) (*Text, error) {
 	parsed, diags := hclsyntax.ParseConfig(raw, path, hcl.InitialPos)
 	if diags.HasErrors() {
@@ -35,7 +36,7 @@
 	return text, nil
 }
 
-// diagnosticsError joins diagnostics, each as file:line: summary: detail.
+// diagnosticsError joins diagnostics into one error, with a line "file:line: summary: detail" for each.
 func diagnosticsError(diags hcl.Diagnostics) error {
 	var errs []error
 	for _, d := range diags {
@@ -50,9 +51,9 @@
 	return errors.Join(errs...)
 }
 
-// ErrorAt locates an error at a key of the nth block of a type, from 0: file, line,
-// block.key, error. An empty block is the file itself. Without the key the line is
-// the block's.
+// ErrorAt adds the location of a key to an error: file, line and block.key. The key
+// is in the nth block of a type, from 0; an empty block means the top level of the
+// file. If the block lacks the key, the line is that of the block.
 func (t *Text) ErrorAt(block string, nth int, key string, err error) error {
 	name := key
 	if block != "" {
@@ -61,7 +62,7 @@
 	return fmt.Errorf("%s:%d: %s: %w", t.path, t.line(block, nth, key), name, err)
 }
 
-// line is the line of a key, or else of its block, or else the first.
+// line returns the line of a key, or that of its block if it lacks the key, or 1 if there is no such block.
 func (t *Text) line(block string, nth int, key string) int {
 	line := 1
 	body := t.body
@@ -79,7 +80,7 @@
 	return line
 }
 
-// findBlock is the nth block of a type, or nil.
+// findBlock returns the nth block of a type, from 0, or nil.
 func (t *Text) findBlock(blockType string, nth int) *hclsyntax.Block {
 	for _, b := range t.body.Blocks {
 		if b.Type != blockType {
@@ -93,9 +94,10 @@
 	return nil
 }
 
-// Lines are the lines of a block of which there is one, by key: those of its own
-// keys, and type "label" and type "label".key of its nested blocks, of which the
-// last counts where several have one label. The block itself has the empty key.
+// Lines returns the file and the lines of all keys in a block that occurs at most
+// once. A nested block is listed as `type "label"` and its keys as `type "label".key`;
+// if several nested blocks have the same label, the last one counts. The line of the
+// block itself is listed under the empty key.
 func (t *Text) Lines(block string) (file string, lines map[string]int) {
 	lines = map[string]int{}
 	for _, b := range t.body.Blocks {
@@ -113,7 +115,7 @@
 	return t.path, lines
 }
 
-// addLines adds the lines of a body's own keys, with a prefix.
+// addLines adds the lines of the keys of a body, prefixed with "prefix.". It does not add nested blocks.
 func addLines(lines map[string]int, prefix string, body *hclsyntax.Body) {
 	for key, attribute := range body.Attributes {
 		lines[strings.TrimPrefix(prefix+"."+key, ".")] = attribute.SrcRange.Start.Line
