--- a/internal/handoff/golden_test.go
+++ b/internal/handoff/golden_test.go
@@ -10,7 +10,7 @@
 
 var update = flag.Bool("update", false, "write the files under testdata/golden anew")
 
-// TestGoldenOperatorState pins the file of what operators said, and the words for a process's state.
+// TestGoldenOperatorState checks that the format of the file and the names of process states don't change.
 func TestGoldenOperatorState(t *testing.T) {
 	for name, want := range map[string]*OperatorState{
 		"full":  {Cordoned: map[string]float64{"worker-1": 1700000000.25, "worker-2": 1700000001}, Paused: true},
@@ -29,14 +29,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if made := want.Encode(); string(made) != string(raw) {
-			t.Errorf("%s is encoded as %q, the file has %q", name, made, raw)
+		if encoded := want.Encode(); string(encoded) != string(raw) {
+			t.Errorf("%s is encoded as %q, want %q", name, encoded, raw)
 		}
 		if got, err := Decode(raw); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is decoded as %+v, %v", name, got, err)
+			t.Errorf("%s is decoded as %+v, error %v", name, got, err)
 		}
 	}
 	if got := []ProcessState{Starting, Ready, Draining}; !reflect.DeepEqual(got, []ProcessState{"starting", "ready", "leaving"}) {
-		t.Errorf("states: %q", got)
+		t.Errorf("got state names %q", got)
 	}
 }
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -1,26 +1,26 @@
-// Package handoff decides which process of a dispatcher takes new clients, as an
-// upgrade starts a new process beside the old one, and holds what operators'
-// commands have set for all of them. It does no I/O and reads no clock.
+// Package handoff decides which process of a dispatcher accepts new clients while
+// an upgrade runs a new process beside the old one. It also holds the state that
+// operators' commands set for all processes. It does no I/O and reads no clock.
 package handoff
 
 // ProcessState is the state of a process.
 type ProcessState string
 
-// States.
+// The states of a process.
 const (
 	Starting ProcessState = "starting" // can't serve yet
-	Ready    ProcessState = "ready"    // serves, or would if it led
-	Draining ProcessState = "leaving"  // has been told to stop
+	Ready    ProcessState = "ready"    // can serve
+	Draining ProcessState = "leaving"  // drains before it stops
 )
 
 // Process is a running process.
 type Process struct {
-	ID    uint64 // increases from start to start
+	ID    uint64 // higher for processes that started later
 	State ProcessState
 }
 
-// IsLeader reports whether the process with an ID takes new clients: the youngest
-// one that is ready does, and if none is ready, all of them.
+// IsLeader reports whether the process with an ID accepts new clients. The ready
+// process with the highest ID does; if none is ready, all processes do.
 func IsLeader(id uint64, running []Process) bool {
 	var leader uint64
 	for _, process := range running {
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -11,20 +11,20 @@
 	a, _ := s.Cordon("w", 5)
 	b, _ := a.Cordon("w", 9)
 	if s.IsCordoned("w") || !a.IsCordoned("w") || b.Cordoned["w"] != 5 {
-		t.Errorf("cordoned twice: %+v", b)
+		t.Errorf("cordoned twice: got %+v, want the first time and unchanged earlier states", b)
 	}
 	if c := b.Uncordon("w"); c.IsCordoned("w") || !b.IsCordoned("w") {
-		t.Errorf("one uncordon does not undo both: %+v", c)
+		t.Errorf("uncordoned after two cordons: got %+v", c)
 	}
 	for n := range MaxCordoned {
 		b, _ = b.Cordon(fmt.Sprint(n), 1)
 	}
 	if _, err := b.Cordon("one more", 1); err == nil {
-		t.Error("no limit of cordoned workers")
+		t.Error("more than MaxCordoned workers were cordoned without an error")
 	}
 }
 
-// A file decodes to what was encoded, and a part of it never does.
+// Decode returns the state that was encoded, and an error for a truncated or invalid file.
 func TestDecode(t *testing.T) {
 	s, _ := (&OperatorState{}).SetPaused(true).Cordon("s-1", 1.5)
 	raw := s.Encode()
@@ -33,13 +33,13 @@
 	}
 	for n := range len(raw) - 1 {
 		if got, err := Decode(raw[:n]); err == nil {
-			t.Errorf("truncated to %d bytes: %+v", n, got)
+			t.Errorf("truncated to %d bytes: got %+v, want an error", n, got)
 		}
 	}
 	for _, raw := range []string{`{"version":2,"out":{},"paused":false}`, `{"version":1,"out":[],"paused":false}`,
 		`{"version":1,"out":{"w":"x"},"paused":false}`, `{"version":1,"out":{}}`} {
 		if got, err := Decode([]byte(raw)); err == nil {
-			t.Errorf("%s: %+v", raw, got)
+			t.Errorf("%s: got %+v, want an error", raw, got)
 		}
 	}
 }
@@ -54,12 +54,13 @@
 			return
 		}
 		if again, err := Decode(s.Encode()); err != nil || !reflect.DeepEqual(again, s) {
-			t.Fatalf("%+v is decoded as %+v, %v", s, again, err)
+			t.Fatalf("%+v was decoded as %+v, %v", s, again, err)
 		}
 	})
 }
 
-// At any time some process takes new clients: of the ready ones only the youngest.
+// Among the processes that can be ready (r), starting (s) or draining (d), at least one leads: the ready one with
+// the highest ID, or all of them if none is ready.
 func TestIsLeader(t *testing.T) {
 	for _, c := range []struct {
 		running string
@@ -73,15 +74,15 @@
 			running = append(running, Process{uint64(c.running[n] - '0'), map[byte]ProcessState{'s': Starting, 'r': Ready, 'd': Draining}[c.running[n+1]]})
 		}
 		leads := ""
-		for no := uint64(1); no <= 3; no++ {
+		for id := uint64(1); id <= 3; id++ {
 			for _, p := range running {
-				if p.ID == no && IsLeader(no, running) {
-					leads += fmt.Sprint(no)
+				if p.ID == id && IsLeader(id, running) {
+					leads += fmt.Sprint(id)
 				}
 			}
 		}
 		if leads != c.leads {
-			t.Errorf("%s: %s lead, want %s", c.running, leads, c.leads)
+			t.Errorf("%s: got leaders %s, want %s", c.running, leads, c.leads)
 		}
 	}
 }
--- a/internal/handoff/operatorstate.go
+++ b/internal/handoff/operatorstate.go
@@ -13,14 +13,14 @@
 // FormatVersion is the version of the encoding of OperatorState.
 const FormatVersion = 1
 
-// MaxCordoned is the limit of cordoned workers.
+// MaxCordoned is the maximum number of cordoned workers.
 const MaxCordoned = 4096
 
-// OperatorState is what operators' commands have set, whichever process received
-// them. A value is not modified once it is shared.
+// OperatorState is what operators' commands have set, no matter which process
+// received them. A value must not be modified once it is shared.
 type OperatorState struct {
-	Cordoned map[string]float64 // workers, with the time of the command in Unix seconds
-	Paused   bool               // the dispatcher is to become empty
+	Cordoned map[string]float64 // time of the command in Unix seconds, by worker
+	Paused   bool               // the dispatcher is being drained
 }
 
 // IsCordoned reports whether a worker is cordoned.
@@ -29,21 +29,21 @@
 	return cordoned
 }
 
-// Cordon returns the state with a worker cordoned. A worker that is cordoned
-// already keeps its time.
+// Cordon returns the state with a worker cordoned. A worker that is already
+// cordoned keeps its time. It is an error if MaxCordoned workers are cordoned.
 func (s *OperatorState) Cordon(worker string, now float64) (*OperatorState, error) {
 	if s.IsCordoned(worker) {
 		return s, nil
 	}
 	if len(s.Cordoned) >= MaxCordoned {
-		return s, fmt.Errorf("%d workers are left out already", len(s.Cordoned))
+		return s, fmt.Errorf("%d workers are already cordoned", len(s.Cordoned))
 	}
 	next := s.clone()
 	next.Cordoned[worker] = now
 	return next, nil
 }
 
-// Uncordon returns the state with a worker back in use.
+// Uncordon returns the state without the cordon of a worker.
 func (s *OperatorState) Uncordon(worker string) *OperatorState {
 	next := s.clone()
 	delete(next.Cordoned, worker)
@@ -66,7 +66,7 @@
 }
 
 // encodedState is the content of the file. Its keys are in alphabetical order, as
-// earlier builds wrote them.
+// in files that earlier builds have written.
 type encodedState struct {
 	Cordoned map[string]float64 `json:"out"`
 	Paused   bool               `json:"paused"`
@@ -82,20 +82,20 @@
 	return append(encoded, '\n')
 }
 
-// Decode decodes the content of a file. A truncated or corrupt file, or one of
-// another version, is an error as a whole.
+// Decode decodes the content of a file. If the content is truncated or corrupt, or
+// has another version, Decode returns an error and no state.
 func Decode(encoded []byte) (*OperatorState, error) {
 	if !gjson.ValidBytes(encoded) {
 		return nil, errors.New("not valid JSON")
 	}
 	root := gjson.ParseBytes(encoded)
 	if version := root.Get("version"); version.Type != gjson.Number || version.Float() != FormatVersion {
-		return nil, fmt.Errorf("version: %q, want %d", version.String(), FormatVersion)
+		return nil, fmt.Errorf("unsupported version %q, want %d", version.String(), FormatVersion)
 	}
 	cordoned := root.Get("out")
 	paused := root.Get("paused")
 	if cordoned.Type != gjson.Null && !cordoned.IsObject() || !paused.IsBool() {
-		return nil, errors.New("out or paused is missing or of a wrong type")
+		return nil, errors.New("out or paused is missing or has a wrong type")
 	}
 	workers, err := decodeCordoned(cordoned)
 	if err != nil {
@@ -110,7 +110,7 @@
 	object.ForEach(func(key, since gjson.Result) bool {
 		worker := key.String()
 		if worker == "" || !utf8.ValidString(worker) || since.Type != gjson.Number || len(cordoned) >= MaxCordoned {
-			err = fmt.Errorf("out: %q is no worker with a time, or there are too many", worker)
+			err = fmt.Errorf("out: invalid worker %q or invalid time, or too many workers", worker)
 			return false
 		}
 		cordoned[worker] = since.Float()
--- a/internal/handoff/statedir/golden_test.go
+++ b/internal/handoff/statedir/golden_test.go
@@ -15,14 +15,15 @@
 
 var update = flag.Bool("update", false, "write the files under testdata/golden anew")
 
-// goldenNumber is that of the process which joins after the one in goldenDead:
-// numbers grow, so a file from the far future makes them known.
+// goldenNumber is the ID of a process that joins a folder with the file goldenDead
+// of an ended process. The ID in that file is a time in the far future, so the next
+// process gets the ID after it.
 const (
 	goldenDead   = "process-4102444799999"
 	goldenNumber = "4102444800000"
 )
 
-// readFolder are the names and contents of a folder.
+// readFolder returns the contents of the files in a folder, by name.
 func readFolder(t *testing.T, path string) map[string]string {
 	t.Helper()
 	entries, err := os.ReadDir(path)
@@ -40,8 +41,8 @@
 	return all
 }
 
-// TestGoldenFolder pins each file's name and content: an upgrade has two builds
-// share the folder.
+// TestGoldenFolder checks that the name and content of each file don't change:
+// during an upgrade two builds share the folder.
 func TestGoldenFolder(t *testing.T) {
 	golden := filepath.Join("testdata", "golden")
 	path := t.TempDir()
@@ -55,7 +56,7 @@
 	defer m.Leave()
 	own := "process-" + goldenNumber
 	if got := readFolder(t, path); !reflect.DeepEqual(got, map[string]string{"lock": "", own: "starting\n"}) {
-		t.Errorf("after Join: %q", got)
+		t.Errorf("files after Join: %q", got)
 	}
 	m.PublishJobIDs([]string{"job-1", "job-2"})
 	m.PublishJobIDs([]string{"job-3"})
@@ -64,32 +65,33 @@
 	}, ignoreView)
 	m.SetState(handoff.Draining)
 	if got := readFolder(t, path)[own]; got != "leaving\n" {
-		t.Errorf("after Leaving: %q", got)
+		t.Errorf("state file after SetState(Draining): %q", got)
 	}
 	m.SetState(handoff.Ready)
-	made := readFolder(t, path)
+	written := readFolder(t, path)
 	if *update {
 		if err := os.MkdirAll(golden, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		for name, content := range made {
+		for name, content := range written {
 			if err := os.WriteFile(filepath.Join(golden, name), []byte(content), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	want := readFolder(t, golden)
-	if !reflect.DeepEqual(made, want) {
-		t.Errorf("written %q, want %q", made, want)
+	if !reflect.DeepEqual(written, want) {
+		t.Errorf("wrote files %q, want %q", written, want)
 	}
 	for _, name := range []string{"shared", "lock", own, "ids-" + goldenNumber} {
 		if _, ok := want[name]; !ok {
-			t.Errorf("no file %s", name)
+			t.Errorf("the golden folder has no file %s", name)
 		}
 	}
 }
 
-// TestGoldenOther has this build read the folder beside a process of the build that wrote it.
+// TestGoldenOther checks that this build can read the files of another running process, which the golden files
+// stand for.
 func TestGoldenOther(t *testing.T) {
 	path := t.TempDir()
 	for name, content := range readFolder(t, filepath.Join("testdata", "golden")) {
@@ -102,7 +104,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	if err := unix.Flock(int(other.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil { // as a running process
+	if err := unix.Flock(int(other.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil { // as a running process does
 		t.Fatal(err)
 	}
 	m, err := Join(path, t.Logf)
@@ -111,7 +113,7 @@
 	}
 	defer m.Leave()
 	if got := strings.Join(m.ReadJobIDs(), " "); got != "job-1 job-2 job-3" {
-		t.Errorf("ids: %q", got)
+		t.Errorf("got job IDs %q", got)
 	}
 	want := View{
 		OperatorState:  &handoff.OperatorState{Cordoned: map[string]float64{"worker-1": 1700000000.25}, Paused: true},
@@ -123,14 +125,14 @@
 	}
 	m.SetState(handoff.Ready)
 	if v := refresh(m); !v.IsLeader {
-		t.Errorf("the younger one, ready: %+v", v)
+		t.Errorf("after the younger process became ready: got %+v, want it to lead", v)
 	}
 }
 
-// TestGoldenPath pins the folder's name: both builds have to find the same one.
+// TestGoldenPath checks that the path of the folder doesn't change: two builds have to use the same folder.
 func TestGoldenPath(t *testing.T) {
 	const want = "/tmp/bellstream-n_0-36c914d2"
 	if got := Path("/tmp", "n/0", "127.0.0.1:1"); got != want {
-		t.Errorf("got %s", got)
+		t.Errorf("got path %s", got)
 	}
 }
--- a/internal/handoff/statedir/jobids.go
+++ b/internal/handoff/statedir/jobids.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-const maxJobIDReadBytes = 1 << 20 // of one process in one call
+const maxJobIDReadBytes = 1 << 20 // per process and call
 
 func (m *Membership) jobIDPath(id uint64) string {
 	return filepath.Join(m.path, jobIDsPrefix+strconv.FormatUint(id, 10))
 }
 
-// PublishJobIDs tells the other processes the IDs of jobs that this one has accepted.
+// PublishJobIDs makes the IDs of jobs that this process has accepted available to the other processes.
 func (m *Membership) PublishJobIDs(ids []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,7 +37,7 @@
 }
 
 // ReadJobIDs returns the IDs that other processes have published since the last
-// call. It has to be called before Refresh, which removes the files of processes
+// call. It must be called before Refresh, which removes the files of processes
 // that have ended.
 func (m *Membership) ReadJobIDs() []string {
 	m.mu.Lock()
@@ -54,14 +54,14 @@
 func (m *Membership) readJobIDs(id uint64) []string {
 	f, err := os.Open(m.jobIDPath(id))
 	if err != nil {
-		return nil // it has published none
+		return nil // the process has published no IDs
 	}
 	defer f.Close()
 	info, err := f.Stat()
 	if err != nil {
 		return nil
 	}
-	// The buffer is no larger than the content: this is called 200 times per second.
+	// The buffer is not larger than the new content, because this is called 200 times per second.
 	offset := m.jobIDOffsets[id]
 	content := make([]byte, min(max(info.Size()-offset, 0), maxJobIDReadBytes))
 	n, _ := f.ReadAt(content, offset)
--- a/internal/handoff/statedir/lock.go
+++ b/internal/handoff/statedir/lock.go
@@ -16,8 +16,9 @@
 
 var sleep = time.Sleep // replaced by a test
 
-// lock keeps other processes from changing the folder. It gives up after a short
-// time: a process that was stopped while it has the lock must not delay commands.
+// lock keeps other processes from changing the folder until unlock is called. It
+// fails after lockTimeout, so that a process that is stopped while it holds the
+// lock doesn't delay commands.
 func (m *Membership) lock() (unlock func(), err error) {
 	f, err := os.OpenFile(filepath.Join(m.path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -25,7 +26,7 @@
 	}
 	deadline := time.Now().Add(lockTimeout)
 	if time.Since(m.lockTimedOut) < modTimeResolution {
-		deadline = time.Time{} // after a timeout, calls do not wait one after the other
+		deadline = time.Time{} // after a recent timeout, try only once: waits of several calls would add up
 	}
 	for {
 		if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
--- a/internal/handoff/statedir/processes.go
+++ b/internal/handoff/statedir/processes.go
@@ -11,14 +11,15 @@
 	"example.org/bellstream/internal/handoff"
 )
 
-const maxStateBytes = 32 // of a process's file
+const maxStateBytes = 32 // read from a process's state file
 
 func (m *Membership) statePath(id uint64) string {
 	return filepath.Join(m.path, processPrefix+strconv.FormatUint(id, 10))
 }
 
-// writeStateFile puts this process's file in place, locked before anybody can see
-// it. Each state gets a new file, which is locked before the old one is closed.
+// writeStateFile replaces this process's state file. The new file is locked before
+// it is renamed into place, so other processes never see it unlocked, and the old
+// file is closed only after that.
 func (m *Membership) writeStateFile() error {
 	f, err := os.CreateTemp(m.path, temporaryPattern)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return os.Rename(f.Name(), m.statePath(m.id))
 }
 
-// processIDs returns the IDs of the processes that have a file.
+// processIDs returns the IDs of the processes that have a state file.
 func (m *Membership) processIDs() map[uint64]bool {
 	ids := map[uint64]bool{}
 	entries, err := os.ReadDir(m.path)
@@ -78,7 +79,7 @@
 }
 
 // readProcess returns the state of another process. A running process holds the
-// lock of its file; the file of one that has ended is removed.
+// lock of its state file. If the process has ended, its files are removed.
 func (m *Membership) readProcess(id uint64) (state handoff.ProcessState, running bool) {
 	f, err := os.Open(m.statePath(id))
 	if err != nil {
@@ -91,14 +92,14 @@
 		return handoff.ProcessState(strings.TrimSpace(string(content[:n]))), true
 	}
 	if !m.isCurrent(f, id) {
-		return m.readProcess(id) // it has published a new state meanwhile
+		return m.readProcess(id) // the process has published a new state since the file was opened
 	}
 	os.Remove(m.statePath(id))
 	os.Remove(m.jobIDPath(id))
 	return "", false
 }
 
-// isCurrent reports whether f is still the file of a process.
+// isCurrent reports whether f is still the state file of a process.
 func (m *Membership) isCurrent(f *os.File, id uint64) bool {
 	opened, err := f.Stat()
 	if err != nil {
--- a/internal/handoff/statedir/statedir.go
+++ b/internal/handoff/statedir/statedir.go
@@ -1,6 +1,7 @@
-// Package statedir keeps what the processes of one dispatcher share in a folder:
-// which of them are running, by locks that end with their process, and what
-// operators' commands have set.
+// Package statedir stores the state that the processes of one dispatcher share in a
+// folder: what operators' commands have set, the IDs of accepted jobs, and which
+// processes are running. A running process holds a file lock, which the system
+// releases when the process ends.
 package statedir
 
 import (
@@ -28,13 +29,13 @@
 
 const (
 	maxOperatorStateBytes = 1 << 20
-	// modTimeResolution is how long after a change the folder is read again, as
-	// its modification time is coarse.
+	// modTimeResolution is the time after a change in which the folder is read again
+	// even if its modification time, which is coarse, has not changed.
 	modTimeResolution = time.Second
 )
 
-// Membership is this process's place in the folder. Its methods may be called
-// from any goroutine.
+// Membership is the membership of this process in the folder. Its methods may be
+// called from any goroutine.
 type Membership struct {
 	path string
 	id   uint64
@@ -44,17 +45,17 @@
 	stateFile      *os.File // locked while the process is running; nil after Leave
 	state          handoff.ProcessState
 	operatorState  *handoff.OperatorState
-	processes      []handoff.Process // that are running, this one included
+	processes      []handoff.Process // running processes, including this one
 	jobIDFile      *os.File          // nil until IDs are published
-	jobIDOffsets   map[uint64]int64  // how far the others' files were read
-	lastModTime    time.Time         // of the folder, when it was last read
-	lastChangeSeen time.Time         // when a change was last seen
-	lockTimedOut   time.Time         // when the lock could last not be taken
-	lastLogged     string            // the last error, to log it once
+	jobIDOffsets   map[uint64]int64  // bytes read of other processes' files, by process ID
+	lastModTime    time.Time         // modification time of the folder when it was last checked
+	lastChangeSeen time.Time         // when a change of the folder was last noticed
+	lockTimedOut   time.Time         // when the lock last timed out
+	lastLogged     string            // the last logged error, so that it is not repeated
 }
 
-// Path returns the folder of one dispatcher below a folder for temporary files,
-// which dispatchers may share.
+// Path returns the path of a dispatcher's folder in a folder for temporary files,
+// which several dispatchers may share.
 func Path(tmp, name, listen string) string {
 	hash := fnv.New32a()
 	fmt.Fprintf(hash, "%s\x00%s", name, listen)
@@ -67,7 +68,7 @@
 	return filepath.Join(tmp, fmt.Sprintf("bellstream-%.32s-%08x", plain, hash.Sum32()))
 }
 
-// Join enters the folder, which is created if need be, as a starting process.
+// Join adds this process to the folder, in the state Starting. It creates the folder if it does not exist.
 func Join(path string, logf func(string, ...any)) (*Membership, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -92,8 +93,9 @@
 	return m, nil
 }
 
-// newID returns an ID above those of all processes before, so that no new process
-// is mistaken for one that has ended.
+// newID returns the current Unix time in milliseconds, or a higher ID if the folder
+// has processes with that ID or above. A new process is thus not taken for one that
+// has ended.
 func (m *Membership) newID() uint64 {
 	id := uint64(time.Now().UnixMilli())
 	for other := range m.processIDs() {
@@ -102,11 +104,11 @@
 	return id
 }
 
-// View is what a process has to know of the others.
+// View is what a process needs to know about the others.
 type View struct {
 	OperatorState  *handoff.OperatorState
-	IsLeader       bool // this process takes new clients
-	OtherProcesses int  // that are running
+	IsLeader       bool // whether this process accepts new clients
+	OtherProcesses int  // number of other running processes
 }
 
 func (m *Membership) view() View {
@@ -117,8 +119,9 @@
 	}
 }
 
-// Refresh reads the folder again and passes the result to adopt. Calls of Refresh
-// and Update do not overlap, so adopt gets no older result after a newer one.
+// Refresh reads the folder if it may have changed, and passes the result to adopt.
+// Calls of Refresh and Update do not overlap, so adopt never gets an older result
+// after a newer one.
 func (m *Membership) Refresh(adopt func(View)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,8 +129,9 @@
 	adopt(m.view())
 }
 
-// Update changes the operators' state and passes the result to adopt, even if it
-// could not be written: then the other processes do not get it, which is logged.
+// Update changes the operators' state and passes the result to adopt. If the folder
+// can't be locked or written, that is logged: the other processes may not get the
+// change, but adopt still does. An error of change is returned, and nothing changes.
 func (m *Membership) Update(
 	change func(*handoff.OperatorState) (*handoff.OperatorState, error), adopt func(View),
 ) error {
@@ -181,7 +185,8 @@
 	m.stateFile = nil
 }
 
-// refresh reads the folder if it has changed, or another process may have ended.
+// refresh reads the folder if it has changed, or if there were other processes,
+// which may have ended.
 func (m *Membership) refresh() {
 	if m.isUnchanged() {
 		return
@@ -190,7 +195,7 @@
 	state, err := m.readOperatorState()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-	case err != nil: // the known state stays
+	case err != nil: // keep the known state
 		m.logError("read "+operatorStateName, err)
 	default:
 		m.operatorState = state
@@ -216,12 +221,12 @@
 		return nil, err
 	}
 	if len(encoded) > maxOperatorStateBytes {
-		return nil, errors.New("too long")
+		return nil, errors.New("the file is too long")
 	}
 	return handoff.Decode(encoded)
 }
 
-// writeOperatorState replaces the file as a whole.
+// writeOperatorState replaces the file atomically.
 func (m *Membership) writeOperatorState(encoded []byte) error {
 	f, err := os.CreateTemp(m.path, temporaryPattern)
 	if err != nil {
@@ -240,7 +245,7 @@
 	return err
 }
 
-// logError logs an error of the folder, unless it is the same as the last one.
+// logError logs an error, unless it is nil or the same as the last logged one.
 func (m *Membership) logError(action string, err error) {
 	if err == nil {
 		return
--- a/internal/handoff/statedir/statedir_test.go
+++ b/internal/handoff/statedir/statedir_test.go
@@ -14,7 +14,7 @@
 	"example.org/bellstream/internal/handoff"
 )
 
-// testDirectory is a folder with some processes, which differ only in their locks.
+// testDirectory is a folder that several memberships of one test process join, each with its own locks.
 type testDirectory struct {
 	t      *testing.T
 	path   string
@@ -50,53 +50,52 @@
 
 func ignoreView(View) {}
 
-// An upgrade, step by step: the old process leads until the new one is ready, and
-// again if that one ends.
+// During an upgrade the old process leads until the new one is ready, and again if the new one ends.
 func TestUpgrade(t *testing.T) {
 	r := newTestDirectory(t)
 	old := r.join()
 	if v := refresh(old); !v.IsLeader || v.OtherProcesses != 0 {
-		t.Errorf("alone: %+v", v)
+		t.Errorf("only process: got %+v", v)
 	}
 	old.SetState(handoff.Ready)
 	old.Update(cordon("w"), ignoreView)
 	next := r.join()
 	if v := refresh(old); !v.IsLeader || v.OtherProcesses != 1 {
-		t.Errorf("the old one beside one that starts: %+v", v)
+		t.Errorf("old process while the new one starts: got %+v", v)
 	}
 	if v := refresh(next); v.IsLeader || v.OtherProcesses != 1 || !v.OperatorState.IsCordoned("w") {
-		t.Errorf("the new one at its start: %+v", v)
+		t.Errorf("new process while it starts: got %+v", v)
 	}
 	next.SetState(handoff.Ready)
 	if v := refresh(old); v.IsLeader {
-		t.Errorf("the old one beside a new one that is ready: %+v", v)
+		t.Errorf("old process after the new one is ready: got %+v", v)
 	}
 	if v := refresh(next); !v.IsLeader {
-		t.Errorf("the new one when it is ready: %+v", v)
+		t.Errorf("new process after it is ready: got %+v", v)
 	}
 	// A command to either process applies to both.
 	old.Update(func(s *handoff.OperatorState) (*handoff.OperatorState, error) { return s.SetPaused(true), nil }, ignoreView)
 	if v := refresh(next); !v.OperatorState.Paused || !v.OperatorState.IsCordoned("w") {
-		t.Errorf("after a command to the old one, the new one has %+v", v.OperatorState)
+		t.Errorf("after a command to the old process, the new one has %+v", v.OperatorState)
 	}
 	next.Update(func(s *handoff.OperatorState) (*handoff.OperatorState, error) { return s.Uncordon("w"), nil }, ignoreView)
 	if v := refresh(old); v.OperatorState.IsCordoned("w") || !v.OperatorState.Paused {
-		t.Errorf("after a command to the new one, the old one has %+v", v.OperatorState)
+		t.Errorf("after a command to the new process, the old one has %+v", v.OperatorState)
 	}
 	next.stateFile.Close() // as if the process was killed
 	if v := refresh(old); !v.IsLeader || v.OtherProcesses != 0 {
-		t.Errorf("after the new one was killed: %+v", v)
+		t.Errorf("old process after the new one was killed: got %+v", v)
 	}
 	next.stateFile = nil
 	if v := refresh(r.join()); !v.OperatorState.Paused {
-		t.Errorf("a later process has %+v", v.OperatorState)
+		t.Errorf("a process that joined later has %+v", v.OperatorState)
 	}
 	if files := old.processIDs(); len(files) != 2 {
-		t.Errorf("files of %v: the one of an ended process stays", files)
+		t.Errorf("got files of processes %v: that of an ended process was not removed", files)
 	}
 }
 
-// Of three processes, the youngest ready one leads.
+// Of three processes, the youngest ready one leads; all lead if none is ready.
 func TestThreeProcesses(t *testing.T) {
 	r := newTestDirectory(t)
 	a, b, c := r.join(), r.join(), r.join()
@@ -109,7 +108,7 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%s lead, want %s", got, want)
+			t.Errorf("got leaders %s, want %s", got, want)
 		}
 	}
 	leads("abc")
@@ -125,20 +124,20 @@
 	leads("a")
 }
 
-// The others read each published ID once and completely, until the process has
-// ended and they have refreshed.
+// Other processes read each published ID once and completely, also those of a process that has ended, until
+// Refresh removes its file.
 func TestJobIDs(t *testing.T) {
 	r := newTestDirectory(t)
 	a, b := r.join(), r.join()
 	refresh(a)
 	got := func(m *Membership) string { return strings.Join(m.ReadJobIDs(), " ") }
 	if s := got(b); s != "" {
-		t.Errorf("before there are any: %q", s)
+		t.Errorf("before any were published: got %q", s)
 	}
 	a.PublishJobIDs([]string{"x", "y"})
 	a.PublishJobIDs(nil)
 	if s := got(b); s != "x y" || got(b) != "" || got(a) != "" {
-		t.Errorf("got %q, then the same again, or one's own", s)
+		t.Errorf("got %q first, want \"x y\", then nothing, and none of the process's own IDs", s)
 	}
 	f, err := os.OpenFile(a.jobIDPath(a.id), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -147,25 +146,26 @@
 	defer f.Close()
 	f.WriteString("half")
 	if s := got(b); s != "" {
-		t.Errorf("half a line: %q", s)
+		t.Errorf("incomplete line: got %q", s)
 	}
 	f.WriteString(" an id\nz\n")
 	if s := got(b); s != "half an id z" {
-		t.Errorf("got %q", s)
+		t.Errorf("after the line was completed: got %q", s)
 	}
 	a.PublishJobIDs([]string{"last"})
 	a.stateFile.Close() // as if it was killed
 	a.stateFile = nil
 	if s := got(b); s != "last" {
-		t.Errorf("of a killed process: %q", s)
+		t.Errorf("IDs of a killed process: got %q", s)
 	}
 	refresh(b)
 	if _, err := os.Stat(a.jobIDPath(a.id)); err == nil {
-		t.Error("the file of an ended process stays")
+		t.Error("the file of an ended process was not removed")
 	}
 }
 
-// A corrupt file changes no known state, prevents no start, and is logged once.
+// If the file of the operators' state is corrupt, processes keep the state that they know, new processes can
+// join, and the error is logged.
 func TestCorruptOperatorState(t *testing.T) {
 	r := newTestDirectory(t)
 	m := r.join()
@@ -177,11 +177,11 @@
 	for n := range len(intact) - 1 {
 		os.WriteFile(filepath.Join(r.path, operatorStateName), intact[:n], 0o600)
 		if v := refresh(m); !v.OperatorState.IsCordoned("w") {
-			t.Fatalf("truncated to %d bytes: %+v", n, v.OperatorState)
+			t.Fatalf("file truncated to %d bytes: got state %+v", n, v.OperatorState)
 		}
 	}
 	if v := refresh(r.join()); v.OperatorState.IsCordoned("w") || len(r.logged) == 0 || !strings.Contains(r.logged[0], operatorStateName) {
-		t.Errorf("a new process beside a corrupt file has %+v, the log %q", v.OperatorState, r.logged)
+		t.Errorf("a process that joined with a corrupt file has %+v, logged %q", v.OperatorState, r.logged)
 	}
 	m.Update(cordon("v"), ignoreView)
 	if v := refresh(r.join()); !v.OperatorState.IsCordoned("w") || !v.OperatorState.IsCordoned("v") {
@@ -189,8 +189,8 @@
 	}
 }
 
-// A process that was stopped while it has the lock does not delay commands: they
-// apply here, and it is logged that the others may not get them.
+// A process that is stopped while it holds the lock does not delay commands to other processes: they apply
+// locally, and the failure to lock the folder is logged.
 func TestLockTimeout(t *testing.T) {
 	r := newTestDirectory(t)
 	m := r.join()
@@ -204,35 +204,35 @@
 	}
 	var v View
 	if err := m.Update(cordon("w"), func(now View) { v = now }); err != nil || !v.OperatorState.IsCordoned("w") || len(r.logged) != 1 {
-		t.Errorf("%v, %+v, logged %q", err, v.OperatorState, r.logged)
+		t.Errorf("got %v, state %+v, logged %q", err, v.OperatorState, r.logged)
 	}
 	sleeps := 0
 	sleep = func(time.Duration) { sleeps++ }
 	defer func() { sleep = time.Sleep }()
 	if m.lockTimedOut.IsZero() {
-		t.Error("the timeout was not noted")
+		t.Error("the timeout was not recorded")
 	}
 	for n := range 10 {
-		m.lockTimedOut = time.Now().Add(time.Minute) // however slowly files are written
+		m.lockTimedOut = time.Now().Add(time.Minute) // remains recent even if writing files is slow
 		m.Update(cordon(fmt.Sprint(n)), ignoreView)
 	}
 	if sleeps > 0 {
-		t.Errorf("ten more commands waited for the lock %d times", sleeps)
+		t.Errorf("ten more commands slept %d times while waiting for the lock, want 0", sleeps)
 	}
 	sleep, m.lockTimedOut = time.Sleep, time.Time{}
 	if _, err := Join(r.path, r.logf); err == nil {
-		t.Error("a process has joined without the lock")
+		t.Error("a process joined without the lock")
 	}
 }
 
-// Dispatchers that share a folder for temporary files have folders of their own.
+// Dispatchers that share a folder for temporary files get different folders in it.
 func TestPath(t *testing.T) {
 	if Path("/t", "n0", "a:1") == Path("/t", "n0", "a:2") || Path("/t", "n/0", "a:1") == Path("/t", "n_0", "a:1") {
-		t.Error("two dispatchers have one folder")
+		t.Error("two dispatchers have the same folder")
 	}
 }
 
-// Reading when there is nothing new allocates little.
+// ReadJobIDs allocates little memory if there are no new IDs.
 func TestReadJobIDsAllocatesLittle(t *testing.T) {
 	r := newTestDirectory(t)
 	a, b := r.join(), r.join()
@@ -246,6 +246,6 @@
 	}
 	runtime.ReadMemStats(&after)
 	if each := (after.TotalAlloc - before.TotalAlloc) / 50; each > 16<<10 {
-		t.Errorf("%d bytes per call", each)
+		t.Errorf("got %d bytes allocated per call, want at most 16 KiB", each)
 	}
 }
