--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,9 +1,10 @@
-// Package control is the language of the control address: one line per
-// connection, one line back. It does no I/O and reads no clock.
+// Package control implements the protocol of the control address: a client sends
+// one line per connection and gets one line back. The package does no I/O and reads
+// no clock.
 //
-// A line is a verb and, where the verb takes one, the ID of a zone worker,
-// separated by spaces or tabs. Leading and trailing blanks and a carriage return
-// at the end are ignored. Verbs are case-insensitive; IDs are compared byte by byte.
+// A line is a verb, followed by the ID of a zone worker if the verb takes one. Words
+// are separated by spaces, tabs or carriage returns, which are ignored at the start
+// and end of a line. Verbs are case-insensitive; IDs are compared byte by byte.
 package control
 
 import (
@@ -16,8 +17,8 @@
 
 // Limits in bytes.
 const (
-	MaxLine        = 512 // without the line's end
-	maxQuotedBytes = 32  // of what a client sent, in an error
+	MaxLine        = 512 // without the newline
+	maxQuotedBytes = 32  // of a client's text that is quoted in an error
 )
 
 // Verb is a command's name.
@@ -27,12 +28,12 @@
 const (
 	Status  Verb = "STATUS"  // report whether this process can serve
 	Suspend Verb = "SUSPEND" // cordon a worker
-	Restore Verb = "RESTORE" // end that
+	Restore Verb = "RESTORE" // uncordon a worker
 	Pause   Verb = "PAUSE"   // drain the dispatcher
-	Resume  Verb = "RESUME"  // end that
+	Resume  Verb = "RESUME"  // end a pause
 )
 
-// takesWorkerID has every verb, and whether it takes an ID.
+// takesWorkerID lists all verbs, and whether each takes a worker's ID.
 var takesWorkerID = map[Verb]bool{
 	Status:  false,
 	Suspend: true,
@@ -47,7 +48,7 @@
 	ID   string // of a worker, for Suspend and Restore
 }
 
-// String is the command's line.
+// String returns the command as a line, without the newline.
 func (c Command) String() string { return strings.TrimSpace(string(c.Verb) + " " + c.ID) }
 
 // UnknownVerbError reports a verb that does not exist.
@@ -62,7 +63,7 @@
 	errEmptyLine = errors.New("no command")
 )
 
-// Parse parses a line without its end. The error can be returned to the client.
+// Parse parses a line without the newline. An error can be passed to Answer.
 func Parse(line []byte) (Command, error) {
 	if err := checkLine(line); err != nil {
 		return Command{}, err
@@ -107,12 +108,12 @@
 
 func isForbidden(r rune) bool { return isControl(r) && !isBlank(r) }
 
-// Answer is the line that a command's outcome is reported with, with its end.
+// Answer returns the line that reports a command's outcome to the client, with the newline.
 func Answer(err error) []byte {
 	if err == nil {
 		return []byte("ok\n")
 	}
-	// An error may quote the client's line; an answer stays one line.
+	// The error may quote the client's line. Control characters are replaced, so that the answer is one line.
 	reason := strings.Map(func(r rune) rune {
 		if isControl(r) {
 			return ' '
@@ -122,8 +123,8 @@
 	return []byte("fail " + reason + "\n")
 }
 
-// Handler executes commands. Its methods return at once, and nil only when the
-// command is in effect. They may be called from any goroutine.
+// Handler executes commands. Its methods must not block, and return nil only if the
+// command has taken effect. They may be called from any goroutine.
 type Handler interface {
 	Status() error
 	Suspend(worker string) error
@@ -132,7 +133,7 @@
 	Resume() error
 }
 
-// Execute calls the handler's method for the command.
+// Execute calls the handler's method for the command and returns its error.
 func (c Command) Execute(handler Handler) error {
 	switch c.Verb {
 	case Status:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 func (h *recordingHandler) Restore(w string) error { return h.record("restore " + w) }
 
 func TestParse(t *testing.T) {
-	for _, c := range []struct{ line, asked, err string }{
+	for _, c := range []struct{ line, calls, err string }{
 		{"STATUS", "status", ""},
 		{" pause\t\r", "pause", ""},
 		{"Resume", "resume", ""},
@@ -44,11 +44,11 @@
 		if err == nil {
 			err = command.Execute(handler)
 		}
-		if c.err == "" && (err != nil || strings.Join(handler.calls, " ") != c.asked) {
-			t.Errorf("%q: asked %v, %v", c.line, handler.calls, err)
+		if c.err == "" && (err != nil || strings.Join(handler.calls, " ") != c.calls) {
+			t.Errorf("%q: got calls %v, error %v", c.line, handler.calls, err)
 		}
 		if c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err) || len(handler.calls) > 0) {
-			t.Errorf("%q: got %v, asked %v; want %q", c.line, err, handler.calls, c.err)
+			t.Errorf("%q: got error %v, calls %v; want error %q and no call", c.line, err, handler.calls, c.err)
 		}
 	}
 }
@@ -61,15 +61,15 @@
 		command, err := Parse(line)
 		a := Answer(err)
 		if !bytes.HasPrefix(a, []byte("ok")) && !bytes.HasPrefix(a, []byte("fail ")) || bytes.Count(a, []byte("\n")) != 1 || len(a) > 256 {
-			t.Fatalf("%q: answer %q", line, a)
+			t.Fatalf("%q: got answer %q", line, a)
 		}
 		if err == nil && (command.ID != "") != takesWorkerID[command.Verb] {
-			t.Fatalf("%q: %+v", line, command)
+			t.Fatalf("%q: got command %+v", line, command)
 		}
 	})
 }
 
-func TestAnswerStaysOneLine(t *testing.T) {
+func TestAnswerIsOneLine(t *testing.T) {
 	if got := string(Answer(errors.New("a\nok\x07b"))); got != "fail a ok b\n" {
 		t.Errorf("got %q", got)
 	}
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -11,15 +11,15 @@
 
 var update = flag.Bool("update", false, "write the golden file anew")
 
-// Every line of the control language and its answer are as they always were.
+// The commands of the control protocol and the answers to them don't change.
 func TestGoldenAnswers(t *testing.T) {
 	var got bytes.Buffer
-	multiline := errors.New("unknown worker \"w\"\n") //nolint:revive // an answer has to stay one line
+	multiline := errors.New("unknown worker \"w\"\n") //nolint:revive // the answer must be one line even for this error
 	for _, failure := range []error{nil, errors.New("paused"), multiline} {
 		for _, c := range []struct {
 			line string
 			want Command
-			bad  bool
+			fail bool
 		}{
 			{line: "STATUS", want: Command{Verb: Status}},
 			{line: "SUSPEND w-1", want: Command{Verb: Suspend, ID: "w-1"}},
@@ -28,26 +28,26 @@
 			{line: "RESUME", want: Command{Verb: Resume}},
 			{line: "\t resume \r", want: Command{Verb: Resume}},
 			{line: "restore W", want: Command{Verb: Restore, ID: "W"}},
-			{line: "", bad: true},
-			{line: "SUSPEND", bad: true},
-			{line: "RESTORE a b", bad: true},
-			{line: "PAUSE now", bad: true},
-			{line: "HALT", bad: true},
-			{line: "STATUS\x00", bad: true},
-			{line: "SUSPEND \xff", bad: true},
-			{line: string(bytes.Repeat([]byte("x"), MaxLine+1)), bad: true},
+			{line: "", fail: true},
+			{line: "SUSPEND", fail: true},
+			{line: "RESTORE a b", fail: true},
+			{line: "PAUSE now", fail: true},
+			{line: "HALT", fail: true},
+			{line: "STATUS\x00", fail: true},
+			{line: "SUSPEND \xff", fail: true},
+			{line: string(bytes.Repeat([]byte("x"), MaxLine+1)), fail: true},
 		} {
 			command, err := Parse([]byte(c.line))
-			if command != c.want || (err != nil) != c.bad {
+			if command != c.want || (err != nil) != c.fail {
 				t.Errorf("%q: got %+v, %v, want %+v", c.line, command, err, c.want)
 			}
-			asked := ""
+			calls := ""
 			if err == nil {
 				handler := &recordingHandler{err: failure}
 				err = command.Execute(handler)
-				asked = fmt.Sprint(handler.calls)
+				calls = fmt.Sprint(handler.calls)
 			}
-			fmt.Fprintf(&got, "%.20q %q %s %s", c.line, command, asked, Answer(err))
+			fmt.Fprintf(&got, "%.20q %q %s %s", c.line, command, calls, Answer(err))
 		}
 	}
 	const path = "testdata/golden/answers.txt"
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,5 +1,5 @@
-// Package server listens at the control address: it reads one line from each
-// client, has the handler execute it, and writes the answer.
+// Package server serves the control address: it reads one line from each client,
+// lets the handler execute the command, and writes the answer.
 package server
 
 import (
@@ -14,7 +14,7 @@
 	"example.org/bellstream/internal/control"
 )
 
-// MaxConnections limits concurrent clients, hence descriptors.
+// MaxConnections limits the number of concurrent clients, and so the file descriptors in use.
 const MaxConnections = 16
 
 const (
@@ -23,7 +23,7 @@
 	lingerTimeout    = 200 * time.Millisecond
 	maxLingerBytes   = 64 << 10
 	acceptRetryDelay = 5 * time.Millisecond
-	errorLogInterval = time.Second // between logs of failed accepts
+	errorLogInterval = time.Second // minimum time between log lines about failed accepts
 )
 
 // Server is the listener and its connections.
@@ -33,12 +33,12 @@
 	log      func(format string, args ...any)
 
 	mu              sync.Mutex
-	connections     []net.Conn // the oldest first
+	connections     []net.Conn // oldest first
 	wg              sync.WaitGroup
-	lastAcceptError time.Time // that was logged
+	lastAcceptError time.Time // when a failed accept was last logged
 }
 
-// Open serves a listener until Close.
+// Open starts to serve a listener, and returns the server. Close stops it.
 func Open(listener net.Listener, handler control.Handler, log func(string, ...any)) *Server {
 	s := &Server{
 		listener: listener,
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Addr is the listener's address.
+// Addr returns the listener's address.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Close closes the listener and every connection, and returns when all goroutines have ended.
@@ -90,8 +90,8 @@
 	}
 }
 
-// add stores a connection. At the limit it closes the oldest, which has had its
-// time: clients that send nothing must not keep operators out.
+// add stores a connection. At the limit it closes the oldest connection, so that
+// clients that send nothing don't keep operators out.
 func (s *Server) add(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// serve reads a line, executes it and writes the answer.
+// serve reads a line, executes the command and writes the answer.
 func (s *Server) serve(conn net.Conn) {
 	line, ok := readLine(conn)
 	if !ok {
@@ -125,8 +125,9 @@
 	discardRest(conn)
 }
 
-// readLine reads a line without its end; ok is false where nothing came. An
-// overlong line is returned cut, and still too long to be parsed.
+// readLine reads a line and returns it without the newline; ok is false if no line
+// was received. A line that is too long is truncated, but remains longer than
+// MaxLine, so that Parse rejects it.
 func readLine(conn net.Conn) (line []byte, ok bool) {
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 	reader := bufio.NewReaderSize(conn, control.MaxLine+2)
@@ -136,7 +137,7 @@
 		return line[:len(line)-1], true
 	case errors.Is(err, bufio.ErrBufferFull):
 		return line, true
-	case errors.Is(err, io.EOF) && len(line) > 0: // the last line may lack its end
+	case errors.Is(err, io.EOF) && len(line) > 0: // the last line may lack a newline
 		return line, true
 	}
 	return nil, false
@@ -148,15 +149,15 @@
 		return err
 	}
 	err = command.Execute(s.handler)
-	// Programs poll STATUS many times a second.
+	// STATUS is not logged, because programs poll it many times per second.
 	if command.Verb != control.Status {
 		s.log("control: %s: %s", command, outcomeText(err))
 	}
 	return err
 }
 
-// discardRest ends the answer and reads what is left: closing a connection with
-// unread data would reset it, and lose the answer.
+// discardRest shuts down the sending side and reads the remaining data: closing a
+// connection with unread data would reset it, and the client could lose the answer.
 func discardRest(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
--- a/internal/control/server/server_test.go
+++ b/internal/control/server/server_test.go
@@ -31,14 +31,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := Open(l, acceptingHandler{}, func(string, ...any) {})
-	t.Cleanup(d.Close)
-	return d
+	s := Open(l, acceptingHandler{}, func(string, ...any) {})
+	t.Cleanup(s.Close)
+	return s
 }
 
-func dial(t *testing.T, d *Server) net.Conn {
+func dial(t *testing.T, s *Server) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr().String())
+	c, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,51 +56,50 @@
 	return a
 }
 
-// Clients that send nothing must not keep a real one out, nor hold more
-// descriptors than the limit allows.
+// Clients that never send a complete line don't keep other clients out, and don't
+// use more file descriptors than MaxConnections.
 func TestIdleClients(t *testing.T) {
-	d := open(t)
-	var silent []net.Conn
+	s := open(t)
+	var idle []net.Conn
 	for range 100 {
-		c := dial(t, d)
+		c := dial(t, s)
 		io.WriteString(c, "STAT")
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
-	c := dial(t, d)
+	c := dial(t, s)
 	io.WriteString(c, "STATUS\n")
 	if a := answer(t, c); a != "ok\n" {
-		t.Errorf("got %q", a)
+		t.Errorf("got answer %q", a)
 	}
-	for _, c := range silent[:100-MaxConnections] { // all but the latest were evicted
+	for _, c := range idle[:100-MaxConnections] { // all but the latest were closed
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("an evicted client got an answer")
+			t.Error("a client whose connection was closed got an answer")
 		}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.connections) > MaxConnections {
-		t.Errorf("%d connections at one time", len(d.connections))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.connections) > MaxConnections {
+		t.Errorf("got %d connections at the same time, want at most MaxConnections", len(s.connections))
 	}
 }
 
-// A line may come cut at any byte, with or without its end, and be followed by
-// what nobody reads: the answer must not be lost with it.
-func TestCutLines(t *testing.T) {
-	d := open(t)
+// A line that arrives in two parts, without a newline, or followed by data that is not read, is answered.
+func TestSplitLines(t *testing.T) {
+	s := open(t)
 	for _, line := range []string{"STATUS\n", "status\r\n", "STATUS\nSTATUS\n", "PAUSE", "HALT\n", strings.Repeat("x", 2*control.MaxLine)} {
 		want := "ok\n"
 		if !strings.HasPrefix(strings.ToUpper(line), "STATUS") && line != "PAUSE" {
 			want = "fail "
 		}
 		for cut := range min(len(line), 9) {
-			c := dial(t, d)
+			c := dial(t, s)
 			io.WriteString(c, line[:cut])
 			io.WriteString(c, line[cut:])
 			if !strings.HasSuffix(line, "\n") {
 				c.(*net.TCPConn).CloseWrite()
 			}
 			if a := answer(t, c); !strings.HasPrefix(a, want) {
-				t.Errorf("%.20q cut at %d: got %q", line, cut, a)
+				t.Errorf("%.20q split at byte %d: got answer %q", line, cut, a)
 			}
 			c.Close()
 		}
