--- a/internal/deferred/job.go
+++ b/internal/deferred/job.go
@@ -66,7 +66,7 @@
 type LimitError struct{ Resource string }
 
 // Error names the limited resource.
-func (e *LimitError) Error() string { return "too many " + e.Resource + " at this dispatcher" }
+func (e *LimitError) Error() string { return "too many " + e.Resource + " wait here" }
 
 // ParentFailedError reports that a job depends on one that has ended without being served.
 type ParentFailedError struct{ Cause }
--- a/internal/deferred/store_test.go
+++ b/internal/deferred/store_test.go
@@ -281,17 +281,17 @@
 	for i := range 10 {
 		addDeferred(t, s, 0, job(fmt.Sprint("s", i), fmt.Sprint("never", i)))
 	}
-	wantLimitError(job("s", "never"), "dependencies on jobs that have not arrived")
+	wantLimitError(job("s", "never"), "jobs for ids that have not come")
 	for i := range 10 {
 		addDeferred(t, s, 0, job(fmt.Sprint("b", i), "p"))
 	}
-	wantLimitError(job("b", "p"), "bytes of deferred jobs")
+	wantLimitError(job("b", "p"), "bytes of jobs")
 	for i := range 30 {
 		j := job(fmt.Sprint("j", i), "p")
 		j.Size = 0
 		addDeferred(t, s, 0, j)
 	}
-	wantLimitError(Job{ID: "j", DependsOn: []string{"p"}, Deadline: 9}, "deferred jobs")
+	wantLimitError(Job{ID: "j", DependsOn: []string{"p"}, Deadline: 9}, "jobs")
 	for i := range 10 {
 		s.End(1, fmt.Sprint("s", i), Abandoned)
 		s.End(1, fmt.Sprint("b", i), Abandoned)
--- a/internal/deferred/validate.go
+++ b/internal/deferred/validate.go
@@ -14,7 +14,7 @@
 	slices.Sort(job.DependsOn)
 	job.DependsOn = slices.Compact(job.DependsOn)
 	if len(job.DependsOn) > s.Parents {
-		return invalidDependency("names %d jobs, at most %d are allowed", len(job.DependsOn), s.Parents)
+		return invalidDependency("names %d jobs, at most %d", len(job.DependsOn), s.Parents)
 	}
 	depth, unknown, err := s.checkParents(job)
 	if err != nil {
@@ -31,10 +31,10 @@
 
 func checkNotBefore(now float64, job *Job) error {
 	if math.IsNaN(job.NotBefore) || math.IsInf(job.NotBefore, 0) || job.NotBefore < 0 {
-		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not a valid time"}
+		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not a time"}
 	}
 	if job.NotBefore >= job.Deadline && job.NotBefore > now {
-		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "not earlier than the job's deadline"}
+		return &InvalidDependencyError{Field: fieldNotBefore, Reason: "after the job's own deadline"}
 	}
 	return nil
 }
@@ -62,17 +62,17 @@
 }
 
 func (s *Store) chainTooLong() error {
-	return invalidDependency("the chain of deferred jobs would be longer than %d", s.Depth)
+	return invalidDependency("a chain of more than %d waiting jobs", s.Depth)
 }
 
 func (s *Store) checkLimits(job *Job, unknown int) error {
 	switch {
 	case s.stats.Waiting >= s.Jobs:
-		return &LimitError{Resource: "deferred jobs"}
+		return &LimitError{Resource: "jobs"}
 	case s.stats.Bytes+job.Size > s.Bytes:
-		return &LimitError{Resource: "bytes of deferred jobs"}
+		return &LimitError{Resource: "bytes of jobs"}
 	case s.stats.UnknownParents+unknown > s.UnknownParents:
-		return &LimitError{Resource: "dependencies on jobs that have not arrived"}
+		return &LimitError{Resource: "jobs for ids that have not come"}
 	}
 	return nil
 }
@@ -99,10 +99,10 @@
 			e.visit = s.visits
 			visited++
 			if visited > maxDescendantsVisited {
-				return invalidDependency("more than %d jobs already depend on this one", maxDescendantsVisited)
+				return invalidDependency("more than %d jobs wait for this one already", maxDescendantsVisited)
 			}
 			if slices.Contains(job.DependsOn, e.id) {
-				return invalidDependency("dependency cycle: job %s depends on this one", e.id)
+				return invalidDependency("a circle: job %s waits for this one", e.id)
 			}
 			next = append(next, e.children...)
 		}
--- a/internal/handoff/operatorstate.go
+++ b/internal/handoff/operatorstate.go
@@ -36,7 +36,7 @@
 		return s, nil
 	}
 	if len(s.Cordoned) >= MaxCordoned {
-		return s, fmt.Errorf("%d workers are already cordoned", len(s.Cordoned))
+		return s, fmt.Errorf("%d workers are left out already", len(s.Cordoned))
 	}
 	next := s.clone()
 	next.Cordoned[worker] = now
