--- a/internal/deferred/validate.go
+++ b/internal/deferred/validate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// check validates a job before anything is changed. It sorts the job's dependencies, each once.
+// check validates a job and does not change the store. It sorts the job's dependencies and removes duplicates.
 func (s *Store) check(now float64, job *Job) error {
 	if err := checkNotBefore(now, job); err != nil {
 		return err
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// checkParents returns the depth of the deepest deferred parent and the number of unknown parents.
+// checkParents returns the depth of the deepest deferred parent and the number of parents that the store has no
+// entry for.
 func (s *Store) checkParents(job *Job) (depth, unknown int, err error) {
 	for _, id := range job.DependsOn {
 		if id == job.ID {
@@ -76,11 +77,11 @@
 	return nil
 }
 
-// maxDescendantsVisited is how many jobs that depend on an arriving one are searched.
+// maxDescendantsVisited limits how many jobs that depend on an arriving one are searched.
 const maxDescendantsVisited = 4096
 
-// checkDescendants searches the jobs that depend on one that arrives only now: none of them may be among its
-// parents, and their chains must not become too long.
+// checkDescendants searches the jobs that already depend on an arriving one. None of them may be among its
+// parents, which would be a cycle, and no chain may become longer than the Depth limit.
 func (s *Store) checkDescendants(job *Job, depth int) error {
 	root := s.byID[job.ID]
 	if root == nil || len(root.children) == 0 {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// updateDepths sets the depth of an arriving job and of those that depended on it already.
+// updateDepths sets the depth of an arriving job and of the jobs that already depend on it.
 func (s *Store) updateDepths(added *entry) {
 	work := []*entry{added}
 	for len(work) > 0 {
