--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -33,10 +33,10 @@
 			l.Close()
 			return nil
 		case isTimeout(err):
-			// Pause has ended the call.
+			// Pause interrupted Accept.
 		default:
-			// Running out of descriptors is no crash: what is open goes on, and the oldest idle
-			// connection makes room.
+			// Running out of descriptors must not end the server: open connections are still served, and
+			// closing an idle connection frees a descriptor for the next Accept.
 			if time.Since(lastLogged) > logInterval {
 				s.log("accept: %v", err)
 				lastLogged = time.Now()
@@ -65,7 +65,7 @@
 	s.serving = false
 }
 
-// start serves a connection on a goroutine of its own.
+// start serves a connection in a new goroutine.
 func (s *Server) start(socket net.Conn) {
 	now := time.Now()
 	c := &conn{
@@ -75,7 +75,7 @@
 		stateSince:     now,
 	}
 	s.mu.Lock()
-	// Before it is one of conns: it must not make room for itself.
+	// Evict before adding c to conns, so that c itself is not evicted.
 	c.overCapacity = len(s.conns)-s.closing >= s.maxConns && !s.evict()
 	s.conns[c] = true
 	s.mu.Unlock()
@@ -87,8 +87,8 @@
 	}()
 }
 
-// waitForCapacity blocks until there is a place for one more connection. While all of them wait for an
-// answer, the spare ones too, clients wait in the backlog.
+// waitForCapacity blocks until one more connection can be accepted. While no connection can be evicted, new
+// clients wait in the listener's backlog.
 func (s *Server) waitForCapacity() {
 	for !s.hasCapacity() {
 		time.Sleep(capacityPoll)
@@ -104,8 +104,8 @@
 	return !s.full()
 }
 
-// full reports whether all places are taken, the spare ones too. The caller holds mu.
+// full reports whether there are more connections than capacity, and the server is not stopped. The caller holds mu.
 func (s *Server) full() bool { return len(s.conns) > s.capacity() && !s.stopped }
 
-// isTimeout reports whether a call ended by its deadline.
+// isTimeout reports whether a call failed because its deadline expired.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/downstream/answer.go
+++ b/internal/downstream/answer.go
@@ -14,12 +14,12 @@
 type Answer struct {
 	Status     int
 	Body       []byte
-	RetryAfter float64 // seconds; 0 means no advice
-	Allow      string  // the methods, with status 405
+	RetryAfter float64 // seconds; 0 omits the Retry-After header
+	Allow      string  // allowed methods, for status 405
 }
 
-// writeAnswer writes an answer in one piece. Closing means that the connection ends with it; of an answer
-// to HEAD only the head is written.
+// writeAnswer writes an answer with a single Write call. closing adds "Connection: close"; headOnly omits the
+// body, as in an answer to HEAD.
 func writeAnswer(w io.Writer, a Answer, closing, headOnly bool) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", a.Status, http.StatusText(a.Status))
@@ -41,14 +41,14 @@
 	return err
 }
 
-// rejection is the error of a request that is answered without the handler.
+// rejection is the error for a request that is answered without being passed to the handler.
 type rejection struct {
 	status int
 	reason string
 	allow  string
 }
 
-// Error is part of error.
+// Error implements error; the reason is also the body of the answer.
 func (r *rejection) Error() string { return r.reason }
 
 func badRequest(format string, args ...any) *rejection {
@@ -63,5 +63,5 @@
 	return &rejection{status: http.StatusRequestEntityTooLarge, reason: "body over 64 KiB"}
 }
 
-// errClientDisconnected ends a connection whose client left before its answer.
+// errClientDisconnected is returned when a client disconnects before its answer is sent.
 var errClientDisconnected = errors.New("client disconnected")
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// state is where a connection stands with its client. From stateClosing on it ends.
+// state is the state of a client connection. In stateClosing and the states after it the connection is to end.
 type state int
 
 const (
 	stateIdle           state = iota // between requests
-	stateReading                     // part of a request has come
-	stateAwaitingAnswer              // a complete request has come: an answer is owed
-	stateClosing                     // it was idle and is to end, unless a request has come
-	stateEvicted                     // it was reading and is to end, unless its request is complete
-	stateLingering                   // no answer can be written any more: what comes is discarded
+	stateReading                     // part of a request was received
+	stateAwaitingAnswer              // a complete request was read and is not answered yet
+	stateClosing                     // was idle and is to end, unless a request was received first
+	stateEvicted                     // was reading and is to end, unless its request is complete
+	stateLingering                   // the sending side is closed: received bytes are discarded
 )
 
 // closing reports whether a connection in this state is to end.
 func (s state) closing() bool { return s >= stateClosing }
 
-// conn is one client connection. Its goroutine reads and writes; while an answer is owed a second one reads
-// alone, and waits for the client's end.
+// conn is one client connection. Its goroutine reads and writes. While a request awaits its answer, only a
+// second goroutine reads (see watchClient), to detect that the client disconnects.
 type conn struct {
 	net.Conn
 	reader         *bufio.Reader
-	firstRequestBy time.Time // by when the first request must have come; zero once it has
-	overCapacity   bool      // it came when all places were taken: its request is rejected
-	discarded      bool      // something that it sent was discarded: its next request can't be read any more
+	firstRequestBy time.Time // deadline for the first request; zero once it has been received
+	overCapacity   bool      // accepted beyond maxConns: its request is rejected
+	discarded      bool      // received bytes were discarded: no further request can be read
 
 	// Guarded by Server.mu.
 	state      state
 	stateSince time.Time
-	answered   int // requests on it
+	answered   int // number of requests answered on this connection
 }
 
-// setState moves a connection to its next state, with the time that it may last.
+// setState moves a connection to its next state and sets that state's read deadline.
 func (s *Server) setState(c *conn, next state) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stillReading := c.state == stateEvicted && next < stateAwaitingAnswer
 	stillIdle := c.state == stateClosing && next == stateIdle
 	if stillReading || stillIdle {
-		return // its end stands, whatever came meanwhile short of a complete request
+		return // still to end: what was received since does not prevent that (see the states above)
 	}
 	if c.state.closing() {
 		s.closing--
@@ -68,17 +68,17 @@
 		c.SetReadDeadline(c.firstRequestOr(idleTimeout))
 	case stateReading:
 		c.SetReadDeadline(c.firstRequestOr(s.requestReadTimeout))
-	case stateAwaitingAnswer: // the watcher waits for as long as the answer takes
+	case stateAwaitingAnswer: // watchClient has no deadline
 		c.firstRequestBy = time.Time{}
 		c.SetReadDeadline(time.Time{})
 	case stateLingering:
 		c.SetReadDeadline(c.stateSince.Add(lingerTimeout))
 	case stateClosing, stateEvicted:
-		// requestClose has set it.
+		// requestClose has set the deadline.
 	}
 }
 
-// firstRequestOr is the deadline of the first request, or for later ones so long from the state's begin.
+// firstRequestOr returns the deadline of the first request, and for later requests the start of the state plus timeout.
 func (c *conn) firstRequestOr(timeout time.Duration) time.Time {
 	if !c.firstRequestBy.IsZero() {
 		return c.firstRequestBy
@@ -86,16 +86,17 @@
 	return c.stateSince.Add(timeout)
 }
 
-// watchClient reads on while an answer is owed, until the read deadline or the client's end, and returns
-// the error, which comes after all that the client has sent. What it reads stays in the buffer: the
-// client's next request, if the client waits for its answer. More than the buffer holds is discarded.
+// watchClient reads while a request awaits its answer, until the read deadline expires or the client
+// disconnects, and returns that error. A disconnect is seen only after all bytes sent before it were read.
+// The bytes stay in the buffer, as they may be the client's next request. If they exceed the buffer, they are
+// discarded, and discarded is set.
 func (c *conn) watchClient() error {
 	for {
 		buffered := c.reader.Buffered()
 		_, err := c.reader.Peek(buffered + 1)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			c.reader.Discard(buffered) //nolint:errcheck // so much is buffered
+			c.reader.Discard(buffered) //nolint:errcheck // buffered bytes can always be discarded
 			c.discarded = true
 		case err != nil:
 			return err
@@ -103,16 +104,16 @@
 	}
 }
 
-// linger closes the sending side of a connection, and reads for a moment what the client still sends. Closed
-// over unread bytes the connection would be reset, and the last answer might be lost. A request among them
-// is the client's to send again: none can be answered here any more.
+// linger closes the sending side of a connection, then reads and discards what the client still sends, for at
+// most lingerTimeout. Closing a connection with unread bytes would reset it, and the client might lose the
+// last answer. The client has to send a discarded request again on another connection.
 func (s *Server) linger(c *conn) {
 	s.setState(c, stateLingering)
 	if s.onCloseWrite != nil {
 		s.onCloseWrite(c.Conn)
 	}
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if ok && half.CloseWrite() == nil {
-		io.CopyN(io.Discard, c.Conn, 2*maxBody) //nolint:errcheck // whatever ends it, the connection is closed next
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if ok && halfCloser.CloseWrite() == nil {
+		io.CopyN(io.Discard, c.Conn, 2*maxBody) //nolint:errcheck // the connection is closed next in any case
 	}
 }
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,3 +1,3 @@
-// Package downstream is the clients' side: it accepts connections, reads requests, passes each to the
-// handler, writes the one answer that comes back and notices a client that disconnects.
+// Package downstream serves the clients: it accepts connections, reads requests, passes each request to the
+// handler, writes the handler's answer and detects clients that disconnect.
 package downstream
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,18 +6,18 @@
 	"example.org/bellstream/internal/connstate"
 )
 
-// evictionRank orders connections by what is lost with them, the least first.
+// evictionRank orders connections by the harm that evicting them does, the least first.
 type evictionRank int
 
 const (
-	rankUnused     evictionRank = iota // nothing was sent on it for long
-	rankUsedOnce                       // one request, which may be all that it came for
-	rankUsed                           // several requests
-	rankSlowSender                     // part of a request, sent slowly
-	rankKeep                           // stays
+	rankUnused     evictionRank = iota // no request yet, and open for at least newConnGrace
+	rankUsedOnce                       // idle after one request; the client may need no more
+	rankUsed                           // idle after several requests
+	rankSlowSender                     // part of a request, for at least 2 * newConnGrace
+	rankKeep                           // must not be evicted
 )
 
-// rank is the connection's rank. The caller holds mu.
+// rank returns the connection's eviction rank. The caller holds mu.
 func (s *Server) rank(c *conn, now time.Time) evictionRank {
 	age := now.Sub(c.stateSince)
 	switch {
@@ -33,8 +33,8 @@
 	return rankKeep
 }
 
-// evict ends one connection to make room, and reports whether there was one. Connections that stay idle or
-// send slowly must not keep the others out. The caller holds mu.
+// evict makes the connection of the lowest rank end, and reports whether there was one. It keeps clients that
+// stay idle or send slowly from blocking new clients. The caller holds mu.
 func (s *Server) evict() bool {
 	now := time.Now()
 	for {
@@ -48,13 +48,13 @@
 		case s.closeIdle(victim):
 			return true
 		}
-		victim.state = stateReading // its request is about to be read
+		victim.state = stateReading // it holds an unread request, so it is no longer idle
 		victim.stateSince = now
 	}
 }
 
-// evictionCandidate is the connection of the lowest rank, of several the one longest in its state; nil where
-// all stay. The caller holds mu.
+// evictionCandidate returns the connection of the lowest rank, and among equals the one longest in its state.
+// It returns nil if none may be evicted. The caller holds mu.
 func (s *Server) evictionCandidate(now time.Time) *conn {
 	var victim *conn
 	lowest := rankKeep
@@ -71,8 +71,8 @@
 	return victim
 }
 
-// closeIdle ends an idle connection, unless an unread request is on it, and reports whether it did. The
-// caller holds mu.
+// closeIdle makes an idle connection end unless it holds unread bytes, and reports whether it did. The caller
+// holds mu.
 func (s *Server) closeIdle(c *conn) bool {
 	if !connstate.IsQuiet(c.Conn) {
 		return false
@@ -81,16 +81,17 @@
 	return true
 }
 
-// requestClose makes a connection's own goroutine end it: only that one knows what was read, and so whether
-// a request came first. The caller holds mu.
+// requestClose makes the connection's own goroutine end it, since only that goroutine knows whether a request
+// was read first. The caller holds mu.
 func (s *Server) requestClose(c *conn, next state) {
 	c.state = next
 	s.closing++
 	c.SetReadDeadline(expired)
 }
 
-// freeDescriptor frees a descriptor: first of a connection that has lingered long enough; whatever else is
-// closing will be gone soon. The caller holds mu.
+// freeDescriptor frees a descriptor: it closes a connection that has lingered for at least lingerMinimum. If
+// there is none it evicts a connection, unless others are closing already and will free theirs soon. The
+// caller holds mu.
 func (s *Server) freeDescriptor() {
 	for c := range s.conns {
 		if c.state == stateLingering && time.Since(c.stateSince) >= lingerMinimum {
@@ -103,7 +104,7 @@
 	}
 }
 
-// remove closes a connection and forgets it. The caller holds mu.
+// remove closes a connection and deletes it from conns. The caller holds mu.
 func (s *Server) remove(c *conn) {
 	if s.conns[c] && c.state.closing() {
 		s.closing--
@@ -112,8 +113,8 @@
 	c.Close()
 }
 
-// CloseIdle ends the connections that are between two requests. One that has not brought its first request
-// yet is left alone for the given time.
+// CloseIdle makes every connection end that has been idle, before its first request or between two, for at
+// least newConnGrace.
 func (s *Server) CloseIdle(newConnGrace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/head.go
+++ b/internal/downstream/head.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// maxHead is the longest head in bytes. It is also the size of a connection's buffer, so that a head can be
-// checked as a whole before it is read.
+// maxHead is the maximum size of a request head in bytes. It is also the size of a connection's read buffer,
+// so that the complete head can be checked before http.ReadRequest consumes it.
 const maxHead = 8 << 10
 
 var errHeadTooLong = &rejection{
@@ -17,7 +17,8 @@
 	reason: "the request's head is too long",
 }
 
-// singletonFields are the fields that define a request. Of two with one name the next reader may use the other.
+// singletonFields are the header fields that must not be repeated: they define the request, and of two values
+// the next server might use the other one.
 var singletonFields = map[string]bool{
 	"host":              true,
 	"content-length":    true,
@@ -32,10 +33,10 @@
 	"client-retry":      true,
 }
 
-// readHead waits until a complete head is in the connection's buffer, and checks its lines as they come.
-// It rejects what http.ReadRequest repairs silently: a length beside a transfer coding, a repeated length,
-// a blank before the colon, a folded line, a line end without CR, a transfer coding in HTTP/1.0. Readers
-// interpret each of them differently, which can hide one request in the body of another.
+// readHead waits until a complete head is in the connection's buffer, and checks each line as it arrives.
+// It rejects what http.ReadRequest silently accepts: Content-Length together with Transfer-Encoding, a
+// repeated Content-Length, a space before the colon, a folded line, a line end without CR, and
+// Transfer-Encoding in HTTP/1.0. Servers interpret these differently, which allows request smuggling.
 func (c *conn) readHead() error {
 	h := headParser{fields: map[string]bool{}}
 	for at := 0; ; {
@@ -48,7 +49,7 @@
 			at += n + 1
 		}
 		if rest := bytes.TrimSuffix(all[at:], []byte("\r")); !noControlCharacters(rest) {
-			return badRequest("control characters in the head") // unreadable: no line end may ever come
+			return badRequest("control characters in the head") // not HTTP: a line end may never arrive
 		}
 		if _, err := c.reader.Peek(len(all) + 1); errors.Is(err, bufio.ErrBufferFull) {
 			return errHeadTooLong
@@ -58,9 +59,9 @@
 	}
 }
 
-// headParser is the state between the lines of a head.
+// headParser holds the state of a head that is checked line by line.
 type headParser struct {
-	started bool // the request line has come
+	started bool // the request line was read
 	http10  bool
 	fields  map[string]bool
 }
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// checkEnd checks the fields of the head together.
+// checkEnd checks rules that concern several fields, once the head is complete.
 func (h *headParser) checkEnd() (end bool, err error) {
 	if h.fields["content-length"] && h.fields["transfer-encoding"] {
 		return false, badRequest("Content-Length and Transfer-Encoding together")
@@ -127,12 +128,12 @@
 
 func notDigit(r rune) bool { return r < '0' || r > '9' }
 
-// noControlCharacters reports whether there are no control characters but tabs.
+// noControlCharacters reports whether b contains no control characters except tabs.
 func noControlCharacters(b []byte) bool {
 	return !bytes.ContainsFunc(b, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f })
 }
 
-// notTokenChar reports whether a character must not stand in a field's name.
+// notTokenChar reports whether a character is not allowed in a field name.
 func notTokenChar(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 	return !letter && !strings.ContainsRune("!#$%&'*+-.^_`|~", r)
--- a/internal/downstream/parse.go
+++ b/internal/downstream/parse.go
@@ -21,7 +21,7 @@
 	requestMethods = "POST"
 )
 
-// route returns the class that a request line names. No class and no error means a health check.
+// route returns the class named by the request's path. An empty name without an error means a health check.
 func (s *Server) route(r *http.Request) (name string, class Class, err error) {
 	if r.URL.Path == healthPath {
 		return "", Class{}, checkHealthRequest(r)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// parse makes a job of a request whose path names the class.
+// parse reads a request of the given class into a job.
 func (s *Server) parse(r *http.Request, name string, class Class) (*Request, error) {
 	job := &Request{
 		ID:             r.Header.Get("Request-Id"),
@@ -86,13 +86,13 @@
 	return job, nil
 }
 
-// checkIdentity checks id, class and idempotency key.
+// checkIdentity checks the request ID, the class header and the idempotency key.
 func (r *Request) checkIdentity(header http.Header, class Class) error {
-	named := header.Get("Request-Class")
+	fromHeader := header.Get("Request-Class")
 	switch {
 	case !validID(r.ID):
 		return badRequest("Request-Id is missing or too long")
-	case named != "" && named != r.Class:
+	case fromHeader != "" && fromHeader != r.Class:
 		return badRequest("Request-Class and path differ")
 	case class.Keyed && r.IdempotencyKey == "":
 		return badRequest("this class wants an Idempotency-Key")
@@ -102,7 +102,8 @@
 
 func validID(id string) bool { return id != "" && len(id) <= maxID }
 
-// parseTimeout reads how long the client waits. An empty field is no time.
+// parseTimeout reads how long the client waits. A header without a value is an error; without the header the
+// class's deadline stays.
 func (r *Request) parseTimeout(header http.Header) error {
 	values := header["Request-Timeout"]
 	if values == nil {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// parseSize reads what the job needs of a worker. Figures of other names are skipped.
+// parseSize reads how many slots and how much memory the job needs. Other names are ignored.
 func (r *Request) parseSize(header http.Header) error {
 	for part := range strings.SplitSeq(header.Get("Request-Info"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// parseDependencies reads which jobs must be served first, and the Unix time before which the job must
-// not start, 0 where there is none. An error names the field.
+// parseDependencies reads the IDs of the jobs that must be served first, and returns the Unix time in seconds
+// before which the job must not start, or 0 without such a time. An error names the header field.
 func (r *Request) parseDependencies(header http.Header) (notBefore float64, err error) {
 	for _, line := range header["Wait-For"] {
 		for id := range strings.SplitSeq(line, ",") {
@@ -161,11 +162,11 @@
 	return notBefore, nil
 }
 
-func (r *Request) readBody(from *http.Request) (err error) {
-	if from.ContentLength > maxBody {
+func (r *Request) readBody(httpRequest *http.Request) (err error) {
+	if httpRequest.ContentLength > maxBody {
 		return bodyTooLarge()
 	}
-	r.Body, err = io.ReadAll(io.LimitReader(from.Body, maxBody+1))
+	r.Body, err = io.ReadAll(io.LimitReader(httpRequest.Body, maxBody+1))
 	if err != nil {
 		return err
 	}
@@ -175,8 +176,8 @@
 	return nil
 }
 
-// delayUntil is the time left until a Unix time by the system's clock when the request came: later steps
-// of that clock change nothing.
+// delayUntil returns the time from now to a Unix time in seconds, between 0 and maxDelay seconds. It is
+// computed once, when the request arrives, so that later steps of the system clock have no effect.
 func delayUntil(unix float64, now time.Time) time.Duration {
 	seconds := unix - float64(now.UnixNano())/1e9
 	return time.Duration(min(max(seconds, 0), maxDelay) * float64(time.Second))
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -17,27 +17,27 @@
 	Retry          bool
 	Slots          float64
 	Memory         float64
-	DependsOn      []string      // ids of jobs that must be served first
-	Delay          time.Duration // from Arrived on, for which it asks to be deferred
-	Arrived        time.Time     // when its last byte was read
+	DependsOn      []string      // IDs of the jobs that must be served first
+	Delay          time.Duration // counted from Arrived, for which the job is to be deferred
+	Arrived        time.Time     // when the last byte was read
 	Timeout        time.Duration // how long the client waits
 
-	// Answer gives the one final answer. It must be called once for every request that was passed to
+	// Answer sends the final answer. It must be called exactly once for every request that was passed to
 	// the handler and whose client has not disconnected. It does not block.
 	Answer       func(Answer)
 	disconnected atomic.Bool
 }
 
-// MarkDisconnected records that the client has left. It may be called from any goroutine, and again.
+// MarkDisconnected records that the client has disconnected. It may be called repeatedly and from any goroutine.
 func (r *Request) MarkDisconnected() { r.disconnected.Store(true) }
 
-// Disconnected reports whether MarkDisconnected was called: from then on nothing of the request may be
-// sent, though the loop may not have received the event yet. It may be called from any goroutine.
+// Disconnected reports whether MarkDisconnected was called. From then on the request must not be sent to a
+// worker, even if the handler has not processed Leave yet. It may be called from any goroutine.
 func (r *Request) Disconnected() bool { return r.disconnected.Load() }
 
-// Class is what the clients' side needs to know of a class of requests.
+// Class holds the settings of a request class that this package uses.
 type Class struct {
-	Keyed     bool          // its requests need an idempotency key
-	Deadline  time.Duration // for requests that state no timeout
-	removedAt time.Time     // after which it is unknown; zero: it is in the settings
+	Keyed     bool          // requests must have an idempotency key
+	Deadline  time.Duration // timeout of requests without a Request-Timeout header
+	removedAt time.Time     // when a class deleted from the settings stops being accepted; zero if not deleted
 }
--- a/internal/downstream/serve.go
+++ b/internal/downstream/serve.go
@@ -27,12 +27,12 @@
 	}
 }
 
-// awaitRequest waits for a request's first byte, and reports whether it came. Otherwise the connection ends:
-// its client has left, its time is over, or its place is needed.
+// awaitRequest waits for the first byte of a request, and reports whether one was received. Otherwise the
+// connection ends: the client disconnected, the idle timeout expired, or the connection was evicted or closed.
 func (s *Server) awaitRequest(c *conn) bool {
 	s.setState(c, stateIdle)
 	_, err := c.reader.Peek(1)
-	if isTimeout(err) && !connstate.IsQuiet(c.Conn) { // a byte came at the last moment
+	if isTimeout(err) && !connstate.IsQuiet(c.Conn) { // a byte arrived just before the timeout
 		c.firstRequestBy = time.Time{}
 		s.setState(c, stateReading)
 		_, err = c.reader.Peek(1)
@@ -46,7 +46,7 @@
 	return err == nil
 }
 
-// serveRequest reads one request and writes its answer. Again means that another may follow.
+// serveRequest reads one request and writes its answer. again means that the connection may carry another request.
 func (s *Server) serveRequest(c *conn) (again bool, err error) {
 	if err := c.readHead(); err != nil {
 		return false, s.sendRejection(c, err)
@@ -92,17 +92,18 @@
 	return !closing, s.send(c, answer, closing, r.Method == http.MethodHead)
 }
 
-// sendContinue asks for the body, where the client waits for that.
+// sendContinue sends 100 Continue if the client expects it before it sends the body.
 func (c *conn) sendContinue(r *http.Request) error {
 	if r.ContentLength > maxBody || !strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		return nil
 	}
-	c.SetWriteDeadline(time.Now().Add(writeTimeout)) // that of the answer before is long over
+	c.SetWriteDeadline(time.Now().Add(writeTimeout)) // the previous answer's write deadline may have expired
 	_, err := io.WriteString(c, interimContinue)
 	return err
 }
 
-// awaitAnswer passes a job to the handler and waits for its answer or the client's end.
+// awaitAnswer passes a job to the handler and waits for its answer. It returns errClientDisconnected if the
+// client disconnects first.
 func (s *Server) awaitAnswer(c *conn, job *Request) (Answer, error) {
 	answers := make(chan Answer, 1)
 	job.Answer = func(a Answer) { answers <- a }
@@ -111,19 +112,19 @@
 	go func() {
 		err := c.watchClient()
 		if !isTimeout(err) {
-			job.MarkDisconnected() // at once: the handler may be busy for a while
+			job.MarkDisconnected() // here, because the handler may take a while to process Leave
 		}
 		clientGone <- err
 	}()
 	s.handler.Arrive(job)
 	select {
 	case answer := <-answers:
-		c.SetReadDeadline(expired) // the watcher returns, and what it read stays
+		c.SetReadDeadline(expired) // ends watchClient; the bytes that it read stay buffered
 		if !isTimeout(<-clientGone) {
 			return Answer{}, errClientDisconnected
 		}
 		return answer, nil
-	case <-clientGone: //nolint:errcheck // whatever ended it, the client is gone
+	case <-clientGone: //nolint:errcheck // any error means that the client disconnected
 		s.handler.Leave(job)
 		return Answer{}, errClientDisconnected
 	}
@@ -134,7 +135,8 @@
 	return writeAnswer(c, a, closing, headOnly)
 }
 
-// sendRejection answers what is no valid request; the connection ends with it.
+// sendRejection answers an invalid or late request with an error status that closes the connection. It writes
+// nothing and returns err if the client has disconnected.
 func (s *Server) sendRejection(c *conn, err error) error {
 	var rejected *rejection
 	var netErr net.Error
@@ -146,7 +148,7 @@
 			reason: "the request took too long to arrive",
 		}
 	case errors.Is(err, io.EOF), errors.As(err, &netErr):
-		return err // the client is gone
+		return err // the client disconnected
 	default:
 		rejected = badRequest("malformed request")
 	}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -8,62 +8,62 @@
 	"time"
 )
 
-// Timeouts and sizes of the clients' side.
+// Timeouts and limits of client connections.
 const (
-	requestReadTimeout = 2 * time.Second // from a connection's start, or a later request's first byte, to its last byte
+	requestReadTimeout = 2 * time.Second // from the connection's start, or a later request's first byte, to its end
 	idleTimeout        = 2 * time.Minute // between requests
 	writeTimeout       = 5 * time.Second
-	newConnGrace       = 250 * time.Millisecond
-	removedClassGrace  = time.Second            // for which a class that the settings no longer name is accepted
-	capacityPoll       = 5 * time.Millisecond   // between checks for a free place when all are taken
-	lingerTimeout      = 200 * time.Millisecond // for a client to end its side of a connection that ends
-	lingerMinimum      = 20 * time.Millisecond  // the same, where its descriptor is needed
-	acceptDrain        = 20 * time.Millisecond  // for connections that wait to be accepted when the server stops
-	logInterval        = time.Second            // between log lines of failed accepts
-
-	spareDivisor = 16 // one connection in so many more is accepted to be rejected properly
+	newConnGrace       = 250 * time.Millisecond // default of Server.newConnGrace
+	removedClassGrace  = time.Second            // for which a class deleted from the settings is still accepted
+	capacityPoll       = 5 * time.Millisecond   // between checks whether a connection can be accepted
+	lingerTimeout      = 200 * time.Millisecond // for the client to close its side of a connection that we close
+	lingerMinimum      = 20 * time.Millisecond  // before a lingering connection may be closed to free its descriptor
+	acceptDrain        = 20 * time.Millisecond  // for accepting the backlog when the server stops
+	logInterval        = time.Second            // minimum time between log lines about failed accepts
+
+	spareDivisor = 16 // maxConns/spareDivisor more connections are accepted, to answer them with 503
 )
 
-// expired is a deadline in the past, which ends a read at once.
+// expired is a deadline in the past, which interrupts a blocked read or Accept.
 var expired = time.Unix(1, 0)
 
-// Handler receives requests. Its methods return soon.
+// Handler receives requests. Its methods must return quickly.
 type Handler interface {
-	Arrive(*Request) // the request is owed one Answer
-	Leave(*Request)  // its client disconnected: no answer is owed any more
+	Arrive(*Request) // the handler must call Answer on the request once
+	Leave(*Request)  // the request's client disconnected, so Answer need not be called
 }
 
-// Phase is what a connection needs to know of the program's phase.
+// Phase reports the program's phase as far as connections need it.
 type Phase interface {
-	Ready() bool  // the program serves
-	Ending() bool // clients are to go elsewhere after their answer
+	Ready() bool  // the program serves requests
+	Ending() bool // connections are to be closed after the next answer
 }
 
 // Server accepts connections and serves requests on them.
 type Server struct {
-	AcceptDependencies bool // requests may name jobs and times that they wait for; set before Serve
+	AcceptDependencies bool // requests may use Wait-For and Not-Before; set before Serve
 
 	classes            atomic.Pointer[map[string]Class]
 	handler            Handler
 	phase              Phase
 	requestReadTimeout time.Duration
-	newConnGrace       time.Duration // until a connection without a byte may be evicted; twice that without a request
+	newConnGrace       time.Duration // until an unused connection may be evicted; twice that for an incomplete request
 	log                func(format string, args ...any)
-	onCloseWrite       func(net.Conn) // for tests: called right before a connection's sending side is closed
+	onCloseWrite       func(net.Conn) // for tests: called just before the sending side of a connection is closed
 
 	mu       sync.Mutex
 	maxConns int
 	conns    map[*conn]bool
-	closing  int           // of conns, those that are to end or are ending
-	listener net.Listener  // that Serve accepts from
-	paused   chan struct{} // closed when connections are accepted again; nil: they are accepted
-	serving  bool          // Serve has not returned
+	closing  int           // number of conns in stateClosing or a later state
+	listener net.Listener  // on which Serve accepts
+	paused   chan struct{} // closed when accepting resumes; nil while not paused
+	serving  bool          // Serve is running
 	stopped  bool
-	inFlight atomic.Int64 // requests read and not yet answered on the wire
+	inFlight atomic.Int64 // requests read whose answer is not written yet
 }
 
-// NewServer returns a server for the given classes, by name, that holds at most maxConns connections at one
-// time, and a sixteenth more whose requests are rejected.
+// NewServer returns a server for the given classes, keyed by name. It serves at most maxConns connections at
+// a time; a sixteenth more are accepted, whose requests are rejected.
 func NewServer(
 	classes map[string]Class,
 	handler Handler,
@@ -84,8 +84,8 @@
 	return s
 }
 
-// SetClasses replaces the classes as a whole. One that is not among them is accepted for a moment more:
-// requests of it are on their way.
+// SetClasses replaces all classes. A class that is no longer among them is still accepted for
+// removedClassGrace, since clients may already have sent requests for it.
 func (s *Server) SetClasses(classes map[string]Class) {
 	next := maps.Clone(classes)
 	for name, class := range *s.classes.Load() {
@@ -102,8 +102,8 @@
 	s.classes.Store(&next)
 }
 
-// Resize changes how many connections there may be. Connections beyond that are evicted at once, as far as
-// they may be.
+// Resize changes the maximum number of connections. If there are more, those that may be evicted are evicted
+// immediately.
 func (s *Server) Resize(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,16 +112,16 @@
 	}
 }
 
-// capacity is the number of connections at one time, the spare ones included. The caller holds mu.
+// capacity returns the maximum number of connections, including the spare ones. The caller holds mu.
 func (s *Server) capacity() int { return s.maxConns + s.maxConns/spareDivisor }
 
-// deadlineSetter is a listener whose Accept can be ended by a deadline.
+// deadlineSetter is implemented by listeners whose Accept can be interrupted by a deadline.
 type deadlineSetter interface {
 	SetDeadline(time.Time) error
 }
 
-// Pause stops accepting connections, or accepts them again. The listener stays open: another process may
-// accept from the same socket. A connection that was accepted before Pause returns is served.
+// Pause stops accepting connections if on is true, and resumes it otherwise. The listener stays open, as
+// another process may accept from the same socket. A connection accepted before Pause returns is served.
 func (s *Server) Pause(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,12 +137,13 @@
 		s.paused = nil
 	}
 	if l, ok := s.listener.(deadlineSetter); ok {
-		l.SetDeadline(deadline) //nolint:errcheck // a closed listener ends Accept by itself
+		l.SetDeadline(deadline) //nolint:errcheck // if the listener is closed, Accept returns anyway
 	}
 }
 
-// StopAccepting ends Serve: connections that wait to be accepted are still accepted, unless another process
-// takes them, and then the listener is closed. It does not block; Drained reports when that is over.
+// StopAccepting makes Serve accept the connections in the backlog, then close the listener and return. While
+// paused it closes the listener without accepting, as another process accepts the backlog. It does not block;
+// Drained reports when the server has finished.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,27 +157,27 @@
 		close(s.paused)
 		s.paused = nil
 	case ok:
-		l.SetDeadline(time.Now().Add(acceptDrain)) //nolint:errcheck // a closed listener ends Accept by itself
+		l.SetDeadline(time.Now().Add(acceptDrain)) //nolint:errcheck // if the listener is closed, Accept returns anyway
 		return
 	}
 	if s.listener != nil {
-		go s.listener.Close() // it waits for an Accept that waits in the system, as one on a shared socket may
+		go s.listener.Close() // blocks until Accept returns, which may take long on a shared socket
 	}
 }
 
-// Drained reports whether the server was stopped and nothing is open, nor can be any more.
+// Drained reports whether the server was stopped, Serve has returned and no connection or request is left.
 func (s *Server) Drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stopped && !s.serving && len(s.conns) == 0 && s.InFlight() == 0
 }
 
-// Open is the number of connections.
+// Open returns the number of connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// InFlight is the number of requests that were read and have no answer on the wire yet.
+// InFlight returns the number of requests that were read and whose answer is not written yet.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
