--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,32 +14,32 @@
 	"example.org/bellstream/balance"
 )
 
-// AttemptRequest is what an attempt sends to its worker.
+// AttemptRequest describes the request that an attempt sends to its worker.
 type AttemptRequest struct {
 	ID             string
 	Method         string
 	URI            string
 	IdempotencyKey string
 	Body           []byte
-	Deadline       time.Time // when the client gives up
-	SendBy         time.Time // no byte is sent later; not after Deadline
-	Fields         []string  // names of the figures in a load report, in order
-	AtMostOnce     bool      // the job must not run twice: there must be no doubt which request an answer is for
-
-	// Blocked returns how the attempt ends if it must not be sent any more although SendBy has not
-	// come, and is empty where it may be sent. It is called right before the first byte, from the
-	// attempt's goroutine. Nil means that the attempt may always be sent.
+	Deadline       time.Time // when the client stops waiting
+	SendBy         time.Time // no byte is sent after this time; not later than Deadline
+	Fields         []string  // names of the values to read from a load report, in order
+	AtMostOnce     bool      // the job must not run twice: an answer to another request must not be taken for its own
+
+	// Blocked returns the outcome of the attempt if it must not be sent although SendBy is in the future,
+	// and "" if it may be sent. It is called on the attempt's goroutine, right before the first byte is
+	// written. If it is nil the attempt may always be sent.
 	Blocked func() balance.Outcome
 }
 
-// encode returns the request as bytes for the worker at an address.
+// encode returns the bytes of the request to the worker at addr. Request-Timeout is the time left until Deadline.
 func (r *AttemptRequest) encode(addr string) []byte {
 	var b bytes.Buffer
-	left := max(0, time.Until(r.Deadline)).Seconds()
+	remaining := max(0, time.Until(r.Deadline)).Seconds()
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\n", r.Method, r.URI)
 	fmt.Fprintf(&b, "Host: %s\r\n", addr)
 	fmt.Fprintf(&b, "Request-Id: %s\r\n", r.ID)
-	fmt.Fprintf(&b, "Request-Timeout: %s\r\n", strconv.FormatFloat(left, 'f', 3, 64))
+	fmt.Fprintf(&b, "Request-Timeout: %s\r\n", strconv.FormatFloat(remaining, 'f', 3, 64))
 	if r.IdempotencyKey != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.IdempotencyKey)
 	}
@@ -48,19 +48,19 @@
 	return b.Bytes()
 }
 
-// AttemptEvent reports that the job has started, with an empty Outcome, or, once, how the attempt or
-// health check ended.
+// AttemptEvent reports that the job has started (Outcome is empty) or how the attempt or health check ended.
+// The end is reported once.
 type AttemptEvent struct {
 	Outcome   balance.Outcome
 	Result    []byte
 	Report    []float64
 	Reason    string // for the log
-	retryable bool   // the request was not sent completely, and a new connection may do better
-	staleConn bool   // a connection used before was dead
+	retryable bool   // the request was not sent completely; a new connection may succeed
+	staleConn bool   // the reused connection was dead
 }
 
-// connectFailure is the event of an attempt that got no connection. Where this process had no
-// descriptor left the worker is not to blame, and counts as overloaded, not as unreachable.
+// connectFailure returns the event of an attempt that got no connection. If this process has no descriptor
+// left, that is not the worker's fault: the outcome is Overloaded, not Unreachable.
 func connectFailure(err error) AttemptEvent {
 	if errors.Is(err, errNoDescriptor) {
 		return AttemptEvent{Outcome: balance.Overloaded, Reason: err.Error()}
@@ -72,7 +72,8 @@
 	}
 }
 
-// connectionLost is the event of an attempt whose connection broke, or whose answer could not be read.
+// connectionLost returns the event of an attempt whose connection broke or whose answer could not be read. A
+// nil err means that the answer ended too early.
 func connectionLost(err error) AttemptEvent {
 	if err == nil {
 		err = io.ErrUnexpectedEOF
@@ -80,19 +81,20 @@
 	return AttemptEvent{Outcome: balance.ConnectionLost, Reason: err.Error()}
 }
 
-// protocolError is connectionLost for an answer that breaks the protocol.
+// protocolError returns the event of an attempt whose answer violates the protocol. Its outcome is
+// ConnectionLost, too.
 func protocolError(reason string) AttemptEvent {
 	return AttemptEvent{Outcome: balance.ConnectionLost, Reason: reason}
 }
 
 // Attempt is one attempt in flight.
 type Attempt interface {
-	// Abandon ends the attempt. When it returns the connection is closed or will never be opened, so
+	// Abandon ends the attempt. When it returns, the attempt's connection is closed or will not be used, so
 	// no further byte of the attempt is sent and another attempt may start.
 	Abandon()
 }
 
-// attempt is an Attempt on a connection of a pool. Its goroutine alone reads and writes the connection.
+// attempt implements Attempt on a connection of a pool. Only its own goroutine reads and writes the connection.
 type attempt struct {
 	pool    *Pool
 	request *AttemptRequest
@@ -106,8 +108,8 @@
 	cancel context.CancelFunc
 }
 
-// Start sends a request to the address. All events are passed to notify, from the attempt's goroutine;
-// after Abandon it may still be called.
+// Start sends a request to the worker at addr and returns at once. All events are passed to notify on the
+// attempt's goroutine. notify may still be called after Abandon.
 func (p *Pool) Start(request *AttemptRequest, addr string, notify func(AttemptEvent)) Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
@@ -122,7 +124,8 @@
 	return a
 }
 
-// run makes the attempt, a second time on a new connection where nothing was sent, and reports its end.
+// run makes the attempt and reports its end. If the request could not be sent completely, it tries once more on
+// a new connection.
 func (a *attempt) run(ctx context.Context) {
 	defer a.cancel()
 	policy := anyConn
@@ -131,8 +134,8 @@
 	}
 	c, end, clean := a.try(ctx, policy)
 	if end.retryable && !a.abandoned() {
-		// The connection broke before the last byte was written. So the job never ran, and
-		// one connection that breaks does not show that the worker is lost.
+		// The connection broke before the last byte was written, so the job never ran, and one broken
+		// connection does not prove that the worker is lost.
 		if c != nil {
 			a.pool.close(c)
 		}
@@ -142,8 +145,8 @@
 		a.notify(end)
 		return
 	}
-	// A result does not wait for the end of the chunked body. Any other outcome may let another
-	// attempt start, so it is reported when this connection is at its end or closed.
+	// A result is reported without waiting for the end of the chunked body. Any other outcome may let
+	// another attempt start, so it is reported after the answer was read to its end or the connection closed.
 	served := end.Outcome == balance.Served
 	if served {
 		a.notify(end)
@@ -159,8 +162,8 @@
 	}
 }
 
-// try makes the attempt on one connection. The connection is nil where it got none; clean means that
-// it stands right behind the last line of the answer.
+// try makes the attempt on one connection. The returned connection is nil if none could be used; clean means
+// that the last line of the answer was read, so that the connection may be reused after draining.
 func (a *attempt) try(ctx context.Context, policy reusePolicy) (c *conn, end AttemptEvent, clean bool) {
 	c, err := a.pool.get(ctx, a.addr, a.dialBy, policy)
 	if err != nil {
@@ -178,7 +181,7 @@
 	return c, end, clean
 }
 
-// Abandon is part of Attempt.
+// Abandon implements Attempt.
 func (a *attempt) Abandon() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,7 +195,7 @@
 	}
 }
 
-// attach gives the attempt a connection, and reports whether it may use it: it may have been abandoned.
+// attach sets the attempt's connection, and returns false if the attempt was abandoned and must not use it.
 func (a *attempt) attach(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,14 +203,14 @@
 	return !a.done
 }
 
-// abandoned reports whether Abandon was called, or the attempt is over.
+// abandoned reports whether Abandon was called or the attempt has ended.
 func (a *attempt) abandoned() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.done
 }
 
-// detach takes the connection from the attempt, and reports false if the attempt was abandoned.
+// detach marks the attempt as ended and clears its connection. It returns false if the attempt was abandoned.
 func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,25 +13,25 @@
 	"example.org/bellstream/internal/connstate"
 )
 
-// readBuffer is the size of a connection's buffer in bytes.
+// readBuffer is the size of a connection's read buffer in bytes.
 const readBuffer = 2048
 
-// conn is one connection to a worker. It is in use by one attempt or health check, or idle in the pool.
+// conn is one connection to a worker. It is used by one attempt or health check at a time, or is idle in the pool.
 type conn struct {
 	net.Conn
 	addr        string
-	limit       io.LimitedReader // what may still come of this answer
+	limit       io.LimitedReader // limits the bytes still accepted for the current answer
 	reader      *bufio.Reader
 	idleSince   time.Time
-	idleFor     time.Duration   // how long it was idle when it left the pool; 0 means a new connection
-	body        io.Reader       // of the answer being read
-	lastOutcome balance.Outcome // of the last attempt on it; empty after a health check
-	reusableAt  time.Time       // from when on it may be reused
-	settledAt   time.Time       // from when on no second answer to an earlier job is to be expected
-	unsettled   bool            // it left the pool before settledAt
+	idleFor     time.Duration   // how long it was idle before it was reused; 0 for a new connection
+	body        io.Reader       // body of the answer being read
+	lastOutcome balance.Outcome // outcome of the last attempt; empty after a health check
+	reusableAt  time.Time       // it must not be reused before
+	settledAt   time.Time       // a second answer to an earlier job may arrive until then
+	unsettled   bool            // it was reused before settledAt
 }
 
-// dial opens a connection to an address.
+// dial opens a connection to addr. It fails if that takes until dialBy.
 func dial(ctx context.Context, addr string, dialBy time.Time) (*conn, error) {
 	dialer := net.Dialer{Deadline: dialBy, KeepAlive: -1}
 	socket, err := dialer.DialContext(ctx, "tcp", addr)
@@ -47,17 +47,18 @@
 	return c, nil
 }
 
-// alive reports, without waiting, whether an idle connection is open and holds no unread bytes.
+// alive reports, without blocking, whether an idle connection is open and has no unread bytes.
 func (c *conn) alive() bool { return c.reader.Buffered() == 0 && connstate.IsQuiet(c.Conn) }
 
-// response reads the head of an answer, after those of interim ones (1xx), and keeps its body for
-// drain. The size of the whole is limited: an answer without end must not fill the memory.
+// response reads the head of the final answer, skipping interim answers (1xx), and keeps its body for drain.
+// The heads may take maxHead bytes together and the body maxAnswer, so that an endless answer cannot exhaust
+// the memory.
 func (c *conn) response(method string) (*http.Response, error) {
 	c.limit.N = maxHead
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	for err == nil && resp.StatusCode/100 == 1 {
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("what follows is no HTTP: " + resp.Status)
+			return nil, errors.New("worker switched to another protocol: " + resp.Status)
 		}
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
 	}
@@ -68,14 +69,15 @@
 	return resp, err
 }
 
-// drain reads what is left of the answer, and reports whether the connection can carry another request.
+// drain reads the rest of the answer, for at most drainTimeout, and reports whether the connection can be reused.
 func (c *conn) drain() bool {
 	c.SetReadDeadline(time.Now().Add(drainTimeout))
 	n, err := io.CopyN(io.Discard, c.body, maxLine)
 	return errors.Is(err, io.EOF) && n < maxLine && c.reader.Buffered() == 0
 }
 
-// closedWithoutAnswer reports whether a reused connection ended without a byte of an answer.
+// closedWithoutAnswer reports whether a reused connection ended, other than by a timeout, before any byte of an
+// answer was read.
 func (c *conn) closedWithoutAnswer(err error) bool {
 	var netErr net.Error
 	timeout := errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream is the zone workers' side: attempts, health checks, and the pool of connections that
+// Package upstream sends attempts and health checks to the zone's workers, over a pool of connections that
 // both reuse.
 package upstream
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -10,22 +10,23 @@
 	"example.org/bellstream/balance"
 )
 
-// healthCheckTimeout is how long a health check may take.
+// healthCheckTimeout is the time from the start of a health check within which its answer must be read. A dial
+// is bounded by Pool.DialTimeout.
 const healthCheckTimeout = 500 * time.Millisecond
 
-// Paths of a worker that health checks read.
+// Paths that health checks request.
 const (
 	healthPath = "/healthz"
 	loadPath   = "/load"
 )
 
-// HealthCheck asks a worker for its load report, or for its health where the deployment has no reports
-// (no fields), and passes the outcome to notify once.
+// HealthCheck requests a worker's load report or, if fields is empty because the deployment uses no load
+// reports, its health status. It returns at once and calls notify once with the outcome.
 func (p *Pool) HealthCheck(addr string, fields []string, notify func(AttemptEvent)) {
 	go func() {
 		start := time.Now()
 		end := p.healthCheck(addr, fields, start, anyConn)
-		if end.retryable { // one connection that breaks does not show that the worker is lost
+		if end.retryable { // one broken connection does not prove that the worker is lost
 			end = p.healthCheck(addr, fields, start, newConn)
 		}
 		notify(end)
@@ -59,7 +60,7 @@
 	return p.readHealth(c, resp, fields)
 }
 
-// healthCheckFailure is the event of a health check whose connection broke.
+// healthCheckFailure returns the event of a health check whose connection broke or timed out.
 func healthCheckFailure(err error, reused, unwritten, timedOut bool) AttemptEvent {
 	end := connectionLost(err)
 	end.retryable = !timedOut && (unwritten || reused)
@@ -72,7 +73,7 @@
 	return end
 }
 
-// readHealth reads the body of the answer, and gives the connection back where it can be reused.
+// readHealth reads the body of the answer, and returns the connection to the pool if it can be reused.
 func (p *Pool) readHealth(c *conn, resp *http.Response, fields []string) AttemptEvent {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxLine))
 	if err != nil || len(body) == maxLine || resp.Close || c.reader.Buffered() > 0 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,50 +10,51 @@
 	"example.org/bellstream/balance"
 )
 
-// errNoDescriptor means that all places for connections are taken.
+// errNoDescriptor means that MaxConns connections are open and none of them is idle.
 var errNoDescriptor = errors.New("no descriptor left for an upstream connection")
 
-// When reused connections turn out dead, idle ones are kept for less time.
+// If many reused connections turn out to be dead, the idle timeout is shortened.
 const (
-	staleRatioWeight = 0.1  // of one more reused connection in the running share of dead ones
-	staleRatioLimit  = 0.15 // above it idle connections are kept for less time
+	staleRatioWeight = 0.1  // weight of the latest reuse in the moving average of dead connections
+	staleRatioLimit  = 0.15 // the idle timeout is shortened above this average
 
 	// idleTimeoutRecovery is the time without a dead connection after which the idle timeout doubles.
 	idleTimeoutRecovery = 30 * time.Second
 )
 
-// lateAnswerWindow is how long a second answer to a job may still follow. To the next request on the
-// connection "not started" would mean that this one never ran, as it names none, and a line that names the
-// job would be taken for its next attempt. So for that long a connection is not reused after any end but a
-// result, nor, after a result, for a job that must not run twice; and "not started" proves nothing to others.
+// lateAnswerWindow is the time during which a worker may send a second answer to a job. If the connection
+// already carries the next request, a late "not started", which names no job, would seem to prove that this
+// next job never ran, and a late line that names the job would be taken for the answer to its next attempt.
+// Within the window a connection is therefore not reused after any outcome but a result and, after a result,
+// not for a job that must not run twice. For other jobs on it, "not started" is not taken as proof.
 const lateAnswerWindow = 100 * time.Millisecond
 
 // Pool holds the connections to all workers. The exported fields are set before use.
 type Pool struct {
-	MaxConns    int           // connections at one time, busy ones included
-	DialTimeout time.Duration // until a connection counts as failed
-	IdleTimeout time.Duration // for which an idle connection may be reused
+	MaxConns    int           // maximum number of open connections, busy or idle
+	DialTimeout time.Duration // for opening a connection
+	IdleTimeout time.Duration // maximum time that a connection stays idle
 	Now         func() time.Time
 
 	mu                   sync.Mutex
 	openConns            int
-	idle                 []*conn       // of all workers, the longest idle first
-	idleTimeout          time.Duration // IdleTimeout, less where workers close sooner; 0 means IdleTimeout
+	idle                 []*conn       // to all workers, the longest idle first
+	idleTimeout          time.Duration // effective IdleTimeout, shorter if workers close sooner; 0 means IdleTimeout
 	idleTimeoutChangedAt time.Time
-	staleRatio           float64       // running share of the reused connections that turned out dead
-	shortestStaleIdle    time.Duration // the shortest time for which one of them had been idle
+	staleRatio           float64       // moving average of the share of reused connections that were dead
+	shortestStaleIdle    time.Duration // shortest idle time of a dead connection since staleRatio was last 0
 }
 
-// reusePolicy is which connections an attempt may use.
+// reusePolicy says which connections an attempt may use.
 type reusePolicy int
 
 const (
 	anyConn     reusePolicy = iota
-	settledConn             // where no second answer to an earlier job is to be expected
+	settledConn             // a new one, or an idle one whose settledAt has passed
 	newConn
 )
 
-// get returns an idle connection to the address, or opens one by the given time.
+// get returns an idle connection to addr, or opens a new one, which fails if that takes until dialBy.
 func (p *Pool) get(ctx context.Context, addr string, dialBy time.Time, policy reusePolicy) (*conn, error) {
 	for {
 		c, err := p.reserve(addr, policy)
@@ -78,8 +79,9 @@
 	return c, nil
 }
 
-// reserve takes the youngest idle connection to the address that the policy allows. Where there is none
-// it takes a place for a new one, and returns nil.
+// reserve takes the most recently idle connection to addr that the policy allows out of the pool. If there is
+// none, it counts a new connection as open, which the caller must dial, and returns nil. To stay within
+// MaxConns it closes the longest idle connection; it returns errNoDescriptor if all are busy.
 func (p *Pool) reserve(addr string, policy reusePolicy) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +99,8 @@
 	return nil, nil
 }
 
-// takeIdle removes the youngest idle connection that will do, nil where there is none. The caller holds mu.
+// takeIdle removes and returns the most recently idle connection to addr that the policy allows, or nil. The
+// caller holds mu.
 func (p *Pool) takeIdle(addr string, policy reusePolicy) *conn {
 	now := p.Now()
 	for i, c := range slices.Backward(p.idle) {
@@ -115,8 +118,8 @@
 	return nil
 }
 
-// Resize changes how many connections there may be. Idle ones beyond that are closed at once, busy ones
-// when they come back.
+// Resize changes MaxConns. If more connections are open, idle ones are closed immediately, and more of them as
+// busy ones are returned.
 func (p *Pool) Resize(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,11 +134,12 @@
 	}
 }
 
-// SetTimeouts changes the timeouts for connections that are dialled or become idle from now on.
+// SetTimeouts changes the timeouts. The dial timeout applies to attempts and health checks that start later, the
+// idle timeout to all idle connections.
 func (p *Pool) SetTimeouts(dialTimeout, idleTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.idleTimeout == p.IdleTimeout { // not shortened by what workers did
+	if p.idleTimeout == p.IdleTimeout { // not shortened because workers closed connections
 		p.idleTimeout = idleTimeout
 	}
 	p.DialTimeout = dialTimeout
@@ -143,14 +147,14 @@
 	p.idleTimeout = min(p.idleTimeout, idleTimeout)
 }
 
-// dialDeadline is when a dial that begins at a time counts as failed.
+// dialDeadline returns when a dial that begins at start times out.
 func (p *Pool) dialDeadline(start time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return start.Add(p.DialTimeout)
 }
 
-// put gives back a connection on which nothing is in flight.
+// put returns a connection to the pool whose answer was read completely.
 func (p *Pool) put(c *conn) {
 	c.SetDeadline(time.Time{})
 	c.idleSince = p.Now()
@@ -167,7 +171,7 @@
 	p.trim(p.MaxConns)
 }
 
-// close closes a connection that is in use.
+// close closes a connection that is not idle.
 func (p *Pool) close(c *conn) {
 	c.Close()
 	p.mu.Lock()
@@ -175,16 +179,16 @@
 	p.openConns--
 }
 
-// closeIdleAt closes an idle connection. The caller holds mu.
+// closeIdleAt closes the idle connection at index i. The caller holds mu.
 func (p *Pool) closeIdleAt(i int) {
 	p.idle[i].Close()
 	p.idle = append(p.idle[:i], p.idle[i+1:]...)
 	p.openConns--
 }
 
-// closeExpired closes connections that were idle for too long. The worker closes them at caps.keepalive,
-// and a request that crosses that close is reset, which a job that is not idempotent does not survive. The
-// caller holds mu.
+// closeExpired closes connections that were idle for longer than the effective idle timeout. Workers close
+// them at caps.keepalive; a request sent at that moment is reset, and a job that is not idempotent cannot be
+// sent again after that. The caller holds mu.
 func (p *Pool) closeExpired() {
 	now := p.Now()
 	if p.idleTimeout == 0 {
@@ -199,9 +203,10 @@
 	}
 }
 
-// recordReuse records whether a reused connection still worked. Workers may close idle connections long
-// before the time in the settings, without a sign. Where that recurs, half of the shortest idle time that
-// was too long is safe. A single dead connection proves nothing: connections break at any time.
+// recordReuse records whether a reused connection was dead. Workers may close idle connections long before
+// IdleTimeout without notice. If that recurs, half of the shortest idle time of a dead connection becomes the
+// idle timeout, or half of the idle timeout if that is less. A single dead connection proves nothing, as
+// connections break at any time.
 func (p *Pool) recordReuse(c *conn, dead bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,14 +225,14 @@
 	}
 }
 
-// CloseExpired closes connections that were idle for too long.
+// CloseExpired closes connections that were idle for longer than the effective idle timeout.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeExpired()
 }
 
-// CloseIdleTo closes the idle connections to an address.
+// CloseIdleTo closes the idle connections to addr.
 func (p *Pool) CloseIdleTo(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -13,22 +13,23 @@
 	"example.org/bellstream/balance"
 )
 
-// Bounds of an answer.
+// Limits of an answer, in bytes and time.
 const (
-	maxHead       = 32 << 10
-	maxAnswer     = 4 << 20
-	maxLine       = 512 << 10              // a result of 64 KiB, escaped
-	drainTimeout  = 250 * time.Millisecond // for what follows the last line, before the connection is closed
-	deadlineGrace = time.Second            // past its deadline, after which an attempt ends by itself
+	maxHead       = 32 << 10               // including the heads of interim answers
+	maxAnswer     = 4 << 20                // what follows the head
+	maxLine       = 512 << 10              // enough for an escaped result of 64 KiB
+	drainTimeout  = 250 * time.Millisecond // for the rest of the answer after its last line
+	deadlineGrace = time.Second            // after the client's deadline, until the attempt ends by itself
 )
 
-// staleDetectionWindow is how long a connection that was dead before may take to show it. Tests change it.
+// staleDetectionWindow is the time after sending within which the end of a reused connection counts as a sign
+// that it was dead before. Tests change it.
 var staleDetectionWindow = 100 * time.Millisecond
 
-// errNoResult is the cause of an answer that says done and carries nothing.
-var errNoResult = errors.New("done without a result")
+// errNoResult means that an answer has the state done but no result.
+var errNoResult = errors.New("answer has state done but no result")
 
-// States of a job in the lines of a worker's answer.
+// States of a job, as named in the lines of a worker's answer.
 const (
 	stateStarted  = "started"
 	stateDone     = "done"
@@ -37,8 +38,8 @@
 	stateLost     = "lost"
 )
 
-// roundTrip sends the request and reads up to the outcome. Clean means that the connection stands
-// right behind the last line of the answer.
+// roundTrip sends the request and reads the answer up to the line or status that gives the outcome. clean means
+// that the connection may be reused once the rest of the answer was read.
 func (a *attempt) roundTrip(c *conn) (end AttemptEvent, clean bool) {
 	if end := a.checkSend(); end.Outcome != "" {
 		return end, false
@@ -62,12 +63,13 @@
 	return a.readLines(resp)
 }
 
-// checkSend is the last check before the first byte. An empty Outcome means that the attempt may be sent.
+// checkSend checks, right before the first byte is written, whether the attempt may be sent. If so, the Outcome
+// is empty.
 func (a *attempt) checkSend() AttemptEvent {
 	if !time.Now().Before(a.request.SendBy) {
 		return AttemptEvent{
 			Outcome: balance.Blocked,
-			Reason:  "blocked before the first byte: its time to be sent is over",
+			Reason:  "blocked before the first byte: the deadline for sending has passed",
 		}
 	}
 	if a.request.Blocked == nil {
@@ -84,8 +86,8 @@
 	}
 }
 
-// send writes the request. An empty Outcome means that all of it was written: until the last byte is
-// written the job can't have run, from then on it may have.
+// send writes the request. An empty Outcome means that all bytes were written, so that the job may have run.
+// Until the last byte is written the job cannot have run.
 func (a *attempt) send(c *conn) AttemptEvent {
 	writeBy := a.dialBy.Add(deadlineGrace)
 	if a.request.SendBy.Before(writeBy) {
@@ -105,7 +107,7 @@
 	return AttemptEvent{}
 }
 
-// readError interprets an answer with another status than 200.
+// readError interprets an answer whose status is not 200.
 func (a *attempt) readError(c *conn, resp *http.Response) (end AttemptEvent, clean bool) {
 	end = AttemptEvent{
 		Outcome: balance.Failed,
@@ -117,7 +119,7 @@
 		if c.unsettled {
 			return AttemptEvent{
 				Outcome: balance.StaleConnection,
-				Reason:  resp.Status + ", which may be a second answer to the request before",
+				Reason:  resp.Status + ", which may be a second answer to the previous request",
 			}, false
 		}
 		end.Outcome = balance.Overloaded
@@ -125,7 +127,7 @@
 	return end, !resp.Close
 }
 
-// readLines reads the lines of an answer up to the one that ends the job.
+// readLines reads the lines of an answer up to the one that ends the attempt.
 func (a *attempt) readLines(resp *http.Response) (end AttemptEvent, clean bool) {
 	started := false
 	lines := bufio.NewScanner(resp.Body)
@@ -136,16 +138,16 @@
 			continue
 		}
 		if !gjson.ValidBytes(line) {
-			return protocolError("malformed line"), false
+			return protocolError("malformed answer line"), false
 		}
 		fields := gjson.ParseBytes(line)
 		id := fields.Get("id")
 		if id.Exists() && id.String() != a.request.ID {
-			return protocolError("a line for another request"), false
+			return protocolError("answer line names another request"), false
 		}
 		state := fields.Get("state").String()
 		if state == stateStarted {
-			if !started { // more of them would only fill the loop's queue
+			if !started { // repeated events would only fill the event loop's queue
 				a.notify(AttemptEvent{})
 			}
 			started = true
@@ -156,9 +158,9 @@
 		case err != nil:
 			return connectionLost(err), false
 		case !ends:
-			continue // progress, and what later workers may add
+			continue // progress, or a state that a later version of the protocol may add
 		case !id.Exists():
-			return protocolError("a last line that names no request"), false
+			return protocolError("last answer line names no request"), false
 		}
 		end.Reason = state
 		return end, !resp.Close
@@ -166,7 +168,8 @@
 	return connectionLost(lines.Err()), false
 }
 
-// parseEnd interprets a line that may end the job; ends is false for a state that does not.
+// parseEnd interprets a line with the given state. ends is false if that state does not end the
+// attempt. The error is errNoResult.
 func (a *attempt) parseEnd(state string, fields gjson.Result) (end AttemptEvent, ends bool, err error) {
 	end.Report = parseLoadReport([]byte(fields.Get("load").Raw), a.request.Fields)
 	switch state {
@@ -189,7 +192,8 @@
 	return end, true, nil
 }
 
-// parseLoadReport returns the figures of a load report in the order of the settings, nil where one is missing.
+// parseLoadReport returns the values of a load report in the order of fields, or nil if one is missing or is not
+// a number.
 func parseLoadReport(raw []byte, fields []string) []float64 {
 	if len(raw) == 0 || len(fields) == 0 || !gjson.ValidBytes(raw) {
 		return nil
@@ -198,13 +202,13 @@
 	if !report.IsObject() {
 		return nil
 	}
-	figures := make([]float64, len(fields))
+	values := make([]float64, len(fields))
 	for i, field := range fields {
-		figure := report.Get(field)
-		if figure.Type != gjson.Number {
+		value := report.Get(field)
+		if value.Type != gjson.Number {
 			return nil
 		}
-		figures[i] = figure.Float()
+		values[i] = value.Float()
 	}
-	return figures
+	return values
 }
