--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -327,7 +327,7 @@
 	return c.TCPConn.SetReadDeadline(at)
 }
 
-// A request that was read before its connection was told to close, or that is
+// A request that was read before its connection was to be closed, or that is
 // unread when the idle timeout expires, is served.
 func TestRequestBeforeCloseIsServed(t *testing.T) {
 	for _, way := range []string{"read", "unread"} {
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -57,7 +57,7 @@
 const (
 	pipelinedNone     = iota
 	pipelinedHalf     // half of its next request
-	pipelinedComplete // its whole next request
+	pipelinedComplete // its complete next request
 	pipelinedTooMuch  // more than the buffer holds
 )
 
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A request that arrives in two parts, split at any byte, is parsed like one that arrives at once.
+// A request that arrives in two parts, split at any byte, is parsed like one in a single part.
 func TestRequestSplitAtAnyByte(t *testing.T) {
 	_, d, l := startPipe(t, 8)
 	c := l.Dial()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -108,7 +108,7 @@
 	cancel context.CancelFunc
 }
 
-// Start sends a request to the worker at addr and returns at once. All events are passed to notify on the
+// Start sends a request to the worker at addr and does not block. All events are passed to notify on the
 // attempt's goroutine. notify may still be called after Abandon.
 func (p *Pool) Start(request *AttemptRequest, addr string, notify func(AttemptEvent)) Attempt {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -21,7 +21,7 @@
 )
 
 // HealthCheck requests a worker's load report or, if fields is empty because the deployment uses no load
-// reports, its health status. It returns at once and calls notify once with the outcome.
+// reports, its health status. It does not block, and calls notify once with the outcome.
 func (p *Pool) HealthCheck(addr string, fields []string, notify func(AttemptEvent)) {
 	go func() {
 		start := time.Now()
--- a/internal/upstream/roundtrip.go
+++ b/internal/upstream/roundtrip.go
@@ -22,8 +22,8 @@
 	deadlineGrace = time.Second            // after the client's deadline, until the attempt ends by itself
 )
 
-// staleDetectionWindow is the time after sending within which the end of a reused connection counts as a sign
-// that it was dead before. Tests change it.
+// staleDetectionWindow is the time after sending a request within which the end of a reused connection means
+// that the worker had closed it before the request. Tests change it.
 var staleDetectionWindow = 100 * time.Millisecond
 
 // errNoResult means that an answer has the state done but no result.
@@ -38,8 +38,8 @@
 	stateLost     = "lost"
 )
 
-// roundTrip sends the request and reads the answer up to the line or status that gives the outcome. clean means
-// that the connection may be reused once the rest of the answer was read.
+// roundTrip sends the request and reads the answer up to the line or status that gives the outcome. If clean is
+// true, the connection may be reused once the rest of the answer was read.
 func (a *attempt) roundTrip(c *conn) (end AttemptEvent, clean bool) {
 	if end := a.checkSend(); end.Outcome != "" {
 		return end, false
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,11 +18,11 @@
 	done    = `{"id":"r","from":"s","state":"done","result":"ok","load":{"x0":3,"x1":2}}`
 )
 
-// scripts are ways in which a worker can answer, with the outcome that
-// PROTOCOL's table gives each and whether the connection may be used again.
+// scripts are ways in which a worker can answer, each with its outcome according
+// to PROTOCOL's table and whether the connection may be reused.
 var scripts = []struct {
 	name, raw string
-	hangUp    bool // the worker closes behind it
+	hangUp    bool // the worker closes the connection after the answer
 	want      balance.Outcome
 	reuse     bool
 }{
@@ -58,39 +58,40 @@
 	{"404", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false, balance.Failed, true},
 }
 
-// A busy machine takes its time over an end: what is stale must not hang on that.
+// On a slow test machine the end of a connection may arrive late; it must count as stale even so.
 func init() { staleDetectionWindow = time.Hour }
 
 func newPool() *Pool {
 	return &Pool{MaxConns: 32, DialTimeout: 5 * time.Second, IdleTimeout: time.Hour, Now: time.Now}
 }
 
-func order() *AttemptRequest {
+func newAttemptRequest() *AttemptRequest {
 	return &AttemptRequest{ID: "r", Method: "POST", URI: "/c/x?y=1", IdempotencyKey: "k", Body: []byte("body"),
 		Deadline: time.Now().Add(time.Hour), SendBy: time.Now().Add(time.Hour), Fields: []string{"x0", "x1"}}
 }
 
-// idle is how many connections the pool holds in reserve, open how many at all.
+// counts returns the numbers of idle and of all open connections of the pool.
 func (p *Pool) counts() (idle, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle), p.openConns
 }
 
-// outcome takes the news up to the attempt's end.
-func outcome(t *testing.T, news <-chan AttemptEvent) AttemptEvent {
+// waitForOutcome receives events until one has an outcome, and returns it.
+func waitForOutcome(t *testing.T, events <-chan AttemptEvent) AttemptEvent {
 	t.Helper()
 	for {
-		if n := wiretest.Get(t, news, "a hop's outcome"); n.Outcome != "" {
-			return n
+		if event := wiretest.Get(t, events, "an attempt's outcome"); event.Outcome != "" {
+			return event
 		}
 	}
 }
 
-// FuzzAttempts plays attempts one after another against the model: connections are in reserve, each with the times
-// from when on it may be used again; a attempt takes the youngest that will do, or opens the next; its outcome
-// and whether the connection returns are those of the script. Only the end of one used before,
-// without a word, is stale, and "not started" where a second answer is to be expected.
+// FuzzAttempts runs attempts one after another and compares them with a model. In the model, each idle
+// connection has the times from which on it may be reused. An attempt takes the most recently idle connection
+// that it may use, or opens a new one. The script gives the outcome and whether the connection becomes idle
+// again. The outcome is StaleConnection only if a reused connection ends without an answer, or if "not started"
+// arrives while a second answer to an earlier job is possible.
 func FuzzAttempts(f *testing.F) {
 	for i := range scripts {
 		f.Add([]byte{byte(i), 0, byte(i)})
@@ -100,203 +101,207 @@
 	f.Add([]byte{0, 11, 0, 11, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		target, p, now := wiretest.NewTarget(t), newPool(), time.Now()
-		p.Now = func() time.Time { return now } // no idle connection is ever too old
+		p.Now = func() time.Time { return now } // idle connections never expire
 		type state struct {
-			no          int
-			again, sure time.Time
+			number                int
+			reusableAt, settledAt time.Time
 		}
-		conns, reserve := 0, []state(nil) // the model: connections opened so far, and those that are idle, youngest last
+		conns, idleConns := 0, []state(nil) // the model: connections opened so far, and idle ones, most recent last
 		wiretest.Steps(data, 24, func(b byte) {
-			if b < 100 || b >= 200 { // else it comes right behind the one before
+			if b < 100 || b >= 200 { // otherwise it starts right after the previous one
 				now = now.Add(lateAnswerWindow)
 			}
-			o, news := order(), make(chan AttemptEvent, 16)
-			o.AtMostOnce = b < 150
-			h := p.Start(o, target.Addr, func(n AttemptEvent) { news <- n })
+			request, events := newAttemptRequest(), make(chan AttemptEvent, 16)
+			request.AtMostOnce = b < 150
+			attempt := p.Start(request, target.Addr, func(e AttemptEvent) { events <- e })
 			call := wiretest.Get(t, target.Calls, "a request")
-			c, used, young := state{}, false, false
-			for i := len(reserve) - 1; i >= 0 && !used; i-- {
-				if c = reserve[i]; !now.Before(c.again) && (!o.AtMostOnce || !now.Before(c.sure)) {
-					used, young, reserve = true, now.Before(c.sure), append(reserve[:i], reserve[i+1:]...)
+			c, reused, unsettled := state{}, false, false
+			for i := len(idleConns) - 1; i >= 0 && !reused; i-- {
+				if c = idleConns[i]; !now.Before(c.reusableAt) && (!request.AtMostOnce || !now.Before(c.settledAt)) {
+					reused, unsettled, idleConns = true, now.Before(c.settledAt), append(idleConns[:i], idleConns[i+1:]...)
 				}
 			}
-			if !used {
+			if !reused {
 				conns++
-				c = state{no: conns}
+				c = state{number: conns}
 			}
-			if call.ConnNumber != c.no {
-				t.Fatalf("request came on connection %d, want %d", call.ConnNumber, c.no)
+			if call.ConnNumber != c.number {
+				t.Fatalf("request arrived on connection %d, want %d", call.ConnNumber, c.number)
 			}
-			if b >= 200 { // abandoned: the worker must see the end before anything else may go out
-				h.Abandon()
-				h.Abandon()
-				wiretest.Get(t, target.Ends, "the end of an abandoned hop")
+			if b >= 200 { // abandoned: the worker must see the close before another request is sent
+				attempt.Abandon()
+				attempt.Abandon()
+				wiretest.Get(t, target.Ends, "the end of an abandoned attempt's connection")
 			} else {
 				s := scripts[int(b)%len(scripts)]
 				call.WriteRaw(s.raw)
 				if s.hangUp {
 					call.Close()
 				}
-				n, want, reuse := outcome(t, news), s.want, s.reuse
-				if s.name == "no answer" && used {
+				event, want, reuse := waitForOutcome(t, events), s.want, s.reuse
+				if s.name == "no answer" && reused {
 					want = balance.StaleConnection
 				}
-				if strings.HasSuffix(s.name, " unstarted") && young {
+				if strings.HasSuffix(s.name, " unstarted") && unsettled {
 					want, reuse = balance.StaleConnection, false
 				}
-				if n.Outcome != want || n.Outcome == balance.Served && (string(n.Result) != "ok" || len(n.Report) != 2) {
-					t.Fatalf("%s: got %+v, want %s", s.name, n, want)
+				if event.Outcome != want ||
+					event.Outcome == balance.Served && (string(event.Result) != "ok" || len(event.Report) != 2) {
+					t.Fatalf("%s: got %+v, want %s", s.name, event, want)
 				}
 				if reuse {
-					if c.sure = now.Add(lateAnswerWindow); want != balance.Served {
-						c.again = c.sure
+					if c.settledAt = now.Add(lateAnswerWindow); want != balance.Served {
+						c.reusableAt = c.settledAt
 					}
-					reserve = append(reserve, c)
+					idleConns = append(idleConns, c)
 				} else {
-					wiretest.Get(t, target.Ends, "the end of a spent connection")
+					wiretest.Get(t, target.Ends, "the end of a connection that is not reused")
 				}
 			}
-			wiretest.Until(t, "the pool to settle", func() bool {
+			wiretest.Until(t, "the pool to match the model", func() bool {
 				idle, open := p.counts()
-				return idle == open && idle == len(reserve)
+				return idle == open && idle == len(idleConns)
 			})
 			p.mu.Lock()
-			p.staleRatio = 0 // how long idle ones are kept is another test's
+			p.staleRatio = 0 // TestIdleTimeoutAdaptsToWorkers tests the adaptive idle timeout
 			p.mu.Unlock()
 		})
 		p.CloseIdleTo(target.Addr)
 		if idle, open := p.counts(); idle != 0 || open != 0 {
-			t.Fatalf("%d idle and %d open connections are left", idle, open)
+			t.Fatalf("got %d idle and %d open connections after CloseIdleTo, want none", idle, open)
 		}
 	})
 }
 
-// roundTripOn sends a request on a connection that no pool has.
+// roundTripOn sends a request on a connection that belongs to no pool.
 func roundTripOn(request *AttemptRequest, c *conn, dialBy time.Time) (end AttemptEvent, clean bool) {
 	a := &attempt{request: request, dialBy: dialBy, notify: func(AttemptEvent) {}}
 	return a.roundTrip(c)
 }
 
-func TestRequestPassesUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	target, p := wiretest.NewTarget(t), newPool()
-	o := order()
-	o.Deadline = time.Now().Add(time.Minute)
-	h := p.Start(o, target.Addr, func(AttemptEvent) {})
-	defer h.Abandon()
+	request := newAttemptRequest()
+	request.Deadline = time.Now().Add(time.Minute)
+	attempt := p.Start(request, target.Addr, func(AttemptEvent) {})
+	defer attempt.Abandon()
 	c := wiretest.Get(t, target.Calls, "a request")
 	got := []string{c.Req.Method, c.Req.RequestURI, c.Body, c.Req.Header.Get("Request-Id"), c.Req.Header.Get("Idempotency-Key")}
 	if want := "POST /c/x?y=1 body r k"; strings.Join(got, " ") != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	// What goes outwards is the time that is left, not what the client stated.
+	// Request-Timeout is the time left until the deadline, not the client's original timeout.
 	left, err := time.ParseDuration(c.Req.Header.Get("Request-Timeout") + "s")
 	if err != nil || left > time.Minute || left < 50*time.Second {
-		t.Errorf("Request-Timeout %v (%v), want just under a minute", left, err)
+		t.Errorf("got Request-Timeout %v (error %v), want just under a minute", left, err)
 	}
 }
 
-// A worker that has closed an idle connection must not cost a job: unsafe
-// ones can't be sent again after a reset.
+// A request must not be sent on an idle connection that the worker has closed: a
+// job that is not idempotent cannot be sent again after a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	target, p := wiretest.NewTarget(t), newPool()
-	for no := 1; no <= 2; no++ {
-		news := make(chan AttemptEvent, 4)
-		p.Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
+	for connNumber := 1; connNumber <= 2; connNumber++ {
+		events := make(chan AttemptEvent, 4)
+		p.Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
 		call := wiretest.Get(t, target.Calls, "a request")
-		if call.ConnNumber != no {
-			t.Fatalf("connection %d, want %d", call.ConnNumber, no)
+		if call.ConnNumber != connNumber {
+			t.Fatalf("request arrived on connection %d, want %d", call.ConnNumber, connNumber)
 		}
 		call.WriteRaw(wiretest.Lines(true, done))
-		if n := outcome(t, news); n.Outcome != balance.Served {
-			t.Fatalf("got %+v", n)
+		if event := waitForOutcome(t, events); event.Outcome != balance.Served {
+			t.Fatalf("got %+v", event)
 		}
-		wiretest.Until(t, "the connection's return", func() bool { idle, _ := p.counts(); return idle == 1 })
+		wiretest.Until(t, "the connection to become idle", func() bool { idle, _ := p.counts(); return idle == 1 })
 		call.Close()
 		p.idle[0].Read(nil)
 		p.idle[0].SetReadDeadline(time.Now().Add(time.Minute))
 		if _, err := p.idle[0].reader.Peek(1); err == nil {
-			t.Fatal("the close has not arrived")
+			t.Fatal("the worker's close has not arrived")
 		}
 	}
 }
 
-// A second answer may come some milliseconds late. One that names its request does no harm to the next: it
-// is another's. "Not started" names none: read as the answer to the next request it
-// would prove that a job never ran which is under way, and an unsafe one would go out again.
-func TestLateSecondAnswer(t *testing.T) {
-	const turned = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+// A worker may send a second answer some milliseconds after the first, when the connection carries the next
+// request. An answer line that names its request is recognised as another's. "Not started" names none: taken
+// for the answer to the next request, it would seem to prove that this running job never ran, and a job that
+// is not idempotent would be sent again.
+func TestSecondAnswerAfterReuse(t *testing.T) {
+	const notStarted = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name, raw   string
 		first, next balance.Outcome
-		no          int // of the connection on which the next request comes
+		connNumber  int // the connection on which the next request arrives
 	}{
-		{"turned away", turned, balance.Overloaded, balance.Served, 2},
+		{"not started", notStarted, balance.Overloaded, balance.Served, 2},
 		{"served", wiretest.Lines(true, strings.Replace(done, `"r"`, `"before"`, 1)), balance.Served, balance.ConnectionLost, 1},
 	} {
 		target, p := wiretest.NewTarget(t), newPool()
 		now := time.Now()
 		p.Now = func() time.Time { return now }
-		hop := func(id string) (*wiretest.Call, chan AttemptEvent) {
-			o, news := order(), make(chan AttemptEvent, 8)
-			o.ID = id
-			p.Start(o, target.Addr, func(n AttemptEvent) { news <- n })
-			return wiretest.Get(t, target.Calls, "a request"), news
+		startAttempt := func(id string) (*wiretest.Call, chan AttemptEvent) {
+			request, events := newAttemptRequest(), make(chan AttemptEvent, 8)
+			request.ID = id
+			p.Start(request, target.Addr, func(e AttemptEvent) { events <- e })
+			return wiretest.Get(t, target.Calls, "a request"), events
 		}
-		idle := func(n int) {
+		waitIdle := func(n int) {
 			t.Helper()
-			wiretest.Until(t, "the connection's return", func() bool { i, _ := p.counts(); return i == n })
+			wiretest.Until(t, "the connection to become idle", func() bool { i, _ := p.counts(); return i == n })
 		}
-		first, news := hop("before")
+		first, events := startAttempt("before")
 		first.WriteRaw(c.raw)
-		if n := outcome(t, news); n.Outcome != c.first {
-			t.Fatalf("%s: got %+v", c.name, n)
+		if event := waitForOutcome(t, events); event.Outcome != c.first {
+			t.Fatalf("%s: got %+v", c.name, event)
 		}
-		idle(1)
-		call, news := hop("r")
-		first.WriteRaw(c.raw) // once more, when the next job is under way
+		waitIdle(1)
+		call, events := startAttempt("r")
+		first.WriteRaw(c.raw) // again, while the next job runs
 		if call.ConnNumber == 2 {
 			call.WriteRaw(wiretest.Lines(true, done))
 		}
-		if n := outcome(t, news); call.ConnNumber != c.no || n.Outcome != c.next {
-			t.Errorf("%s, then once more: the next came on connection %d and ended as %s (%s)", c.name, call.ConnNumber, n.Outcome, n.Reason)
+		if event := waitForOutcome(t, events); call.ConnNumber != c.connNumber || event.Outcome != c.next {
+			t.Errorf("%s, then the same again: the next request arrived on connection %d and ended as %s (%s)",
+				c.name, call.ConnNumber, event.Outcome, event.Reason)
 		}
 	}
-	// One on which nothing more comes is used again.
+	// A connection without a second answer is reused.
 	target, p := wiretest.NewTarget(t), newPool()
 	now := time.Now()
 	p.Now = func() time.Time { return now }
 	for range 2 {
-		news := make(chan AttemptEvent, 8)
-		p.Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
+		events := make(chan AttemptEvent, 8)
+		p.Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
 		call := wiretest.Get(t, target.Calls, "a request")
 		if call.ConnNumber != 1 {
-			t.Error("a connection on which a job was turned away is never used again")
+			t.Error("a connection on which a job was not started is never reused")
 		}
-		call.WriteRaw(turned)
-		outcome(t, news)
+		call.WriteRaw(notStarted)
+		waitForOutcome(t, events)
 		now = now.Add(lateAnswerWindow)
 	}
 }
 
-// Targets that end idle connections long before the time in the settings cost
-// two attempts and not one each time: half the shorter idle time of those that were
-// lost is safe from then on, until nothing was lost for long.
-func TestKeepsIdleConnectionsAsLongAsTargetsDo(t *testing.T) {
+// Workers that close idle connections long before IdleTimeout cost two attempts
+// in total, not one each time: from then on the idle timeout is half of the shorter
+// idle time of the two dead connections. It doubles after idleTimeoutRecovery
+// without a dead connection.
+func TestIdleTimeoutAdaptsToWorkers(t *testing.T) {
 	target, p := wiretest.NewTarget(t), newPool()
 	now := time.Now()
 	p.Now = func() time.Time { return now }
 	conns := 0
-	hop := func(idle time.Duration, reused, lost bool) {
+	attemptOnce := func(idle time.Duration, reused, lost bool) {
 		t.Helper()
 		now = now.Add(idle)
 		if !reused {
 			conns++
 		}
-		news := make(chan AttemptEvent, 4)
-		p.Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
+		events := make(chan AttemptEvent, 4)
+		p.Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
 		call := wiretest.Get(t, target.Calls, "a request")
 		if call.ConnNumber != conns {
-			t.Fatalf("idle for %v: request came on connection %d, want %d", idle, call.ConnNumber, conns)
+			t.Fatalf("idle for %v: request arrived on connection %d, want %d", idle, call.ConnNumber, conns)
 		}
 		want := balance.Served
 		if lost {
@@ -305,101 +310,102 @@
 		} else {
 			call.WriteRaw(wiretest.Lines(true, done))
 		}
-		if n := outcome(t, news); n.Outcome != want {
-			t.Fatalf("got %+v", n)
+		if event := waitForOutcome(t, events); event.Outcome != want {
+			t.Fatalf("got %+v", event)
 		}
-		wiretest.Until(t, "the connection's return", func() bool { idle, open := p.counts(); return idle == open && (idle == 1) == !lost })
+		wiretest.Until(t, "the connection to become idle",
+			func() bool { idle, open := p.counts(); return idle == open && (idle == 1) == !lost })
 	}
-	hop(0, false, false)
-	hop(600*time.Millisecond, true, true)
-	hop(0, false, false)
-	hop(800*time.Millisecond, true, false) // one alone proves nothing
-	hop(700*time.Millisecond, true, true)
-	hop(0, false, false)
-	hop(310*time.Millisecond, false, false) // 0.3 s are safe
-	hop(290*time.Millisecond, true, false)
+	attemptOnce(0, false, false)
+	attemptOnce(600*time.Millisecond, true, true)
+	attemptOnce(0, false, false)
+	attemptOnce(800*time.Millisecond, true, false) // a single dead connection does not shorten the timeout
+	attemptOnce(700*time.Millisecond, true, true)
+	attemptOnce(0, false, false)
+	attemptOnce(310*time.Millisecond, false, false) // the idle timeout is 0.3 s
+	attemptOnce(290*time.Millisecond, true, false)
 	p.CloseExpired()
-	hop(idleTimeoutRecovery+time.Second, false, false)
-	hop(590*time.Millisecond, true, false) // nothing was lost: 0.6 s
+	attemptOnce(idleTimeoutRecovery+time.Second, false, false)
+	attemptOnce(590*time.Millisecond, true, false) // no dead connection since: the idle timeout is 0.6 s
 }
 
-// A connection that was dead before the request was whole says nothing of the
-// worker: the job goes out on a new one, as the same attempt.
+// A connection that breaks before the request is written completely does not show
+// that the worker is lost: the same attempt sends the job on a new connection.
 func TestDeadConnectionIsReplaced(t *testing.T) {
-	target, news := wiretest.NewTarget(t), make(chan AttemptEvent, 4)
+	target, events := wiretest.NewTarget(t), make(chan AttemptEvent, 4)
 	dead := func() *Pool {
-		here, there := net.Pipe()
-		there.Close()
-		c := &conn{Conn: here, addr: target.Addr, limit: io.LimitedReader{R: here}, idleSince: time.Now()}
+		client, worker := net.Pipe()
+		worker.Close()
+		c := &conn{Conn: client, addr: target.Addr, limit: io.LimitedReader{R: client}, idleSince: time.Now()}
 		c.reader = bufio.NewReader(&c.limit)
 		p := newPool()
 		p.idle, p.openConns = []*conn{c}, 1
 		return p
 	}
-	dead().Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
+	dead().Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
 	wiretest.Get(t, target.Calls, "a request").WriteRaw(wiretest.Lines(true, done))
-	if n := outcome(t, news); n.Outcome != balance.Served {
-		t.Errorf("got %+v", n)
+	if event := waitForOutcome(t, events); event.Outcome != balance.Served {
+		t.Errorf("got %+v", event)
 	}
-	dead().HealthCheck(target.Addr, nil, func(n AttemptEvent) { news <- n })
-	wiretest.Get(t, target.Calls, "a probe").WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	if n := wiretest.Get(t, news, "an outcome"); n.Outcome != balance.Served {
-		t.Errorf("probe: got %+v", n)
+	dead().HealthCheck(target.Addr, nil, func(e AttemptEvent) { events <- e })
+	wiretest.Get(t, target.Calls, "a health check").WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	if event := wiretest.Get(t, events, "the outcome"); event.Outcome != balance.Served {
+		t.Errorf("health check: got %+v", event)
 	}
 }
 
-func TestIdleConnectionsAreDroppedInTime(t *testing.T) {
+func TestIdleTimeoutClosesConnections(t *testing.T) {
 	target, p := wiretest.NewTarget(t), newPool()
 	now := time.Now()
 	p.IdleTimeout, p.Now = 10*time.Second, func() time.Time { return now }
 	p.HealthCheck(target.Addr, nil, func(AttemptEvent) {})
-	wiretest.Get(t, target.Calls, "a probe").WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	wiretest.Until(t, "the connection's return", func() bool { idle, _ := p.counts(); return idle == 1 })
+	wiretest.Get(t, target.Calls, "a health check").WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	wiretest.Until(t, "the connection to become idle", func() bool { idle, _ := p.counts(); return idle == 1 })
 	p.CloseExpired()
 	if idle, _ := p.counts(); idle != 1 {
-		t.Fatal("dropped at once")
+		t.Fatal("connection closed before its idle timeout")
 	}
 	now = now.Add(11 * time.Second)
 	p.CloseExpired()
 	if idle, open := p.counts(); idle != 0 || open != 0 {
-		t.Fatalf("%d idle, %d open after their time", idle, open)
+		t.Fatalf("got %d idle and %d open connections after the idle timeout, want none", idle, open)
 	}
 }
 
-// A lower limit, as in every upgrade, takes effect on idle connections at once, and on busy ones as
-// they come back: the next attempt finds a place.
-func TestLowerLimit(t *testing.T) {
+// A lower limit, as each upgrade sets it, closes idle connections immediately and busy ones when they are
+// returned. The next attempts can open connections within the limit.
+func TestResizeToLowerLimit(t *testing.T) {
 	target, other, p := wiretest.NewTarget(t), wiretest.NewTarget(t), newPool()
-	news := make(chan AttemptEvent, 16)
-	tell := func(n AttemptEvent) { news <- n }
+	events := make(chan AttemptEvent, 16)
+	notify := func(e AttemptEvent) { events <- e }
 	var calls []*wiretest.Call
 	for range 8 {
-		p.Start(order(), target.Addr, tell)
+		p.Start(newAttemptRequest(), target.Addr, notify)
 		calls = append(calls, wiretest.Get(t, target.Calls, "a request"))
 	}
 	for n, c := range calls {
 		if n == 6 {
 			p.Resize(3)
 			if idle, open := p.counts(); idle != 1 || open != 3 {
-				t.Errorf("%d idle and %d open connections right after the limit became 3, want 1 and 3", idle, open)
+				t.Errorf("got %d idle and %d open connections right after Resize(3), want 1 and 3", idle, open)
 			}
 		}
 		c.WriteRaw(wiretest.Lines(true, done))
-		outcome(t, news)
-		wiretest.Until(t, "the connection to come back", func() bool {
+		waitForOutcome(t, events)
+		wiretest.Until(t, "the connection to be returned", func() bool {
 			idle, open := p.counts()
 			return idle == open-(7-n)
 		})
 	}
 	if idle, open := p.counts(); idle != 3 || open != 3 {
-		t.Errorf("%d idle and %d open connections, want 3", idle, open)
+		t.Errorf("got %d idle and %d open connections, want 3 and 3", idle, open)
 	}
-	p.Start(order(), other.Addr, tell)
-	p.Start(order(), other.Addr, tell)
+	p.Start(newAttemptRequest(), other.Addr, notify)
+	p.Start(newAttemptRequest(), other.Addr, notify)
 	for range 2 {
-		wiretest.Get(t, other.Calls, "a request of a new connection").WriteRaw(wiretest.Lines(true, done))
-		if n := outcome(t, news); n.Outcome != balance.Served {
-			t.Errorf("got %+v", n)
+		wiretest.Get(t, other.Calls, "a request on a new connection").WriteRaw(wiretest.Lines(true, done))
+		if event := waitForOutcome(t, events); event.Outcome != balance.Served {
+			t.Errorf("got %+v", event)
 		}
 	}
 }
@@ -419,39 +425,40 @@
 		{"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false, balance.Failed, 0},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", true, balance.ConnectionLost, 0},
 	} {
-		news := make(chan AttemptEvent, 1)
-		p.HealthCheck(target.Addr, []string{"x0", "x1"}, func(n AttemptEvent) { news <- n })
-		call := wiretest.Get(t, target.Calls, "a probe")
+		events := make(chan AttemptEvent, 1)
+		p.HealthCheck(target.Addr, []string{"x0", "x1"}, func(e AttemptEvent) { events <- e })
+		call := wiretest.Get(t, target.Calls, "a health check")
 		if call.Req.RequestURI != "/load" {
-			t.Errorf("asked for %s", call.Req.RequestURI)
+			t.Errorf("got a request for %s, want /load", call.Req.RequestURI)
 		}
 		call.WriteRaw(c.raw)
 		if c.hangUp {
 			call.Close()
 		}
-		if n := wiretest.Get(t, news, "an outcome"); n.Outcome != c.want || len(n.Report) != c.report {
-			t.Errorf("%q: got %+v, want %s with %d figures", c.raw, n, c.want, c.report)
+		if event := wiretest.Get(t, events, "the outcome"); event.Outcome != c.want || len(event.Report) != c.report {
+			t.Errorf("%q: got %+v, want %s with %d values", c.raw, event, c.want, c.report)
 		}
 	}
 }
 
-// A connection that breaks before the request's last byte is written proves
-// that the job never ran: even an unsafe one may go out again.
-func TestHalfWrittenRequestNeverRan(t *testing.T) {
-	here, there := net.Pipe()
+// If a connection breaks before the request's last byte is written, the job has
+// not run, so that even a job that is not idempotent may be sent again.
+func TestPartlyWrittenRequestNeverRan(t *testing.T) {
+	client, worker := net.Pipe()
 	go func() {
-		io.ReadFull(there, make([]byte, 40))
-		there.Close()
+		io.ReadFull(worker, make([]byte, 40))
+		worker.Close()
 	}()
-	c := &conn{Conn: here, addr: "x", limit: io.LimitedReader{R: here}}
-	end, clean := roundTripOn(order(), c, time.Now().Add(time.Minute))
+	c := &conn{Conn: client, addr: "x", limit: io.LimitedReader{R: client}}
+	end, clean := roundTripOn(newAttemptRequest(), c, time.Now().Add(time.Minute))
 	if end.Outcome != balance.Unreachable || clean {
 		t.Errorf("got %+v, clean %v", end, clean)
 	}
 }
 
-// What never got a connection has not run. Having no descriptor is not the
-// worker's fault: it must not count as lost.
+// An attempt that gets no connection is Unreachable: the job has not run. If this
+// process has no descriptor left, the attempt is Overloaded, since that is not the
+// worker's fault and must not make it count as lost.
 func TestConnectFailure(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -461,65 +468,68 @@
 	l.Close()
 	target, p := wiretest.NewTarget(t), newPool()
 	p.MaxConns = 1
-	news := make(chan AttemptEvent, 1)
-	p.Start(order(), refusing, func(n AttemptEvent) { news <- n })
-	if n := wiretest.Get(t, news, "an outcome"); n.Outcome != balance.Unreachable {
-		t.Errorf("refused: got %+v", n)
+	events := make(chan AttemptEvent, 1)
+	p.Start(newAttemptRequest(), refusing, func(e AttemptEvent) { events <- e })
+	if event := wiretest.Get(t, events, "the outcome"); event.Outcome != balance.Unreachable {
+		t.Errorf("connection refused: got %+v", event)
 	}
-	h := p.Start(order(), target.Addr, func(AttemptEvent) {})
+	attempt := p.Start(newAttemptRequest(), target.Addr, func(AttemptEvent) {})
 	wiretest.Get(t, target.Calls, "a request")
-	p.Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
-	if n := wiretest.Get(t, news, "an outcome"); n.Outcome != balance.Overloaded {
-		t.Errorf("no place left: got %+v", n)
+	p.Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
+	if event := wiretest.Get(t, events, "the outcome"); event.Outcome != balance.Overloaded {
+		t.Errorf("no descriptor left: got %+v", event)
 	}
-	h.Abandon()
-	wiretest.Until(t, "the place to be free again", func() bool { _, open := p.counts(); return open == 0 })
+	attempt.Abandon()
+	wiretest.Until(t, "the connection to close", func() bool { _, open := p.counts(); return open == 0 })
 }
 
-// A worker that operators leave out between dial and first byte gets no byte,
-// neither on a connection used before nor on the new one that replaces it, and
-// the job counts as never run.
+// If an attempt is blocked between dial and first byte, for example because
+// operators cordon its worker, no byte is sent, neither on a reused nor on a new
+// connection, and the job counts as never run.
 func TestBlockedAttemptNeverRan(t *testing.T) {
 	target := wiretest.NewTarget(t)
 	p := newPool()
-	hop := func(barred balance.Outcome) AttemptEvent {
-		o, news := order(), make(chan AttemptEvent, 8)
-		o.Blocked = func() balance.Outcome { return barred }
-		p.Start(o, target.Addr, func(n AttemptEvent) { news <- n })
-		return outcome(t, news)
+	attemptOnce := func(blocked balance.Outcome) AttemptEvent {
+		request, events := newAttemptRequest(), make(chan AttemptEvent, 8)
+		request.Blocked = func() balance.Outcome { return blocked }
+		p.Start(request, target.Addr, func(e AttemptEvent) { events <- e })
+		return waitForOutcome(t, events)
 	}
 	served := make(chan AttemptEvent, 1)
-	go func() { served <- hop("") }()
-	wiretest.Get(t, target.Calls, "a hop that is not barred").WriteRaw(wiretest.Lines(true, done))
-	if n := wiretest.Get(t, served, "its outcome"); n.Outcome != balance.Served {
-		t.Fatalf("got %+v", n)
+	go func() { served <- attemptOnce("") }()
+	wiretest.Get(t, target.Calls, "an attempt that is not blocked").WriteRaw(wiretest.Lines(true, done))
+	if event := wiretest.Get(t, served, "its outcome"); event.Outcome != balance.Served {
+		t.Fatalf("got %+v", event)
 	}
-	wiretest.Until(t, "the connection back", func() bool { idle, _ := p.counts(); return idle == 1 })
-	for _, end := range []balance.Outcome{balance.Unreachable, balance.Overloaded} { // on the one in reserve, then on a new one
-		if n := hop(end); n.Outcome != end || n.retryable {
-			t.Errorf("got %+v", n)
+	wiretest.Until(t, "the connection to become idle", func() bool { idle, _ := p.counts(); return idle == 1 })
+	// First on the idle connection, then on a new one.
+	for _, end := range []balance.Outcome{balance.Unreachable, balance.Overloaded} {
+		if event := attemptOnce(end); event.Outcome != end || event.retryable {
+			t.Errorf("got %+v", event)
 		}
 	}
 	wiretest.Get(t, target.Ends, "the first connection's end")
 	wiretest.Get(t, target.Ends, "the second connection's end")
 	if idle, open := p.counts(); len(target.Calls) > 0 || idle != 0 || open != 0 {
-		t.Errorf("%d requests arrived, %d connections idle, %d open", len(target.Calls), idle, open)
+		t.Errorf("got %d requests, %d idle and %d open connections, want none", len(target.Calls), idle, open)
 	}
 }
 
-// A worker's answer may come cut at any byte, inside a chunk's length too.
-func TestAnswerCutAnywhere(t *testing.T) {
+// An answer that arrives in two parts, split at any byte, also within a chunk's length, is read like one
+// that arrives in one part.
+func TestAnswerSplitAtAnyByte(t *testing.T) {
 	target := wiretest.NewTarget(t)
 	p := newPool()
-	whole := wiretest.Lines(true, started, running, done)
-	for cut := 1; cut < len(whole); cut++ {
-		news := make(chan AttemptEvent, 8)
-		p.Start(order(), target.Addr, func(n AttemptEvent) { news <- n })
-		call := wiretest.Get(t, target.Calls, "the hop")
-		call.WriteRaw(whole[:cut])
-		call.WriteRaw(whole[cut:])
-		if n := outcome(t, news); n.Outcome != balance.Served || string(n.Result) != "ok" || len(n.Report) != 2 {
-			t.Fatalf("cut at %d: %+v", cut, n)
+	answer := wiretest.Lines(true, started, running, done)
+	for cut := 1; cut < len(answer); cut++ {
+		events := make(chan AttemptEvent, 8)
+		p.Start(newAttemptRequest(), target.Addr, func(e AttemptEvent) { events <- e })
+		call := wiretest.Get(t, target.Calls, "the request")
+		call.WriteRaw(answer[:cut])
+		call.WriteRaw(answer[cut:])
+		if event := waitForOutcome(t, events); event.Outcome != balance.Served ||
+			string(event.Result) != "ok" || len(event.Report) != 2 {
+			t.Fatalf("split at %d: got %+v", cut, event)
 		}
 	}
 }
