--- a/cmd/bellstream-simadapter/golden_test.go
+++ b/cmd/bellstream-simadapter/golden_test.go
@@ -12,9 +12,9 @@
 	"example.org/bellstream/balance"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Every message of the simulator means what it always meant.
+// Each message of the simulator is translated into the same event as before.
 func TestGoldenEvents(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/events.jsonl")
 	if err != nil {
@@ -24,7 +24,8 @@
 		balance.JobArrived{ID: "t/1", Class: "c", Tenant: "north", Timeout: 5.5, Slots: 2, Memory: 3, Retry: true},
 		balance.JobArrived{ID: "t/2", Class: "c"},
 		balance.ClientDisconnected{ID: "t/3"},
-		balance.AttemptDone{ID: "t/4", Attempt: 1, Worker: "e/1", Outcome: balance.Served, JobFinished: true, Report: []float64{1, 2}},
+		balance.AttemptDone{ID: "t/4", Attempt: 1, Worker: "e/1", Outcome: balance.Served,
+			JobFinished: true, Report: []float64{1, 2}},
 		balance.AttemptDone{ID: "t/4", Outcome: balance.Failed},
 		balance.AttemptDone{ID: "t/4", Outcome: balance.Overloaded},
 		balance.AttemptDone{ID: "t/4", Outcome: balance.TimedOut},
@@ -33,7 +34,7 @@
 		balance.AttemptDone{ID: "t/4", Outcome: balance.Cancelled},
 		balance.AttemptDone{ID: "t/4", Outcome: balance.NotSent},
 		balance.AttemptStarted{ID: "t/5", Attempt: 2},
-		nil, // a heartbeat of another sort
+		nil, // a heartbeat of another kind
 		balance.HealthCheckDone{Worker: "e/2", Outcome: balance.Served, Report: []float64{3}},
 		balance.HealthCheckDone{Worker: "e/2", Outcome: balance.Unreachable},
 		balance.TimerFired{},
@@ -42,13 +43,13 @@
 		balance.EndpointUpdate{Kind: balance.EndpointsSnapshot, Workers: goldenList},
 		balance.EndpointUpdate{Kind: balance.EndpointsDelta, Workers: goldenList},
 		balance.EndpointUpdate{Kind: balance.EndpointsFailed},
-		nil, // one that is not known
-		nil, // an empty one
+		nil, // a message of an unknown kind
+		nil, // an empty message
 	}
 	h := newAdapter()
 	lines := bytes.Split(bytes.TrimSuffix(raw, []byte("\n")), []byte("\n"))
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("got %d lines, want %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		var n inbound
@@ -60,7 +61,7 @@
 		}
 		got, err := h.decodeEvent(&n)
 		if err != nil || !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%s: got %+v, %v, want %+v", line, got, err, want[i])
+			t.Errorf("message %s: got event %+v and error %v, want %+v", line, got, err, want[i])
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	{ID: "e/4"},
 }
 
-// Every decision has the form on the wire that it always had.
+// Each action is encoded in the same way as before.
 func TestGoldenDecisions(t *testing.T) {
 	var got bytes.Buffer
 	e := json.NewEncoder(&got)
@@ -92,17 +93,17 @@
 			t.Fatal(err)
 		}
 	}
-	matches(t, "decisions.jsonl", got.Bytes())
+	compareWithGolden(t, "decisions.jsonl", got.Bytes())
 }
 
-// recordedLog gives log lines the words with which they were recorded.
-var recordedLog = strings.NewReplacer(
+// recordedLogWording restores the wording that log lines had when the golden files were recorded.
+var recordedLogWording = strings.NewReplacer(
 	"checking its health until it answers", "probing it",
 	"endpoint poll failed", "roster call failed",
 	"next poll in", "asking again in",
 )
 
-// A whole conversation, with two instances and each message: the replies are the same to the last digit.
+// In a conversation with two instances and every kind of message, the replies are the same to the last digit.
 func TestGoldenConversation(t *testing.T) {
 	in, err := os.ReadFile("testdata/golden/conversation-in.jsonl")
 	if err != nil {
@@ -112,10 +113,10 @@
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	matches(t, "conversation-out.jsonl", []byte(recordedLog.Replace(out.String())))
+	compareWithGolden(t, "conversation-out.jsonl", []byte(recordedLogWording.Replace(out.String())))
 }
 
-func matches(t *testing.T, name string, got []byte) {
+func compareWithGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := "testdata/golden/" + name
 	if *update {
