--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -32,7 +32,7 @@
 func (r *Request) MarkDisconnected() { r.disconnected.Store(true) }
 
 // Disconnected reports whether MarkDisconnected was called. From then on the request must not be sent to a
-// worker, even if the handler has not processed Leave yet. It may be called from any goroutine.
+// worker, even if the handler has not processed ClientDisconnected yet. It may be called from any goroutine.
 func (r *Request) Disconnected() bool { return r.disconnected.Load() }
 
 // Class holds the settings of a request class that this package uses.
--- a/internal/downstream/serve.go
+++ b/internal/downstream/serve.go
@@ -112,7 +112,7 @@
 	go func() {
 		err := c.watchClient()
 		if !isTimeout(err) {
-			job.MarkDisconnected() // here, because the handler may take a while to process Leave
+			job.MarkDisconnected() // here, because the handler may take a while to process ClientDisconnected
 		}
 		clientGone <- err
 	}()
