--- a/internal/lab/experiments/agreed.go
+++ b/internal/lab/experiments/agreed.go
@@ -83,7 +83,7 @@
 // unanswered are the jobs without one final answer, though their instance ran all the while.
 func (c *Processes) unanswered() (list []string) {
 	for _, x := range c.History(invariants.Limits{}, nil).Requests {
-		if len(x.Answers) != 1 && x.DisconnectedAt == 0 && !x.Never {
+		if len(x.Answers) != 1 && x.DisconnectedAt == 0 && !x.NeverAccepted {
 			list = append(list, fmt.Sprintf("job %s, asked of n%s at %.3f s, got %d answers", x.ID, x.Dispatcher, x.SentAt, len(x.Answers)))
 		}
 	}
--- a/internal/lab/experiments/rebalance.go
+++ b/internal/lab/experiments/rebalance.go
@@ -251,7 +251,7 @@
 	for _, x := range append(v.ShardConflicts, v.Exclusive...)[:min(len(v.ShardConflicts)+len(v.Exclusive), 5)] {
 		p.Log("%v", x)
 	}
-	h := c.History(invariants.Limits{Grace: 0.016, Sockets: 0.75}, []invariants.Class{{Name: "job", Repeat: "safe"}, {Name: "once", Repeat: "unsafe"}})
+	h := c.History(invariants.Limits{Grace: 0.016, NetworkSlack: 0.75}, []invariants.Class{{Name: "job", Repeat: "safe"}, {Name: "once", Repeat: "unsafe"}})
 	lost := 0
 	for _, f := range h.Check() {
 		if f.Rule == 1 {
--- a/internal/lab/experiments/silent.go
+++ b/internal/lab/experiments/silent.go
@@ -121,7 +121,7 @@
 
 // audited is an answer as the audit takes it.
 func (a Answer) audited(clock func(time.Time) float64) invariants.Request {
-	r := invariants.Request{ID: a.ID, Class: a.Class, Dispatcher: fmt.Sprint(a.Entry), SentAt: clock(a.At), ClientTimeout: a.Patience.Seconds(), Never: a.Never}
+	r := invariants.Request{ID: a.ID, Class: a.Class, Dispatcher: fmt.Sprint(a.Entry), SentAt: clock(a.At), ClientTimeout: a.Patience.Seconds(), NeverAccepted: a.Never}
 	if a.Status > 0 {
 		r.Answers = []invariants.Answer{{At: clock(a.At.Add(a.Took)), Status: a.Status, Body: a.Body}}
 	}
--- a/internal/lab/invariants/check.go
+++ b/internal/lab/invariants/check.go
@@ -50,7 +50,7 @@
 func newChecker(h *History) *checker {
 	c := &checker{
 		h:        h,
-		slack:    h.Limits.Sockets,
+		slack:    h.Limits.NetworkSlack,
 		classes:  map[string]Class{},
 		workers:  map[string]Worker{},
 		attempts: map[string][]*Attempt{},
@@ -145,7 +145,7 @@
 func (c *requestChecker) checkAnswerCount(deadline float64) {
 	r := c.request
 	switch {
-	case r.Never:
+	case r.NeverAccepted:
 	case len(r.Answers) == 0 && r.DisconnectedAt == 0:
 		c.report(ruleNoLoss, deadline, "got no answer")
 	case len(r.Answers) > 1:
--- a/internal/lab/invariants/history.go
+++ b/internal/lab/invariants/history.go
@@ -17,7 +17,7 @@
 	ClientTimeout  float64 // seconds from SentAt
 	DisconnectedAt float64 // when the client closed its connection; 0: it did not
 	Answers        []Answer
-	Never          bool // the connection was never accepted
+	NeverAccepted  bool // the connection was never accepted
 }
 
 // Answer is a complete final answer.
@@ -90,12 +90,12 @@
 type Limits struct {
 	Grace            float64 // of an answer after the client's timeout
 	DrainGrace       float64
-	FallMultiple     float64 // 0: slow start is not checked
-	FallSpan         float64
+	OverloadMultiple float64 // 0: slow start is not checked
+	OverloadSpan     float64
 	SlowStartFloor   float64
 	SlowStartSeconds float64
 	Parallel         bool    // two attempts of an idempotent request may be in flight
-	Sockets          float64 // added to each limit for the network; 0 means defaultSlackSeconds
+	NetworkSlack     float64 // added to each limit for the network; 0 means defaultSlackSeconds
 }
 
 // History is everything that was recorded.
--- a/internal/lab/invariants/history_test.go
+++ b/internal/lab/invariants/history_test.go
@@ -13,7 +13,7 @@
 // of all classes, attempts that end in every way, a drain and a cold start.
 func sound(seed uint64) *History {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	h := &History{Limits: Limits{Grace: 0.016, DrainGrace: 2, FallMultiple: 3, FallSpan: 3, SlowStartFloor: 0.3, SlowStartSeconds: 8},
+	h := &History{Limits: Limits{Grace: 0.016, DrainGrace: 2, OverloadMultiple: 3, OverloadSpan: 3, SlowStartFloor: 0.3, SlowStartSeconds: 8},
 		Classes: []Class{{"safe", "safe", "", 0}, {"unsafe", "unsafe", "", 0}, {"all", "keyed", "all", 5}, {"zone", "keyed", "zone", 5}, {"cell", "keyed", "cell", 5}}}
 	for i := range 8 {
 		h.Workers = append(h.Workers, Worker{Name: fmt.Sprint("w", i), Zone: fmt.Sprint("z", i/4), Cell: i / 2, Slots: 4})
@@ -245,7 +245,7 @@
 	h := sound(1)
 	h.Requests = append(h.Requests,
 		Request{ID: "left", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 4, DisconnectedAt: 1.5},
-		Request{ID: "never", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 4, Never: true},
+		Request{ID: "never", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 4, NeverAccepted: true},
 		Request{ID: "late", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 1, Answers: []Answer{{2.06, 504, ""}}},
 		Request{ID: "drain", Class: "unsafe", Dispatcher: "d0", SentAt: 4, ClientTimeout: 3, Answers: []Answer{{6, 503, ""}}})
 	h.Attempts = append(h.Attempts, Attempt{ID: "drain", Worker: "w6", Dispatcher: "d0", First: 5.04, Last: 5.05, End: 5.1, Unstarted: true})
--- a/internal/lab/invariants/workers.go
+++ b/internal/lab/invariants/workers.go
@@ -63,7 +63,7 @@
 // come from dispatchers that were notified of the start.
 func (c *checker) checkSlowStart() {
 	limits := &c.h.Limits
-	if limits.FallMultiple == 0 || limits.FallSpan == 0 {
+	if limits.OverloadMultiple == 0 || limits.OverloadSpan == 0 {
 		return
 	}
 	byWorker := map[string][]*Attempt{}
@@ -96,7 +96,7 @@
 	return notified
 }
 
-// window is the work that a worker got within FallSpan.
+// window is the work that a worker got within OverloadSpan.
 type window struct {
 	notifiedAt map[string]float64 // by dispatcher
 	total      float64
@@ -132,19 +132,19 @@
 			continue
 		}
 		sum.add(a)
-		for ; attempts[oldest].First < max(w.Started, a.First-limits.FallSpan); oldest++ {
+		for ; attempts[oldest].First < max(w.Started, a.First-limits.OverloadSpan); oldest++ {
 			if attempts[oldest].First >= w.Started {
 				sum.remove(attempts[oldest])
 			}
 		}
-		budget := limits.FallMultiple * w.Slots * c.capacity(age) * limits.FallSpan
+		budget := limits.OverloadMultiple * w.Slots * c.capacity(age) * limits.OverloadSpan
 		if sum.total > slowStartTolerance*budget && sum.informed >= sum.total*2/3 {
 			c.violations = append(c.violations, Violation{
 				Rule: ruleSlowStart,
 				At:   a.First,
 				ID:   a.ID,
 				Who:  w.Name,
-				Text: fmt.Sprintf(overloadFormat, sum.total, limits.FallSpan, age, budget),
+				Text: fmt.Sprintf(overloadFormat, sum.total, limits.OverloadSpan, age, budget),
 			})
 			return
 		}
--- a/internal/lab/simulation/fleet_faults.go
+++ b/internal/lab/simulation/fleet_faults.go
@@ -234,11 +234,11 @@
 		Limits: invariants.Limits{
 			Grace:            f.Tick,
 			DrainGrace:       f.DrainGrace,
-			FallMultiple:     f.Cold.OverloadMultiple,
-			FallSpan:         f.Cold.OverloadSpan,
+			OverloadMultiple: f.Cold.OverloadMultiple,
+			OverloadSpan:     f.Cold.OverloadSpan,
 			SlowStartFloor:   f.Cold.Floor,
 			SlowStartSeconds: f.Cold.WarmAfter,
-			Sockets:          2 * f.Tick,
+			NetworkSlack:     2 * f.Tick,
 		},
 		Classes: []invariants.Class{
 			{Name: "job", Repeat: "safe"},
--- a/internal/service/life_client_test.go
+++ b/internal/service/life_client_test.go
@@ -60,8 +60,8 @@
 				c.p.fail("%v", err)
 			}
 			for _, a := range c.queue {
-				a.Never = !a.received && (c.closing || c.p.mayCloseConnections)
-				if !a.Never {
+				a.NeverAccepted = !a.received && (c.closing || c.p.mayCloseConnections)
+				if !a.NeverAccepted {
 					c.p.fail("request %s (taken: %v) saw its connection end unanswered: %v", a.ID, a.received, err)
 				}
 			}
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: patience}}
 	p.requests, p.requestsByID[a.ID] = append(p.requests, a), a
-	a.Never, a.firstByteAt = true, p.now() // until all of it is written
+	a.NeverAccepted, a.firstByteAt = true, p.now() // until all of it is written
 	p.mu.Unlock()
 	raw := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nTenant: acme\r\nRequest-Timeout: %.3f\r\nContent-Length: 4\r\n\r\nbody",
 		class, a.ID, a.ID, patience)
@@ -120,8 +120,8 @@
 	p.mu.Lock()
 	a, rest := c.partial, c.unwritten
 	c.partial, c.unwritten = nil, ""
-	a.SentAt, a.Never = p.now(), c.ended || p.loopEnded
-	if !a.Never {
+	a.SentAt, a.NeverAccepted = p.now(), c.ended || p.loopEnded
+	if !a.NeverAccepted {
 		c.queue = append(c.queue, a)
 	}
 	p.mu.Unlock()
--- a/internal/service/life_run_test.go
+++ b/internal/service/life_run_test.go
@@ -173,7 +173,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.requests {
-		if len(a.Answers) == 0 && a.DisconnectedAt == 0 && !a.Never && !p.loopEnded {
+		if len(a.Answers) == 0 && a.DisconnectedAt == 0 && !a.NeverAccepted && !p.loopEnded {
 			return false
 		}
 	}
@@ -209,7 +209,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	slack := disconnectDelay + stalled.since(p.started)
-	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 0.1, Sockets: slack}, Classes: scenarioClasses, EndpointChanges: p.notifications}
+	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 0.1, NetworkSlack: slack}, Classes: scenarioClasses, EndpointChanges: p.notifications}
 	for n, w := range p.workers {
 		h.Workers = append(h.Workers, invariants.Worker{Name: w.name, Zone: string("zy"[n%2]), Cell: 1, Slots: 1})
 	}
@@ -227,7 +227,7 @@
 		}
 	}
 	all := h.Check()
-	h.Limits.Sockets = 1e6
+	h.Limits.NetworkSlack = 1e6
 	for _, f := range h.Check() { // whatever the clock says
 		p.violations = append(p.violations, f.String()+p.describe(f.ID))
 		all = slices.DeleteFunc(all, func(g invariants.Violation) bool { return g == f })
--- a/internal/service/life_test.go
+++ b/internal/service/life_test.go
@@ -252,7 +252,7 @@
 	s.served += p.served
 	for _, a := range p.requests {
 		switch {
-		case a.Never:
+		case a.NeverAccepted:
 			s.ends["never"]++
 		case len(a.Answers) > 0:
 			s.ends[fmt.Sprint(a.Answers[0].Status)]++
