--- a/internal/lab/emulator/worker_test.go
+++ b/internal/lab/emulator/worker_test.go
@@ -266,7 +266,7 @@
 
 // Found at random: the first in the queue waited for memory that suspended jobs
 // held, and they for it to pass: nothing ever ran again.
-func TestSuspendedJobsDoNotHoldMemoryForEver(t *testing.T) {
+func TestSuspendedJobsDoNotBlockMemory(t *testing.T) {
 	w := New(Settings{Slots: 4, MaxQueue: 5, Speed: 1, Preempts: true, Memory: 3}, nil)
 	w.Submit(0, Job{ID: "low", Slots: 4, Memory: 2, Work: 1, Priority: 0})
 	w.Advance(0)
--- a/internal/lab/fault/config.go
+++ b/internal/lab/fault/config.go
@@ -26,11 +26,11 @@
 	Network string `hcl:"network,optional" json:"network"` // tcp or udp
 }
 
-// Config is the content of the proxy's file.
+// Config is the content of the proxy's configuration file.
 type Config struct {
 	Seed      uint64
-	Admin     string // address for commands; empty: none
-	Log       string // path; empty: standard error
+	Admin     string // address of the admin API; empty: it is not served
+	Log       string // path of the log file; empty: standard error
 	Endpoints []Endpoint
 	Rules     []Rule
 }
@@ -44,7 +44,7 @@
 	Faults    []*ruleBody `hcl:"fault,block"`
 }
 
-// ruleBody is a rule as HCL and as the JSON of a command.
+// ruleBody is a rule as it is encoded in HCL and in the JSON of a command.
 type ruleBody struct {
 	Kind      string   `hcl:"kind,label" json:"kind"`
 	Endpoints []string `hcl:"doors,optional" json:"doors"`
@@ -91,14 +91,15 @@
 		}
 		parsed, err := time.ParseDuration(duration.text)
 		if err != nil || parsed < 0 {
-			return rule, ruleErrorf(duration.key, "%q is no duration such as \"1.5s\"", duration.text)
+			return rule, ruleErrorf(duration.key, "%q is not a duration such as \"1.5s\"", duration.text)
 		}
 		*duration.seconds = parsed.Seconds()
 	}
 	return rule, nil
 }
 
-// Parse parses the proxy's file. Its errors name the file, the line and the key.
+// Parse parses the proxy's configuration file. It returns all errors that it
+// finds, each with the file, the line and the key.
 func Parse(name string, raw []byte) (*Config, error) {
 	var body configBody
 	text, err := hclfile.Decode(name, raw, &body)
@@ -149,7 +150,7 @@
 
 func (p *configParser) checkEndpoints() {
 	if len(p.config.Endpoints) == 0 {
-		p.fail("", 0, "door", errors.New("there is none"))
+		p.fail("", 0, "door", errors.New("at least one is required"))
 	}
 	for i := range p.config.Endpoints {
 		p.checkEndpoint(i, &p.config.Endpoints[i])
@@ -164,7 +165,7 @@
 		p.fail("door", i, "network", fmt.Errorf("%q is none of tcp, udp", e.Network))
 	}
 	if p.networks[e.Name] != "" {
-		p.fail("door", i, "name", fmt.Errorf("%q is there twice", e.Name))
+		p.fail("door", i, "name", fmt.Errorf("%q is defined twice", e.Name))
 	}
 	p.networks[e.Name] = e.Network
 	if _, _, err := net.SplitHostPort(e.Listen); err != nil {
@@ -188,8 +189,8 @@
 	}
 }
 
-// ParseCommand parses a rule from JSON, with the keys of the file and the kind
-// as one more key.
+// ParseCommand parses a rule from JSON and validates it for the endpoints. The keys
+// are those of a fault block in the file, and kind.
 func ParseCommand(raw []byte, endpoints []Endpoint) (Rule, error) {
 	var body ruleBody
 	decoder := json.NewDecoder(bytes.NewReader(raw))
--- a/internal/lab/fault/golden_test.go
+++ b/internal/lab/fault/golden_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-var everyRule = []Rule{
+var rulesOfAllKinds = []Rule{
 	{Kind: Delay, Endpoints: []string{"worker-1", "gossip"}, Side: Request, At: 1, Duration: 2, Fraction: 0.25, Delay: 0.05, Jitter: 0.02},
 	{Kind: Rate, Endpoints: []string{"worker-1"}, Side: Both, Rate: 1000},
 	{Kind: Loss, Endpoints: []string{"gossip"}, Loss: 0.1},
@@ -24,25 +24,25 @@
 	{Kind: Refuse, Endpoints: []string{"worker-1"}},
 }
 
-var twoDoors = []Endpoint{
+var testEndpoints = []Endpoint{
 	{Name: "worker-1", Listen: "127.0.0.1:9101", Target: "127.0.0.1:8101", Network: "tcp"},
 	{Name: "gossip", Listen: "127.0.0.1:9102", Target: "127.0.0.1:8102", Network: "udp"},
 }
 
-// Files are read as they always were, key by key.
+// The format of configuration files stays: each key sets the same field as before.
 func TestGoldenFiles(t *testing.T) {
 	for path, want := range map[string]Config{
 		"testdata/golden/every.hcl": {
 			Seed:      7,
 			Admin:     "127.0.0.1:9901",
 			Log:       "/var/log/fault.jsonl",
-			Endpoints: twoDoors,
-			Rules:     everyRule,
+			Endpoints: testEndpoints,
+			Rules:     rulesOfAllKinds,
 		},
 		"../../../deploy/fault.hcl": {
 			Seed:      7,
 			Admin:     "127.0.0.1:9901",
-			Endpoints: twoDoors,
+			Endpoints: testEndpoints,
 			Rules: []Rule{
 				{Kind: Silence, Endpoints: []string{"worker-1"}, Side: Answer, At: 5, Duration: 20},
 				{Kind: Garble, Endpoints: []string{"worker-1"}, Side: Answer, At: 30, Duration: 10, After: Data, Nth: 2},
@@ -59,18 +59,18 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s: %+v, want %+v", path, *got, want)
+			t.Errorf("%s: got %+v, want %+v", path, *got, want)
 		}
 	}
 }
 
-// A command has the keys of the file.
+// The keys of a command stay those of a fault block in the file.
 func TestGoldenCommand(t *testing.T) {
 	raw, err := os.ReadFile("testdata/golden/command.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ParseCommand(raw, twoDoors)
+	got, err := ParseCommand(raw, testEndpoints)
 	want := Rule{
 		Kind:      Cut,
 		Endpoints: []string{"worker-1"},
@@ -87,15 +87,15 @@
 		Text:      "HTTP",
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
-	got, err = ParseCommand([]byte(`{"kind":"reset","byte":9}`), twoDoors[:1])
+	got, err = ParseCommand([]byte(`{"kind":"reset","byte":9}`), testEndpoints[:1])
 	if want := (Rule{Kind: Reset, Byte: 9}); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// What the listener for commands answers, GET /doors and GET /faults.
+// The JSON that the admin API sends for GET /doors and GET /faults stays.
 func TestGoldenJSON(t *testing.T) {
 	every := Rule{
 		ID:        1,
@@ -114,12 +114,13 @@
 		Nth:       10,
 		Text:      "HTTP",
 	}
-	golden(t, "faults.json", []Rule{every, {}})
-	golden(t, "doors.json", []Endpoint{twoDoors[1], {}})
+	checkGolden(t, "faults.json", []Rule{every, {}})
+	checkGolden(t, "doors.json", []Endpoint{testEndpoints[1], {}})
 }
 
-// golden checks that a value encodes to a file's bytes, and decodes from them.
-func golden[T any](t *testing.T, name string, want T) {
+// checkGolden checks that a value encodes to the bytes of a golden file and that these
+// bytes decode to the value.
+func checkGolden[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	path := "testdata/golden/" + name
 	var b bytes.Buffer
@@ -138,10 +139,10 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, b.Bytes()) {
-		t.Errorf("%s: encoded\n%s, want\n%s", name, b.Bytes(), raw)
+		t.Errorf("%s: got encoding\n%s, want\n%s", name, b.Bytes(), raw)
 	}
 	var got T
 	if err := json.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: decoded %+v, %v, want %+v", name, got, err, want)
+		t.Errorf("%s: got decoded value %+v, error %v, want %+v", name, got, err, want)
 	}
 }
--- a/internal/lab/fault/plan.go
+++ b/internal/lab/fault/plan.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minDurationSeconds keeps a removed rule from having the duration 0, which
-// means no end.
+// minDurationSeconds is the shortest duration of a removed rule, as a duration of
+// 0 means that the rule has no end.
 const minDurationSeconds = 1e-9
 
 // Plan is the set of rules. It is not safe for concurrent use.
@@ -27,13 +27,13 @@
 	return r.ID
 }
 
-// Remove ends a rule now and reports whether it was there.
+// Remove ends a rule at the time now and reports whether the rule existed.
 func (p *Plan) Remove(now float64, id int) bool {
 	i := slices.IndexFunc(p.rules, func(r *Rule) bool { return r.ID == id })
 	if i < 0 {
 		return false
 	}
-	rule := p.rules[i] // streams may hold this pointer and have to see the end
+	rule := p.rules[i] // streams may hold this pointer and must observe the end
 	rule.Duration = max(now-rule.At, minDurationSeconds)
 	p.rules = slices.Delete(p.rules, i, i+1)
 	return true
@@ -60,7 +60,8 @@
 	return rules
 }
 
-// NextChange returns the time at which a rule begins or ends next; infinity: none.
+// NextChange returns the next time at which a rule begins or ends, or infinity if
+// there is none.
 func (p *Plan) NextChange(now float64) float64 {
 	next := math.Inf(1)
 	for _, r := range p.rules {
@@ -73,12 +74,14 @@
 	return next
 }
 
-// Selects reports whether a rule applies to an endpoint's nth connection.
+// Selects reports whether a rule's Fraction includes the connection with number
+// conn of an endpoint.
 func (p *Plan) Selects(r *Rule, endpoint string, conn uint64) bool {
 	return r.Fraction == 0 || unitHash(p.Seed, endpoint, "part", uint64(r.ID), conn) < r.Fraction
 }
 
-// Datagram returns the delay of a side's nth datagram and whether it is lost.
+// Datagram returns the delay in seconds of the nth datagram on a side, and whether
+// the datagram is lost.
 func (p *Plan) Datagram(now float64, endpoint string, side Side, n uint64) (delay float64, lost bool) {
 	for _, r := range p.ActiveAt(now, endpoint) {
 		if !r.appliesToSide(side) {
@@ -95,8 +98,8 @@
 	return delay, lost
 }
 
-// unitHash returns a uniform number from 0 to below 1 that depends only on its
-// arguments.
+// unitHash returns a uniformly distributed number from 0 to below 1 that depends
+// only on its arguments.
 func unitHash(seed uint64, endpoint string, side Side, nums ...uint64) float64 {
 	h := xxhash.NewWithSeed(seed)
 	fmt.Fprintf(h, "%s\x00%s\x00%d", endpoint, side, nums)
--- a/internal/lab/fault/scanner.go
+++ b/internal/lab/fault/scanner.go
@@ -19,15 +19,15 @@
 	unparsable
 )
 
-// maxLineBytes bounds a line of a head.
+// maxLineBytes bounds a line, which the scanner buffers.
 const maxLineBytes = 16 << 10
 
 // scanner parses one direction of an HTTP/1.1 connection and counts the points
-// that have passed. After a syntax error it counts no more.
+// that it has reached. After a syntax error it stops counting.
 type scanner struct {
 	state      scanState
 	line       []byte
-	remaining  int64 // bytes of the body or of the chunk's data
+	remaining  int64 // bytes left of the body or of the chunk's data
 	chunked    bool
 	heads      int
 	messages   int
@@ -35,7 +35,7 @@
 	chunksData int
 }
 
-// step takes in one byte.
+// step processes one byte.
 func (s *scanner) step(b byte) {
 	switch s.state {
 	case unparsable:
@@ -54,7 +54,7 @@
 	}
 }
 
-// stepLine takes in one byte of a line.
+// stepLine processes one byte of a line.
 func (s *scanner) stepLine(b byte) {
 	s.line = append(s.line, b)
 	if b == '\n' {
@@ -67,7 +67,7 @@
 	}
 }
 
-// endLine takes in a complete line.
+// endLine processes a complete line.
 func (s *scanner) endLine(line []byte) {
 	switch s.state {
 	case inHead:
@@ -87,7 +87,7 @@
 	}
 }
 
-// header takes in a line of a message's head.
+// header processes a line of a message's head.
 func (s *scanner) header(line []byte) {
 	name, value, _ := strings.Cut(string(line), ":")
 	value = strings.TrimSpace(value)
@@ -116,7 +116,7 @@
 	}
 }
 
-// chunkSize takes in the line with a chunk's size.
+// chunkSize processes the line with a chunk's size.
 func (s *scanner) chunkSize(line []byte) {
 	text, _, _ := strings.Cut(string(line), ";")
 	size, err := strconv.ParseInt(strings.TrimSpace(text), 16, 64)
@@ -132,7 +132,7 @@
 	}
 }
 
-// beginChunk expects the size of the next chunk.
+// beginChunk makes the scanner expect the size of the next chunk.
 func (s *scanner) beginChunk() {
 	s.state = inChunkSize
 	s.chunks++
@@ -145,8 +145,8 @@
 	s.messages++
 }
 
-// passed returns how many points of a kind have been reached.
-func (s *scanner) passed(point string) int {
+// reached returns how many points of a kind have been reached.
+func (s *scanner) reached(point string) int {
 	switch point {
 	case Head:
 		return s.heads
--- a/internal/lab/fault/stream.go
+++ b/internal/lab/fault/stream.go
@@ -3,25 +3,26 @@
 // OpKind is the kind of an Op.
 type OpKind int
 
-// The kinds of operations. After Close or Abort neither side has further ones.
+// The kinds of operations. After Close or Abort neither direction of the
+// connection has further operations.
 const (
 	Write      OpKind = iota
-	CloseWrite        // the direction ends
+	CloseWrite        // no more data follow in this direction
 	Close             // both sides are closed
-	Abort             // both sides are reset
+	Abort             // both sides are closed by a TCP reset
 )
 
 // Op is an operation on the receiving end of a stream. Operations are applied in
 // order.
 type Op struct {
 	Kind OpKind
-	At   float64 // earliest time
+	At   float64 // earliest time, in seconds from the plan's start
 	Data []byte  // of a Write
 	Hold *Rule   // the operation also waits for the end of this rule; nil: none
 	Rule int     // ID of the rule that caused the operation; 0: none
 }
 
-// Stream is one direction of a connection.
+// Stream is one direction of a connection. It is not safe for concurrent use.
 type Stream struct {
 	plan     *Plan
 	endpoint string
@@ -34,13 +35,14 @@
 	texts      map[int]*textSearch // by rule ID
 	applied    map[int]bool        // by rule ID
 	hold       *Rule
-	rateFreeAt float64 // when all data under a bounded rate have gone
+	rateFreeAt float64 // when the data accepted so far have been sent at the bounded rate
 	lastAt     float64
 	closed     bool
 	pending    []Op
 }
 
-// NewStream returns one direction of an endpoint's nth connection.
+// NewStream returns one direction of the connection with number conn of an
+// endpoint.
 func NewStream(p *Plan, endpoint string, side Side, conn uint64) *Stream {
 	return &Stream{
 		plan:     p,
@@ -62,8 +64,9 @@
 	return rules
 }
 
-// Feed returns the operations for data that were received. It may change data.
-func (s *Stream) Feed(now float64, data []byte) []Op {
+// Process returns the operations for data that were received. It may change the
+// data in place.
+func (s *Stream) Process(now float64, data []byte) []Op {
 	rules := s.activeRules(now)
 	s.applyDue(now, rules)
 	s.chunkCount++
@@ -83,14 +86,15 @@
 	return s.drainPending()
 }
 
-// Begin returns the operations of rules that apply at once, when a connection
-// is opened or a rule begins.
+// Begin returns the operations of the rules whose point has already been reached.
+// It is called when the connection is opened and when a rule begins.
 func (s *Stream) Begin(now float64) []Op {
 	s.applyDue(now, s.activeRules(now))
 	return s.drainPending()
 }
 
-// End returns the operations for the end of the received data.
+// End returns the operations for the end of the received data. There are none
+// after a rule has ended the stream.
 func (s *Stream) End(now float64) []Op {
 	if !s.closed {
 		s.closed = true
@@ -109,7 +113,7 @@
 	delay   float64
 	rules   []*Rule
 	data    []byte
-	flushed int // bytes that have become operations
+	flushed int // number of bytes for which operations exist
 }
 
 // delay returns the delay of the current chunk.
@@ -124,11 +128,11 @@
 	return delay
 }
 
-// flush appends a write of the chunk's bytes up to an index.
+// flush appends a write of the chunk's remaining bytes up to an index.
 func (s *Stream) flush(c *chunk, end int) {
 	if end > c.flushed && !s.closed {
 		at := s.rateLimit(c, end-c.flushed)
-		s.lastAt = max(s.lastAt, at+c.delay) // keeps the order
+		s.lastAt = max(s.lastAt, at+c.delay) // operations must stay in order
 		s.pending = append(s.pending, Op{
 			Kind: Write,
 			At:   s.lastAt,
@@ -139,7 +143,8 @@
 	c.flushed = end
 }
 
-// rateLimit returns the time at which the rate rules let a number of bytes pass.
+// rateLimit returns the time at which the rate rules allow a number of bytes to be
+// sent.
 func (s *Stream) rateLimit(c *chunk, size int) float64 {
 	at := c.now
 	for _, r := range c.rules {
@@ -151,18 +156,18 @@
 	return at
 }
 
-// garble changes byte i if a rule is due for it.
+// garble changes byte i for each Garble rule that is due.
 func (s *Stream) garble(c *chunk, i int) {
 	for _, r := range c.rules {
 		if r.Kind == Garble && s.due(r) {
-			// From 1 to 254, so that the byte differs.
+			// The mask is from 1 to 254, so that the byte differs.
 			c.data[i] ^= byte(1 + 254*unitHash(s.plan.Seed, s.endpoint, s.side, uint64(r.ID), s.conn))
 			s.applied[r.ID] = true
 		}
 	}
 }
 
-// applyAfterByte applies the rules that are due once byte i has passed.
+// applyAfterByte applies the rules that become due after byte i.
 func (s *Stream) applyAfterByte(c *chunk, i int) {
 	for _, r := range c.rules {
 		if r.After == Text && !s.applied[r.ID] {
@@ -202,8 +207,8 @@
 	}
 }
 
-// due reports whether the stream has reached the point of a rule that has not
-// been applied to it.
+// due reports whether the stream has reached the point of a rule that has not yet
+// been applied to the stream.
 func (s *Stream) due(r *Rule) bool {
 	if s.applied[r.ID] || s.closed {
 		return false
@@ -216,11 +221,11 @@
 		search := s.texts[r.ID]
 		return search != nil && search.found >= nth
 	}
-	return s.scan.passed(r.After) >= nth
+	return s.scan.reached(r.After) >= nth
 }
 
-// apply applies a rule to the stream: a silence holds what follows, the other
-// kinds end the stream.
+// apply applies a rule to the stream: Silence holds the operations that follow,
+// the other kinds end the stream.
 func (s *Stream) apply(now float64, r *Rule) {
 	s.applied[r.ID] = true
 	if r.Kind == Silence {
--- a/internal/lab/fault/textsearch.go
+++ b/internal/lab/fault/textsearch.go
@@ -4,9 +4,9 @@
 // Knuth, Morris and Pratt.
 type textSearch struct {
 	text    string
-	failure []int // by length of a matched prefix less 1: its longest border
-	matched int
-	found   int
+	failure []int // by length of a matched prefix minus 1: the length of its longest border
+	matched int   // length of the prefix that matches the last bytes
+	found   int   // complete occurrences, which may overlap
 }
 
 func newTextSearch(text string) *textSearch {
@@ -24,7 +24,7 @@
 	return s
 }
 
-// step takes in one byte.
+// step processes one byte.
 func (s *textSearch) step(b byte) {
 	for s.matched > 0 && b != s.text[s.matched] {
 		s.matched = s.failure[s.matched-1]
--- a/internal/lab/fault/validate.go
+++ b/internal/lab/fault/validate.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Upper bounds of a rule's numbers.
+// Upper bounds of the numbers of a rule; the lower bound is 0.
 const (
 	maxSeconds  = 1e9
-	maxRate     = 1e12 // bytes a second
+	maxRate     = 1e12 // bytes per second
 	maxByte     = 1e12
 	maxNth      = 1e9
 	maxFraction = 1
@@ -27,8 +27,8 @@
 	return &RuleError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a RuleError if the rule is invalid for endpoints with these
-// networks, by name.
+// Validate returns a *RuleError if the rule is invalid. Networks holds the
+// network, tcp or udp, of each endpoint by the endpoint's name.
 func (r *Rule) Validate(networks map[string]string) error {
 	if !slices.Contains(Kinds, r.Kind) {
 		return ruleErrorf("kind", "%q is none of %v", r.Kind, Kinds)
@@ -48,8 +48,8 @@
 	return r.validatePoint()
 }
 
-// validateEndpoints checks that the endpoints exist and carry what the fault
-// applies to.
+// validateEndpoints checks that the endpoints exist and that the fault can be
+// applied to their networks.
 func (r *Rule) validateEndpoints(networks map[string]string) error {
 	for _, name := range r.Endpoints {
 		if networks[name] == "" {
@@ -62,10 +62,10 @@
 		}
 		datagrams := networks[name] == networkUDP
 		if datagrams && r.Kind != Loss && r.Kind != Delay {
-			return ruleErrorf("doors", "%s can't strike door %q: it passes datagrams", r.Kind, name)
+			return ruleErrorf("doors", "%s can't be applied to door %q: it forwards datagrams", r.Kind, name)
 		}
 		if !datagrams && r.Kind == Loss {
-			return ruleErrorf("doors", "loss can't strike door %q: a stream would repair it", name)
+			return ruleErrorf("doors", "loss can't be applied to door %q: TCP would retransmit lost data", name)
 		}
 	}
 	return nil
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// validateRequired checks the values that a kind needs.
+// validateRequired checks that the values that a kind requires are set.
 func (r *Rule) validateRequired() error {
 	switch {
 	case r.Kind == Delay && r.Delay+r.Jitter == 0:
@@ -107,19 +107,19 @@
 	return nil
 }
 
-// validatePoint checks the values that say where in a stream the fault applies.
+// validatePoint checks the values that set where in a stream the fault applies.
 func (r *Rule) validatePoint() error {
 	switch {
 	case r.After != "" && !slices.Contains(points, r.After):
 		return ruleErrorf("after", "%q is none of %v", r.After, points)
 	case r.After != "" && r.Byte > 0:
-		return ruleErrorf("byte", "stands beside after: one of them")
+		return ruleErrorf("byte", "can't be combined with after")
 	case (r.After == Text) != (r.Text != ""):
-		return ruleErrorf("text", "goes with after = \"text\", and only there")
+		return ruleErrorf("text", "is required with after = \"text\" and allowed only with it")
 	case r.Nth > 0 && r.After == "":
-		return ruleErrorf("nth", "goes with after")
+		return ruleErrorf("nth", "is allowed only with after")
 	case (r.After != "" || r.Byte > 0) && !r.appliesOnce():
-		return ruleErrorf("after", "%s has no point in the stream", r.Kind)
+		return ruleErrorf("after", "%s does not apply at a point in the stream", r.Kind)
 	}
 	return nil
 }
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -67,7 +67,7 @@
 	p := e.proxy
 	defer p.goroutines.Done()
 	if r := p.activeRule(fault.Mute, e.Name, number); r != nil {
-		e.mute(client, number, r)
+		e.holdUnserved(client, number, r)
 		return
 	}
 	target, err := net.DialTimeout("tcp", e.Target, dialTimeout)
@@ -87,8 +87,8 @@
 	p.record(Entry{Event: eventConnClosed, Endpoint: e.Name, Conn: number})
 }
 
-// mute holds a connection unserved until the rule ends, and resets it.
-func (e *endpoint) mute(client *net.TCPConn, number uint64, r *fault.Rule) {
+// holdUnserved holds a connection unserved until the rule ends, and resets it.
+func (e *endpoint) holdUnserved(client *net.TCPConn, number uint64, r *fault.Rule) {
 	e.proxy.record(Entry{
 		Event:    eventRuleApplied,
 		Rule:     r.ID,
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo sends back what it gets until the other side has ended its sending.
-func echo(t *testing.T) string {
+// startEchoServer sends back what it gets until the other side has ended its sending.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return n
 }
 
-func start(t *testing.T, target string, rules ...fault.Rule) (*Proxy, *logRecorder) {
+func startProxy(t *testing.T, target string, rules ...fault.Rule) (*Proxy, *logRecorder) {
 	t.Helper()
 	h := &logRecorder{}
 	p, err := Start(Options{Seed: 1, Endpoints: []fault.Endpoint{{Name: "d", Listen: "127.0.0.1:0", Target: target, Network: "tcp"}}, Rules: rules, Log: h.add})
@@ -81,9 +81,9 @@
 	return c.(*net.TCPConn)
 }
 
-// broken is how a connection ends that is reset as it comes: while it is still
+// dialAndReadAll is how a connection ends that is reset as it comes: while it is still
 // being made, or as soon as it is.
-func broken(t *testing.T, p *Proxy) error {
+func dialAndReadAll(t *testing.T, p *Proxy) error {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr("d"))
 	if err != nil {
@@ -115,8 +115,8 @@
 }
 
 // What passes is unchanged, in both directions and to the end, when nothing is asked for.
-func TestPasses(t *testing.T) {
-	p, h := start(t, echo(t))
+func TestForwardsDataUnchanged(t *testing.T) {
+	p, h := startProxy(t, startEchoServer(t))
 	c := dial(t, p)
 	text := strings.Repeat("0123456789", 300_000) // more than is held for one side
 	var all sync.WaitGroup
@@ -133,7 +133,7 @@
 
 // How connections break: in good order, by a reset, in one direction alone; in
 // the middle of what passes; and those that are open as well as those that come.
-func TestBreaks(t *testing.T) {
+func TestConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule fault.Rule
 		end  func(err error) bool
@@ -142,7 +142,7 @@
 		"reset":      {fault.Rule{Kind: fault.Reset, Side: fault.Request, Byte: 3}, func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }},
 		"half close": {fault.Rule{Kind: fault.HalfClose, Side: fault.Answer, Byte: 3}, func(err error) bool { return err == nil }},
 	} {
-		p, h := start(t, echo(t), c.rule)
+		p, h := startProxy(t, startEchoServer(t), c.rule)
 		x := dial(t, p)
 		io.WriteString(x, "abcdef")
 		got, err := io.ReadAll(x)
@@ -153,7 +153,7 @@
 			t.Errorf("%s: struck %d times", name, h.count("strikes"))
 		}
 	}
-	p, _ := start(t, echo(t))
+	p, _ := startProxy(t, startEchoServer(t))
 	open := dial(t, p)
 	io.WriteString(open, "a")
 	expect(t, open, "a")
@@ -164,7 +164,7 @@
 	if _, err := io.ReadAll(open); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the open one: %v", err)
 	}
-	if err := broken(t, p); !errors.Is(err, syscall.ECONNRESET) {
+	if err := dialAndReadAll(t, p); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("one that comes: %v", err)
 	}
 	if !p.Remove(id) || p.Remove(id) {
@@ -178,7 +178,7 @@
 // A silent side holds what comes and lets it go when the rule ends; the other
 // side goes on.
 func TestSilence(t *testing.T) {
-	p, _ := start(t, echo(t))
+	p, _ := startProxy(t, startEchoServer(t))
 	c := dial(t, p)
 	io.WriteString(c, "a")
 	expect(t, c, "a")
@@ -198,7 +198,7 @@
 // A mute door takes connections and says nothing on them; one that refuses is
 // closed to the system, and opens again at the same address.
 func TestMuteAndRefuse(t *testing.T) {
-	p, _ := start(t, echo(t))
+	p, _ := startProxy(t, startEchoServer(t))
 	id, _ := p.Inject(fault.Rule{Kind: fault.Mute})
 	c := dial(t, p)
 	io.WriteString(c, "x")
@@ -217,8 +217,8 @@
 		io.WriteString(c, "y")
 		expect(t, c, "y")
 	}
-	p, h := start(t, "127.0.0.1:1")
-	if err := broken(t, p); !errors.Is(err, syscall.ECONNRESET) || h.count("fails") != 1 {
+	p, h := startProxy(t, "127.0.0.1:1")
+	if err := dialAndReadAll(t, p); !errors.Is(err, syscall.ECONNRESET) || h.count("fails") != 1 {
 		t.Errorf("a target that is not there: %v, %d lines", err, h.count("fails"))
 	}
 	if _, err := p.Inject(fault.Rule{Kind: "explode"}); err == nil {
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -70,7 +70,7 @@
 	for s.waitCapacity() {
 		data := make([]byte, readChunkBytes)
 		n, err := s.from.Read(data)
-		s.feed(data[:n], err)
+		s.process(data[:n], err)
 		if err != nil {
 			return
 		}
@@ -95,14 +95,14 @@
 	}
 }
 
-// feed enqueues the operations for the result of a read.
-func (s *stream) feed(data []byte, err error) {
+// process enqueues the operations for the result of a read.
+func (s *stream) process(data []byte, err error) {
 	p := s.conn.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
 	if len(data) > 0 {
-		s.enqueue(s.plan.Feed(now, data))
+		s.enqueue(s.plan.Process(now, data))
 	}
 	switch {
 	case err == nil:
--- a/internal/lab/invariants/history_test.go
+++ b/internal/lab/invariants/history_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// sound is a history of a dispatcher that keeps the rules, by a script: requests
+// validHistory is a history of a dispatcher that keeps the rules, by a script: requests
 // of all classes, attempts that end in every way, a drain and a cold start.
-func sound(seed uint64) *History {
+func validHistory(seed uint64) *History {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	h := &History{Limits: Limits{Grace: 0.016, DrainGrace: 2, OverloadMultiple: 3, OverloadSpan: 3, SlowStartFloor: 0.3, SlowStartSeconds: 8},
 		Classes: []Class{{"safe", "safe", "", 0}, {"unsafe", "unsafe", "", 0}, {"all", "keyed", "all", 5}, {"zone", "keyed", "zone", 5}, {"cell", "keyed", "cell", 5}}}
@@ -70,9 +70,9 @@
 	return h
 }
 
-func TestSoundHistory(t *testing.T) {
+func TestValidHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if found := sound(rapid.Uint64().Draw(t, "seed")).Check(); len(found) > 0 {
+		if found := validHistory(rapid.Uint64().Draw(t, "seed")).Check(); len(found) > 0 {
 			t.Fatalf("%v", found)
 		}
 	})
@@ -123,7 +123,7 @@
 }
 
 // mutations break a rule, each in one way.
-var mutations = map[string]struct {
+var violations = map[string]struct {
 	rule int
 	do   func(h *History, rng *rand.Rand) bool
 }{
@@ -217,11 +217,11 @@
 }
 
 // Each rule broken on purpose, in each way, is found, and nothing else is.
-func TestMutations(t *testing.T) {
-	for name, c := range mutations {
+func TestEachViolationIsFound(t *testing.T) {
+	for name, c := range violations {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(30) {
-				h := sound(seed)
+				h := validHistory(seed)
 				if !c.do(h, rand.New(rand.NewPCG(seed, 2))) {
 					continue
 				}
@@ -241,8 +241,8 @@
 
 // What the rules allow is not found: a late end told by sockets, a send within a
 // drain's grace, a refusal of what proved not to have run, a client that left.
-func TestAllowed(t *testing.T) {
-	h := sound(1)
+func TestAllowedBehavior(t *testing.T) {
+	h := validHistory(1)
 	h.Requests = append(h.Requests,
 		Request{ID: "left", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 4, DisconnectedAt: 1.5},
 		Request{ID: "never", Class: "unsafe", Dispatcher: "d0", SentAt: 1, ClientTimeout: 4, NeverAccepted: true},
--- a/internal/lab/invariants/journal_test.go
+++ b/internal/lab/invariants/journal_test.go
@@ -9,8 +9,8 @@
 
 const ms = int64(1e6)
 
-// line is what name acts on from at on, with a lease of 1 s; times in ms.
-func line(at int64, name string, version uint64, stage string) JournalEntry {
+// entry is what name acts on from at on, with a lease of 1 s; times in ms.
+func entry(at int64, name string, version uint64, stage string) JournalEntry {
 	return JournalEntry{At: at * ms, Name: name, Incarnation: 1, Version: version, Stage: stage, Leased: true, Until: (at + 1000) * ms, Table: fmt.Sprint(version, stage)}
 }
 
@@ -32,33 +32,33 @@
 		worst uint64
 	}{
 		"all steps of 3, one after the other": {[]JournalEntry{
-			line(100, "a", 2, InForce), line(100, "b", 2, InForce), line(200, "a", 2, Announced), line(250, "b", 2, Announced),
-			line(300, "a", 2, Intersecting), line(350, "b", 2, Intersecting), line(400, "b", 3, InForce), line(450, "a", 3, InForce)}, nil, "0 0 0 0 0", 0.05, 3},
-		"old beside new":                 {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 3, InForce)}, nil, "1 0 0 0 0", 0.9, 3},
-		"announced beside new":           {[]JournalEntry{line(100, "a", 2, Announced), line(200, "b", 3, InForce)}, nil, "1 0 0 0 0", 0.9, 3},
-		"old beside narrow":              {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 2, Intersecting)}, nil, "0 0 0 0 0", 0, 0},
-		"narrow beside new":              {[]JournalEntry{line(100, "a", 2, Intersecting), line(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0.9, 3},
-		"an exclusive one in between":    {[]JournalEntry{line(100, "a", 1, Intersecting), line(200, "b", 5, InForce)}, nil, "1 0 0 0 0", 0.9, 2},
-		"loose ones alone":               {[]JournalEntry{line(100, "a", 3, InForce), line(400, "b", 5, InForce)}, nil, "0 0 0 0 0", 0.7, 4},
-		"loose, seen by a third as well": {[]JournalEntry{line(100, "a", 4, InForce), line(150, "c", 4, InForce), line(400, "b", 5, InForce)}, nil, "0 0 0 0 0", 0.75, 5},
-		"the lease ends first":           {[]JournalEntry{line(100, "a", 2, InForce), line(1100, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
-		"no lease":                       {[]JournalEntry{line(100, "a", 2, InForce), lapsed(line(150, "a", 2, InForce)), line(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
-		"none":                           {[]JournalEntry{line(100, "a", 2, InForce), line(150, "a", 2, None), line(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
-		"stands still": {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 3, InForce), line(300, "b", 3, None)},
+			entry(100, "a", 2, InForce), entry(100, "b", 2, InForce), entry(200, "a", 2, Announced), entry(250, "b", 2, Announced),
+			entry(300, "a", 2, Intersecting), entry(350, "b", 2, Intersecting), entry(400, "b", 3, InForce), entry(450, "a", 3, InForce)}, nil, "0 0 0 0 0", 0.05, 3},
+		"old beside new":                 {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 3, InForce)}, nil, "1 0 0 0 0", 0.9, 3},
+		"announced beside new":           {[]JournalEntry{entry(100, "a", 2, Announced), entry(200, "b", 3, InForce)}, nil, "1 0 0 0 0", 0.9, 3},
+		"old beside narrow":              {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 2, Intersecting)}, nil, "0 0 0 0 0", 0, 0},
+		"narrow beside new":              {[]JournalEntry{entry(100, "a", 2, Intersecting), entry(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0.9, 3},
+		"an exclusive one in between":    {[]JournalEntry{entry(100, "a", 1, Intersecting), entry(200, "b", 5, InForce)}, nil, "1 0 0 0 0", 0.9, 2},
+		"loose ones alone":               {[]JournalEntry{entry(100, "a", 3, InForce), entry(400, "b", 5, InForce)}, nil, "0 0 0 0 0", 0.7, 4},
+		"loose, seen by a third as well": {[]JournalEntry{entry(100, "a", 4, InForce), entry(150, "c", 4, InForce), entry(400, "b", 5, InForce)}, nil, "0 0 0 0 0", 0.75, 5},
+		"the lease ends first":           {[]JournalEntry{entry(100, "a", 2, InForce), entry(1100, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
+		"no lease":                       {[]JournalEntry{entry(100, "a", 2, InForce), lapsed(entry(150, "a", 2, InForce)), entry(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
+		"none":                           {[]JournalEntry{entry(100, "a", 2, InForce), entry(150, "a", 2, None), entry(200, "b", 3, InForce)}, nil, "0 0 0 0 0", 0, 0},
+		"stands still": {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 3, InForce), entry(300, "b", 3, None)},
 			[]Pause{stood("a", 150, 400*ms, false)}, "0 0 0 0 0", 0, 0},
-		"wakes too early": {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 3, InForce)}, []Pause{stood("a", 150, 400*ms, false)}, "1 0 0 0 0", 0.7, 3},
-		"another stands still": {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 3, InForce)}, []Pause{stood("c", 150, 1400*ms, false)},
+		"wakes too early": {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 3, InForce)}, []Pause{stood("a", 150, 400*ms, false)}, "1 0 0 0 0", 0.7, 3},
+		"another stands still": {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 3, InForce)}, []Pause{stood("c", 150, 1400*ms, false)},
 			"1 0 0 0 0", 0.9, 3},
-		"killed":             {[]JournalEntry{line(100, "a", 2, InForce), line(200, "b", 3, InForce)}, []Pause{stood("a", 150, Forever, true)}, "0 0 0 0 0", 0, 0},
-		"killed, and back":   {[]JournalEntry{line(100, "a", 2, InForce), line(500, "a", 3, InForce), line(200, "b", 3, InForce)}, []Pause{stood("a", 150, 450*ms, true)}, "0 0 0 0 0", 0, 0},
-		"back in a life":     {[]JournalEntry{line(100, "a", 4, InForce), line(200, "a", 3, InForce)}, nil, "0 0 0 1 0", 0, 0},
-		"back over a start":  {[]JournalEntry{line(100, "a", 4, Intersecting), line(500, "a", 4, Announced)}, []Pause{stood("a", 150, 450*ms, true)}, "0 0 0 1 0", 0, 0},
-		"withdrawn":          {[]JournalEntry{line(100, "a", 3, Intersecting), line(200, "a", 5, InForce)}, nil, "0 0 0 0 0", 0, 0},
-		"late":               {[]JournalEntry{late(line(100, "a", 4, InForce))}, nil, "0 0 0 0 1", 0, 0},
-		"two seats":          {[]JournalEntry{seats(line(100, "a", 4, InForce), 1, 2), seats(line(200, "b", 4, InForce), 2, 3)}, nil, "0 1 0 0 0", 0, 0},
-		"two seats in turn":  {[]JournalEntry{seats(line(100, "a", 4, InForce), 1, 2), seats(line(150, "a", 4, InForce), 1), seats(line(200, "b", 4, InForce), 2, 3)}, nil, "0 0 0 0 0", 0, 0},
-		"two tables":         {[]JournalEntry{line(100, "a", 4, InForce), other(line(200, "b", 4, InForce))}, nil, "0 0 1 0 0", 0, 0},
-		"out of order lines": {[]JournalEntry{line(200, "a", 5, InForce), line(100, "a", 4, InForce)}, nil, "0 0 0 0 0", 0, 0},
+		"killed":             {[]JournalEntry{entry(100, "a", 2, InForce), entry(200, "b", 3, InForce)}, []Pause{stood("a", 150, Forever, true)}, "0 0 0 0 0", 0, 0},
+		"killed, and back":   {[]JournalEntry{entry(100, "a", 2, InForce), entry(500, "a", 3, InForce), entry(200, "b", 3, InForce)}, []Pause{stood("a", 150, 450*ms, true)}, "0 0 0 0 0", 0, 0},
+		"back in a life":     {[]JournalEntry{entry(100, "a", 4, InForce), entry(200, "a", 3, InForce)}, nil, "0 0 0 1 0", 0, 0},
+		"back over a start":  {[]JournalEntry{entry(100, "a", 4, Intersecting), entry(500, "a", 4, Announced)}, []Pause{stood("a", 150, 450*ms, true)}, "0 0 0 1 0", 0, 0},
+		"withdrawn":          {[]JournalEntry{entry(100, "a", 3, Intersecting), entry(200, "a", 5, InForce)}, nil, "0 0 0 0 0", 0, 0},
+		"late":               {[]JournalEntry{late(entry(100, "a", 4, InForce))}, nil, "0 0 0 0 1", 0, 0},
+		"two seats":          {[]JournalEntry{seats(entry(100, "a", 4, InForce), 1, 2), seats(entry(200, "b", 4, InForce), 2, 3)}, nil, "0 1 0 0 0", 0, 0},
+		"two seats in turn":  {[]JournalEntry{seats(entry(100, "a", 4, InForce), 1, 2), seats(entry(150, "a", 4, InForce), 1), seats(entry(200, "b", 4, InForce), 2, 3)}, nil, "0 0 0 0 0", 0, 0},
+		"two tables":         {[]JournalEntry{entry(100, "a", 4, InForce), other(entry(200, "b", 4, InForce))}, nil, "0 0 1 0 0", 0, 0},
+		"out of order lines": {[]JournalEntry{entry(200, "a", 5, InForce), entry(100, "a", 4, InForce)}, nil, "0 0 0 0 0", 0, 0},
 	} {
 		a := Journals{Lines: c.lines, Pauses: c.halts}
 		v := a.Evaluate(func(version uint64) bool { return version == 3 })
@@ -77,10 +77,10 @@
 		return l
 	}
 	a := Journals{Lines: []JournalEntry{
-		uses(line(100, "e1", 2, InForce), 40), uses(line(150, "e2", 2, InForce), 40),
-		uses(line(300, "e1", 3, InForce), 30), // e2 is cut off and acts on the old version until its lease ends
-		uses(line(1150, "w1", 7, InForce), 10), uses(line(1250, "e1", 3, InForce), 30),
-		uses(line(1600, "w1", 8, None), 50), // no lease
+		uses(entry(100, "e1", 2, InForce), 40), uses(entry(150, "e2", 2, InForce), 40),
+		uses(entry(300, "e1", 3, InForce), 30), // e2 is cut off and acts on the old version until its lease ends
+		uses(entry(1150, "w1", 7, InForce), 10), uses(entry(1250, "e1", 3, InForce), 30),
+		uses(entry(1600, "w1", 8, None), 50), // no lease
 	}, Pauses: []Pause{{Name: "e1", Sent: 1390 * ms, From: 1400 * ms, To: 1500 * ms}, {Name: "e1", Sent: 1600 * ms, From: 1700 * ms, To: Forever, Killed: true}}}
 	var got []string
 	for _, l := range a.Levels("s", func(name string) string { return name[:1] }) {
@@ -103,7 +103,7 @@
 
 // Journals are read line by line; what is torn or says what can't be is counted.
 func TestReadJournal(t *testing.T) {
-	good, _ := json.Marshal(line(1, "a", 2, Intersecting))
+	good, _ := json.Marshal(entry(1, "a", 2, Intersecting))
 	none := `{"at":5,"name":"a","stage":"none","leased":false}`
 	lines, damaged := ReadJournal([]byte(string(good) + "\n\n" + none + "\nxx\n{\"at\":5,\"name\":\"a\",\"stage\":\"odd\"}\n{\"at\":0,\"name\":\"a\",\"stage\":\"none\"}\n{\"at\":5,\"name\":\"a\",\"version\":99999,\"stage\":\"none\"}\n" + string(good)))
 	if len(lines) != 2 || damaged != 5 || lines[0].Until != 1001*ms || lines[0].through() != 3 || lines[1].effective() {
@@ -112,7 +112,7 @@
 	if v := (&Journals{Damaged: damaged}).Evaluate(nil); v.Damaged != 5 {
 		t.Errorf("%+v", v)
 	}
-	c := Conflict{A: line(1, "a", 2, InForce), B: line(1, "b", 3, InForce), From: 5 * ms, To: 7 * ms}
+	c := Conflict{A: entry(1, "a", 2, InForce), B: entry(1, "b", 3, InForce), From: 5 * ms, To: 7 * ms}
 	if text := c.String(); !strings.Contains(text, "2.000 ms") || !strings.Contains(text, "a on 2") || !strings.Contains(text, "b on 3") {
 		t.Error(text)
 	}
--- a/internal/lab/loadgen/generator_test.go
+++ b/internal/lab/loadgen/generator_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func settings(shape string) Settings {
+func testSettings(shape string) Settings {
 	return Settings{Seed: 3, Rate: 200, Shape: shape, Burst: 20, Period: 20, Span: 60,
 		Classes: []Class{{WeightedName: WeightedName{"a", 3}, ClientTimeout: 2, Slots: []WeightedName{{"1", 1}, {"4", 1}}}, {WeightedName: WeightedName{"b", 1}, ClientTimeout: 5, HasIdempotencyKey: true}},
 		Tenants: []WeightedName{{"x", 1}, {"y", 4}}, DisconnectFraction: 0.1, MaxRetries: 2}
@@ -15,7 +15,7 @@
 // Every shape keeps its mean rate, its order and its parts, and is the same again.
 func TestShapes(t *testing.T) {
 	for _, shape := range Shapes {
-		s := settings(shape)
+		s := testSettings(shape)
 		if err := s.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 		"class b": func(s *Settings) { s.Classes[1].ClientTimeout = 0 },
 		"tenant":  func(s *Settings) { s.Tenants = nil },
 	} {
-		s := settings(Poisson)
+		s := testSettings(Poisson)
 		spoil(&s)
 		if err := s.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -93,7 +93,7 @@
 }
 
 func TestRetryDelay(t *testing.T) {
-	s := settings(Even)
+	s := testSettings(Even)
 	for _, c := range []struct {
 		obey          bool
 		status, tries int
--- a/internal/lab/pairedtest/compare_test.go
+++ b/internal/lab/pairedtest/compare_test.go
@@ -8,7 +8,7 @@
 
 // The interval holds the true ratio as often as it says, although seeds differ far
 // more than the ways do.
-func TestCoverage(t *testing.T) {
+func TestIntervalCoverage(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	covered := 0
 	detected := 0
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEdges(t *testing.T) {
+func TestFewOrUnusablePairs(t *testing.T) {
 	if _, err := Compare([]float64{1}, nil); err == nil {
 		t.Error("no error")
 	}
