--- a/cmd/bellstream-fault/golden_test.go
+++ b/cmd/bellstream-fault/golden_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program itself when FAULT_MAIN is set, so that tests can execute the
+// test binary instead of the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("FAULT_MAIN") != "" {
 		main()
@@ -21,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// Help and complaints of the command line are as they always were.
+// The help texts, messages and exit codes of the command line stay.
 func TestGoldenHelp(t *testing.T) {
 	for name, args := range map[string][]string{
 		"help.txt":       {"--help"},
--- a/cmd/bellstream-fault/main.go
+++ b/cmd/bellstream-fault/main.go
@@ -1,5 +1,6 @@
-// Command bellstream-fault stands between sockets and plays faults on what
-// passes, by a schedule or by command. It exits with 2 if it is called wrongly.
+// Command bellstream-fault forwards connections and datagrams and injects faults into
+// them, on schedule or on command. It exits with 2 if the command line is invalid and
+// with 1 on other errors.
 package main
 
 import (
@@ -84,8 +85,8 @@
 }
 
 func (c *runCmd) Run(out io.Writer) error {
-	stops := make(chan os.Signal, 1)
-	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	f, err := load(c.File)
 	if err != nil {
 		return err
@@ -118,11 +119,12 @@
 	for _, d := range p.Endpoints() {
 		fmt.Fprintf(out, "door %s listens on %s and leads to %s\n", d.Name, d.Listen, d.Target)
 	}
-	<-stops
+	<-signals
 	return nil
 }
 
-// call sends a command to the running tool and returns what it says.
+// call sends a request to the running proxy's admin API and returns the response body.
+// A status of 300 or above is an error with the body as its text.
 func (a *admin) call(method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequest(method, "http://"+a.Admin+path, bytes.NewReader(body))
 	if err != nil {
@@ -148,12 +150,12 @@
 		return err
 	}
 	raw, err := c.call(http.MethodPost, "/faults", body)
-	var said struct{ ID int }
+	var created struct{ ID int }
 	if err == nil {
-		err = json.Unmarshal(raw, &said)
+		err = json.Unmarshal(raw, &created)
 	}
 	if err == nil {
-		fmt.Fprintf(out, "fault %d\n", said.ID)
+		fmt.Fprintf(out, "fault %d\n", created.ID)
 	}
 	return err
 }
@@ -173,8 +175,8 @@
 		if err := json.Unmarshal(raw, &list); err != nil {
 			return err
 		}
-		for _, x := range list {
-			fmt.Fprintf(out, "%s %s\n", strings.TrimSuffix(path[1:], "s"), x)
+		for _, item := range list {
+			fmt.Fprintf(out, "%s %s\n", strings.TrimSuffix(path[1:], "s"), item)
 		}
 	}
 	return nil
--- a/internal/lab/faultproxy/admin.go
+++ b/internal/lab/faultproxy/admin.go
@@ -18,8 +18,8 @@
 	adminWriteTimeout = 5 * time.Second
 )
 
-// Admin returns the handler of the admin API: GET /faults and /doors, POST
-// /faults with a rule, DELETE /faults/{id}.
+// Admin returns the handler of the admin API: GET /faults and GET /doors list the
+// rules and the endpoints, POST /faults adds a rule, DELETE /faults/{id} removes one.
 func (p *Proxy) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /doors", p.listEndpoints)
@@ -39,7 +39,8 @@
 	}
 }
 
-// writeJSON writes a response. A failed write shows at the client.
+// writeJSON writes a JSON response. It ignores write errors, which only the client
+// can notice.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
@@ -52,7 +53,7 @@
 func (p *Proxy) listRules(w http.ResponseWriter, _ *http.Request) {
 	rules := p.Rules()
 	if rules == nil {
-		rules = []fault.Rule{} // an empty list, not null
+		rules = []fault.Rule{} // encoded as [] instead of null
 	}
 	writeJSON(w, rules)
 }
--- a/internal/lab/faultproxy/conn.go
+++ b/internal/lab/faultproxy/conn.go
@@ -10,7 +10,7 @@
 
 const dialTimeout = 5 * time.Second
 
-// conn is a connection through an endpoint.
+// conn is a client's connection through an endpoint to the target.
 type conn struct {
 	proxy    *Proxy
 	endpoint *endpoint
@@ -35,7 +35,8 @@
 	return c
 }
 
-// close closes both ends, by a reset if abort is set.
+// close closes both ends, by a TCP reset if abort is set. Only the first call has
+// an effect.
 func (c *conn) close(abort bool) {
 	c.once.Do(func() {
 		close(c.done)
@@ -49,20 +50,22 @@
 	})
 }
 
-// reset closes a connection by a reset. An error means that it is closed.
+// reset closes a connection by a TCP reset. Errors are ignored, as they mean that
+// the connection is already closed.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// begin applies the rules that begin. The caller holds the proxy's mu.
+// begin applies the active rules that are due at once. The caller holds the proxy's
+// mu.
 func (c *conn) begin(now float64) {
 	for _, s := range c.streams {
 		s.enqueue(s.plan.Begin(now))
 	}
 }
 
-// serve forwards a connection until its end.
+// serve forwards a client's connection until it ends.
 func (e *endpoint) serve(client *net.TCPConn, number uint64) {
 	p := e.proxy
 	defer p.goroutines.Done()
@@ -87,7 +90,8 @@
 	p.record(Entry{Event: eventConnClosed, Endpoint: e.Name, Conn: number})
 }
 
-// holdUnserved holds a connection unserved until the rule ends, and resets it.
+// holdUnserved keeps a connection open without serving it until the rule ends, then
+// resets it.
 func (e *endpoint) holdUnserved(client *net.TCPConn, number uint64, r *fault.Rule) {
 	e.proxy.record(Entry{
 		Event:    eventRuleApplied,
--- a/internal/lab/faultproxy/datagram.go
+++ b/internal/lab/faultproxy/datagram.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxSources       = 256 // senders of an endpoint; datagrams of further ones are dropped
+	maxSources       = 256 // senders per endpoint; datagrams of further senders are dropped
 	maxDatagramBytes = 64 << 10
 )
 
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// forwardDatagram sends a datagram as the rules decide. A failed send is a lost
-// datagram.
+// forwardDatagram sends a datagram at once or after a delay, or drops it, as the rules
+// decide.
 func (e *endpoint) forwardDatagram(side fault.Side, data []byte, send func([]byte)) {
 	delay, lost := e.decideDatagram(side)
 	if lost {
@@ -43,7 +43,8 @@
 	time.AfterFunc(time.Duration(delay*float64(time.Second)), func() { send(delayed) })
 }
 
-// decideDatagram counts a datagram and returns its delay and whether it is lost.
+// decideDatagram counts a datagram and returns its delay in seconds and whether it is
+// lost.
 func (e *endpoint) decideDatagram(side fault.Side) (delay float64, lost bool) {
 	i := 0
 	if side == fault.Answer {
@@ -56,8 +57,8 @@
 	return p.plan.Datagram(p.clock(), e.Name, side, e.datagramCount[i])
 }
 
-// forwardRequests forwards datagrams to the target, those of each sender from a
-// socket of its own, so that answers can be returned.
+// forwardRequests forwards datagrams to the target. Each sender has its own socket, so
+// that the target's answers can be returned to the right sender.
 func (e *endpoint) forwardRequests() {
 	defer e.proxy.goroutines.Done()
 	buffer := make([]byte, maxDatagramBytes)
@@ -74,7 +75,8 @@
 	}
 }
 
-// source returns the socket for a sender's datagrams; nil: there is none.
+// source returns the socket for a sender's datagrams and opens it if necessary. It
+// returns nil if maxSources is reached or the socket can't be opened.
 func (e *endpoint) source(sender *net.UDPAddr) *net.UDPConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +98,8 @@
 	return source
 }
 
-// forwardAnswers returns the target's datagrams to their sender.
+// forwardAnswers forwards the target's datagrams to the sender of the requests, until
+// the socket is closed.
 func (e *endpoint) forwardAnswers(source *net.UDPConn, sender *net.UDPAddr) {
 	defer e.proxy.goroutines.Done()
 	buffer := make([]byte, maxDatagramBytes)
--- a/internal/lab/faultproxy/endpoint.go
+++ b/internal/lab/faultproxy/endpoint.go
@@ -10,13 +10,14 @@
 	"example.org/bellstream/internal/lab/fault"
 )
 
-// A listener's address may be in use for a moment after it was closed.
+// An address may remain in use for a moment after its listener was closed, so that
+// reopen retries.
 const (
 	reopenInterval = 20 * time.Millisecond
 	reopenAttempts = 50
 )
 
-// endpoint is a listening address.
+// endpoint is a listening address with its sockets.
 type endpoint struct {
 	fault.Endpoint
 	proxy *Proxy
@@ -24,13 +25,13 @@
 	mu            sync.Mutex
 	listener      net.Listener // nil while connections are refused
 	udp           *net.UDPConn
-	sources       map[string]*net.UDPConn // socket to the target by sender
+	sources       map[string]*net.UDPConn // socket to the target, by the sender's address
 	connCount     uint64
-	datagramCount [2]uint64 // requests, answers; guarded by the proxy's mu
+	datagramCount [2]uint64 // of requests and of answers; guarded by the proxy's mu
 	closing       bool
 }
 
-// open listens; the port 0 is replaced by the assigned one.
+// open starts to listen. If the port in Listen is 0, the assigned port replaces it.
 func (e *endpoint) open() error {
 	if e.Network == "udp" {
 		return e.openUDP()
@@ -50,8 +51,8 @@
 	go e.accept(listener)
 }
 
-// refuse closes the listener, so that the system refuses connections, or opens
-// it again.
+// refuse closes the listener, so that the kernel refuses connections, or opens it
+// again. UDP endpoints are not affected.
 func (e *endpoint) refuse(refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,7 +67,8 @@
 	e.reopen()
 }
 
-// reopen listens at the same address again. The caller holds mu.
+// reopen listens at the same address again and records a failure if that is not
+// possible. The caller holds mu.
 func (e *endpoint) reopen() {
 	for range reopenAttempts {
 		listener, err := net.Listen("tcp", e.Listen)
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy forwards connections and datagrams between sockets and
-// applies the faults that package fault decides. It serves bellstream-fault and
-// tests.
+// applies the faults that package fault decides on. bellstream-fault and tests use
+// it.
 package faultproxy
 
 import (
@@ -22,7 +22,7 @@
 	eventFailed      = "fails"
 )
 
-// Entry is a line of the log.
+// Entry is a line of the event log. Which fields are set depends on the event.
 type Entry struct {
 	Time      time.Time  `json:"time"`
 	Event     string     `json:"event"` // begins, ends, strikes, opens, closes, fails
@@ -39,8 +39,8 @@
 type Options struct {
 	Seed      uint64
 	Endpoints []fault.Endpoint
-	Rules     []fault.Rule     // that Validate accepts
-	Log       func(Entry)      // may be nil; calls are serialized
+	Rules     []fault.Rule     // must be valid, see fault.Rule.Validate
+	Log       func(Entry)      // receives all events, one call at a time; may be nil
 	Now       func() time.Time // nil: time.Now
 }
 
@@ -55,7 +55,7 @@
 
 	mu      sync.Mutex
 	plan    *fault.Plan
-	changed chan struct{} // closed at each change of the active rules
+	changed chan struct{} // closed and replaced at each refresh of the active rules
 	active  map[int]fault.Rule
 	conns   map[*conn]bool
 	closed  bool
@@ -64,7 +64,8 @@
 	refreshMu sync.Mutex // serializes refresh
 }
 
-// Start opens the endpoints.
+// Start opens the endpoints and begins to apply the rules. An error names the endpoint
+// that could not be opened.
 func Start(o Options) (*Proxy, error) {
 	p := newProxy(o)
 	for _, e := range o.Endpoints {
@@ -105,7 +106,8 @@
 	return p
 }
 
-// Addr returns the address of an endpoint; empty: there is none of that name.
+// Addr returns the listening address of an endpoint, or an empty string if there is no
+// endpoint of that name.
 func (p *Proxy) Addr(name string) string {
 	for _, e := range p.endpoints {
 		if e.Name == name {
@@ -123,7 +125,8 @@
 	return endpoints
 }
 
-// Inject adds a rule whose times count from now, and returns its ID.
+// Inject adds a rule and returns its ID. The rule's At counts from now. An invalid rule
+// is rejected with a *fault.RuleError.
 func (p *Proxy) Inject(r fault.Rule) (int, error) {
 	networks := map[string]string{}
 	for _, e := range p.endpoints {
@@ -140,7 +143,7 @@
 	return id, nil
 }
 
-// Remove ends a rule and reports whether there was one.
+// Remove ends a rule and reports whether a rule with this ID existed.
 func (p *Proxy) Remove(id int) bool {
 	p.mu.Lock()
 	removed := p.plan.Remove(p.clock(), id)
@@ -167,7 +170,7 @@
 	p.goroutines.Wait()
 }
 
-// closeConns closes all connections and reports whether it was the first call.
+// closeConns closes all connections. It returns false if the proxy was already closed.
 func (p *Proxy) closeConns() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +185,7 @@
 	return true
 }
 
-// clock returns the seconds since the start.
+// clock returns the seconds since the proxy was started.
 func (p *Proxy) clock() float64 { return p.now().Sub(p.startedAt).Seconds() }
 
 func (p *Proxy) record(e Entry) {
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer sends back what it gets until the other side has ended its sending.
+// startEchoServer returns the address of a server that sends back all data that it
+// receives until the other side has closed its direction.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,18 +41,18 @@
 	return l.Addr().String()
 }
 
-// logRecorder keeps the log.
+// logRecorder records the entries of the event log.
 type logRecorder struct {
 	mu   sync.Mutex
 	list []Entry
 }
 
-func (h *logRecorder) add(e Entry) { h.mu.Lock(); h.list = append(h.list, e); h.mu.Unlock() }
+func (r *logRecorder) add(e Entry) { r.mu.Lock(); r.list = append(r.list, e); r.mu.Unlock() }
 
-func (h *logRecorder) count(event string) (n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, e := range h.list {
+func (r *logRecorder) count(event string) (n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, e := range r.list {
 		if e.Event == event {
 			n++
 		}
@@ -61,13 +62,13 @@
 
 func startProxy(t *testing.T, target string, rules ...fault.Rule) (*Proxy, *logRecorder) {
 	t.Helper()
-	h := &logRecorder{}
-	p, err := Start(Options{Seed: 1, Endpoints: []fault.Endpoint{{Name: "d", Listen: "127.0.0.1:0", Target: target, Network: "tcp"}}, Rules: rules, Log: h.add})
+	log := &logRecorder{}
+	p, err := Start(Options{Seed: 1, Endpoints: []fault.Endpoint{{Name: "d", Listen: "127.0.0.1:0", Target: target, Network: "tcp"}}, Rules: rules, Log: log.add})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	return p, h
+	return p, log
 }
 
 func dial(t *testing.T, p *Proxy) *net.TCPConn {
@@ -81,8 +82,8 @@
 	return c.(*net.TCPConn)
 }
 
-// dialAndReadAll is how a connection ends that is reset as it comes: while it is still
-// being made, or as soon as it is.
+// dialAndReadAll opens a connection and reads until its end. It returns the error of the
+// dial or of the read, as a reset can occur in either.
 func dialAndReadAll(t *testing.T, p *Proxy) error {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr("d"))
@@ -103,36 +104,37 @@
 	}
 }
 
-// expectSilence checks that nothing comes for a moment, and that the connection lives.
+// expectSilence checks that no data arrive within 60 ms and that the connection stays
+// open.
 func expectSilence(t *testing.T, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
 	n, err := c.Read(make([]byte, 1))
 	if n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%d bytes, %v", n, err)
+		t.Fatalf("got %d bytes, error %v, want 0 bytes and a read timeout", n, err)
 	}
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 }
 
-// What passes is unchanged, in both directions and to the end, when nothing is asked for.
+// Without rules, data are forwarded unchanged and completely in both directions.
 func TestForwardsDataUnchanged(t *testing.T) {
-	p, h := startProxy(t, startEchoServer(t))
+	p, log := startProxy(t, startEchoServer(t))
 	c := dial(t, p)
-	text := strings.Repeat("0123456789", 300_000) // more than is held for one side
+	text := strings.Repeat("0123456789", 300_000) // more than maxBufferedBytes
 	var all sync.WaitGroup
 	all.Go(func() { io.WriteString(c, text); c.CloseWrite() })
 	got, err := io.ReadAll(c)
 	all.Wait()
 	if err != nil || string(got) != text {
-		t.Fatalf("%d bytes of %d, %v", len(got), len(text), err)
+		t.Fatalf("got %d bytes, want the %d bytes that were sent; error %v", len(got), len(text), err)
 	}
-	for h.count("closes") == 0 { // the tool has noticed: ends by itself
+	for log.count("closes") == 0 { // until the proxy has recorded the end of the connection
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// How connections break: in good order, by a reset, in one direction alone; in
-// the middle of what passes; and those that are open as well as those that come.
+// Cut, Reset and HalfClose close a connection at a byte of the stream, each in its own way.
+// Reset without a point applies to open and to new connections until it is removed.
 func TestConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule fault.Rule
@@ -142,15 +144,15 @@
 		"reset":      {fault.Rule{Kind: fault.Reset, Side: fault.Request, Byte: 3}, func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }},
 		"half close": {fault.Rule{Kind: fault.HalfClose, Side: fault.Answer, Byte: 3}, func(err error) bool { return err == nil }},
 	} {
-		p, h := startProxy(t, startEchoServer(t), c.rule)
-		x := dial(t, p)
-		io.WriteString(x, "abcdef")
-		got, err := io.ReadAll(x)
+		p, log := startProxy(t, startEchoServer(t), c.rule)
+		conn := dial(t, p)
+		io.WriteString(conn, "abcdef")
+		got, err := io.ReadAll(conn)
 		if !c.end(err) || !strings.HasPrefix("abc", string(got)) || c.rule.Side == fault.Answer && string(got) != "abc" {
-			t.Errorf("%s: %q, %v", name, got, err)
+			t.Errorf("%s: got data %q, error %v", name, got, err)
 		}
-		if h.count("strikes") != 1 {
-			t.Errorf("%s: struck %d times", name, h.count("strikes"))
+		if log.count("strikes") != 1 {
+			t.Errorf("%s: got %d applications of the rule, want 1", name, log.count("strikes"))
 		}
 	}
 	p, _ := startProxy(t, startEchoServer(t))
@@ -162,21 +164,21 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(open); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the open one: %v", err)
+		t.Errorf("open connection: got error %v, want a reset", err)
 	}
 	if err := dialAndReadAll(t, p); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one that comes: %v", err)
+		t.Errorf("new connection: got error %v, want a reset", err)
 	}
 	if !p.Remove(id) || p.Remove(id) {
-		t.Error("a rule ends once")
+		t.Error("Remove: want true for the first call and false for the second")
 	}
 	again := dial(t, p)
 	io.WriteString(again, "b")
 	expect(t, again, "b")
 }
 
-// A silent side holds what comes and lets it go when the rule ends; the other
-// side goes on.
+// A Silence rule holds the data of one direction and forwards them when the rule ends; the
+// other direction is not affected.
 func TestSilence(t *testing.T) {
 	p, _ := startProxy(t, startEchoServer(t))
 	c := dial(t, p)
@@ -189,14 +191,15 @@
 	io.WriteString(c, "bc")
 	expectSilence(t, c)
 	if rules := p.Rules(); len(rules) != 1 || rules[0].Kind != fault.Silence {
-		t.Errorf("%+v", rules)
+		t.Errorf("got rules %+v, want one silence", rules)
 	}
 	p.Remove(id)
 	expect(t, c, "bc")
 }
 
-// A mute door takes connections and says nothing on them; one that refuses is
-// closed to the system, and opens again at the same address.
+// A Mute rule leaves accepted connections unserved and resets them at its end. A Refuse
+// rule closes the listener, which opens again at the same address when the rule ends.
+// A connection is reset if the target can't be reached, and invalid rules are rejected.
 func TestMuteAndRefuse(t *testing.T) {
 	p, _ := startProxy(t, startEchoServer(t))
 	id, _ := p.Inject(fault.Rule{Kind: fault.Mute})
@@ -205,28 +208,28 @@
 	expectSilence(t, c)
 	p.Remove(id)
 	if _, err := io.ReadAll(c); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the end of a mute connection: %v", err)
+		t.Errorf("end of a mute connection: got error %v, want a reset", err)
 	}
 	for range 3 {
 		id, _ = p.Inject(fault.Rule{Kind: fault.Refuse})
 		if _, err := net.Dial("tcp", p.Addr("d")); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("refused: %v", err)
+			t.Errorf("dial of a refusing endpoint: got error %v, want connection refused", err)
 		}
 		p.Remove(id)
 		c = dial(t, p)
 		io.WriteString(c, "y")
 		expect(t, c, "y")
 	}
-	p, h := startProxy(t, "127.0.0.1:1")
-	if err := dialAndReadAll(t, p); !errors.Is(err, syscall.ECONNRESET) || h.count("fails") != 1 {
-		t.Errorf("a target that is not there: %v, %d lines", err, h.count("fails"))
+	p, log := startProxy(t, "127.0.0.1:1")
+	if err := dialAndReadAll(t, p); !errors.Is(err, syscall.ECONNRESET) || log.count("fails") != 1 {
+		t.Errorf("unreachable target: got error %v and %d failures in the log, want a reset and 1", err, log.count("fails"))
 	}
 	if _, err := p.Inject(fault.Rule{Kind: "explode"}); err == nil {
-		t.Error("a rule that is none is taken")
+		t.Error("a rule of an unknown kind was accepted")
 	}
 }
 
-// Datagrams: lost ones are those that the seed says, answers find their sender.
+// The lost datagrams are those that the seed determines, and answers reach the sender.
 func TestDatagrams(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -259,19 +262,19 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	want := ""
+	answered := ""
 	for n := range 40 {
 		fmt.Fprintf(c, "%02d", n)
 		if _, lost := plan.Datagram(0, "u", fault.Request, uint64(n+1)); !lost {
 			buf := make([]byte, 10)
 			k, err := c.Read(buf)
 			if err != nil || string(buf[:k]) != fmt.Sprintf("%02d", n) {
-				t.Fatalf("%q, %v, want %02d", buf[:k], err, n)
+				t.Fatalf("got answer %q, error %v, want %02d", buf[:k], err, n)
 			}
-			want += string(buf[:k])
+			answered += string(buf[:k])
 		}
 	}
-	if len(want) == 0 || len(want) == 80 {
-		t.Errorf("passed: %s", want)
+	if len(answered) == 0 || len(answered) == 80 {
+		t.Errorf("got answers %s, want some of the 40 datagrams lost and some answered", answered)
 	}
 }
--- a/internal/lab/faultproxy/rules.go
+++ b/internal/lab/faultproxy/rules.go
@@ -6,16 +6,18 @@
 	"example.org/bellstream/internal/lab/fault"
 )
 
-// maxTimerSeconds bounds a timer, as a rule may have no end.
+// maxTimerSeconds bounds a timer, as a rule may end never; the caller then checks
+// again.
 const maxTimerSeconds = 3600
 
-// timerAfter returns a timer that fires just after a number of seconds.
+// timerAfter returns a timer that fires 1 ms after the given number of seconds, or
+// after maxTimerSeconds if that is earlier.
 func timerAfter(seconds float64) *time.Timer {
 	bounded := min(seconds, maxTimerSeconds)
 	return time.NewTimer(time.Duration(bounded*float64(time.Second)) + time.Millisecond)
 }
 
-// watch refreshes the active rules when one begins or ends.
+// watch refreshes the active rules each time one begins or ends.
 func (p *Proxy) watch() {
 	defer p.goroutines.Done()
 	for {
@@ -37,7 +39,8 @@
 	}
 }
 
-// refresh applies the rules that have begun or ended.
+// refresh updates the active rules, records the changes and applies them to the open
+// connections and the listeners.
 func (p *Proxy) refresh() {
 	p.refreshMu.Lock()
 	defer p.refreshMu.Unlock()
@@ -61,8 +64,8 @@
 	}
 }
 
-// updateActive replaces the active rules and returns the changes. The caller
-// holds mu.
+// updateActive replaces the active rules and returns a log entry for each rule that
+// has begun or ended. The caller holds mu.
 func (p *Proxy) updateActive(now float64) (entries []Entry) {
 	active := map[int]fault.Rule{}
 	for _, r := range p.plan.Rules(now) {
@@ -95,7 +98,7 @@
 	}
 }
 
-// refusedEndpoints returns the endpoints that refuse connections. The caller
+// refusedEndpoints returns the endpoints at which a Refuse rule is active. The caller
 // holds mu.
 func (p *Proxy) refusedEndpoints(now float64) map[*endpoint]bool {
 	refused := map[*endpoint]bool{}
@@ -107,8 +110,8 @@
 	return refused
 }
 
-// activeRule returns an active rule of a kind that applies to a connection;
-// nil: there is none.
+// activeRule returns an active rule of a kind that applies to a connection, or nil if
+// there is none.
 func (p *Proxy) activeRule(kind fault.Kind, endpoint string, conn uint64) *fault.Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,8 +123,8 @@
 	return nil
 }
 
-// waitRuleEnd waits for the end of a rule and reports whether it came before
-// canceled.
+// waitRuleEnd waits until a rule has ended or canceled is closed, and reports whether
+// the rule has ended.
 func (p *Proxy) waitRuleEnd(r *fault.Rule, canceled <-chan struct{}) bool {
 	for {
 		p.mu.Lock()
--- a/internal/lab/faultproxy/stream.go
+++ b/internal/lab/faultproxy/stream.go
@@ -12,7 +12,7 @@
 
 const (
 	readChunkBytes   = 16 << 10
-	maxBufferedBytes = 1 << 20 // of one stream; then it is not read further
+	maxBufferedBytes = 1 << 20 // of one stream; above it the stream is not read
 )
 
 // stream is one direction of a connection.
@@ -28,7 +28,7 @@
 	buffered int
 	queued   chan struct{} // an operation was added
 	drained  chan struct{} // data were written
-	ended    chan struct{} // closed when write returns
+	ended    chan struct{} // closed when write has returned
 }
 
 func newStream(c *conn, side fault.Side, from, to *net.TCPConn) *stream {
@@ -44,7 +44,7 @@
 	}
 }
 
-// enqueue adds operations. It never blocks.
+// enqueue adds operations to the queue. It never blocks.
 func (s *stream) enqueue(ops []fault.Op) {
 	if len(ops) == 0 {
 		return
@@ -58,6 +58,7 @@
 	signal(s.queued)
 }
 
+// signal sends to a channel of capacity 1 unless a signal is already pending.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -65,7 +66,7 @@
 	}
 }
 
-// read turns what is received into operations until the connection ends.
+// read converts the received data into operations until the connection ends.
 func (s *stream) read() {
 	for s.waitCapacity() {
 		data := make([]byte, readChunkBytes)
@@ -77,8 +78,8 @@
 	}
 }
 
-// waitCapacity waits until the buffer is below its bound and reports whether
-// the connection is still open.
+// waitCapacity waits until no more than maxBufferedBytes are buffered. It returns
+// false if the connection was closed meanwhile.
 func (s *stream) waitCapacity() bool {
 	for {
 		s.mu.Lock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// process enqueues the operations for the result of a read.
+// process enqueues the operations for the result of one read.
 func (s *stream) process(data []byte, err error) {
 	p := s.conn.proxy
 	p.mu.Lock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// write applies the operations in order.
+// write applies the operations in order, each when it is due.
 func (s *stream) write() {
 	defer close(s.ended)
 	for {
@@ -136,7 +137,8 @@
 	}
 }
 
-// next waits for an operation; false: the connection was closed.
+// next waits for an operation and removes it from the queue; ok is false if the
+// connection was closed.
 func (s *stream) next() (op fault.Op, ok bool) {
 	for {
 		if op, ok = s.dequeue(); ok {
@@ -161,7 +163,7 @@
 	return op, true
 }
 
-// apply carries out an operation and reports whether further ones follow.
+// apply executes an operation and reports whether further operations may follow.
 func (s *stream) apply(op fault.Op) bool {
 	switch op.Kind {
 	case fault.Write:
@@ -179,7 +181,7 @@
 	return true
 }
 
-// writeData writes data and reports whether the connection is still usable.
+// writeData writes data. It resets the connection and returns false if that fails.
 func (s *stream) writeData(data []byte) bool {
 	_, err := s.to.Write(data)
 	s.mu.Lock()
@@ -193,7 +195,8 @@
 	return true
 }
 
-// waitDue waits until an operation is due; false: the connection was closed.
+// waitDue waits until an operation is due. It returns false if the connection was
+// closed meanwhile.
 func (s *stream) waitDue(op fault.Op) bool {
 	p := s.conn.proxy
 	if op.Hold != nil && !p.waitRuleEnd(op.Hold, s.conn.done) {
--- a/internal/lab/invariants/check.go
+++ b/internal/lab/invariants/check.go
@@ -11,12 +11,12 @@
 const (
 	defaultSlackSeconds = 0.05
 
-	// clockSkewSeconds bounds the distance of two records of one moment, as
-	// each process reads the clock after the fact.
+	// clockSkewSeconds bounds the difference between two records of the same
+	// event, as each process reads the clock only after the event.
 	clockSkewSeconds = 0.02
 )
 
-// Check returns the violations in order of time.
+// Check returns all violations of the four rules in order of time.
 func (h *History) Check() []Violation {
 	c := newChecker(h)
 	known := map[string]bool{}
@@ -76,7 +76,7 @@
 
 func byFirstByte(a, b *Attempt) int { return cmp.Compare(a.First, b.First) }
 
-// reportAttempt adds a violation by the dispatcher of an attempt.
+// reportAttempt adds a violation that the dispatcher of an attempt caused.
 func (c *checker) reportAttempt(rule int, a *Attempt, format string, args ...any) {
 	c.violations = append(c.violations, Violation{
 		Rule: rule,
@@ -95,7 +95,7 @@
 	attempts []*Attempt
 }
 
-// report adds a violation by the dispatcher of the request.
+// report adds a violation that the dispatcher of the request caused.
 func (c *requestChecker) report(rule int, at float64, format string, args ...any) {
 	c.violations = append(c.violations, Violation{
 		Rule: rule,
@@ -106,7 +106,7 @@
 	})
 }
 
-// checkRequest checks the rules 1 and 2.
+// checkRequest checks rules 1 and 2 for a request.
 func (c *checker) checkRequest(r *Request) {
 	rc := &requestChecker{
 		checker:  c,
@@ -130,7 +130,8 @@
 	}
 }
 
-// end returns the time from which on the client waits for no answer.
+// end returns the time at which the client stops waiting: that of the first answer or
+// of its disconnection, infinity if there is neither.
 func (r *Request) end() float64 {
 	end := math.Inf(1)
 	if len(r.Answers) > 0 {
@@ -161,10 +162,10 @@
 	}
 	switch answer.Status {
 	case http.StatusOK:
-		madeIt := func(a *Attempt) bool {
+		produced := func(a *Attempt) bool {
 			return a.Result != "" && a.Result == answer.Body && a.End <= answer.At+clockSkewSeconds
 		}
-		if !slices.ContainsFunc(c.attempts, madeIt) {
+		if !slices.ContainsFunc(c.attempts, produced) {
 			c.report(ruleNoLoss, answer.At, "was served with what no worker made for it")
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -172,7 +173,8 @@
 	}
 }
 
-// checkRejection checks that a retry of a rejected request is harmless.
+// checkRejection checks that the client can retry a rejected request without repeating
+// an effect.
 func (c *requestChecker) checkRejection(answer Answer) {
 	if c.class.Repeat == repeatSafe || c.class.Repeat == repeatKeyed && c.class.Scope == scopeAll {
 		return
@@ -185,7 +187,8 @@
 	}
 }
 
-// class returns the class of a request; an unknown one is not idempotent.
+// class returns the class of a request. Requests of an unknown class are not
+// idempotent.
 func (c *checker) class(r *Request) Class {
 	if class, ok := c.classes[r.Class]; ok {
 		return class
@@ -193,7 +196,7 @@
 	return Class{Name: r.Class, Repeat: repeatUnsafe}
 }
 
-// checkRepeat checks an attempt against an earlier one of its request.
+// checkRepeat checks an attempt against an earlier attempt of the same request.
 func (c *requestChecker) checkRepeat(earlier, a *Attempt) {
 	inFlight := earlier.End == 0 || earlier.End > a.First+clockSkewSeconds
 	if inFlight && !c.h.Limits.Parallel {
@@ -212,7 +215,8 @@
 	}
 }
 
-// checkKeyedRepeat checks that the worker of a retry knows the idempotency key.
+// checkKeyedRepeat checks that the worker of a retry still remembers the idempotency
+// key of the earlier attempt.
 func (c *requestChecker) checkKeyedRepeat(earlier, a *Attempt) {
 	class := c.class
 	if !c.shareKeys(class.Scope, earlier.Worker, a.Worker) {
--- a/internal/lab/invariants/history.go
+++ b/internal/lab/invariants/history.go
@@ -1,9 +1,9 @@
-// Package invariants checks what clients, workers and instances recorded. Over
+// Package invariants checks the records of clients, workers and instances. For
 // requests it checks four rules: no request is lost, no effect is repeated,
-// draining workers get nothing new, and workers in slow start are not
-// overloaded. Over journals it checks that no two instances had conflicting
-// configurations at the same time. It uses nothing of the dispatcher's code or
-// state. Times are in seconds on one clock, those of journals in ns.
+// draining workers get no new jobs, and workers in slow start are not
+// overloaded. For journals it checks that no two instances had conflicting
+// configurations at the same time. It uses none of the dispatcher's code or
+// state. Times are in seconds on one clock, in journals in nanoseconds.
 package invariants
 
 import "fmt"
@@ -24,7 +24,7 @@
 type Answer struct {
 	At     float64 // of its last byte
 	Status int
-	Body   string // of a 200
+	Body   string // of an answer with status 200
 }
 
 // Attempt is a worker's record of one request that reached it.
@@ -34,16 +34,16 @@
 	Dispatcher string
 	First      float64 // first byte of the request
 	Last       float64 // last byte of the request; 0: it was never complete
-	End        float64 // last line of the answer, or end of the connection; 0: neither
-	Unstarted  bool    // it ended with the statement that the job never ran
-	Result     string  // of a served request
-	Work       float64 // slot seconds that it needs
+	End        float64 // time of the answer's last line or of the connection's end; 0: neither has occurred
+	Unstarted  bool    // the worker stated that the job never ran
+	Result     string  // answer body of a served request
+	Work       float64 // slot seconds that the job takes
 }
 
-// mayRun reports whether an attempt ran, may have run or may still run.
+// mayRun reports whether the job of an attempt ran, may have run or may still run.
 func (a *Attempt) mayRun() bool { return a.Last > 0 && !a.Unstarted }
 
-// Worker is a worker, with the groups that share its idempotency keys.
+// Worker is a worker, with the zone and the cell that share its idempotency keys.
 type Worker struct {
 	Name    string
 	Zone    string
@@ -52,7 +52,7 @@
 	Started float64 // last start, after which slow start applies; 0: long ago
 }
 
-// EndpointChange is a change of the endpoint list as a dispatcher was sent it.
+// EndpointChange is a change of the endpoint list that a dispatcher was notified of.
 type EndpointChange struct {
 	Dispatcher string
 	Worker     string
@@ -78,27 +78,27 @@
 // stateActive is the EndpointChange.State of a worker that takes jobs.
 const stateActive = "active"
 
-// Class is a class of jobs, with the idempotence of its jobs.
+// Class is a class of jobs with its idempotence.
 type Class struct {
 	Name   string
 	Repeat string  // safe, keyed, unsafe
-	Scope  string  // of keyed: all, zone, cell
-	Window float64 // of keyed: seconds for which a key is known
+	Scope  string  // of a keyed class, the workers that share keys: all, zone, cell
+	Window float64 // of a keyed class: seconds for which a key is remembered
 }
 
 // Limits are the settings that the rules depend on.
 type Limits struct {
-	Grace            float64 // of an answer after the client's timeout
-	DrainGrace       float64
-	OverloadMultiple float64 // 0: slow start is not checked
-	OverloadSpan     float64
+	Grace            float64 // allowed delay of an answer after the client's timeout
+	DrainGrace       float64 // seconds for which jobs may still be sent to a draining worker
+	OverloadMultiple float64 // allowed multiple of the capacity in slow start; 0: not checked
+	OverloadSpan     float64 // seconds over which the work is summed
 	SlowStartFloor   float64
 	SlowStartSeconds float64
 	Parallel         bool    // two attempts of an idempotent request may be in flight
-	NetworkSlack     float64 // added to each limit for the network; 0 means defaultSlackSeconds
+	NetworkSlack     float64 // seconds added to each limit for network delays; 0 means defaultSlackSeconds
 }
 
-// History is everything that was recorded.
+// History holds all records of a run.
 type History struct {
 	Limits          Limits
 	Classes         []Class
@@ -108,7 +108,7 @@
 	EndpointChanges []EndpointChange
 }
 
-// The rules of a Violation.
+// Values of Violation.Rule.
 const (
 	ruleNoLoss = 1 + iota
 	ruleNoRepeat
--- a/internal/lab/invariants/history_test.go
+++ b/internal/lab/invariants/history_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// validHistory is a history of a dispatcher that keeps the rules, by a script: requests
-// of all classes, attempts that end in every way, a drain and a cold start.
+// validHistory returns a generated history of two dispatchers that keep all rules. It has
+// requests of all classes, attempts with all kinds of ends, a draining worker and one in
+// slow start.
 func validHistory(seed uint64) *History {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	h := &History{Limits: Limits{Grace: 0.016, DrainGrace: 2, OverloadMultiple: 3, OverloadSpan: 3, SlowStartFloor: 0.3, SlowStartSeconds: 8},
@@ -42,15 +43,15 @@
 			now = a.End + 0.03
 			end := rng.IntN(4)
 			if end == 0 {
-				a.Unstarted = true // on to the next
+				a.Unstarted = true // rejected: the next worker is tried
 			} else if end == 1 && n < 2 && r.Class != "unsafe" {
-				a.Result = "" // broken: may have run
+				a.Result = "" // the connection failed: the job may have run
 			} else if end == 2 || end == 1 {
 				h.Attempts = append(h.Attempts, a)
 				r.Answers = []Answer{{now, 502, ""}}
 				break
 			} else {
-				a.Result = "made " + r.ID
+				a.Result = "result of " + r.ID
 				r.Answers = []Answer{{now, 200, a.Result}}
 				h.Attempts = append(h.Attempts, a)
 				break
@@ -70,15 +71,16 @@
 	return h
 }
 
+// Check finds no violation in a history that keeps all rules.
 func TestValidHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if found := validHistory(rapid.Uint64().Draw(t, "seed")).Check(); len(found) > 0 {
-			t.Fatalf("%v", found)
+			t.Fatalf("got violations %v in a valid history, want none", found)
 		}
 	})
 }
 
-// pickRequest returns a request for which ok holds.
+// pickRequest returns a random request for which ok is true, or nil if there is none.
 func pickRequest(h *History, rng *rand.Rand, ok func(r *Request) bool) *Request {
 	at := rng.IntN(len(h.Requests))
 	for i := range h.Requests {
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// attemptAfter is a further attempt of a request, after its last one.
+// attemptAfter returns a further attempt of a request that begins after the last one has
+// ended.
 func attemptAfter(h *History, r *Request, worker string) Attempt {
 	list := attemptsOf(h, r)
 	last := list[len(list)-1]
@@ -122,52 +125,53 @@
 	return func(r *Request) bool { return r.Class == name && firstRun(h, r) != nil }
 }
 
-// mutations break a rule, each in one way.
+// violations are changes to a valid history, by name. Each breaks the named rule in one way;
+// apply returns false if the history offers no place for the change.
 var violations = map[string]struct {
-	rule int
-	do   func(h *History, rng *rand.Rand) bool
+	rule  int
+	apply func(h *History, rng *rand.Rand) bool
 }{
-	"lost": {1, func(h *History, rng *rand.Rand) bool { h.Requests[rng.IntN(200)].Answers = nil; return true }},
-	"late": {1, func(h *History, rng *rand.Rand) bool { h.Requests[rng.IntN(200)].Answers[0].At += 5; return true }},
-	"twice": {1, func(h *History, rng *rand.Rand) bool {
+	"no answer":   {1, func(h *History, rng *rand.Rand) bool { h.Requests[rng.IntN(200)].Answers = nil; return true }},
+	"late answer": {1, func(h *History, rng *rand.Rand) bool { h.Requests[rng.IntN(200)].Answers[0].At += 5; return true }},
+	"two answers": {1, func(h *History, rng *rand.Rand) bool {
 		r := &h.Requests[rng.IntN(200)]
 		r.Answers = append(r.Answers, Answer{r.Answers[0].At, 502, ""})
 		return true
 	}},
-	"made up": {1, func(h *History, rng *rand.Rand) bool {
+	"result of no worker": {1, func(h *History, rng *rand.Rand) bool {
 		r := &h.Requests[rng.IntN(200)]
 		r.Answers[0] = Answer{r.Answers[0].At, 200, "x"}
 		return true
 	}},
-	"of another": {1, func(h *History, rng *rand.Rand) bool {
+	"result of another request": {1, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, func(r *Request) bool { return r.Answers[0].Status == 200 })
-		r.Answers[0].Body = "made by somebody else"
+		r.Answers[0].Body = "result of another request"
 		return true
 	}},
-	"sent after its end": {1, func(h *History, rng *rand.Rand) bool {
+	"sent after the request ended": {1, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, func(r *Request) bool { return r.Class == "safe" && len(attemptsOf(h, r)) > 0 })
 		a := attemptAfter(h, r, "w0")
 		a.First, a.Last, a.End = r.Answers[0].At+0.2, r.Answers[0].At+0.21, r.Answers[0].At+0.3
 		h.Attempts = append(h.Attempts, a)
 		return true
 	}},
-	"invented": {1, func(h *History, _ *rand.Rand) bool {
-		h.Attempts = append(h.Attempts, Attempt{ID: "nobody's", Worker: "w0", Dispatcher: "d0", First: 1, Last: 1, End: 2})
+	"attempt without a request": {1, func(h *History, _ *rand.Rand) bool {
+		h.Attempts = append(h.Attempts, Attempt{ID: "unknown", Worker: "w0", Dispatcher: "d0", First: 1, Last: 1, End: 2})
 		return true
 	}},
-	"unsafe again": {2, func(h *History, rng *rand.Rand) bool {
+	"second attempt of an unsafe request": {2, func(h *History, rng *rand.Rand) bool {
 		h.Attempts = append(h.Attempts, attemptAfter(h, pickRequest(h, rng, ofClass(h, "unsafe")), "w1"))
 		return true
 	}},
-	"unsafe refused": {2, func(h *History, rng *rand.Rand) bool {
+	"unsafe request rejected after it ran": {2, func(h *History, rng *rand.Rand) bool {
 		pickRequest(h, rng, ofClass(h, "unsafe")).Answers[0].Status = 503
 		return true
 	}},
-	"keyed refused": {2, func(h *History, rng *rand.Rand) bool {
+	"keyed request rejected after it ran": {2, func(h *History, rng *rand.Rand) bool {
 		pickRequest(h, rng, ofClass(h, "zone")).Answers[0].Status = 429
 		return true
 	}},
-	"keyed in another zone": {2, func(h *History, rng *rand.Rand) bool {
+	"keyed retry in another zone": {2, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, ofClass(h, "zone"))
 		w := "w0"
 		if firstRun(h, r).Worker < "w4" {
@@ -176,12 +180,12 @@
 		h.Attempts = append(h.Attempts, attemptAfter(h, r, w))
 		return true
 	}},
-	"keyed in another cell": {2, func(h *History, rng *rand.Rand) bool {
+	"keyed retry in another cell": {2, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, func(r *Request) bool { a := firstRun(h, r); return r.Class == "cell" && a != nil && a.Worker < "w2" })
 		h.Attempts = append(h.Attempts, attemptAfter(h, r, "w2"))
 		return true
 	}},
-	"keyed past its window": {2, func(h *History, rng *rand.Rand) bool {
+	"keyed retry after its window": {2, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, func(r *Request) bool { return r.Class == "all" && firstRun(h, r) != nil && len(attemptsOf(h, r)) == 1 })
 		a := attemptAfter(h, r, "w1")
 		a.First, a.Last, a.End = a.First+6, a.First+6.001, a.First+6.1
@@ -192,7 +196,7 @@
 		h.Attempts = append(h.Attempts, a)
 		return true
 	}},
-	"two out at once": {2, func(h *History, rng *rand.Rand) bool {
+	"two attempts in flight": {2, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, ofClass(h, "safe"))
 		a := attemptAfter(h, r, "w0")
 		list := attemptsOf(h, r)
@@ -200,12 +204,12 @@
 		h.Attempts = append(h.Attempts, a)
 		return true
 	}},
-	"sent to one that leaves": {3, func(h *History, rng *rand.Rand) bool {
+	"sent to a draining worker": {3, func(h *History, rng *rand.Rand) bool {
 		r := pickRequest(h, rng, func(r *Request) bool { return r.SentAt > 5.2 && r.Class == "safe" && len(attemptsOf(h, r)) > 0 })
 		attemptsOf(h, r)[0].Worker = "w6"
 		return true
 	}},
-	"too much for one that is cold": {4, func(h *History, _ *rand.Rand) bool {
+	"overload in slow start": {4, func(h *History, _ *rand.Rand) bool {
 		for i := range 60 {
 			at := 1.5 + float64(i)/60
 			id := fmt.Sprint("cold", i)
@@ -216,22 +220,22 @@
 	}},
 }
 
-// Each rule broken on purpose, in each way, is found, and nothing else is.
+// Check finds each kind of violation, and reports no other rule as broken.
 func TestEachViolationIsFound(t *testing.T) {
 	for name, c := range violations {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(30) {
 				h := validHistory(seed)
-				if !c.do(h, rand.New(rand.NewPCG(seed, 2))) {
+				if !c.apply(h, rand.New(rand.NewPCG(seed, 2))) {
 					continue
 				}
 				found := h.Check()
 				if len(found) == 0 {
-					t.Fatalf("seed %d: not found", seed)
+					t.Fatalf("seed %d: got no violation, want one", seed)
 				}
 				for _, f := range found {
 					if f.Rule != c.rule {
-						t.Fatalf("seed %d: %v", seed, f)
+						t.Fatalf("seed %d: got an unexpected violation: %v", seed, f)
 					}
 				}
 			}
@@ -239,8 +243,9 @@
 	}
 }
 
-// What the rules allow is not found: a late end told by sockets, a send within a
-// drain's grace, a refusal of what proved not to have run, a client that left.
+// Check reports none of the following, which the rules allow: an answer that is late within
+// the network slack, a job sent to a draining worker within the grace, a rejection of a job
+// that did not run, a client that disconnected and a connection that was never accepted.
 func TestAllowedBehavior(t *testing.T) {
 	h := validHistory(1)
 	h.Requests = append(h.Requests,
--- a/internal/lab/invariants/journal.go
+++ b/internal/lab/invariants/journal.go
@@ -8,35 +8,35 @@
 	"slices"
 )
 
-// Stages of a pending version, as journals hold them.
+// Stages of an instance's configuration, as journals hold them.
 const (
-	Announced    = "announced" // it is known, and the version in force is effective
-	Intersecting = "narrow"    // the intersection of both versions is effective
-	InForce      = "in force"  // there is no pending version
-	None         = "none"      // without a lease no version is effective
+	Announced    = "announced" // a next version is known; the version in force is effective
+	Intersecting = "narrow"    // the intersection of the version in force and the next one is effective
+	InForce      = "in force"  // no next version is known
+	None         = "none"      // no version is effective, as there is no lease
 )
 
-// stages are in the order in which a version passes them.
+// stages are in the order in which an instance passes them between two versions.
 var stages = []string{InForce, Announced, Intersecting}
 
 // maxVersion bounds the versions of a journal, as Evaluate iterates over them.
 const maxVersion = 1 << 16
 
-// JournalEntry is an instance's effective configuration from a time on: until
-// its next entry, the end of its lease or the end of its process. A renewed
-// lease is an entry of its own. Times are in ns on one monotonic clock.
+// JournalEntry is the effective configuration of an instance from At until its next
+// entry, the end of its lease or the end of its process, whichever is first. Each
+// renewal of a lease adds an entry. Times are in ns on one monotonic clock.
 type JournalEntry struct {
 	At          int64  `json:"at"`
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`    // higher with each start
-	Version     uint64 `json:"version"` // in force; at Intersecting the next one, too
+	Version     uint64 `json:"version"` // in force; at Intersecting the next version is respected, too
 	Stage       string `json:"stage"`
 	Leased      bool   `json:"leased"`
-	Until       int64  `json:"until"`
+	Until       int64  `json:"until"` // end of the lease
 	Table       string `json:"table"` // digest of the effective configuration
 	Shards      []int  `json:"seats"` // that the instance owns
 
-	Uses map[string]float64 `json:"uses"` // slot starts a second that it allows each service
+	Uses map[string]float64 `json:"uses"` // slot starts per second that the instance allows, by service
 }
 
 // effective reports whether the instance has an effective version.
@@ -50,7 +50,8 @@
 	return e.Version
 }
 
-// before reports whether an entry's version and stage are lower than another's.
+// before reports whether the entry has a lower version than another one, or the same
+// version at an earlier stage.
 func (e JournalEntry) before(other JournalEntry) bool {
 	return cmp.Or(
 		cmp.Compare(e.Version, other.Version),
@@ -58,13 +59,14 @@
 	) < 0
 }
 
-// valid reports whether an entry can have been written by an instance.
+// valid reports whether an instance can have written the entry.
 func (e JournalEntry) valid() bool {
 	knownStage := e.Stage == None || slices.Contains(stages, e.Stage)
 	return e.Name != "" && e.At > 0 && e.Version <= maxVersion && knownStage
 }
 
-// ReadJournal reads JSON lines. It counts the lines that are damaged.
+// ReadJournal reads a journal, which has one JSON entry per line. It skips damaged lines
+// and returns their number; a last line without line feed is damaged.
 func ReadJournal(raw []byte) (entries []JournalEntry, damaged int) {
 	for line := range bytes.Lines(raw) {
 		complete := bytes.HasSuffix(line, []byte("\n"))
@@ -81,33 +83,34 @@
 	return entries, damaged
 }
 
-// Forever is the end of what does not end.
+// Forever is the end of a Pause that does not end.
 const Forever = math.MaxInt64
 
-// Pause is a time in which an instance did not run, as seen from outside.
+// Pause is an interval in which an instance did not run, as the process that stopped it
+// recorded it. Times are in ns.
 type Pause struct {
 	Name   string
-	Sent   int64 // time of the signal
-	From   int64 // the process has certainly stopped
-	To     int64 // it was continued
+	Sent   int64 // when the signal to stop was sent
+	From   int64 // from then on the process has certainly stopped
+	To     int64 // when the process was continued
 	Killed bool  // the process ended at From
 }
 
-// Journals are the entries and pauses of all instances.
+// Journals holds the entries and pauses of all instances.
 type Journals struct {
 	Lines   []JournalEntry
 	Pauses  []Pause
 	Damaged int // unreadable lines
 }
 
-// span is a time in which an instance had one effective configuration.
+// span is an interval in which an instance ran with one effective configuration.
 type span struct {
 	JournalEntry
 	from int64
 	to   int64
 }
 
-// byName returns the entries of each instance in order of time, and the names in order.
+// byName returns the entries of each instance in order of time, and the sorted names.
 func (a *Journals) byName() (entries map[string][]JournalEntry, names []string) {
 	entries = map[string][]JournalEntry{}
 	for _, e := range a.Lines {
@@ -123,8 +126,8 @@
 	return entries, names
 }
 
-// spans returns the spans of all instances by their start, and adds to v the
-// contradictions within an instance's own entries.
+// spans returns the spans of all instances in order of their start. It adds to v the
+// expired leases and the regressions in each instance's own entries.
 func (a *Journals) spans(v *Verdict) (spans []span) {
 	entries, names := a.byName()
 	for _, name := range names {
@@ -147,7 +150,8 @@
 	return spans
 }
 
-// withoutPauses returns the parts of an entry's time in which the instance ran.
+// withoutPauses returns the parts of the interval from an entry to end in which the
+// instance ran.
 func (a *Journals) withoutPauses(e JournalEntry, end int64) (ran []span) {
 	rest := []span{{e, e.At, end}}
 	for _, pause := range a.Pauses {
@@ -163,7 +167,7 @@
 	return ran
 }
 
-// cutPause removes a pause from spans of its instance.
+// cutPause removes a pause from the spans of the paused instance.
 func cutPause(spans []span, pause Pause) (rest []span) {
 	for _, s := range spans {
 		if before := min(s.to, pause.From); s.from < before {
--- a/internal/lab/invariants/levels.go
+++ b/internal/lab/invariants/levels.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Level is the rate that groups of instances allow a service, until the next Level.
+// Level is the rate in slot starts per second that groups of instances allow a service
+// from At, in ns, until the next Level.
 type Level struct {
 	At int64
-	By map[string]float64 // by group: the highest of its instances
+	By map[string]float64 // by group: the highest rate of its instances
 }
 
 // Sum returns the rate that all groups allow together.
@@ -20,7 +21,7 @@
 	return sum
 }
 
-// levelChange is the begin or the end of an instance's span.
+// levelChange is the start or the end of an instance's span.
 type levelChange struct {
 	at   int64
 	name string
@@ -28,8 +29,8 @@
 	ends bool
 }
 
-// Levels returns the rates that a service is allowed over the time of the
-// journals. An instance without a lease, or one that does not run, allows none.
+// Levels returns the rates that a service is allowed during the time that the journals
+// cover. An instance allows none while it has no lease or does not run.
 func (a *Journals) Levels(service string, group func(name string) string) (levels []Level) {
 	changes := a.levelChanges(service)
 	rates := map[string]float64{} // by instance
@@ -50,8 +51,8 @@
 	return levels
 }
 
-// levelChanges returns the changes by time. At one time ends come first: a span
-// that begins does not overlap one that ends.
+// levelChanges returns the changes in order of time. At the same time, ends precede
+// starts, because a span does not include its end.
 func (a *Journals) levelChanges(service string) (changes []levelChange) {
 	for _, s := range a.spans(&Verdict{}) {
 		changes = append(changes,
--- a/internal/lab/invariants/verdict.go
+++ b/internal/lab/invariants/verdict.go
@@ -9,18 +9,18 @@
 
 // Verdict is the result of the evaluation of journals.
 type Verdict struct {
-	Exclusive      []Conflict // exclusive configurations that conflict, effective at once
-	ShardConflicts []Conflict // a shard with two owners at once
-	Forks          []Conflict // two tables with one version and stage
-	Loose          float64    // longest time in s in which a version was effective beside an older one
-	Worst          uint64     // the version of Loose
+	Exclusive      []Conflict // exclusively conflicting configurations that were effective at the same time
+	ShardConflicts []Conflict // a shard had two owners at the same time
+	Forks          []Conflict // two tables had the same version and stage
+	Loose          float64    // longest interval in s in which a version and an older one were effective
+	Worst          uint64     // the version with that interval
 	Regressions    []string   // versions that decreased at an instance, also over restarts
-	Late           []string   // entries that claim an expired lease
-	Damaged        int
-	Spans          int // that were evaluated
+	Late           []string   // entries written when their lease had expired
+	Damaged        int        // unreadable lines
+	Spans          int        // number of intervals that were compared
 }
 
-// Conflict is a time in which two instances had configurations that conflict.
+// Conflict is an interval in which two instances had conflicting configurations.
 type Conflict struct {
 	A    JournalEntry
 	B    JournalEntry
@@ -34,7 +34,8 @@
 }
 
 // Evaluate checks the journals. Exclusive reports whether a version conflicts
-// exclusively with the one before it; a withdrawn version never does.
+// exclusively with the previous one, so that both must not be effective at the same
+// time. It must return false for a withdrawn version.
 func (a *Journals) Evaluate(exclusive func(version uint64) bool) *Verdict {
 	v := &Verdict{Damaged: a.Damaged}
 	spans := a.spans(v)
@@ -43,7 +44,7 @@
 	return v
 }
 
-// checkLease finds an entry that claims an expired lease.
+// checkLease records an entry that was written when its lease had expired.
 func (v *Verdict) checkLease(e JournalEntry) {
 	if e.At >= e.Until {
 		v.Late = append(v.Late,
@@ -51,8 +52,8 @@
 	}
 }
 
-// checkOrder finds an entry below the instance's highest one, and returns the
-// highest of both.
+// checkOrder records an entry that is below the instance's highest one so far, and
+// returns the higher of both.
 func (v *Verdict) checkOrder(highest, e JournalEntry) JournalEntry {
 	if !e.before(highest) {
 		return e
@@ -62,14 +63,14 @@
 	return highest
 }
 
-// interval is the time from the first to the last coexistence of a version with
-// an older one.
+// interval is the time from the start of the first to the end of the last coexistence of
+// a version with an older one.
 type interval struct {
 	first int64
 	last  int64
 }
 
-// compare compares the configurations that were effective at the same time.
+// compare compares all pairs of configurations that were effective at the same time.
 func (v *Verdict) compare(spans []span, exclusive func(uint64) bool) {
 	coexisted := map[uint64]interval{} // by version
 	var open []span
@@ -85,7 +86,7 @@
 	v.setLoose(coexisted)
 }
 
-// comparePair compares two overlapping spans, the second of which began later.
+// comparePair compares two overlapping spans. Span b did not begin before span a.
 func (v *Verdict) comparePair(a, b span, exclusive func(uint64) bool, coexisted map[uint64]interval) {
 	c := Conflict{
 		A:    a.JournalEntry,
@@ -115,7 +116,7 @@
 	}
 }
 
-// extend extends a version's interval by the time of a conflict.
+// extend extends the interval of a version to include the time of a conflict.
 func extend(coexisted map[uint64]interval, version uint64, c Conflict) {
 	known, ok := coexisted[version]
 	if !ok {
@@ -131,7 +132,8 @@
 	return slices.ContainsFunc(a.Shards, func(shard int) bool { return slices.Contains(b.Shards, shard) })
 }
 
-// setLoose sets the longest interval; of equal ones that of the lowest version.
+// setLoose sets Loose and Worst to the longest interval; of equal intervals, to that of
+// the lowest version.
 func (v *Verdict) setLoose(coexisted map[uint64]interval) {
 	for version, i := range coexisted {
 		seconds := float64(i.last-i.first) / nanosecondsPerSecond
--- a/internal/lab/invariants/workers.go
+++ b/internal/lab/invariants/workers.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// startSkewSeconds is the tolerance of a start time in the endpoint list.
+	// startSkewSeconds is the tolerance for comparing a start time in the endpoint list.
 	startSkewSeconds = 1e-3
 
 	slowStartTolerance = 1.1 // of the budget
@@ -21,8 +21,8 @@
 	worker     string
 }
 
-// checkDrains checks rule 3: a draining worker gets nothing new from a
-// dispatcher that was notified.
+// checkDrains checks rule 3: a dispatcher sends no new jobs to a draining worker
+// later than DrainGrace after it was notified.
 func (c *checker) checkDrains() {
 	changes := map[route][]EndpointChange{}
 	for _, change := range c.h.EndpointChanges {
@@ -42,8 +42,8 @@
 	}
 }
 
-// drainingSince returns whether a worker is draining at a time by the changes of
-// the list until then, and since when.
+// drainingSince returns whether a worker is draining at a time according to the
+// changes up to then, and since when. The changes are in order of time.
 func drainingSince(changes []EndpointChange, at float64) (since float64, draining bool) {
 	for _, change := range changes {
 		if change.At > at {
@@ -58,9 +58,10 @@
 	return since, draining
 }
 
-// checkSlowStart checks rule 4: within no span does a worker that has just
-// started get more than a multiple of its capacity then, if two thirds of it
-// come from dispatchers that were notified of the start.
+// checkSlowStart checks rule 4: within OverloadSpan, a worker in slow start gets at
+// most OverloadMultiple times its current capacity. An excess counts only if at
+// least two thirds of the work come from dispatchers that were notified of the
+// start.
 func (c *checker) checkSlowStart() {
 	limits := &c.h.Limits
 	if limits.OverloadMultiple == 0 || limits.OverloadSpan == 0 {
@@ -82,7 +83,8 @@
 	}
 }
 
-// notifiedAt returns when each dispatcher was notified of a worker's last start.
+// notifiedAt returns the time at which each dispatcher was notified of a worker's last
+// start.
 func (c *checker) notifiedAt(w *Worker) map[string]float64 {
 	notified := map[string]float64{}
 	for _, change := range c.h.EndpointChanges {
@@ -96,7 +98,7 @@
 	return notified
 }
 
-// window is the work that a worker got within OverloadSpan.
+// window sums the work in slot seconds that a worker got within OverloadSpan.
 type window struct {
 	notifiedAt map[string]float64 // by dispatcher
 	total      float64
@@ -151,7 +153,8 @@
 	}
 }
 
-// capacity returns the fraction of its slots that a worker has at an age.
+// capacity returns the fraction of its slots that a worker offers at an age, which is
+// the number of seconds since its start.
 func (c *checker) capacity(age float64) float64 {
 	limits := &c.h.Limits
 	if limits.SlowStartSeconds <= 0 {
