--- a/internal/lab/emulator/queue.go
+++ b/internal/lab/emulator/queue.go
@@ -1,18 +1,18 @@
 package emulator
 
-// task is an accepted job. It is in one of the worker's two heaps.
+// task is an accepted job. It is in the heap of the waiting or of the running tasks.
 type task struct {
 	Job
-	remaining float64 // work in seconds on this worker
+	remaining float64 // seconds of work left on this worker
 	resumedAt float64
-	endsAt    float64 // if it is not preempted
+	endsAt    float64 // unless it is preempted
 	arrival   int
-	started   bool // it holds its memory
+	started   bool // it has run, and holds its memory
 	running   bool
 	heapIndex int
 }
 
-// size is the number of slots that a task takes.
+// size returns the number of slots that a task takes.
 func (t *task) size() float64 { return max(t.Slots, 1) }
 
 // taskQueue is a heap of waiting tasks by priority, then by arrival.
@@ -51,7 +51,7 @@
 	return last
 }
 
-// runningTasks is a heap of running tasks by end, then by arrival.
+// runningTasks is a heap of running tasks by end time, then by arrival.
 type runningTasks struct{ taskQueue }
 
 // Less implements heap.Interface.
--- a/internal/lab/emulator/schedule.go
+++ b/internal/lab/emulator/schedule.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// startRunnable starts queued tasks in order while they fit, by preemption where
-// the settings allow it, and appends what it did to events.
+// startRunnable starts queued tasks in order while they fit, if necessary by
+// preemption, and appends the events.
 func (w *Worker) startRunnable(now float64, events []Event) []Event {
 	for len(w.queue) > 0 {
 		t := w.queue[0]
@@ -14,8 +14,8 @@
 			var preempted bool
 			events, preempted = w.preempt(now, t, events)
 			if !preempted {
-				// Suspended tasks may hold the memory that the first one lacks:
-				// they have to end before it can start.
+				// Suspended tasks may hold the memory that the first task needs:
+				// they must end before it can start.
 				t = w.firstResumable(now)
 			}
 		}
@@ -27,7 +27,7 @@
 	return events
 }
 
-// start moves a task from the queue to its slots.
+// start removes a task from the queue and runs it.
 func (w *Worker) start(now float64, t *task) Event {
 	heap.Remove(&w.queue, t.heapIndex)
 	kind := Resumed
@@ -44,8 +44,8 @@
 	return Event{At: now, Kind: kind, ID: t.ID}
 }
 
-// firstResumable returns the first suspended task that fits, where the first
-// task of the queue waits for memory.
+// firstResumable returns the first suspended task that fits, if the first task
+// of the queue waits for memory. Otherwise it returns nil.
 func (w *Worker) firstResumable(now float64) (first *task) {
 	if w.hasMemory(w.queue[0]) {
 		return nil
@@ -65,8 +65,9 @@
 	return a.arrival < b.arrival
 }
 
-// preempt suspends tasks of a lower priority, the lowest and youngest first, if
-// that makes room for t, and reports whether it did.
+// preempt suspends tasks of lower priority if that frees enough slots for t, and
+// reports whether it did. It selects the lowest priority first and, within a
+// priority, the latest arrival.
 func (w *Worker) preempt(now float64, t *task, events []Event) ([]Event, bool) {
 	if !w.Preempts || !w.hasMemory(t) {
 		return events, false
@@ -84,8 +85,7 @@
 	return events, true
 }
 
-// victims returns the tasks whose suspension makes room for t, and whether they
-// are enough.
+// victims returns the tasks to suspend for t, and whether they free enough slots.
 func (w *Worker) victims(now float64, t *task) (lower []*task, enough bool) {
 	for _, other := range w.running.taskQueue {
 		if other.Priority < t.Priority {
@@ -107,14 +107,14 @@
 	return lower[:count], free >= t.size()
 }
 
-// stop takes a task off its slots.
+// stop releases the slots of a running task.
 func (w *Worker) stop(t *task) {
 	heap.Remove(&w.running, t.heapIndex)
 	t.running = false
 	w.usedSlots -= t.size()
 }
 
-// remove ends a task.
+// remove removes a task and releases its slots and memory.
 func (w *Worker) remove(t *task) {
 	if t.running {
 		w.stop(t)
--- a/internal/lab/emulator/worker.go
+++ b/internal/lab/emulator/worker.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// startedLongAgo is the start time of a worker that is warm.
+// startedLongAgo is the start time of a worker that is not in slow start.
 const startedLongAgo = -1
 
-// Worker is one worker.
+// Worker is the model of one worker. It is not safe for concurrent use.
 type Worker struct {
 	Settings
 	Zone *Zone
@@ -24,7 +24,8 @@
 	arrivals   int
 }
 
-// New returns a warm worker. The zone may be nil.
+// New returns a worker that is not in slow start. The zone may be nil: then keys are not
+// deduplicated.
 func New(s Settings, z *Zone) *Worker {
 	if s.Speed <= 0 {
 		s.Speed = 1
@@ -37,7 +38,7 @@
 	}
 }
 
-// usableSlots returns the slots that slow start allows now.
+// usableSlots returns the number of slots that slow start allows at a time.
 func (w *Worker) usableSlots(now float64) float64 {
 	if w.startedAt < 0 || w.SlowStartFloor <= 0 || w.SlowStartSeconds <= 0 {
 		return w.Slots
@@ -46,8 +47,8 @@
 	return max(1, math.Floor(fraction*w.Slots))
 }
 
-// Submit offers a job to the worker. The caller calls Advance with the same
-// time before, and after to learn what was started.
+// Submit offers a job to the worker. The caller must call Advance with the same
+// time before Submit, and again after it to receive the resulting events.
 func (w *Worker) Submit(now float64, j Job) Admission {
 	t := &task{
 		Job:       j,
@@ -70,7 +71,7 @@
 	return Accepted
 }
 
-// exceedsWorker reports whether a task could not run on the idle worker.
+// exceedsWorker reports whether a task needs more than the idle worker has.
 func (w *Worker) exceedsWorker(t *task) bool {
 	return t.size() > w.Slots || w.Memory > 0 && t.Memory > w.Memory
 }
@@ -86,7 +87,8 @@
 	return w.Memory == 0 || t.started || w.usedMemory+t.Memory <= w.Memory
 }
 
-// Next returns the time of the next change without a call; infinity: none.
+// Next returns the time at which Advance has to be called next unless another method is
+// called before, or infinity if nothing is due.
 func (w *Worker) Next(now float64) float64 {
 	next := math.Inf(1)
 	if len(w.running.taskQueue) > 0 {
@@ -99,7 +101,8 @@
 	return next
 }
 
-// Advance returns what has happened up to now, in order of time.
+// Advance ends and starts the tasks that are due up to now, and returns the events in
+// order of time.
 func (w *Worker) Advance(now float64) (events []Event) {
 	for len(w.running.taskQueue) > 0 && w.running.taskQueue[0].endsAt <= now {
 		t := w.running.taskQueue[0]
@@ -113,14 +116,16 @@
 	return w.startRunnable(now, events)
 }
 
-// Cancel removes a job whose client has disconnected.
+// Cancel removes a job, for example because its client has disconnected. Unknown IDs are
+// ignored.
 func (w *Worker) Cancel(_ float64, id string) {
 	if t := w.byID[id]; t != nil {
 		w.remove(t)
 	}
 }
 
-// Drain makes the worker reject new jobs and returns those that have not started.
+// Drain makes the worker reject new jobs and gives back the jobs that have not started, as
+// Returned events. Started jobs continue.
 func (w *Worker) Drain(now float64) (events []Event) {
 	w.draining = true
 	var started taskQueue
@@ -141,7 +146,7 @@
 	return events
 }
 
-// Restart loses all jobs and begins slow start.
+// Restart drops all jobs, as Lost events, and begins slow start.
 func (w *Worker) Restart(now float64) (events []Event) {
 	lost := append(slices.Clone(w.queue), w.running.taskQueue...)
 	slices.SortFunc(lost, byArrival)
--- a/internal/lab/emulator/worker_test.go
+++ b/internal/lab/emulator/worker_test.go
@@ -12,13 +12,13 @@
 type modelState string
 
 const (
-	modelQueued    modelState = "waits"
-	modelRunning   modelState = "runs"
+	modelQueued    modelState = "queued"
+	modelRunning   modelState = "running"
 	modelSuspended modelState = "suspended"
-	modelEnded     modelState = "over"
+	modelEnded     modelState = "ended"
 )
 
-// modelJob is an accepted job as its events describe it.
+// modelJob is the state of an accepted job according to its events.
 type modelJob struct {
 	Job
 	state     modelState
@@ -39,9 +39,9 @@
 	memory   float64
 }
 
-// Random jobs, cancels, drains and crashes: each accepted job ends in exactly one
-// way, none runs on more slots or memory than there are, and none ends before its
-// work is done.
+// For random submissions, cancellations, drains and restarts, each accepted job ends
+// exactly once, the running jobs never use more slots or memory than the worker has, and
+// no job is done before its work.
 func TestWorkerAgainstRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{
@@ -71,7 +71,7 @@
 	})
 }
 
-// step cancels, drains, restarts or submits at random.
+// step cancels or submits a job, or drains or restarts the worker, at random.
 func (m *workerModel) step(i int) {
 	switch rapid.IntRange(0, 9).Draw(m.T, "step") {
 	case 8:
@@ -125,22 +125,22 @@
 		return
 	}
 	if admission == Draining != m.worker.draining {
-		m.Fatalf("admission %v, draining %v", admission, m.worker.draining)
+		m.Fatalf("got admission %v while draining is %v", admission, m.worker.draining)
 	}
 }
 
-// apply takes in events, whose times must not decrease.
+// apply updates the model by events, whose times must not decrease.
 func (m *workerModel) apply(events []Event) {
 	last := 0.0
 	for _, e := range events {
 		job := m.jobs[e.ID]
 		if job == nil || job.state == modelEnded || e.At < last || e.At > m.now+1e-9 {
-			m.Fatalf("%+v of %+v after %v", e, job, last)
+			m.Fatalf("got unexpected event %+v for job %+v, previous event at %v", e, job, last)
 		}
 		last = e.At
 		m.applyEvent(e, job)
 		if m.slots > 4+1e-9 || m.settings.Memory > 0 && m.memory > m.settings.Memory+1e-9 {
-			m.Fatalf("%v slots, %v memory used", m.slots, m.memory)
+			m.Fatalf("got %v slots and %v memory in use, more than the worker has", m.slots, m.memory)
 		}
 	}
 }
@@ -157,14 +157,14 @@
 		worked := job.worked + e.At - job.resumedAt
 		want := job.Work / m.settings.Speed
 		if job.state != modelRunning || math.Abs(worked-want) > 1e-6 {
-			m.Fatalf("%+v: ran %v of %v", e, worked, want)
+			m.Fatalf("%+v: got %v s of work, want %v s", e, worked, want)
 		}
 		m.slots -= job.size()
 		m.memory -= job.Memory
 		job.state = modelEnded
 	case Returned, Lost:
 		if e.Kind == Returned && job.state != modelQueued {
-			m.Fatalf("handed back, and it %s", job.state)
+			m.Fatalf("a draining worker returned a job that is %s", job.state)
 		}
 		job.state = modelEnded
 	}
@@ -174,7 +174,7 @@
 	startsQueued := (e.Kind == Started) == (job.state == modelQueued)
 	resumesSuspended := (e.Kind == Resumed) == (job.state == modelSuspended)
 	if !startsQueued || !resumesSuspended {
-		m.Fatalf("%+v while it %s", e, job.state)
+		m.Fatalf("got %+v for a job that is %s", e, job.state)
 	}
 	if e.Kind == Started {
 		m.memory += job.Memory
@@ -184,18 +184,18 @@
 	m.slots += job.size()
 }
 
-// checkUsage compares the worker's own figures with the model's.
+// checkUsage compares the worker's slots and memory in use with those of the model.
 func (m *workerModel) checkUsage() {
 	w := m.worker
 	if len(w.queue) > m.settings.MaxQueue+len(m.jobs) {
-		m.Fatalf("%d tasks queued", len(w.queue))
+		m.Fatalf("got %d queued tasks, more than the queue may hold", len(w.queue))
 	}
 	if math.Abs(w.usedSlots-m.slots) > 1e-9 || math.Abs(w.usedMemory-m.memory) > 1e-9 {
-		m.Fatalf("it says %v slots, %v memory; they are %v, %v", w.usedSlots, w.usedMemory, m.slots, m.memory)
+		m.Fatalf("worker counts %v slots and %v memory in use, want %v and %v", w.usedSlots, w.usedMemory, m.slots, m.memory)
 	}
 }
 
-// finish advances until nothing changes any more: every job must have ended.
+// finish advances until the worker has no further events: every job must have ended.
 func (m *workerModel) finish() {
 	for n := 0; n < 10_000 && !math.IsInf(m.worker.Next(m.now), 1); n++ {
 		m.now = max(m.now, m.worker.Next(m.now))
@@ -203,7 +203,7 @@
 	}
 	for id, job := range m.jobs {
 		if job.state != modelEnded {
-			m.Fatalf("%s %s for ever", id, job.state)
+			m.Fatalf("job %s remains %s", id, job.state)
 		}
 	}
 }
@@ -213,22 +213,22 @@
 	submit := func(now float64, id string, slots float64, priority int) []Event {
 		w.Advance(now)
 		if v := w.Submit(now, Job{ID: id, Slots: slots, Work: 1, Priority: priority}); v != Accepted {
-			t.Fatalf("%s: %v", id, v)
+			t.Fatalf("submit %s: got admission %v, want Accepted", id, v)
 		}
 		return w.Advance(now)
 	}
 	submit(0, "a", 1, 0)
 	submit(0.1, "b", 1, 0)
-	submit(0.2, "c", 1, 0)                                                                                                 // waits
-	if got := submit(0.5, "high", 2, 1); len(got) != 3 || got[0].ID != "b" || got[1].ID != "a" || got[2].Kind != Started { // the youngest first
-		t.Fatalf("%+v", got)
+	submit(0.2, "c", 1, 0)                                                                                                 // is queued
+	if got := submit(0.5, "high", 2, 1); len(got) != 3 || got[0].ID != "b" || got[1].ID != "a" || got[2].Kind != Started { // the latest arrival is suspended first
+		t.Fatalf("got unexpected events %+v", got)
 	}
 	got := w.Advance(1.5)
 	if len(got) != 3 || got[0] != (Event{1.5, Done, "high"}) || got[1] != (Event{1.5, Resumed, "a"}) || got[2] != (Event{1.5, Resumed, "b"}) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got unexpected events %+v", got)
 	}
 	if got = w.Advance(2.0); len(got) != 2 || got[0] != (Event{2, Done, "a"}) || got[1] != (Event{2, Started, "c"}) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got unexpected events %+v", got)
 	}
 }
 
@@ -241,13 +241,13 @@
 		w.Submit(0, Job{ID: fmt.Sprint(i), IdempotencyKey: "k", Work: 100})
 	}
 	if got := w.Advance(0); len(got) != 1 || w.Report(0).FreeSlots != 0 || w.Report(0).Queue != 3 {
-		t.Fatalf("cold: %+v", got)
+		t.Fatalf("at the start: got events %+v", got)
 	}
 	if got := w.Advance(8); len(got) != 3 {
-		t.Fatalf("warm: %+v", got)
+		t.Fatalf("after slow start: got events %+v", got)
 	}
 	if got := w.Drain(8); len(got) != 0 || w.Submit(8, Job{ID: "x"}) != Draining {
-		t.Fatalf("drain: %+v", got)
+		t.Fatalf("drain: got events %+v", got)
 	}
 	other.Submit(8, Job{ID: "y", IdempotencyKey: "q", Work: 1})
 	other.Advance(8)
@@ -255,23 +255,23 @@
 	other.Submit(8, Job{ID: "wide", Slots: 4, Work: 100})
 	other.Advance(8)
 	if got := other.Drain(8.5); len(got) != 1 || got[0].ID != "wide" || got[0].Kind != Returned {
-		t.Fatalf("handed back: %+v", got)
+		t.Fatalf("drain with a waiting job: got events %+v", got)
 	}
 	other.Advance(9)
 	w.draining = false
 	if w.Submit(10, Job{ID: "a", IdempotencyKey: "q"}) != AlreadyDone || w.Submit(14.1, Job{ID: "b", IdempotencyKey: "q"}) == AlreadyDone {
-		t.Error("a zone knows what it has run for 5 s")
+		t.Error("want a completed key rejected within 5 s and accepted after them")
 	}
 }
 
-// Found at random: the first in the queue waited for memory that suspended jobs
-// held, and they for it to pass: nothing ever ran again.
+// Guards against a deadlock: the first job of the queue waited for memory that suspended
+// jobs held, while these waited behind it in the queue, so that no job ran any more.
 func TestSuspendedJobsDoNotBlockMemory(t *testing.T) {
 	w := New(Settings{Slots: 4, MaxQueue: 5, Speed: 1, Preempts: true, Memory: 3}, nil)
 	w.Submit(0, Job{ID: "low", Slots: 4, Memory: 2, Work: 1, Priority: 0})
 	w.Advance(0)
 	w.Submit(0.1, Job{ID: "high", Slots: 4, Memory: 1, Work: 1, Priority: 1})
-	w.Advance(0.1) // low is suspended, and keeps its memory
+	w.Advance(0.1) // low is suspended and keeps its memory
 	w.Submit(0.2, Job{ID: "more", Slots: 4, Memory: 2, Work: 1, Priority: 2})
 	var done []string
 	for now := 0.2; now < 10; now += 0.1 {
@@ -282,6 +282,6 @@
 		}
 	}
 	if len(done) != 3 {
-		t.Errorf("only %v ended", done)
+		t.Errorf("got %v done, want all 3 jobs", done)
 	}
 }
--- a/internal/lab/loadgen/generator.go
+++ b/internal/lab/loadgen/generator.go
@@ -7,20 +7,21 @@
 	"net/http"
 )
 
-// generatorStream separates the generator's random numbers from those of
-// others with the same seed.
+// generatorStream separates the generator's random numbers from those of other users
+// of the same seed.
 const generatorStream = 0x10ad
 
-// The rate of Day is 1 - dayAmplitude*cos(...) times the mean.
+// The rate of Day is 1 - dayAmplitude*cos(2*pi*t/Period) times the mean, so that its peak
+// is dayPeakRatio times the mean.
 const (
 	dayAmplitude = 0.8
 	dayPeakRatio = 1.8
 )
 
-// defaultRetryDelay is the pause before a retry without Retry-After, in seconds.
+// defaultRetryDelay is the delay in seconds of a retry without Retry-After.
 const defaultRetryDelay = 0.1
 
-// Job is one request.
+// Job is one request. Times are in seconds.
 type Job struct {
 	At                float64 `json:"at"`
 	Class             string  `json:"class"`
@@ -31,7 +32,7 @@
 	DisconnectsAfter  float64 `json:"leaves,omitempty"` // seconds until the client disconnects; 0: it does not
 }
 
-// Generator draws jobs in order of time.
+// Generator generates jobs in order of time. It is not safe for concurrent use.
 type Generator struct {
 	Settings
 	rng            *rand.Rand
@@ -40,7 +41,7 @@
 	drawn          int
 }
 
-// NewGenerator returns a generator for settings that Validate accepts.
+// NewGenerator returns a generator. The settings must be valid, see Settings.Validate.
 func NewGenerator(s Settings) *Generator {
 	return &Generator{Settings: s, rng: rand.New(rand.NewPCG(s.Seed, generatorStream))}
 }
@@ -62,7 +63,7 @@
 		HasIdempotencyKey: class.HasIdempotencyKey,
 	}
 	if len(class.Slots) > 0 {
-		_, _ = fmt.Sscan(g.pickName(class.Slots), &job.Slots) // a name that is no number leaves one slot
+		_, _ = fmt.Sscan(g.pickName(class.Slots), &job.Slots) // if the name is not a number, the job keeps one slot
 	}
 	if g.rng.Float64() < g.DisconnectFraction {
 		job.DisconnectsAfter = g.rng.Float64() * class.ClientTimeout
@@ -88,7 +89,7 @@
 	}
 }
 
-// advanceBurst moves the time only when the current burst is used up.
+// advanceBurst moves the time only when all requests of the current burst are drawn.
 func (g *Generator) advanceBurst() {
 	g.burstRemaining--
 	if g.burstRemaining > 0 {
@@ -98,7 +99,7 @@
 	g.burstRemaining = g.Burst
 }
 
-// advanceDay thins a Poisson process of the peak rate.
+// advanceDay draws the next arrival by thinning a Poisson process of the peak rate.
 func (g *Generator) advanceDay() {
 	for {
 		g.now += g.rng.ExpFloat64() / (dayPeakRatio * g.Rate)
@@ -127,8 +128,9 @@
 	return n - 1
 }
 
-// RetryDelay returns the seconds until a client's retry and whether it retries
-// at all. Attempts counts those made so far.
+// RetryDelay returns the seconds until a client's retry and whether the client retries.
+// Attempts is the number of attempts so far; retryAfter is the value of Retry-After, 0 if
+// there is none, and timeLeft is the time until the client's timeout, both in seconds.
 func (s *Settings) RetryDelay(status, attempts int, retryAfter, timeLeft float64) (delay float64, retry bool) {
 	rejected := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	if !rejected || attempts > s.MaxRetries {
--- a/internal/lab/loadgen/generator_test.go
+++ b/internal/lab/loadgen/generator_test.go
@@ -12,7 +12,8 @@
 		Tenants: []WeightedName{{"x", 1}, {"y", 4}}, DisconnectFraction: 0.1, MaxRetries: 2}
 }
 
-// Every shape keeps its mean rate, its order and its parts, and is the same again.
+// Each shape has the mean rate, the order of time and the fractions of the settings, and
+// the same seed gives the same jobs.
 func TestShapes(t *testing.T) {
 	for _, shape := range Shapes {
 		s := testSettings(shape)
@@ -27,13 +28,13 @@
 		for {
 			j, ok := first.Next()
 			if k, also := second.Next(); j != k || ok != also {
-				t.Fatalf("%s: %+v, then %+v", shape, j, k)
+				t.Fatalf("%s: generators with the same seed gave %+v and %+v", shape, j, k)
 			}
 			if !ok {
 				break
 			}
 			if j.At < last || j.At >= 60 || j.DisconnectsAfter > j.ClientTimeout {
-				t.Fatalf("%s: %+v after %v", shape, j, last)
+				t.Fatalf("%s: got job %+v after one at %v", shape, j, last)
 			}
 			n, last = n+1, j.At
 			count[j.Class]++
@@ -48,20 +49,20 @@
 		}
 		for what, want := range map[string]float64{"a": 0.75, "y": 0.8, "leaves": 0.1, "wide": 0.375} {
 			if math.Abs(count[what]/n-want) > 0.03 {
-				t.Errorf("%s: %s are %.3f of all, want %v", shape, what, count[what]/n, want)
+				t.Errorf("%s: fraction of %s: got %.3f, want %v", shape, what, count[what]/n, want)
 			}
 		}
 		if math.Abs(n/60-200) > 25 {
-			t.Errorf("%s: %.1f a second", shape, n/60)
+			t.Errorf("%s: got %.1f requests per second, want 200", shape, n/60)
 		}
 		if swing := busiest[10] / max(busiest[0], 1); shape == Day && (swing < 3 || busiest[10] < 300) {
-			t.Errorf("the day's curve: %v at its foot, %v at its top", busiest[0], busiest[10])
+			t.Errorf("shape day: got %v requests in the least busy second, %v in the busiest", busiest[0], busiest[10])
 		}
 	}
 }
 
 func TestSettingsValidate(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+	for want, change := range map[string]func(*Settings){
 		"rate":    func(s *Settings) { s.Rate = math.NaN() },
 		"shape":   func(s *Settings) { s.Shape = "round" },
 		"burst":   func(s *Settings) { s.Shape, s.Burst = Bursts, 0 },
@@ -73,9 +74,9 @@
 		"tenant":  func(s *Settings) { s.Tenants = nil },
 	} {
 		s := testSettings(Poisson)
-		spoil(&s)
+		change(&s)
 		if err := s.Validate(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("got error %v, want one with %s", err, want)
 		}
 	}
 }
@@ -83,11 +84,11 @@
 func TestParseClass(t *testing.T) {
 	c, err := ParseClass("a:2:3.5:keyed:1=3:4=1")
 	if err != nil || c.Name != "a" || c.Weight != 2 || c.ClientTimeout != 3.5 || !c.HasIdempotencyKey || len(c.Slots) != 2 || c.Slots[1] != (WeightedName{"4", 1}) {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got class %+v, error %v", c, err)
 	}
 	for _, text := range []string{"a", "a:1", "a:x:1", "a:1:x", "a:1:1:wide", "a:1:1:x=1", "a:1:1:0=1", ":1:1", "a:0:1"} {
 		if c, err := ParseClass(text); err == nil || !strings.Contains(err.Error(), "class") {
-			t.Errorf("%s: %+v, %v", text, c, err)
+			t.Errorf("%s: got class %+v, error %v, want an error", text, c, err)
 		}
 	}
 }
@@ -95,16 +96,17 @@
 func TestRetryDelay(t *testing.T) {
 	s := testSettings(Even)
 	for _, c := range []struct {
-		obey          bool
-		status, tries int
-		after, left   float64
-		in            float64
-		yes           bool
+		honor                bool
+		status, attempts     int
+		retryAfter, timeLeft float64
+		delay                float64
+		retry                bool
 	}{{false, 503, 1, 1, 2, 0.1, true}, {true, 503, 1, 1, 2, 1, true}, {true, 503, 1, 3, 2, 3, false}, {true, 429, 2, 0, 2, 0.1, true},
 		{true, 503, 3, 1, 9, 0, false}, {true, 200, 1, 0, 9, 0, false}, {false, 504, 1, 0, 9, 0, false}} {
-		s.HonorRetryAfter = c.obey
-		if in, yes := s.RetryDelay(c.status, c.tries, c.after, c.left); in != c.in || yes != c.yes {
-			t.Errorf("%+v: %v, %v", c, in, yes)
+		s.HonorRetryAfter = c.honor
+		if delay, retry := s.RetryDelay(c.status, c.attempts, c.retryAfter, c.timeLeft); delay != c.delay ||
+			retry != c.retry {
+			t.Errorf("%+v: got delay %v, retry %v", c, delay, retry)
 		}
 	}
 }
@@ -112,12 +114,12 @@
 func TestReadTrace(t *testing.T) {
 	list, err := ReadTrace("f", strings.NewReader("{\"at\":0.5,\"class\":\"a\",\"tenant\":\"x\"}\n\n{\"at\":1,\"class\":\"b\",\"slots\":2,\"timeout\":9}\n"))
 	if err != nil || len(list) != 2 || list[0].Slots != 1 || list[0].ClientTimeout != 3 || list[1].ClientTimeout != 9 {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("got jobs %+v, error %v", list, err)
 	}
 	for text, want := range map[string]string{"{": "f:1:", "\n{\"at\":1,\"klass\":\"a\"}": "f:2:", "{\"at\":1,\"class\":\"a\"}\n{\"at\":0,\"class\":\"a\"}": "f:2: at",
 		"{\"at\":1}": "f:1: class", "{\"at\":1,\"class\":\"a\",\"timeout\":-1}": "f:1: timeout"} {
 		if _, err := ReadTrace("f", strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want one with %s", text, err, want)
 		}
 	}
 }
@@ -129,7 +131,7 @@
 		list, err := ReadTrace("f", strings.NewReader(text))
 		for i, j := range list {
 			if err != nil || j.Class == "" || i > 0 && j.At < list[i-1].At {
-				t.Fatalf("%+v, %v", j, err)
+				t.Fatalf("got invalid job %+v, error %v", j, err)
 			}
 		}
 	})
--- a/internal/lab/loadgen/parse.go
+++ b/internal/lab/loadgen/parse.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// ParseWeightedName parses a name and a weight above 0, divided by a separator.
+// ParseWeightedName parses a name and a weight above 0 with a separator between them.
 func ParseWeightedName(text, separator string) (WeightedName, error) {
 	name, rest, found := strings.Cut(text, separator)
 	weight, err := strconv.ParseFloat(rest, 64)
@@ -16,7 +16,8 @@
 	return WeightedName{Name: name, Weight: weight}, nil
 }
 
-// ParseClass parses NAME:WEIGHT:PATIENCE[:keyed][:SLOTS=WEIGHT...].
+// ParseClass parses NAME:WEIGHT:PATIENCE[:keyed][:SLOTS=WEIGHT...]. PATIENCE is the
+// client timeout in seconds.
 func ParseClass(text string) (class Class, err error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < 3 {
@@ -28,7 +29,7 @@
 	}
 	class.ClientTimeout, err = strconv.ParseFloat(parts[2], 64)
 	if err != nil {
-		return class, fmt.Errorf("class %q: %q is no patience in seconds", text, parts[2])
+		return class, fmt.Errorf("class %q: patience %q is not a number of seconds", text, parts[2])
 	}
 	for _, option := range parts[3:] {
 		if option == "keyed" {
--- a/internal/lab/loadgen/settings.go
+++ b/internal/lab/loadgen/settings.go
@@ -1,7 +1,8 @@
-// Package loadgen generates the load of clients: when a request comes, its
-// class, tenant, slots and client timeout, and how a client reacts to an
-// answer. The load is open loop: no answer moves a later request. The package
-// has no clock and no I/O; times are in seconds from the start.
+// Package loadgen generates the load of clients: the arrival time of each
+// request, its class, tenant, slots and client timeout, and how a client reacts
+// to an answer. The load is open loop: answers do not affect when later requests
+// arrive. The package has no clock and no I/O; times are in seconds from the
+// start.
 package loadgen
 
 import (
@@ -14,8 +15,8 @@
 const (
 	Poisson = "poisson"
 	Even    = "even"
-	Bursts  = "bursts" // Settings.Burst requests at once, at random times
-	Day     = "day"    // the rate swings between a fifth and nine fifths of the mean
+	Bursts  = "bursts" // Settings.Burst requests at the same time, at random times
+	Day     = "day"    // the rate varies between a fifth and nine fifths of the mean
 )
 
 // Shapes lists all shapes.
@@ -23,14 +24,14 @@
 
 // Bounds of the settings.
 const (
-	maxRate                 = 1e6 // requests a second
+	maxRate                 = 1e6 // requests per second
 	maxSpanSeconds          = 86400
 	maxClientTimeoutSeconds = 600
 	maxRetries              = 20
 	maxSlots                = 1024
 )
 
-// WeightedName is a name with the weight of its draw.
+// WeightedName is a name with the weight by which it is drawn.
 type WeightedName struct {
 	Name   string
 	Weight float64
@@ -47,20 +48,20 @@
 // Settings are the parameters of a Generator and of its clients.
 type Settings struct {
 	Seed               uint64
-	Rate               float64 // mean requests a second
+	Rate               float64 // mean requests per second
 	Shape              string
-	Burst              int     // requests in a burst of Bursts
-	Period             float64 // seconds of a swing of Day
-	Span               float64
-	MaxJobs            int // 0: no bound
+	Burst              int     // requests per burst, for Bursts
+	Period             float64 // length of a day in seconds, for Day
+	Span               float64 // length of the load in seconds
+	MaxJobs            int     // 0: no bound
 	Classes            []Class
 	Tenants            []WeightedName
-	DisconnectFraction float64 // of the clients, that disconnect before their timeout
-	MaxRetries         int     // after a rejection
-	HonorRetryAfter    bool    // else a retry waits defaultRetryDelay
+	DisconnectFraction float64 // fraction of the clients that disconnect before their timeout
+	MaxRetries         int     // of a client after rejections
+	HonorRetryAfter    bool    // if false, retries wait defaultRetryDelay
 }
 
-// Validate returns an error that names the first setting out of its range.
+// Validate returns an error that names the first setting that is out of its range.
 func (s *Settings) Validate() error {
 	if err := s.validateArrivals(); err != nil {
 		return err
@@ -71,7 +72,7 @@
 	case s.MaxRetries < 0 || s.MaxRetries > maxRetries:
 		return fmt.Errorf("retries: %d is not from 0 to 20", s.MaxRetries)
 	case len(s.Classes) == 0 || len(s.Tenants) == 0:
-		return errors.New("class, tenant: there is none")
+		return errors.New("class, tenant: at least one of each is required")
 	}
 	for _, class := range s.Classes {
 		if err := class.validate(); err != nil {
--- a/internal/lab/loadgen/trace.go
+++ b/internal/lab/loadgen/trace.go
@@ -9,14 +9,14 @@
 	"io"
 )
 
-// Defaults of a recorded job.
+// Defaults of the fields that a recorded job does not set.
 const (
 	defaultTraceSlots                = 1
 	defaultTraceClientTimeoutSeconds = 3
 )
 
-// ReadTrace reads recorded jobs, JSON lines in order of time. An error names
-// the file and the line.
+// ReadTrace reads recorded jobs, one JSON object per line, in order of time. An error
+// names the file and the line.
 func ReadTrace(name string, r io.Reader) (jobs []Job, err error) {
 	lines := bufio.NewScanner(r)
 	earliest := 0.0
@@ -37,7 +37,7 @@
 	return jobs, nil
 }
 
-// parseJob parses one line of a trace, whose time must not lie before earliest.
+// parseJob parses one line of a trace. The job's time must not be before earliest.
 func parseJob(line []byte, earliest float64) (Job, error) {
 	job := Job{Slots: defaultTraceSlots, ClientTimeout: defaultTraceClientTimeoutSeconds}
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -47,7 +47,7 @@
 	}
 	switch {
 	case !(job.At >= earliest && job.At < maxSpanSeconds):
-		return Job{}, fmt.Errorf("at: %v is not in order, from 0 to a day", job.At)
+		return Job{}, fmt.Errorf("at: %v is before the previous job or not from 0 to below a day", job.At)
 	case job.Class == "":
 		return Job{}, errors.New("class: missing")
 	case !validClientTimeout(job.ClientTimeout):
--- a/internal/lab/pairedtest/compare.go
+++ b/internal/lab/pairedtest/compare.go
@@ -1,6 +1,6 @@
 // Package pairedtest compares two variants that were measured alternately with
-// the same seeds. It compares pair by pair, so that the effect of a seed on
-// both variants cancels out.
+// the same seeds. It compares the two figures of each seed, so that effects of
+// the seed on both variants cancel out.
 package pairedtest
 
 import (
@@ -14,15 +14,15 @@
 // upperQuantile is the upper end of a two-sided interval with 95% confidence.
 const upperQuantile = 0.975
 
-// Ratio is the ratio of the second variant's figures to the first's.
+// Ratio is the ratio of the second variant's figures to those of the first variant.
 type Ratio struct {
 	Pairs   int     `json:"pairs"`
-	First   float64 `json:"first"`  // mean
-	Second  float64 `json:"second"` // mean
-	Ratio   float64 `json:"ratio"`  // geometric mean over the pairs
-	Low     float64 `json:"Low"`    // of the 95% confidence interval of the ratio
-	High    float64 `json:"High"`
-	Skipped int     `json:"skipped"` // pairs without a ratio: a figure is 0, negative or not finite
+	First   float64 `json:"first"`   // mean
+	Second  float64 `json:"second"`  // mean
+	Ratio   float64 `json:"ratio"`   // geometric mean over the pairs
+	Low     float64 `json:"Low"`     // lower end of the 95% confidence interval of the ratio
+	High    float64 `json:"High"`    // upper end
+	Skipped int     `json:"skipped"` // pairs without a ratio, as a figure is 0, negative or not finite
 }
 
 // samples are the pairs that have a ratio.
@@ -33,10 +33,11 @@
 }
 
 // Compare computes the ratio of paired figures. With fewer than two pairs that
-// have a ratio the interval is unbounded.
+// have a ratio, the interval is from 0 to infinity. It returns an error if the
+// numbers of figures differ.
 func Compare(first, second []float64) (Ratio, error) {
 	if len(first) != len(second) {
-		return Ratio{}, fmt.Errorf("%d figures of the first way, %d of the second", len(first), len(second))
+		return Ratio{}, fmt.Errorf("%d figures of the first variant, %d of the second", len(first), len(second))
 	}
 	valid := selectPairs(first, second)
 	result := Ratio{
@@ -74,14 +75,15 @@
 	return s
 }
 
-// confidenceHalfWidth is half the width of the mean's 95% confidence interval
+// confidenceHalfWidth returns half the width of the mean's 95% confidence interval
 // by Student's t distribution.
 func confidenceHalfWidth(count int, deviation float64) float64 {
 	t := distuv.StudentsT{Sigma: 1, Nu: float64(count - 1)}.Quantile(upperQuantile)
 	return t * deviation / math.Sqrt(float64(count))
 }
 
-// Conclusion returns what the interval shows.
+// Conclusion returns what the confidence interval shows about the second variant: higher,
+// lower, no difference shown, or too few pairs.
 func (r Ratio) Conclusion() string {
 	switch {
 	case r.Pairs < 2:
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -1,6 +1,6 @@
-// Package report writes the results of an experiment as one self-contained
-// HTML file: no links, no scripts, inline plots, readable on a phone and in
-// print.
+// Package report writes the results of an experiment as one self-contained HTML
+// file with inline plots and without links or scripts, which is readable on a
+// phone and in print.
 package report
 
 import (
@@ -14,19 +14,19 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageSource))
 
-// Page is a report.
+// Page is the content of a report.
 type Page struct {
 	Title         string
 	Subtitle      string
-	InvalidReason string // why the run shows nothing; empty: it is valid
+	InvalidReason string // why the results are not valid; empty: they are valid
 	Claims        []Row
-	Context       []Row // figures that no claim is made about
+	Context       []Row // measured figures without a claim
 	Plots         []Plot
 	Tables        []Table
 	Notes         []string
 }
 
-// Row is a measured figure, with the bound that a claim sets for it.
+// Row is a measured figure with the bound that a claim sets for it, if any.
 type Row struct {
 	Name     string
 	Bound    string
@@ -41,7 +41,7 @@
 	Rows   [][]string
 }
 
-// Write renders the page as HTML.
+// Write writes the page as HTML. It returns an error if a plot can't be drawn.
 func (p *Page) Write(w io.Writer) error {
 	data := struct {
 		*Page
--- a/internal/lab/report/page_test.go
+++ b/internal/lab/report/page_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// The file stands alone, shows what it was given and is not broken by it.
+// The page has no references to other files, shows all parts of its content, and escapes
+// characters that are special in HTML.
 func TestPage(t *testing.T) {
 	p := Page{Title: "silent <b>", Subtitle: "16 workers", Claims: []Row{{Name: "worth & more", Bound: "0.9", Measured: "0.8", Unit: "part"}},
 		Context: []Row{{Name: "ideal", Measured: "1"}}, InvalidReason: "it was <ended>", Notes: []string{"one"}, Tables: []Table{{Header: []string{"size <x>"}, Rows: [][]string{{"5 & more"}}}},
@@ -24,14 +25,14 @@
 	text := b.String()
 	for _, want := range []string{"silent &lt;b&gt;", "worth &amp; more", "Void: it was &lt;ended&gt;", `class="no">no`, "<p>one</p>", "<th>size &lt;x&gt;</th>", "<td>5 &amp; more</td>", "silence"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q", want)
+			t.Errorf("page lacks %q", want)
 		}
 	}
 	if n := strings.Count(text, "<svg"); n != 2 {
-		t.Errorf("%d plots", n)
+		t.Errorf("got %d plots, want 2", n)
 	}
 	if links := regexp.MustCompile(`(?i)<script|<link|<img|(src|href)=|url\(|@import`).FindString(text); links != "" {
-		t.Errorf("it needs something else: %s", links)
+		t.Errorf("page refers to an external resource: %s", links)
 	}
 	for _, svg := range regexp.MustCompile(`(?s)<svg.*?</svg>`).FindAllString(text, -1) {
 		d := xml.NewDecoder(strings.NewReader(svg))
@@ -45,6 +46,6 @@
 	}
 	p.Plots[0].Lines[0].Y[1] = math.NaN()
 	if err := p.Write(io.Discard); err == nil || !strings.Contains(err.Error(), "worth, real") {
-		t.Errorf("a figure that is none: %v", err)
+		t.Errorf("plot with NaN: got error %v, want one that names the plot and the line", err)
 	}
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -17,10 +17,10 @@
 const (
 	plotWidth  = 17 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	bandHeight = 1.05 // of the highest value
+	bandHeight = 1.05 // multiple of the highest value
 )
 
-// Plot shows curves over bands that mark when faults were injected.
+// Plot shows curves in front of bands, which mark when faults were injected.
 type Plot struct {
 	Title  string
 	XLabel string
@@ -30,14 +30,14 @@
 	LogX   bool
 }
 
-// Line is one curve.
+// Line is one curve. X and Y must have the same length.
 type Line struct {
 	Name string
 	X    []float64
 	Y    []float64
 }
 
-// Band is an interval of X behind the curves.
+// Band is an interval of the X axis that is coloured behind the curves.
 type Band struct {
 	Name string
 	From float64
@@ -46,7 +46,8 @@
 
 var bandColor = color.RGBA{R: 0xf3, G: 0xe3, B: 0xc0, A: 0xff}
 
-// lineColors and lineDashes are used in turn, so that curves differ in print, too.
+// lineColors and lineDashes are used in turn. The dashes distinguish the curves in prints
+// without colour.
 var lineColors = []color.RGBA{
 	{R: 0x1b, G: 0x4f, B: 0x9c, A: 0xff},
 	{R: 0xc0, G: 0x39, B: 0x2b, A: 0xff},
@@ -64,7 +65,8 @@
 	{vg.Points(8), vg.Points(2), vg.Points(2), vg.Points(2)},
 }
 
-// SVG draws the plot.
+// SVG returns the plot as an SVG element. It returns an error that names the plot if a
+// value can't be drawn, such as NaN.
 func (x *Plot) SVG() (template.HTML, error) {
 	canvas := x.newCanvas()
 	if err := x.addBands(canvas); err != nil {
@@ -113,8 +115,8 @@
 	return nil
 }
 
-// maxY returns the highest value of all lines. It passes over NaN, which
-// addLines reports with the line's name.
+// maxY returns the highest Y of all lines, at least 0. It ignores NaN, which addLines
+// reports with the line's name.
 func (x *Plot) maxY() float64 {
 	highest := 0.0
 	for _, line := range x.Lines {
--- a/internal/lab/wiretest/client.go
+++ b/internal/lab/wiretest/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Listener is a net.Listener whose connections are in-memory pipes.
+// Listener is a net.Listener whose connections are in-memory pipes that Dial opens.
 type Listener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -43,10 +43,11 @@
 	return nil
 }
 
-// Addr returns an empty address; pipes have none.
+// Addr returns an empty address, because pipes have no addresses.
 func (l *Listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Dial opens a connection to the listener.
+// Dial opens a connection to the listener and blocks until Accept returns it. Its
+// operations time out after stepTimeout.
 func (l *Listener) Dial() *Client {
 	clientEnd, serverEnd := net.Pipe()
 	clientEnd.SetDeadline(time.Now().Add(stepTimeout))
@@ -54,7 +55,7 @@
 	return newClient(clientEnd)
 }
 
-// Client is a client's end of a connection.
+// Client is the client's end of a connection. Read from Reader, which buffers.
 type Client struct {
 	net.Conn
 	Reader *bufio.Reader
@@ -64,7 +65,7 @@
 	return &Client{Conn: conn, Reader: bufio.NewReader(conn)}
 }
 
-// DialTCP opens a client's connection over the loopback interface. It is
+// DialTCP opens a TCP connection whose operations time out after stepTimeout. It is
 // closed at the end of the test.
 func DialTCP(t *testing.T, addr net.Addr) *Client {
 	t.Helper()
@@ -82,14 +83,14 @@
 	t.Helper()
 	response, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
-		t.Fatalf("reading an answer: %v", err)
+		t.Fatalf("reading a response: %v", err)
 	}
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatalf("reading an answer's body: %v", err)
+		t.Fatalf("reading a response body: %v", err)
 	}
 	if err := response.Body.Close(); err != nil {
-		t.Fatalf("closing an answer's body: %v", err)
+		t.Fatalf("closing a response body: %v", err)
 	}
 	return response.StatusCode, string(raw)
 }
@@ -99,9 +100,9 @@
 	t.Helper()
 	next, err := c.Reader.ReadByte()
 	if err == nil {
-		t.Fatalf("got byte %q, want the connection's end", next)
+		t.Fatalf("got byte %q, want the end of the connection", next)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("waited too long for the connection's end")
+		t.Fatal("timed out waiting for the end of the connection")
 	}
 }
--- a/internal/lab/wiretest/target.go
+++ b/internal/lab/wiretest/target.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// targetQueueLength bounds the requests and the closed connections that a test
-// has not read yet.
+// targetQueueLength bounds the requests, and the ends of connections, that a test has
+// not received yet.
 const targetQueueLength = 64
 
 // watchHeartbeat is the interval of the empty lines of a discovery watch.
@@ -27,14 +27,15 @@
 	ConnNumber int // from 1, in order of acceptance
 }
 
-// WriteRaw writes an answer as it is. A failed write shows at the receiver.
+// WriteRaw writes raw bytes to the connection. It ignores write errors, which the
+// receiver notices.
 func (c *Call) WriteRaw(raw string) { _, _ = io.WriteString(c, raw) }
 
-// Target is a server whose answers the test writes.
+// Target is a server that passes its requests to the test, which writes the answers.
 type Target struct {
 	Addr  string
 	Calls chan *Call
-	Ends  chan int // numbers of the connections that the other side closed
+	Ends  chan int // ConnNumber of each connection that the other side has closed
 
 	onRequest func(*Call)
 }
@@ -46,8 +47,8 @@
 }
 
 // NewDiscovery returns a Target that answers each watch as discovery does when
-// nothing has changed since the requested version: an update without hosts,
-// then an empty line at each heartbeat.
+// the endpoint list has not changed since the requested version: an update
+// without hosts, then an empty line at each heartbeat.
 func NewDiscovery(t *testing.T) *Target {
 	t.Helper()
 	return newTarget(t, func(call *Call) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// serve reads the requests of one connection.
+// serve reads the requests of one connection until the connection ends.
 func (s *Target) serve(conn net.Conn, number int) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -117,8 +118,8 @@
 	}
 }
 
-// Lines returns a chunked 200 response with one chunk per line; complete adds
-// the last chunk.
+// Lines returns a chunked 200 response with one chunk per line. If complete is set, it
+// ends with the last chunk.
 func Lines(complete bool, lines ...string) string {
 	response := &strings.Builder{}
 	response.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -151,7 +152,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
-	conn, err := net.Dial("tcp", addr) // fills the backlog of 0, which holds one
+	conn, err := net.Dial("tcp", addr) // fills the accept queue, which holds one connection at a backlog of 0
 	if err != nil {
 		t.Fatal(err)
 	}
