--- a/internal/lab/emulator/worker_test.go
+++ b/internal/lab/emulator/worker_test.go
@@ -48,7 +48,7 @@
 			Slots:            4,
 			MaxQueue:         rapid.IntRange(0, 6).Draw(t, "queue"),
 			Speed:            rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "speed"),
-			Preempts:         rapid.Bool().Draw(t, "suspends"),
+			Preempts:         rapid.Bool().Draw(t, "preempts"),
 			Memory:           rapid.SampledFrom([]float64{0, 3}).Draw(t, "memory"),
 			SlowStartFloor:   0.3,
 			SlowStartSeconds: 5,
@@ -61,7 +61,7 @@
 			now:      10,
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			m.now += rapid.Float64Range(0, 1).Draw(t, "pass")
+			m.now += rapid.Float64Range(0, 1).Draw(t, "elapsed")
 			m.apply(m.worker.Advance(m.now))
 			m.step(i)
 			m.apply(m.worker.Advance(m.now))
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -27,15 +27,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	t.Cleanup(func() { l.Close(); all.Wait() })
-	all.Go(func() {
+	var goroutines sync.WaitGroup
+	t.Cleanup(func() { l.Close(); goroutines.Wait() })
+	goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			all.Go(func() { defer c.Close(); io.Copy(c, c) })
+			goroutines.Go(func() { defer c.Close(); io.Copy(c, c) })
 		}
 	})
 	return l.Addr().String()
@@ -121,10 +121,10 @@
 	p, log := startProxy(t, startEchoServer(t))
 	c := dial(t, p)
 	text := strings.Repeat("0123456789", 300_000) // more than maxBufferedBytes
-	var all sync.WaitGroup
-	all.Go(func() { io.WriteString(c, text); c.CloseWrite() })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { io.WriteString(c, text); c.CloseWrite() })
 	got, err := io.ReadAll(c)
-	all.Wait()
+	goroutines.Wait()
 	if err != nil || string(got) != text {
 		t.Fatalf("got %d bytes, want the %d bytes that were sent; error %v", len(got), len(text), err)
 	}
@@ -235,8 +235,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	all.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		buf := make([]byte, 100)
 		for {
 			n, src, err := server.ReadFromUDP(buf)
@@ -246,7 +246,7 @@
 			server.WriteToUDP(buf[:n], src)
 		}
 	})
-	defer all.Wait()
+	defer goroutines.Wait()
 	defer server.Close()
 	plan := &fault.Plan{Seed: 5}
 	rule := fault.Rule{Kind: fault.Loss, Loss: 0.4, Side: fault.Request}
--- a/internal/lab/loadgen/generator_test.go
+++ b/internal/lab/loadgen/generator_test.go
@@ -24,7 +24,7 @@
 		second := NewGenerator(s)
 		n, last := 0.0, 0.0
 		count := map[string]float64{}
-		busiest := map[int]float64{}
+		perSecond := map[int]float64{}
 		for {
 			j, ok := first.Next()
 			if k, also := second.Next(); j != k || ok != also {
@@ -39,7 +39,7 @@
 			n, last = n+1, j.At
 			count[j.Class]++
 			count[j.Tenant]++
-			busiest[int(j.At)]++
+			perSecond[int(j.At)]++
 			if j.DisconnectsAfter > 0 {
 				count["leaves"]++
 			}
@@ -55,8 +55,9 @@
 		if math.Abs(n/60-200) > 25 {
 			t.Errorf("%s: got %.1f requests per second, want 200", shape, n/60)
 		}
-		if swing := busiest[10] / max(busiest[0], 1); shape == Day && (swing < 3 || busiest[10] < 300) {
-			t.Errorf("shape day: got %v requests in the least busy second, %v in the busiest", busiest[0], busiest[10])
+		if ratio := perSecond[10] / max(perSecond[0], 1); shape == Day && (ratio < 3 || perSecond[10] < 300) {
+			t.Errorf("shape day: got %v requests in second 0 and %v in second 10, want the peak in the latter",
+				perSecond[0], perSecond[10])
 		}
 	}
 }
