--- a/internal/service/life_client_test.go
+++ b/internal/service/life_client_test.go
@@ -60,8 +60,8 @@
 				c.scenario.fail("%v", err)
 			}
 			for _, a := range c.queue {
-				a.Never = !a.received && (c.closeAnnounced || c.scenario.mayCloseConnections)
-				if !a.Never {
+				a.NeverAccepted = !a.received && (c.closeAnnounced || c.scenario.mayCloseConnections)
+				if !a.NeverAccepted {
 					c.scenario.fail("connection of request %s (received: %v) ended without an answer: %v", a.ID, a.received, err)
 				}
 			}
@@ -101,7 +101,7 @@
 	p.mu.Lock()
 	a := &clientRequest{Request: invariants.Request{ID: fmt.Sprintf("r%d", len(p.requests)), Class: class, Dispatcher: "d", ClientTimeout: clientTimeout}}
 	p.requests, p.requestsByID[a.ID] = append(p.requests, a), a
-	a.Never, a.firstByteAt = true, p.now() // Never holds until all of it is written
+	a.NeverAccepted, a.firstByteAt = true, p.now() // NeverAccepted holds until all of it is written
 	p.mu.Unlock()
 	raw := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nIdempotency-Key: k%s\r\nTenant: acme\r\nRequest-Timeout: %.3f\r\nContent-Length: 4\r\n\r\nbody",
 		class, a.ID, a.ID, clientTimeout)
@@ -121,8 +121,8 @@
 	p.mu.Lock()
 	a, rest := c.partial, c.unwritten
 	c.partial, c.unwritten = nil, ""
-	a.SentAt, a.Never = p.now(), c.closedByServer || p.loopEnded
-	if !a.Never {
+	a.SentAt, a.NeverAccepted = p.now(), c.closedByServer || p.loopEnded
+	if !a.NeverAccepted {
 		c.queue = append(c.queue, a)
 	}
 	p.mu.Unlock()
