--- a/cmd/bellstream/commands.go
+++ b/cmd/bellstream/commands.go
@@ -19,8 +19,8 @@
 // unlimited is the maxArgs of a command that takes any number of arguments.
 const unlimited = -1
 
-// command is a subcommand. The command line uses package flag instead of kong: kong calls methods by names that the
-// linker can't see, so that it keeps every exported method of the program, 3.5 MB more to load.
+// command is a subcommand. The command line uses package flag instead of kong: kong calls methods by name through
+// reflection, so the linker would keep every exported method of the program, which adds 3.5 MB to the binary.
 type command struct {
 	name    string
 	args    string // as shown by usage
@@ -28,12 +28,12 @@
 	details string // shown by the command's help only
 	minArgs int
 	maxArgs int
-	flags   func(f *flag.FlagSet)     // nil: no flags
-	missing func() string             // returns the required flags that are not set; nil: none is required
-	run     func(args []string) error // an error is a failure, not misuse
+	flags   func(f *flag.FlagSet)     // nil if there are none
+	missing func() string             // returns the required flags that are not set; nil if none is required
+	run     func(args []string) error // an error means exitFailed
 }
 
-// commandLine holds the values of the flags and the output of the commands.
+// commandLine holds the values of the flags and the writer that commands print to.
 type commandLine struct {
 	out            io.Writer
 	operatorPath   string
@@ -141,7 +141,7 @@
 	f.StringVar(&l.operatorPath, "file", os.Getenv(operatorVariable), usage+" ($BELLSTREAM_FILE).")
 }
 
-// addQueryFlags adds the flags of commands that read from an instance's admin listener.
+// addQueryFlags adds the flags of the commands that read from an instance's admin listener.
 func (l *commandLine) addQueryFlags(f *flag.FlagSet) {
 	f.StringVar(&l.adminAddress, "admin", "", "Admin listener of the instance, `HOST:PORT`.")
 	l.addOperatorFlag(f, "Operator's `FILE`, to take the admin listener from")
--- a/cmd/bellstream/descriptors_test.go
+++ b/cmd/bellstream/descriptors_test.go
@@ -20,8 +20,8 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// serving answers every job of a target until the test is over.
-func serving(t *testing.T, result string) *wiretest.Target {
+// newAnsweringTarget returns a target that answers every job with the given result until the test ends.
+func newAnsweringTarget(t *testing.T, result string) *wiretest.Target {
 	target, over := wiretest.NewTarget(t), make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	go func() {
@@ -38,20 +38,20 @@
 	return target
 }
 
-// lists is discovery, which may be down: then it resets what calls. It answers each watch alike.
-type lists struct {
+// fakeDiscovery is a discovery service that answers each watch with the same list. While down it resets connections.
+type fakeDiscovery struct {
 	addr  string
 	down  atomic.Bool
-	calls chan struct{} // a watch was answered
+	calls chan struct{} // receives a value for each answered watch
 }
 
-func newLists(t *testing.T, list string) *lists {
+func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	d := &lists{addr: l.Addr().String(), calls: make(chan struct{}, 64)}
+	d := &fakeDiscovery{addr: l.Addr().String(), calls: make(chan struct{}, 64)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -70,16 +70,16 @@
 				}
 				io.WriteString(c, wiretest.Lines(false, list))
 				d.calls <- struct{}{}
-				c.Read(make([]byte, 1)) // its end
+				c.Read(make([]byte, 1)) // returns when the peer closes the connection
 			}()
 		}
 	}()
 	return d
 }
 
-// Idle clients, more than there are descriptors, come while discovery is down, and stay. Who has
-// something to ask is answered all the same, none is reset, the targets' side and the watch get
-// theirs, and all comes back with discovery, in the same process.
+// While discovery is down, more idle clients connect than there are descriptors, and stay connected. Requests must
+// still be answered, no client connection may be reset, and there must be descriptors for connections to targets and
+// for the watch. When discovery is up again, the same process must use its new list.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	for _, c := range []struct {
 		sockets int
@@ -87,30 +87,31 @@
 	}{{64, "pushed"}, {64, "on_request"}, {128, "on_request"}, {1024, "pushed"}} {
 		t.Run(fmt.Sprintf("%d %s", c.sockets, c.member), func(t *testing.T) {
 			t.Parallel()
-			fill(t, c.sockets, c.member)
+			testDescriptorLimit(t, c.sockets, c.member)
 		})
 	}
 }
 
-func fill(t *testing.T, sockets int, member string) {
-	first, second := serving(t, "first"), serving(t, "second")
-	discovery := newLists(t, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"v","dial":%q,"site":"z","health":"active"}]}`, second.Addr))
+func testDescriptorLimit(t *testing.T, sockets int, member string) {
+	first, second := newAnsweringTarget(t, "first"), newAnsweringTarget(t, "second")
+	discovery := newFakeDiscovery(t, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"v","dial":%q,"site":"z","health":"active"}]}`, second.Addr))
 	discovery.down.Store(true)
 	conf := strings.NewReplacer(`"pushed"`, fmt.Sprintf("%q", member), `"sockets":128`, fmt.Sprintf(`"sockets":%d`, sockets),
 		`"unsafe"`, `"safe"`, `"max_attempts":1`, `"max_attempts":3`).Replace(fmt.Sprintf(sampleConfig, discovery.addr, first.Addr))
-	p, addr, log, over := limited(t, conf, sockets)
-	most := 0
-	look := func() int {
+	p, addr, log, over := startWithDescriptorLimit(t, conf, sockets)
+	maxOpen := 0
+	countDescriptors := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		most = max(most, len(all))
+		maxOpen = max(maxOpen, len(all))
 		return len(all)
 	}
-	no := 0
-	// ask plays a job on a connection, and on a new one if this one was ended between two requests.
-	ask := func(c *wiretest.Client, want string) *wiretest.Client {
+	lastID := 0
+	// sendUntilServed sends jobs until one is served. It uses the connection c, or a new one if c is nil or was closed
+	// between two requests or after a 503, and returns the connection in use.
+	sendUntilServed := func(c *wiretest.Client, want string) *wiretest.Client {
 		t.Helper()
 		used := c != nil
 		for {
@@ -118,16 +119,16 @@
 				c = dial(t, addr)
 			}
 			c.SetDeadline(time.Now().Add(10 * time.Second))
-			no++
-			io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", no), 1))
+			lastID++
+			io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", lastID), 1))
 			if _, err := c.Reader.Peek(1); err != nil && used {
 				c.Close()
-				c, used = nil, false // ended between two requests: once more on a new one
+				c, used = nil, false // closed between two requests: retry on a new connection
 				continue
 			}
 			got, body := c.Status(t)
 			if got != 503 && (got != 200 || body != want) {
-				t.Fatalf("job %d got %d %q, want 503 or %q", no, got, body, want)
+				t.Fatalf("job %d got %d %q, want 503 or %q", lastID, got, body, want)
 			}
 			if got == 200 {
 				return c
@@ -145,63 +146,63 @@
 			io.WriteString(c, job[:len(job)/2])
 			half = append(half, c)
 		case n < sockets/8:
-			c = ask(c, "first")
+			c = sendUntilServed(c, "first")
 			fallthrough
 		default:
 			idle = append(idle, c)
 		}
 		if n%8 == 0 {
-			look()
+			countDescriptors()
 		}
 	}
-	var crowd []*wiretest.Client // all out at once, beside the idle ones
+	var burst []*wiretest.Client // send their jobs at the same time, while the others are idle
 	for range 8 {
 		c := dial(t, addr)
 		defer c.Close()
-		no++
-		io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", no), 1))
-		crowd = append(crowd, c)
+		lastID++
+		io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", lastID), 1))
+		burst = append(burst, c)
 	}
-	look()
-	for _, c := range crowd {
+	countDescriptors()
+	for _, c := range burst {
 		if got, body := c.Status(t); got != 503 && (got != 200 || body != "first") {
-			t.Errorf("a job got %d %q among idle clients, want 503 or the result", got, body)
+			t.Errorf("job sent while other clients are idle: got %d %q, want 503 or the result", got, body)
 		}
 	}
 	discovery.down.Store(false)
-	back := time.Now()
-	wiretest.Get(t, discovery.calls, "the watch")
-	if took := time.Since(back); took > 6*time.Second {
-		t.Errorf("the watch came %v after discovery", took)
+	upAt := time.Now()
+	wiretest.Get(t, discovery.calls, "a watch")
+	if took := time.Since(upAt); took > 6*time.Second {
+		t.Errorf("watch arrived %v after discovery was up, want at most 6 s", took)
 	}
-	for want := time.Now().Add(10 * time.Second); ; { // by the new list
+	for deadline := time.Now().Add(10 * time.Second); ; { // until the new list is used
 		c := dial(t, addr)
-		c.SetDeadline(want)
-		no++
-		io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", no), 1))
+		c.SetDeadline(deadline)
+		lastID++
+		io.WriteString(c, strings.Replace(job, "Request-Id: r", fmt.Sprintf("Request-Id: %d", lastID), 1))
 		got, body := c.Status(t)
 		c.Close()
-		look()
+		countDescriptors()
 		if got == 200 && body == "second" {
 			break
 		}
 	}
 	for n, c := range idle {
 		if n%8 == 0 {
-			idle[n] = ask(c, "second")
+			idle[n] = sendUntilServed(c, "second")
 			defer idle[n].Close()
-			look()
+			countDescriptors()
 		}
 	}
-	if most > sockets {
-		t.Errorf("%d descriptors were open, %d allowed", most, sockets)
+	if maxOpen > sockets {
+		t.Errorf("got %d open descriptors, want at most %d", maxOpen, sockets)
 	}
-	// Fewer are allowed now: what is open is brought down to that, though nobody connects any more.
-	write(t, strings.TrimPrefix(p.Env[len(p.Env)-1], "RELAY_CONFIG="), strings.Replace(conf, `"sockets":`, `"sockets":48,"old":`, 1))
+	// The limit is lowered: connections must be closed until it is met, even though no new client connects.
+	writeFile(t, strings.TrimPrefix(p.Env[len(p.Env)-1], "RELAY_CONFIG="), strings.Replace(conf, `"sockets":`, `"sockets":48,"old":`, 1))
 	p.Process.Signal(syscall.SIGHUP)
-	wiretest.Until(t, "the lower limit to hold", func() bool { return look() <= 48 })
+	wiretest.Until(t, "the number of descriptors to meet the lower limit", func() bool { return countDescriptors() <= 48 })
 	p.Process.Signal(syscall.SIGTERM)
-	reset, told := 0, 0
+	reset, timedOut := 0, 0
 	for _, c := range append(idle, half...) {
 		c.SetDeadline(time.Now().Add(10 * time.Second))
 		all, err := io.ReadAll(c.Reader)
@@ -211,25 +212,26 @@
 			t.Fatal(err)
 		}
 		if strings.HasPrefix(string(all), "HTTP/1.1 408") {
-			told++
+			timedOut++
 		}
 		c.Close()
 	}
-	if reset > 0 || told < len(half) {
-		t.Errorf("%d connections were reset; %d of %d that sent half a request were told so", reset, told, len(half))
+	if reset > 0 || timedOut < len(half) {
+		t.Errorf("%d connections were reset; %d of %d that sent half a request got a 408", reset, timedOut, len(half))
 	}
 	<-over
 	if err := p.Wait(); err != nil || strings.Contains(log.String(), "too many open files") {
-		t.Errorf("exit: %v, log %s", err, log)
+		t.Errorf("exit: got %v, want success without a lack of descriptors; log %s", err, log)
 	}
-	t.Logf("at most %d descriptors of %d", most, sockets)
+	t.Logf("used at most %d of %d descriptors", maxOpen, sockets)
 }
 
-// limited starts the program with so many descriptors. When over is closed its log is whole.
-func limited(t *testing.T, config string, sockets int) (cmd *exec.Cmd, addr string, log *bytes.Buffer, over chan struct{}) {
+// startWithDescriptorLimit starts the program with a limit of sockets descriptors. When over is closed, log holds all
+// that the process logged.
+func startWithDescriptorLimit(t *testing.T, config string, sockets int) (cmd *exec.Cmd, addr string, log *bytes.Buffer, over chan struct{}) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, config)
+	writeFile(t, path, config)
 	cmd = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), os.Args[0])
 	cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG="+path)
 	out, err := cmd.StderrPipe()
@@ -241,7 +243,7 @@
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	r := bufio.NewReader(out)
-	addr = logged(t, r, "listens on ")
+	addr = waitForLog(t, r, "listens on ")
 	log, over = &bytes.Buffer{}, make(chan struct{})
 	go func() {
 		defer close(over)
--- a/cmd/bellstream/faults_test.go
+++ b/cmd/bellstream/faults_test.go
@@ -13,7 +13,8 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// faultsConfig has two targets, reached through doors, and a class of each kind.
+// faultsConfig has two targets, each reached through an endpoint of a fault proxy, a class of idempotent jobs (safe)
+// and one of jobs that must not run twice (unsafe).
 const faultsConfig = `{"name":"n","listen":"127.0.0.1:0","discovery":%[1]q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":64,"sockets":128},
  "known":{"seq":7,"whole":true,"hosts":[{"host":"a","dial":%[2]q,"site":"z","block":1,"health":"active"},
@@ -22,17 +23,17 @@
   "lanes":[{"name":"safe","aim":1,"hard_limit":20,"semantics":"safe"},{"name":"unsafe","aim":1,"hard_limit":20,"semantics":"unsafe"}],
   "caps":{"max_attempts":2,"dial_timeout":0.25},"family_info":{"tells_start":true},"clients":{"marks_retry":true}}}`
 
-// worker answers what a target gets, and counts how often each job came.
+// worker answers the requests of a target and counts how often it received each job.
 type worker struct {
-	mu   sync.Mutex
-	came map[string]int
+	mu       sync.Mutex
+	received map[string]int
 }
 
 func (w *worker) serve(target *wiretest.Target) {
 	for c := range target.Calls {
 		id := c.Req.Header.Get("Request-Id")
 		w.mu.Lock()
-		w.came[id]++
+		w.received[id]++
 		w.mu.Unlock()
 		c.WriteRaw(wiretest.Lines(true, fmt.Sprintf(`{"id":%q,"state":"started"}`, id), fmt.Sprintf(`{"id":%q,"state":"done","result":"ok"}`, id)))
 	}
@@ -41,11 +42,11 @@
 func (w *worker) count(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.came[id]
+	return w.received[id]
 }
 
-// ask sends one job on a connection of its own and returns the answer's status.
-func ask(t *testing.T, addr, id, class, timeout string) int {
+// sendJob sends one job on a connection of its own and returns the response's status.
+func sendJob(t *testing.T, addr, id, class, timeout string) int {
 	client := dial(t, addr)
 	defer client.Close()
 	fmt.Fprintf(client, "POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nRequest-Timeout: %s\r\nContent-Length: 2\r\n\r\nhi", class, id, timeout)
@@ -53,19 +54,18 @@
 	return status
 }
 
-// Each way in which a way to a worker can fail, at a real process. The fault
-// strikes one of two workers' doors; a job of a safe class is served by the other
-// one, a job of an unsafe class that may have run is failed and never sent again,
-// and one that proved not to have run is served.
+// A real process meets each kind of fault on its connections to workers. With the fault at both workers, an unsafe job
+// gets the expected status and is never sent again if it may have run. With the fault at one of the two workers,
+// safe jobs are served by the other one; if the fault is silence, some may time out.
 func TestFaultsOnTheWay(t *testing.T) {
 	var target, discovery = wiretest.NewTarget(t), wiretest.NewDiscovery(t)
-	w := &worker{came: map[string]int{}}
+	w := &worker{received: map[string]int{}}
 	go w.serve(target)
 	for _, c := range []struct {
-		name   string
-		rules  []fault.Rule
-		unsafe int // the answer to a job of the unsafe class
-		came   int // how often it may have come to workers, at most
+		name        string
+		rules       []fault.Rule
+		unsafe      int // expected status of an unsafe job
+		maxReceived int // how often workers may receive it, at most
 	}{
 		{"silent after the request", []fault.Rule{{Kind: fault.Silence, Side: fault.Answer}}, 504, 1},
 		{"silent before it", []fault.Rule{{Kind: fault.Silence, Side: fault.Request}}, 504, 0},
@@ -73,7 +73,7 @@
 		{"half-closed before any answer", []fault.Rule{{Kind: fault.HalfClose, Side: fault.Answer}}, 502, 1},
 		{"half-closed between two lines", []fault.Rule{{Kind: fault.HalfClose, Side: fault.Answer, After: fault.Chunk, Nth: 2}}, 502, 1},
 		{"half-closed before the request", []fault.Rule{{Kind: fault.HalfClose, Side: fault.Request}}, 502, 0},
-		// No answer may pass before the break: the sides do not wait for each other.
+		// The answer is held back because the two directions are independent: it could pass before the break.
 		{"cut after the request", []fault.Rule{{Kind: fault.Silence, Side: fault.Answer}, {Kind: fault.Cut, Side: fault.Request, After: fault.Message}}, 502, 1},
 		{"reset after the request", []fault.Rule{{Kind: fault.Silence, Side: fault.Answer}, {Kind: fault.Reset, Side: fault.Request, After: fault.Message}}, 502, 1},
 		{"reset within the head", []fault.Rule{{Kind: fault.Reset, Side: fault.Answer, Byte: 10}}, 502, 1},
@@ -92,17 +92,17 @@
 				t.Fatal(err)
 			}
 			defer p.Close()
-			begin := func() string {
-				_, log := program(t, fmt.Sprintf(faultsConfig, discovery.Addr, p.Addr("a"), p.Addr("b")))
-				addr := logged(t, log, "listens on ")
+			startDispatcher := func() string {
+				_, log := startProgram(t, fmt.Sprintf(faultsConfig, discovery.Addr, p.Addr("a"), p.Addr("b")))
+				addr := waitForLog(t, log, "listens on ")
 				go io.Copy(io.Discard, log)
 				return addr
 			}
-			// Which worker gets a job is the module's affair: for the unsafe one the
-			// fault strikes both, for the safe ones a single worker.
-			do := func(doors ...string) (ids []int) {
+			// The balancer chooses the worker of a job. So the fault is injected at both workers for the unsafe
+			// job, and at one worker for the safe jobs. No endpoints means all.
+			inject := func(endpoints ...string) (ids []int) {
 				for _, r := range c.rules {
-					r.Endpoints = doors
+					r.Endpoints = endpoints
 					id, err := p.Inject(r)
 					if err != nil {
 						t.Fatal(err)
@@ -111,31 +111,31 @@
 				}
 				return ids
 			}
-			ids := do()
+			ids := inject()
 			job := strings.ReplaceAll(c.name, " ", "-")
-			if got := ask(t, begin(), job, "unsafe", "0.4"); got != c.unsafe || w.count(job) > c.came {
-				t.Errorf("unsafe: %d, want %d; it came %d times", got, c.unsafe, w.count(job))
+			if got := sendJob(t, startDispatcher(), job, "unsafe", "0.4"); got != c.unsafe || w.count(job) > c.maxReceived {
+				t.Errorf("unsafe job: got status %d, want %d; workers received it %d times", got, c.unsafe, w.count(job))
 			}
 			for _, id := range ids {
 				p.Remove(id)
 			}
-			do("a")
-			addr, served := begin(), map[int]int{}
+			inject("a")
+			addr, served := startDispatcher(), map[int]int{}
 			for n := range 6 {
-				served[ask(t, addr, fmt.Sprint(job, n), "safe", "0.6")]++
+				served[sendJob(t, addr, fmt.Sprint(job, n), "safe", "0.6")]++
 			}
 			if silent := c.unsafe == 504; served[200] < 6 && !silent || served[200] < 3 {
-				t.Errorf("safe, beside a sound worker: answers %v", served)
+				t.Errorf("safe jobs with one working worker: got statuses %v", served)
 			}
 		})
 	}
 }
 
-// A reset as a request crosses a connection that was used before: nothing speaks
-// against the worker, and an unsafe job is still not sent twice.
+// A worker's reused connection is reset while a request is sent on it. The worker is not treated as failed, and the
+// unsafe job, which may have run, is not sent a second time.
 func TestResetOnReusedConnection(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
-	w := &worker{came: map[string]int{}}
+	w := &worker{received: map[string]int{}}
 	go w.serve(target)
 	p, err := faultproxy.Start(faultproxy.Options{Seed: 1, Endpoints: []fault.Endpoint{{Name: "a", Listen: "127.0.0.1:0", Target: target.Addr, Network: "tcp"}},
 		Rules: []fault.Rule{{Kind: fault.Reset, Side: fault.Request, After: fault.Head, Nth: 2}}})
@@ -143,18 +143,18 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	_, log := program(t, fmt.Sprintf(faultsConfig, discovery.Addr, p.Addr("a"), p.Addr("a")))
-	addr := logged(t, log, "listens on ")
+	_, log := startProgram(t, fmt.Sprintf(faultsConfig, discovery.Addr, p.Addr("a"), p.Addr("a")))
+	addr := waitForLog(t, log, "listens on ")
 	go io.Copy(io.Discard, log)
-	// Such a job takes a connection only when it has rested for 0.1 s behind a result.
+	// An unsafe job reuses a connection only if the connection has been idle for 0.1 s after a result.
 	for n, got := 0, 200; got != 502; n++ {
-		got = ask(t, addr, fmt.Sprint("u", n), "unsafe", "2")
+		got = sendJob(t, addr, fmt.Sprint("u", n), "unsafe", "2")
 		if w.count(fmt.Sprint("u", n)) > 1 || n == 0 && got != 200 || n > 0 && got != 502 && got != 200 || n == 20 {
-			t.Fatalf("job %d: %d; it came %d times", n, got, w.count(fmt.Sprint("u", n)))
+			t.Fatalf("job %d: got status %d; the worker received it %d times", n, got, w.count(fmt.Sprint("u", n)))
 		}
 		time.Sleep(110 * time.Millisecond)
 	}
-	if got := ask(t, addr, "s", "safe", "2"); got != 200 { // on a new connection
-		t.Errorf("afterwards: %d", got)
+	if got := sendJob(t, addr, "s", "safe", "2"); got != 200 { // on a new connection
+		t.Errorf("safe job after the reset: got status %d, want 200", got)
 	}
 }
--- a/cmd/bellstream/golden_test.go
+++ b/cmd/bellstream/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Help and complaints of the command line are as they always were.
+// The help texts, error messages and exit codes of the command line equal the golden files.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("RELAY_CONTROL", "")
 	t.Setenv("RELAY_CONFIG", "")
@@ -30,9 +30,9 @@
 		"no-admin.txt":       {"peers"},
 		"version-output.txt": {"version"},
 	} {
-		var out, wrong bytes.Buffer
-		code := run(args, &out, &wrong)
-		got := append(append([]byte{byte('0' + code), '\n'}, out.Bytes()...), wrong.Bytes()...)
+		var out, errOut bytes.Buffer
+		code := run(args, &out, &errOut)
+		got := append(append([]byte{byte('0' + code), '\n'}, out.Bytes()...), errOut.Bytes()...)
 		path := "testdata/golden/" + name
 		if *update {
 			if err := os.WriteFile(path, got, 0o644); err != nil {
--- a/cmd/bellstream/idle_test.go
+++ b/cmd/bellstream/idle_test.go
@@ -18,18 +18,19 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// What an idle program may hold that has no operator's file, in kB. With kong and gohcl it loaded 19,358,
-// allocated 713 before main and had 16,932 to 17,584 resident; without 15,878, 496 and 14,792 to 15,440.
-// Whatever is linked in counts, also what is off: a library's package variables are made, and the kernel maps
-// 64 KiB of the file around each page that is touched.
+// Limits of an idle program without an operator's file, in kB. With kong and gohcl, its loadable segments had 19,358
+// kB, it allocated 713 kB before main, and 16,932 to 17,584 kB were resident; without them, 15,878, 496 and 14,792 to
+// 15,440 kB. Linked code counts even if the feature is switched off: the package variables of a library are
+// initialized, and the kernel maps 64 KiB of the file around each page that is touched.
 const (
-	idleLoaded   = 16800
-	idleMade     = 580
-	idleResident = 16000
+	maxLoadedKB        = 16800
+	maxInitAllocatedKB = 580
+	maxResidentKB      = 16000
 )
 
-// TestIdleMemory builds the program as the platform does. The first two figures are the same on every machine
-// and say why the third has risen; a limit is raised for what is worth it, by its own commit.
+// TestIdleMemory builds the program as the platform does and measures its memory. The first two figures are the same
+// on every machine, and show what makes the third one grow. A limit is raised only in a commit of its own that says
+// what the memory is needed for.
 func TestIdleMemory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("links the program")
@@ -51,14 +52,14 @@
 		}
 	}
 	f.Close()
-	most := func(what string, got, bound int) {
+	checkLimit := func(what string, got, bound int) {
 		t.Helper()
 		t.Logf("%s: %d kB", what, got)
 		if got > bound {
-			t.Errorf("%s: %d kB, at most %d", what, got, bound)
+			t.Errorf("%s: got %d kB, want at most %d", what, got, bound)
 		}
 	}
-	most("loaded segments of the file", loaded, idleLoaded)
+	checkLimit("loaded segments of the file", loaded, maxLoadedKB)
 
 	first := exec.Command(path, "version")
 	first.Env = append(os.Environ(), "GODEBUG=inittrace=1")
@@ -66,18 +67,18 @@
 	if first.Stderr = &trace; first.Run() != nil {
 		t.Fatalf("%s", trace.String())
 	}
-	made := 0
+	allocated := 0
 	for _, m := range regexp.MustCompile(`(?m)^init .*, (\d+) bytes,`).FindAllStringSubmatch(trace.String(), -1) {
 		n, _ := strconv.Atoi(m[1])
-		made += n
+		allocated += n
 	}
-	if made == 0 {
-		t.Fatalf("no trace: %s", trace.String())
+	if allocated == 0 {
+		t.Fatalf("no init trace in the output: %s", trace.String())
 	}
-	most("allocated before main", made>>10, idleMade)
+	checkLimit("allocated before main", allocated>>10, maxInitAllocatedKB)
 
-	// The file is run from memory: in the page cache of a file system it may lie in pieces of up to 2 MiB,
-	// as it was written, and is mapped by these.
+	// The file is run from a memfd. The page cache of a file system may hold a file in folios of up to 2 MiB,
+	// depending on how it was written; whole folios are mapped, which makes the resident size vary.
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -92,9 +93,9 @@
 		t.Fatal(err)
 	}
 	target := wiretest.NewTarget(t)
-	discovery := newLists(t, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"z","health":"active"}]}`, target.Addr))
+	discovery := newFakeDiscovery(t, fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"z","health":"active"}]}`, target.Addr))
 	conf := filepath.Join(t.TempDir(), "config.json")
-	write(t, conf, strings.Replace(fmt.Sprintf(sampleConfig, discovery.addr, target.Addr), `"cores":1`, `"cores":8`, 1))
+	writeFile(t, conf, strings.Replace(fmt.Sprintf(sampleConfig, discovery.addr, target.Addr), `"cores":1`, `"cores":8`, 1))
 	idle := exec.Command(fmt.Sprintf("/proc/%d/fd/%d", os.Getpid(), fd))
 	idle.Env = append(os.Environ(), "RELAY_CONFIG="+conf, "GOMAXPROCS=8", "BELLSTREAM_FILE=", "RELAY_CONTROL=")
 	log, err := idle.StderrPipe()
@@ -105,17 +106,17 @@
 		t.Fatal(err)
 	}
 	defer idle.Process.Kill()
-	addr := logged(t, bufio.NewReader(log), "listens on ")
-	wiretest.Get(t, discovery.calls, "the watch")
-	healthy(t, addr)
+	addr := waitForLog(t, bufio.NewReader(log), "listens on ")
+	wiretest.Get(t, discovery.calls, "a watch")
+	waitUntilReady(t, addr)
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", idle.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := regexp.MustCompile(`VmRSS:\s*(\d+) kB`).FindSubmatch(status)
 	if m == nil {
-		t.Fatalf("%s", status)
+		t.Fatalf("no VmRSS in %s", status)
 	}
 	n, _ := strconv.Atoi(string(m[1]))
-	most("resident as it serves", n, idleResident)
+	checkLimit("resident while serving", n, maxResidentKB)
 }
--- a/cmd/bellstream/main.go
+++ b/cmd/bellstream/main.go
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	if len(os.Args) == 1 { // the platform's call: no command line is built
+	if len(os.Args) == 1 { // as the platform starts it; no command line is parsed
 		if err := service.Serve(os.Getenv(configVariable), os.Getenv(operatorVariable)); err != nil {
 			fmt.Fprintln(os.Stderr, "bellstream:", err)
 			os.Exit(exitFailed)
--- a/cmd/bellstream/main_test.go
+++ b/cmd/bellstream/main_test.go
@@ -18,7 +18,7 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program instead of the tests if BELLSTREAM_MAIN is set, so that tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("BELLSTREAM_MAIN") != "" {
 		main()
@@ -27,10 +27,11 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bufio.Reader) {
+// startProgram starts the program with a configuration and returns it and its log.
+func startProgram(t *testing.T, config string) (*exec.Cmd, *bufio.Reader) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, config)
+	writeFile(t, path, config)
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG="+path)
 	log, err := cmd.StderrPipe()
@@ -44,32 +45,32 @@
 	return cmd, bufio.NewReader(log)
 }
 
-func write(t *testing.T, path, config string) {
+func writeFile(t *testing.T, path, config string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestBadStart(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+func TestInvalidConfigurationFailsStart(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	for _, config := range []string{"{", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","control":"here","settings":{"lanes":[{"name":"c","semantics":"safe"}]}}`,
-		fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","control":%q,"settings":{"lanes":[{"name":"c","semantics":"safe"}]}}`, taken.Addr()),
+		fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","control":%q,"settings":{"lanes":[{"name":"c","semantics":"safe"}]}}`, occupied.Addr()),
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{}}`,
-		fmt.Sprintf(`{"listen":%q,"discovery":"127.0.0.1:1","settings":{"lanes":[{"name":"c","semantics":"safe"}]}}`, taken.Addr())} {
-		cmd, log := program(t, config)
+		fmt.Sprintf(`{"listen":%q,"discovery":"127.0.0.1:1","settings":{"lanes":[{"name":"c","semantics":"safe"}]}}`, occupied.Addr())} {
+		cmd, log := startProgram(t, config)
 		out, _ := io.ReadAll(log)
 		if err := cmd.Wait(); err == nil || !strings.HasPrefix(string(out), "bellstream: ") || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: exit %v, log %q, want one plain line", config, err, out)
+			t.Errorf("%s: exit %v, log %q, want a failure and one line that begins with bellstream:", config, err, out)
 		}
 	}
 }
 
-// config names discovery and the one target's address.
+// sampleConfig is a format for a configuration. Its arguments are the addresses of discovery and of the one target.
 const sampleConfig = `{"name":"n","listen":"127.0.0.1:0","discovery":%[1]q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":64,"sockets":128},
  "known":{"seq":7,"whole":true,"hosts":[{"host":"s","dial":%[2]q,"site":"z","health":"active"},
@@ -79,26 +80,26 @@
 
 const job = "POST /c HTTP/1.1\r\nHost: x\r\nRequest-Id: r\r\nRequest-Timeout: 30\r\nContent-Length: 2\r\n\r\nhi"
 
-// logged reads the log up to a line with the given words, and returns what follows them.
-func logged(t *testing.T, log *bufio.Reader, words string) string {
+// waitForLog reads the log up to a line whose message contains words, and returns the rest of the message after them.
+func waitForLog(t *testing.T, log *bufio.Reader, words string) string {
 	t.Helper()
 	for {
 		line, err := log.ReadString('\n')
-		var said struct{ Message string }
-		json.Unmarshal([]byte(line), &said)
-		if _, rest, ok := strings.Cut(said.Message, words); ok {
+		var entry struct{ Message string }
+		json.Unmarshal([]byte(line), &entry)
+		if _, rest, ok := strings.Cut(entry.Message, words); ok {
 			return rest
 		}
 		if err != nil {
-			t.Fatalf("the log ended without %q", words)
+			t.Fatalf("log ended without %q", words)
 		}
 	}
 }
 
-// healthy waits until a program that listens is ready: discovery has to tell it something first.
-func healthy(t *testing.T, addr string) {
+// waitUntilReady waits until the health check at addr succeeds, which requires a first list from discovery.
+func waitUntilReady(t *testing.T, addr string) {
 	t.Helper()
-	wiretest.Until(t, "it to be ready", func() bool {
+	wiretest.Until(t, "the program to be ready", func() bool {
 		c := dial(t, addr)
 		defer c.Close()
 		io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -107,27 +108,26 @@
 	})
 }
 
-// SIGHUP under a held job: a broken file changes nothing, a new discovery is
-// watched at once and the old one left, and neither many of them nor one
-// beside SIGTERM costs the job its answer.
+// SIGHUP while a job runs: an invalid file changes nothing; with a new discovery address the new service is watched at
+// once and the old watch ends; and neither many SIGHUPs nor one together with SIGTERM prevents the job's answer.
 func TestReloads(t *testing.T) {
 	target, old, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t), wiretest.NewDiscovery(t)
-	cmd, log := program(t, fmt.Sprintf(sampleConfig, old.Addr, target.Addr))
+	cmd, log := startProgram(t, fmt.Sprintf(sampleConfig, old.Addr, target.Addr))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "RELAY_CONFIG=")
 	wiretest.Get(t, old.Calls, "the watch")
-	client := dial(t, logged(t, log, "listens on "))
+	client := dial(t, waitForLog(t, log, "listens on "))
 	io.WriteString(client, job)
 	call := wiretest.Get(t, target.Calls, "the job")
 	next := fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr)
-	write(t, path, next[:len(next)/2])
+	writeFile(t, path, next[:len(next)/2])
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "the old configuration stays in force")
-	write(t, path, strings.Replace(next, "127.0.0.1:0", "127.0.0.1:1", 1))
+	waitForLog(t, log, "the old configuration stays in force")
+	writeFile(t, path, strings.Replace(next, "127.0.0.1:0", "127.0.0.1:1", 1))
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "discovery is at "+discovery.Addr)
-	logged(t, log, "listen address stay")
+	waitForLog(t, log, "discovery is at "+discovery.Addr)
+	waitForLog(t, log, "listen address stay")
 	if c := wiretest.Get(t, discovery.Calls, "the new watch"); c.Req.URL.Query().Get("index") != "7" {
-		t.Errorf("watch asked for %s", c.Req.URL)
+		t.Errorf("new watch: got URL %s, want index 7", c.Req.URL)
 	}
 	wiretest.Get(t, old.Ends, "the old watch's end")
 	for range 20 {
@@ -135,52 +135,52 @@
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "draining")
+	waitForLog(t, log, "draining")
 	call.WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"one"}`))
 	if got, body := client.Status(t); got != 200 || body != "one" {
-		t.Errorf("got %d %q", got, body)
+		t.Errorf("response: got %d %q, want 200 and one", got, body)
 	}
 	client.Close()
 	io.Copy(io.Discard, log)
 	if err := cmd.Wait(); err != nil || len(old.Calls) > 0 {
-		t.Errorf("exit: %v, the old discovery was asked %d times more", err, len(old.Calls))
+		t.Errorf("exit: got %v, want success; old discovery got %d more watches, want 0", err, len(old.Calls))
 	}
 }
 
-// One job from its client to a target and back, with a stop while it runs.
+// A job is served although SIGTERM arrives while it runs, and so are jobs that arrive after the signal.
 func TestServesAndDrains(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
-	cmd, log := program(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
+	cmd, log := startProgram(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
 	wiretest.Get(t, discovery.Calls, "the watch")
-	addr := logged(t, log, "listens on ")
-	healthy(t, addr)
+	addr := waitForLog(t, log, "listens on ")
+	waitUntilReady(t, addr)
 	client := dial(t, addr)
 	io.WriteString(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	if got, _ := client.Status(t); got != 200 {
-		t.Fatalf("health check got %d", got)
+		t.Fatalf("health check: got status %d, want 200", got)
 	}
 	io.WriteString(client, job)
 	call := wiretest.Get(t, target.Calls, "the job")
 	cmd.Process.Signal(syscall.SIGTERM)
-	logged(t, log, "retiring")
-	// A client on an open connection is served as before, but no new ones are wanted.
+	waitForLog(t, log, "retiring")
+	// Requests are still served while retiring, but the health check fails so that no new clients are sent here.
 	third := dial(t, addr)
 	io.WriteString(third, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	if got, _ := third.Status(t); got != 503 {
-		t.Errorf("health check got %d after the signal", got)
+		t.Errorf("health check after the signal: got status %d, want 503", got)
 	}
 	io.WriteString(third, strings.Replace(job, "Request-Id: r", "Request-Id: p", 1))
 	wiretest.Get(t, target.Calls, "the third job").WriteRaw(wiretest.Lines(true, `{"id":"p","state":"done","result":"three"}`))
 	resp, err := http.ReadResponse(third.Reader, nil)
 	if err != nil || resp.StatusCode != 200 || resp.Close {
-		t.Errorf("got %+v, %v soon after the signal", resp, err)
+		t.Errorf("job while retiring: got %+v, %v; want 200 without a close", resp, err)
 	}
 	if err == nil {
 		resp.Body.Close()
 	}
 	third.Close()
-	logged(t, log, "draining")
-	// What connects after the signal is answered too.
+	waitForLog(t, log, "draining")
+	// Clients that connect while draining are answered too.
 	second := dial(t, addr)
 	io.WriteString(second, strings.Replace(job, "Request-Id: r", "Request-Id: q", 1))
 	other := wiretest.Get(t, target.Calls, "the second job")
@@ -194,14 +194,14 @@
 		body, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != 200 || string(body) != want || !resp.Close {
-			t.Errorf("got %d %q, close %v, want %q and a close", resp.StatusCode, body, resp.Close, want)
+			t.Errorf("response while draining: got %d %q, close %v; want 200 %q and a close", resp.StatusCode, body, resp.Close, want)
 		}
 		c.Ended(t)
 		c.Close()
 	}
 	io.Copy(io.Discard, log)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit: got %v, want success", err)
 	}
 }
 
@@ -215,14 +215,14 @@
 	return &wiretest.Client{Conn: c, Reader: bufio.NewReader(c)}
 }
 
-// Subcommands say what is wrong by file, line and key, and misuse exits with 2.
+// Subcommands report errors by file, line and key, and misuse exits with 2.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.hcl"), filepath.Join(dir, "bad.hcl")
-	write(t, good, "peers {\n  listen = \"127.0.0.1:0\"\n  cluster = \"c\"\n}\ncounts {\n  max_error = 0.2\n}\n")
-	write(t, bad, "peers {\n  listen = \"127.0.0.1:0\"\n  cluster = \"c\"\n}\ncounts {\n  staleness = \"soon\"\n  floor = 2\n}\n")
+	writeFile(t, good, "peers {\n  listen = \"127.0.0.1:0\"\n  cluster = \"c\"\n}\ncounts {\n  max_error = 0.2\n}\n")
+	writeFile(t, bad, "peers {\n  listen = \"127.0.0.1:0\"\n  cluster = \"c\"\n}\ncounts {\n  staleness = \"soon\"\n  floor = 2\n}\n")
 	conf := filepath.Join(dir, "config.json")
-	write(t, conf, fmt.Sprintf(sampleConfig, "127.0.0.1:1", "127.0.0.1:1"))
+	writeFile(t, conf, fmt.Sprintf(sampleConfig, "127.0.0.1:1", "127.0.0.1:1"))
 	for _, c := range []struct {
 		args []string
 		code int
@@ -257,68 +257,69 @@
 		cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG=", "BELLSTREAM_FILE=", "RELAY_CONTROL=")
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(string(out), c.want) {
-			t.Errorf("%v: exit %d, %s; want %d, %q", c.args, code, out, c.code, c.want)
+			t.Errorf("%v: got exit code %d and output %s; want %d and %q", c.args, code, out, c.code, c.want)
 		}
 	}
 }
 
-// What waits is shown while it does, from outside, and a reload of the operator's
-// file changes the promises, or names the mistake and changes nothing.
-func TestWaitingIsShown(t *testing.T) {
+// Waiting jobs are shown by the metrics and by the command "waiting". A reload of a valid operator's file changes the
+// bound on waiting; a reload of an invalid one logs the error with its line and changes nothing.
+func TestWaitingJobsAreShown(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	file := filepath.Join(t.TempDir(), "operator.hcl")
 	const head = "admin {\n  listen = \"127.0.0.1:0\"\n}\nwaiting {}\n"
-	write(t, file, head)
+	writeFile(t, file, head)
 	t.Setenv("BELLSTREAM_FILE", file)
-	cmd, log := program(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
-	admin := logged(t, log, "admin listens on ")
-	client := dial(t, logged(t, log, " listens on "))
+	cmd, log := startProgram(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
+	admin := waitForLog(t, log, "admin listens on ")
+	client := dial(t, waitForLog(t, log, " listens on "))
 	wiretest.Get(t, discovery.Calls, "the watch")
 	io.WriteString(client, job)
 	call := wiretest.Get(t, target.Calls, "the job")
 	child := dial(t, client.RemoteAddr().String())
 	io.WriteString(child, strings.Replace(job, "Request-Id: r", "Request-Id: s\r\nWait-For: r", 1))
-	shows := func(want string) {
+	waitForMetric := func(want string) {
 		t.Helper()
 		var out strings.Builder
-		for end := time.Now().Add(10 * time.Second); !strings.Contains(out.String(), want); { // the child is on its way
+		// The child may not have arrived yet.
+		for end := time.Now().Add(10 * time.Second); !strings.Contains(out.String(), want); {
 			out.Reset()
 			resp, err := http.Get("http://" + admin + "/metrics")
 			if err != nil || time.Now().After(end) {
-				t.Fatalf("%v: no %q in %s", err, want, out.String())
+				t.Fatalf("metrics: error %v, want %q in %s", err, want, out.String())
 			}
 			io.Copy(&out, resp.Body)
 			resp.Body.Close()
 		}
 	}
-	shows(`bellstream_queue_jobs{class="c",stage="held",tenant="other"} 1`)
-	shows("bellstream_waiting_jobs 1")
-	shows(`bellstream_first_hops_total{class="c"} 1`)
+	waitForMetric(`bellstream_queue_jobs{class="c",stage="held",tenant="other"} 1`)
+	waitForMetric("bellstream_waiting_jobs 1")
+	waitForMetric(`bellstream_first_hops_total{class="c"} 1`)
 	http.DefaultClient.CloseIdleConnections()
 	show := exec.Command(os.Args[0], "waiting", "--admin", admin)
 	show.Env = append(os.Environ(), "BELLSTREAM_MAIN=1")
 	if out, err := show.CombinedOutput(); err != nil || !strings.Contains(string(out), "held") || !strings.Contains(string(out), "1 jobs, ") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("waiting: error %v, output %s", err, out)
 	}
-	write(t, file, head+"ageing {\n  max_wait = \"5s\"\n  classes = [\"none\"]\n}\n")
+	writeFile(t, file, head+"ageing {\n  max_wait = \"5s\"\n  classes = [\"none\"]\n}\n")
 	cmd.Process.Signal(syscall.SIGHUP)
-	if rest := logged(t, log, "reload: "+file); !strings.Contains(rest, ":7") || !strings.Contains(rest, `there is no class "none"`) {
-		t.Errorf("the mistake is told as %q", rest)
+	if rest := waitForLog(t, log, "reload: "+file); !strings.Contains(rest, ":7") || !strings.Contains(rest, `there is no class "none"`) {
+		t.Errorf("reload of an invalid file: got log text %q", rest)
 	}
-	write(t, file, head+"ageing {\n  max_wait = \"5s\"\n  classes = [\"c\"]\n}\n")
+	writeFile(t, file, head+"ageing {\n  max_wait = \"5s\"\n  classes = [\"c\"]\n}\n")
 	cmd.Process.Signal(syscall.SIGHUP)
-	logged(t, log, "reload: class c: sent within 5 s or rejected on arrival")
+	waitForLog(t, log, "reload: class c: sent within 5 s or rejected on arrival")
 	call.WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"one"}`))
-	call = wiretest.Get(t, target.Calls, "the child")
+	call = wiretest.Get(t, target.Calls, "the child job")
 	call.WriteRaw(wiretest.Lines(true, `{"id":"s","state":"done","result":"two"}`))
 	if got, body := child.Status(t); got != 200 || body != "two" {
-		t.Errorf("got %d %q", got, body)
+		t.Errorf("response to the child: got %d %q, want 200 and two", got, body)
 	}
 	client.Close()
 	child.Close()
 	cmd.Process.Signal(syscall.SIGTERM)
 	io.Copy(io.Discard, log)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit: got %v, want success", err)
 	}
 }
--- a/cmd/bellstream/run.go
+++ b/cmd/bellstream/run.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// run executes the command that the arguments name, and returns the exit status.
+// run executes the command that args name and returns the exit status: exitOK, exitFailed or exitMisuse.
 func run(args []string, out, errOut io.Writer) int {
 	list := commands(out)
 	if len(args) > 0 && isHelp(args[0]) {
@@ -44,7 +44,7 @@
 	return slices.Contains([]string{"help", "-h", "-help", "--help"}, arg)
 }
 
-// selectCommand returns the command and its arguments; the default is the first one of the list.
+// selectCommand returns the command that args name and its arguments; the default is the first command of the list.
 func selectCommand(list []*command, args []string) (*command, []string) {
 	if len(args) > 0 {
 		for _, candidate := range list {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// parseArgs sets the flags and returns the arguments; both may be mixed.
+// parseArgs sets the flags and returns the positional arguments. Flags may follow positional arguments.
 func parseArgs(flags *flag.FlagSet, args []string) ([]string, error) {
 	var positional []string
 	for {
@@ -84,7 +84,7 @@
 			return positional, nil
 		}
 		parsed := len(args) - len(remaining)
-		if parsed > 0 && args[parsed-1] == "--" { // no flags follow
+		if parsed > 0 && args[parsed-1] == "--" { // everything after -- is positional
 			return append(positional, remaining...), nil
 		}
 		positional = append(positional, remaining[0])
--- a/cmd/bellstream/site_test.go
+++ b/cmd/bellstream/site_test.go
@@ -19,13 +19,13 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// site is a dispatcher as the platform runs it: the clients' socket, the state directory and the processes that
-// share both.
+// site is a dispatcher as the platform runs it: a clients' listening socket, a state directory, and one or more
+// processes that share both.
 type site struct {
-	t      *testing.T
-	l      *net.TCPListener
-	tmp    string
-	config string
+	t        *testing.T
+	listener *net.TCPListener
+	stateDir string
+	config   string
 }
 
 func newSite(t *testing.T, config string) *site {
@@ -35,7 +35,7 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	s := &site{t, l.(*net.TCPListener), t.TempDir(), filepath.Join(t.TempDir(), "config.json")}
-	write(t, s.config, strings.NewReplacer(`"127.0.0.1:0"`, strconv.Quote(l.Addr().String()), `"listen"`, `"control":"127.0.0.1:0","listen"`).Replace(config))
+	writeFile(t, s.config, strings.NewReplacer(`"127.0.0.1:0"`, strconv.Quote(l.Addr().String()), `"listen"`, `"control":"127.0.0.1:0","listen"`).Replace(config))
 	return s
 }
 
@@ -43,25 +43,26 @@
 type process struct {
 	*exec.Cmd
 	control string
-	log     chan string // its lines
+	log     chan string // log lines after the one with the control address
 }
 
-// start starts another process of this build, and returns when its control address is open.
+// start starts a process of this build and returns when its control address is open.
 func (s *site) start() *process {
 	s.t.Helper()
 	return s.startProgram(os.Args[0])
 }
 
-// startProgram is start with the executable of any build.
+// startProgram starts a process of the given executable, which may be another build, and returns when its control
+// address is open.
 func (s *site) startProgram(program string) *process {
 	s.t.Helper()
-	f, err := s.l.File()
+	f, err := s.listener.File()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer f.Close()
 	cmd := exec.Command(program)
-	cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG="+s.config, "RELAY_INHERITED_FD=3", "TMPDIR="+s.tmp)
+	cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG="+s.config, "RELAY_INHERITED_FD=3", "TMPDIR="+s.stateDir)
 	cmd.ExtraFiles = []*os.File{f}
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 	s.t.Cleanup(func() { cmd.Process.Kill() })
 	r := bufio.NewReader(log)
-	p := &process{Cmd: cmd, control: logged(s.t, r, "control listens on "), log: make(chan string, 10000)}
+	p := &process{Cmd: cmd, control: waitForLog(s.t, r, "control listens on "), log: make(chan string, 10000)}
 	go func() {
 		defer close(p.log)
 		for {
@@ -89,35 +90,36 @@
 	return p
 }
 
-func (p *process) ready(t *testing.T) {
+// waitUntilReady waits until STATUS is answered with ok.
+func (p *process) waitUntilReady(t *testing.T) {
 	t.Helper()
-	wiretest.Until(t, "the yes", func() bool { return say(t, p.control, "STATUS") == "ok\n" })
+	wiretest.Until(t, "STATUS ok", func() bool { return sendCommand(t, p.control, "STATUS") == "ok\n" })
 }
 
-// says waits for a log line.
-func (p *process) says(t *testing.T, words string) {
+// waitForLog waits for a log line that contains words.
+func (p *process) waitForLog(t *testing.T, words string) {
 	t.Helper()
-	for !strings.Contains(wiretest.Get(t, p.log, "the log to say "+words), words) {
+	for !strings.Contains(wiretest.Get(t, p.log, "a log line with "+words), words) {
 	}
 }
 
-// stop ends a process as the platform does, and waits for its exit.
+// stop ends the process with SIGTERM, as the platform does, and waits for its exit.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	for range p.log {
 	}
 	if err := p.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit: got %v, want success", err)
 	}
 }
 
-// caller sends jobs one after the other on a connection. As the protocol's clients do, it sends a job again on a
-// new connection if a reused one closes without a response.
+// caller sends jobs one after the other on a connection. Like the protocol's clients, it sends a job again on a new
+// connection if a reused connection closes without a response.
 type caller struct {
-	addr         string
-	served, back int
-	wrong        []string
+	addr            string
+	served, retried int
+	failures        []string
 }
 
 func (c *caller) run(no int, stop *atomic.Bool) {
@@ -135,7 +137,7 @@
 			if !used {
 				var err error
 				if conn, err = net.Dial("tcp", c.addr); err != nil {
-					c.wrong = append(c.wrong, err.Error())
+					c.failures = append(c.failures, err.Error())
 					return
 				}
 				r = bufio.NewReader(conn)
@@ -147,7 +149,7 @@
 				io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				if c.served++; resp.StatusCode != 200 {
-					c.wrong = append(c.wrong, fmt.Sprintf("%s: %d", id, resp.StatusCode))
+					c.failures = append(c.failures, fmt.Sprintf("%s: %d", id, resp.StatusCode))
 				}
 				if resp.Close {
 					conn.Close()
@@ -157,16 +159,16 @@
 			}
 			conn.Close()
 			conn = nil
-			if c.back++; try > 0 || !used {
-				c.wrong = append(c.wrong, fmt.Sprintf("%s: %v on a connection used before: %v", id, err, used))
+			if c.retried++; try > 0 || !used {
+				c.failures = append(c.failures, fmt.Sprintf("%s: %v; connection was reused: %v", id, err, used))
 				break
 			}
 		}
-		time.Sleep(time.Duration(n%20) * time.Millisecond) // so that some stand idle
+		time.Sleep(time.Duration(n%20) * time.Millisecond) // so that some connections become idle
 	}
 }
 
-// descriptors returns the number of descriptors that the process has open.
+// descriptors returns the number of the process's open file descriptors.
 func (p *process) descriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
--- a/cmd/bellstream/upgrade_test.go
+++ b/cmd/bellstream/upgrade_test.go
@@ -19,9 +19,8 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// Versions follow each other under load. No job is lost or runs twice, and few
-// are turned back. BELLSTREAM_UPGRADES says how many follow, where more than a
-// few are to be measured.
+// Processes replace each other under load. No job may be lost or run twice, and few may have to be sent again.
+// BELLSTREAM_UPGRADES sets the number of upgrades; the default is 3.
 func TestUpgrades(t *testing.T) {
 	upgrades := 3
 	if n, err := strconv.Atoi(os.Getenv("BELLSTREAM_UPGRADES")); err == nil {
@@ -30,8 +29,8 @@
 	upgradeUnderLoad(t, upgrades, func(int) string { return os.Args[0] })
 }
 
-// An earlier build, whose executable BELLSTREAM_EARLIER names, is replaced by this one under load, comes
-// back, and is replaced again: what one build leaves in the handoff folder the other must read.
+// An earlier build, whose executable BELLSTREAM_EARLIER names, is replaced by this build under load, replaces it in
+// turn, and so on: each build must be able to read what the other one leaves in the handoff directory.
 func TestUpgradeFromEarlierBuild(t *testing.T) {
 	earlier := os.Getenv("BELLSTREAM_EARLIER")
 	if earlier == "" {
@@ -45,13 +44,13 @@
 	})
 }
 
-// upgradeUnderLoad starts the executables that program names, the n-th as the n-th process, each in place of
-// the one before, while clients send jobs and staff send commands.
+// upgradeUnderLoad starts upgrades+1 processes, each replacing the previous one, while clients send jobs and operators
+// send commands. The n-th process runs the executable program(n).
 func upgradeUnderLoad(t *testing.T, upgrades int, program func(n int) string) {
 	t.Helper()
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	var mu sync.Mutex
-	ran := map[string]int{}
+	runs := map[string]int{}
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
@@ -60,7 +59,7 @@
 			case c := <-target.Calls:
 				id := c.Req.Header.Get("Request-Id")
 				mu.Lock()
-				ran[id]++
+				runs[id]++
 				mu.Unlock()
 				time.AfterFunc(5*time.Millisecond, func() { c.WriteRaw(wiretest.Lines(true, `{"id":"`+id+`","state":"done","result":"x"}`)) })
 			case <-target.Ends:
@@ -69,32 +68,32 @@
 			}
 		}
 	}()
-	// As many targets as callers, so that none has to wait for the other.
+	// There are more targets than callers, so that no job waits for another one.
 	var hosts []string
 	for n := range 24 {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s%d","dial":%q,"site":"z","health":"active"}`, n, target.Addr))
 	}
-	// A hop that a ban meets on its way is an attempt, so there have to be some more.
+	// A job that is sent to a worker just as the worker is suspended has used an attempt, so one attempt is too few.
 	conf := strings.Replace(fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr), `"max_attempts":1`, `"max_attempts":3`, 1)
 	from, to := strings.Index(conf, `{"host":"s"`), strings.Index(conf, `]}`)
 	s := newSite(t, conf[:from]+strings.Join(hosts, ",")+conf[to:])
 	old := s.startProgram(program(0))
-	old.ready(t)
+	old.waitUntilReady(t)
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	callers := make([]*caller, 12)
 	for n := range callers {
-		callers[n] = &caller{addr: s.l.Addr().String()}
+		callers[n] = &caller{addr: s.listener.Addr().String()}
 		wg.Go(func() { callers[n].run(n, &stop) })
 	}
 	var slowest time.Duration
 	calls := 0
 	for n := range upgrades {
 		next := s.startProgram(program(n + 1))
-		next.ready(t)
+		next.waitUntilReady(t)
 		old.stop(t)
 		old = next
-		// Staff call while the clients do, among callers who say nothing.
+		// Operators send commands under load, while other connections to the control address send half a command.
 		for range 10 {
 			silent := dial(t, old.control)
 			defer silent.Close()
@@ -103,130 +102,132 @@
 		for n := range 20 {
 			line := []string{"STATUS", "SUSPEND s1", "SUSPEND nobody", "RESTORE s1"}[n%4]
 			began := time.Now()
-			a := say(t, old.control, line)
+			a := sendCommand(t, old.control, line)
 			slowest, calls = max(slowest, time.Since(began)), calls+1
 			ok := strings.HasPrefix(a, "ok")
 			rejected := n%4 == 2 && strings.Contains(a, "unknown worker")
 			if ok != (line != "SUSPEND nobody") && !rejected {
-				t.Errorf("%s: %q", line, a)
+				t.Errorf("%s: got %q", line, a)
 			}
 		}
 	}
 	stop.Store(true)
 	if slowest > time.Second {
-		t.Errorf("an answer from the control address took %v", slowest)
+		t.Errorf("slowest answer of the control address took %v, want at most 1 s", slowest)
 	}
 	wg.Wait()
-	served, back := 0, 0
+	served, retried := 0, 0
 	for _, c := range callers {
-		served, back = served+c.served, back+c.back
-		for _, w := range c.wrong {
-			t.Error(w)
+		served, retried = served+c.served, retried+c.retried
+		for _, failure := range c.failures {
+			t.Error(failure)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	for id, n := range ran {
+	for id, n := range runs {
 		if n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("job %s ran %d times, want once at most", id, n)
 		}
 	}
-	t.Logf("%d upgrades, %d jobs served, %d turned back unheard; %d calls to control, the slowest answered after %v",
-		upgrades, served, back, calls, slowest)
-	if served < 50*upgrades || back > 2*upgrades {
-		t.Errorf("%d jobs served, %d turned back in %d upgrades", served, back, upgrades)
+	t.Logf("%d upgrades, %d jobs served, %d sent again; %d control commands, the slowest answered after %v",
+		upgrades, served, retried, calls, slowest)
+	if served < 50*upgrades || retried > 2*upgrades {
+		t.Errorf("%d jobs served and %d sent again in %d upgrades, want at least 50 and at most 2 per upgrade", served, retried, upgrades)
 	}
 }
 
-// A new process that is killed leaves the old one to go on, whether it had
-// said yes or not; and one that is stopped does too.
-func TestNewProcessEnds(t *testing.T) {
+// If the new process is killed before or after it has become ready, or is stopped, the old process serves again. A
+// yielding process passes health checks on its open connections and then closes them, and both processes share a pause.
+func TestOldProcessServesAfterNewOneEnds(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	s := newSite(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
 	old := s.start()
-	old.ready(t)
+	old.waitUntilReady(t)
 	for _, end := range []func(p *process){
 		func(p *process) { p.Process.Kill() },
-		func(p *process) { p.ready(t); p.Process.Kill() },
-		func(p *process) { p.ready(t); p.stop(t) },
+		func(p *process) { p.waitUntilReady(t); p.Process.Kill() },
+		func(p *process) { p.waitUntilReady(t); p.stop(t) },
 	} {
 		next := s.start()
 		end(next)
 		next.Wait()
-		old.ready(t)
-		c := dial(t, s.l.Addr().String())
-		if got := asked(t, c); got != 200 {
-			t.Errorf("health %d after the new process has ended", got)
+		old.waitUntilReady(t)
+		c := dial(t, s.listener.Addr().String())
+		if got := checkHealth(t, c); got != 200 {
+			t.Errorf("health check after the new process has ended: got status %d, want 200", got)
 		}
 		c.Close()
 	}
-	// While it yields, its own connections say yes for the dispatcher, and close.
-	c := dial(t, s.l.Addr().String())
-	if got := asked(t, c); got != 200 {
-		t.Errorf("health %d", got)
+	// While the old process yields, it answers health checks on its open connections with 200, and closes them.
+	c := dial(t, s.listener.Addr().String())
+	if got := checkHealth(t, c); got != 200 {
+		t.Errorf("health check: got status %d, want 200", got)
 	}
 	next := s.start()
-	next.ready(t)
-	wiretest.Until(t, "the old process to yield", func() bool { return strings.HasPrefix(say(t, old.control, "STATUS"), "fail another") })
-	if got := asked(t, c); got != 200 {
-		t.Errorf("health %d at the old process", got)
+	next.waitUntilReady(t)
+	wiretest.Until(t, "the old process to yield", func() bool { return strings.HasPrefix(sendCommand(t, old.control, "STATUS"), "fail another") })
+	if got := checkHealth(t, c); got != 200 {
+		t.Errorf("health check at the old process: got status %d, want 200", got)
 	}
 	c.Ended(t)
-	// A pause said to one binds the other.
-	say(t, old.control, "PAUSE")
-	wiretest.Until(t, "the pause", func() bool { return say(t, next.control, "STATUS") == "fail paused\n" })
-	say(t, next.control, "RESUME")
-	next.ready(t)
+	// A PAUSE sent to one process also pauses the other.
+	sendCommand(t, old.control, "PAUSE")
+	wiretest.Until(t, "the pause", func() bool { return sendCommand(t, next.control, "STATUS") == "fail paused\n" })
+	sendCommand(t, next.control, "RESUME")
+	next.waitUntilReady(t)
 	old.stop(t)
-	next.ready(t)
+	next.waitUntilReady(t)
 }
 
-// With all of the clients' places taken, an upgrade still comes about: the two
-// together stay within the limit, and a client is served by the new one.
-func TestFullInAnUpgrade(t *testing.T) {
+// An upgrade succeeds even if clients use all descriptors that the old process may give them: both processes together
+// stay within the limit, and the new process serves a client.
+func TestUpgradeWithAllDescriptorsInUse(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	s := newSite(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr)) // 128 descriptors
 	old := s.start()
-	old.ready(t)
+	old.waitUntilReady(t)
 	for range 150 {
-		defer dial(t, s.l.Addr().String()).Close()
+		defer dial(t, s.listener.Addr().String()).Close()
 	}
 	wiretest.Until(t, "the old process to be full", func() bool { return old.descriptors(t) > 50 })
 	next := s.start()
-	next.ready(t)
-	c := dial(t, s.l.Addr().String())
+	next.waitUntilReady(t)
+	c := dial(t, s.listener.Addr().String())
 	defer c.Close()
-	if got := asked(t, c); got != 200 {
-		t.Errorf("health %d", got)
+	if got := checkHealth(t, c); got != 200 {
+		t.Errorf("health check: got status %d, want 200", got)
 	}
 	if a, b := old.descriptors(t), next.descriptors(t); a+b > 128 {
-		t.Errorf("%d and %d descriptors of 128", a, b)
+		t.Errorf("the processes have %d and %d descriptors open, want at most 128 together", a, b)
 	}
-	if a := say(t, next.control, "STATUS"); a != "ok\n" {
-		t.Errorf("STATUS: %q", a)
+	if a := sendCommand(t, next.control, "STATUS"); a != "ok\n" {
+		t.Errorf("STATUS: got %q, want ok", a)
 	}
 	old.stop(t)
 }
 
-// Once a process yields it takes no new client: all that connect then are the
-// newer one's, and nothing is lost with the old one.
-func TestYieldingTakesNobody(t *testing.T) {
+// A yielding process accepts no new clients: the newer process accepts all that connect, so none of them is lost when
+// the old process is killed.
+func TestYieldingProcessAcceptsNoClients(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	s := newSite(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
 	old := s.start()
-	old.ready(t)
+	old.waitUntilReady(t)
 	next := s.start()
-	next.ready(t)
-	old.says(t, "yielding")
-	was := old.descriptors(t) + next.descriptors(t)
+	next.waitUntilReady(t)
+	old.waitForLog(t, "yielding")
+	before := old.descriptors(t) + next.descriptors(t)
 	var clients []*wiretest.Client
 	for range 12 {
-		clients = append(clients, dial(t, s.l.Addr().String()))
+		clients = append(clients, dial(t, s.listener.Addr().String()))
 	}
-	wiretest.Until(t, "the clients to be accepted", func() bool { return old.descriptors(t)+next.descriptors(t) >= was+6 }) // control's own come and go
+	// Not before+12: the number before may include connections to the control address that have been closed since.
+	wiretest.Until(t, "the clients to be accepted", func() bool { return old.descriptors(t)+next.descriptors(t) >= before+6 })
 	old.Process.Kill()
 	old.Wait()
-	// Accept may have looked at its deadline before that was set, and rest until a client comes: one at most.
+	// A call of Accept that checked its deadline before the deadline was set still waits for a client, so the old
+	// process may accept one.
 	lost := 0
 	for _, c := range clients {
 		c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -239,18 +240,18 @@
 		c.Close()
 	}
 	if lost > 1 {
-		t.Errorf("%d of 12 clients were taken by the one that yields", lost)
+		t.Errorf("the yielding process accepted %d of 12 clients, want at most 1", lost)
 	}
 }
 
-// Who starts one more process on the clients' socket may make it one that waits, in the processes that
-// have it as well, as os/exec does. One that accepts from it then still comes to its end.
-func TestEndsOnSocketThatWaits(t *testing.T) {
+// Starting another process with the clients' socket may switch the socket to blocking mode, as os/exec does, which
+// affects all processes that share it. A process that is blocked in accept must still exit on SIGTERM.
+func TestStopsOnBlockingSocket(t *testing.T) {
 	target, discovery := wiretest.NewTarget(t), wiretest.NewDiscovery(t)
 	s := newSite(t, fmt.Sprintf(sampleConfig, discovery.Addr, target.Addr))
 	p := s.start()
-	p.ready(t)
-	f, err := s.l.File()
+	p.waitUntilReady(t)
+	f, err := s.listener.File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,9 +259,9 @@
 	if err := syscall.SetNonblock(int(f.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
-	c := dial(t, s.l.Addr().String()) // the next accept waits in the system
-	if got := asked(t, c); got != 200 {
-		t.Errorf("health %d", got)
+	c := dial(t, s.listener.Addr().String()) // after it, the next accept blocks in the system call
+	if got := checkHealth(t, c); got != 200 {
+		t.Errorf("health check: got status %d, want 200", got)
 	}
 	c.Close()
 	p.Process.Signal(syscall.SIGTERM)
@@ -270,12 +271,12 @@
 		}
 		ended <- p.Wait()
 	}()
-	if err := wiretest.Get(t, ended, "the end"); err != nil {
+	if err := wiretest.Get(t, ended, "the exit"); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
-// A descriptor that is no listening TCP socket stops the start, by its name.
+// If RELAY_INHERITED_FD is not the descriptor of a listening TCP socket, the start fails with an error that names both.
 func TestBadDescriptors(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "file"))
 	if err != nil {
@@ -301,83 +302,83 @@
 		{"1", file, `RELAY_INHERITED_FD: "1" is no descriptor`},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
-		write(t, path, fmt.Sprintf(sampleConfig, "127.0.0.1:1", "127.0.0.1:1"))
+		writeFile(t, path, fmt.Sprintf(sampleConfig, "127.0.0.1:1", "127.0.0.1:1"))
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "BELLSTREAM_MAIN=1", "RELAY_CONFIG="+path, "RELAY_INHERITED_FD="+c.fd)
 		cmd.ExtraFiles = []*os.File{c.file}
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || !strings.Contains(string(out), c.want) || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %v, %s; want %q", c.fd, err, out, c.want)
+			t.Errorf("RELAY_INHERITED_FD=%s: got error %v and output %s; want %q", c.fd, err, out, c.want)
 		}
 	}
 }
 
-// Workers that staff leave out get nothing from either process, over an upgrade,
-// a kill and a start that keeps the folder, until one call back.
-func TestBansOverUpgrades(t *testing.T) {
-	out, in, discovery := wiretest.NewTarget(t), wiretest.NewTarget(t), wiretest.NewDiscovery(t)
-	conf := strings.Replace(fmt.Sprintf(sampleConfig, discovery.Addr, in.Addr), strconv.Quote(in.Addr), strconv.Quote(out.Addr), 1)
+// A worker that operators have suspended gets no job from the old or the new process during an upgrade, nor after a
+// kill and a new start with the same state directory, until it is restored.
+func TestSuspensionsOutliveUpgrades(t *testing.T) {
+	suspended, active, discovery := wiretest.NewTarget(t), wiretest.NewTarget(t), wiretest.NewDiscovery(t)
+	conf := strings.Replace(fmt.Sprintf(sampleConfig, discovery.Addr, active.Addr), strconv.Quote(active.Addr), strconv.Quote(suspended.Addr), 1)
 	s := newSite(t, conf)
 	old := s.start()
-	old.ready(t)
-	if a := say(t, old.control, "SUSPEND s"); a != "ok\n" {
-		t.Errorf("SUSPEND: %q", a)
+	old.waitUntilReady(t)
+	if a := sendCommand(t, old.control, "SUSPEND s"); a != "ok\n" {
+		t.Errorf("SUSPEND s: got %q, want ok", a)
 	}
-	say(t, old.control, "SUSPEND s")
+	sendCommand(t, old.control, "SUSPEND s")
 	n := 0
-	goes := func(to *wiretest.Target) {
+	expectJobAt := func(to *wiretest.Target) {
 		t.Helper()
 		n++
 		id := fmt.Sprint("j", n)
-		c := dial(t, s.l.Addr().String())
+		c := dial(t, s.listener.Addr().String())
 		defer c.Close()
 		io.WriteString(c, strings.Replace(job, "Request-Id: r", "Request-Id: "+id, 1))
 		wiretest.Get(t, to.Calls, "a job").WriteRaw(wiretest.Lines(true, `{"id":"`+id+`","state":"done","result":"x"}`))
 		if got, _ := c.Status(t); got != 200 {
-			t.Errorf("%s got %d", id, got)
+			t.Errorf("job %s: got status %d, want 200", id, got)
 		}
 	}
 	for range 5 {
-		goes(in)
+		expectJobAt(active)
 	}
 	next := s.start()
-	next.ready(t)
+	next.waitUntilReady(t)
 	for range 5 {
-		goes(in)
-	}
-	// Said to the old one while both live, a ban binds the new one after the old was killed.
-	// It binds there a look later, which is within the grace.
-	say(t, old.control, "RESTORE s")
-	next.says(t, "worker s uncordoned")
-	say(t, old.control, "SUSPEND s")
-	next.says(t, "worker s cordoned by operators")
+		expectJobAt(active)
+	}
+	// A suspension sent to the old process while both run still holds in the new one after the old one was killed. The
+	// new process sees it the next time that it reads the state directory, which is within the grace period.
+	sendCommand(t, old.control, "RESTORE s")
+	next.waitForLog(t, "worker s uncordoned")
+	sendCommand(t, old.control, "SUSPEND s")
+	next.waitForLog(t, "worker s cordoned by operators")
 	old.Process.Kill()
 	old.Wait()
 	for range 5 {
-		goes(in)
+		expectJobAt(active)
 	}
 	next.Process.Kill()
 	next.Wait()
 	last := s.start()
-	last.ready(t)
+	last.waitUntilReady(t)
 	for range 5 {
-		goes(in)
+		expectJobAt(active)
 	}
-	if len(out.Calls) > 0 {
-		t.Fatal("a cordoned worker got a job")
+	if len(suspended.Calls) > 0 {
+		t.Fatal("the suspended worker got a job")
 	}
-	// Both out: the job waits. One back: it goes there.
-	if a := say(t, last.control, "SUSPEND u"); a != "ok\n" {
-		t.Errorf("SUSPEND: %q", a)
+	// With both workers suspended a job would wait; after the restore of s it goes there.
+	if a := sendCommand(t, last.control, "SUSPEND u"); a != "ok\n" {
+		t.Errorf("SUSPEND u: got %q, want ok", a)
 	}
-	if a := say(t, last.control, "RESTORE s"); a != "ok\n" {
-		t.Errorf("RESTORE: %q", a)
+	if a := sendCommand(t, last.control, "RESTORE s"); a != "ok\n" {
+		t.Errorf("RESTORE s: got %q, want ok", a)
 	}
-	goes(out)
+	expectJobAt(suspended)
 	for _, line := range []string{"RESTORE nobody", "SUSPEND"} {
-		if a := say(t, last.control, line); !strings.HasPrefix(a, "fail ") {
-			t.Errorf("%s: %q", line, a)
+		if a := sendCommand(t, last.control, line); !strings.HasPrefix(a, "fail ") {
+			t.Errorf("%s: got %q, want a failure", line, a)
 		}
 	}
 	last.stop(t)
