--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -1,6 +1,6 @@
-// Package boltfile opens bbolt files that are either intact or rejected:
-// corruption is an error instead of a panic or an older state, values carry
-// checksums, and a full disk is distinguished from a failing one.
+// Package boltfile opens bbolt files and detects corruption: a corrupt file leads to an
+// error instead of a panic or the silent use of an older state, stored values carry
+// checksums, and a full disk is distinguished from other failures of a commit.
 package boltfile
 
 import (
@@ -16,17 +16,17 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-const lockTimeout = 200 * time.Millisecond // if another process has the file open
+const lockTimeout = 200 * time.Millisecond // for the wait if another process has the file open
 
 var (
 	// ErrNoSpace is returned if the disk is full. The file is unchanged and may be
 	// written again.
-	ErrNoSpace = errors.New("not written, the disk is full")
+	ErrNoSpace = errors.New("not written: the disk is full")
 	// ErrCommitFailed is returned after any other failed commit, which may have
 	// left the file in any state.
-	ErrCommitFailed = errors.New("a commit failed: nothing on the file is believed any more")
-	// ErrCorrupt is returned if the file's own pages are invalid.
-	ErrCorrupt = errors.New("its pages are damaged")
+	ErrCommitFailed = errors.New("a commit failed: the file may be in any state and is no longer written")
+	// ErrCorrupt is returned if the pages of the file are invalid.
+	ErrCorrupt = errors.New("corrupt pages")
 )
 
 // File is an open file. Its methods may be called from any goroutine.
@@ -37,18 +37,17 @@
 	db      *bbolt.DB
 	mu      sync.Mutex
 	failure error
-	// panicked is set after a panic in a commit. The file then stays open, as the
-	// library would wait for that transaction.
+	// panicked is set after a panic in a commit. The file then stays open, because
+	// closing it would wait for the transaction that never ended.
 	panicked bool
 }
 
-// Open opens a file, which is created if need be, and has load read it. Whatever
-// is read for the first time may be corrupt: what the library does then, panics
-// included, is an error that matches ErrCorrupt. A file that another process has
-// open is an error too.
+// Open opens a file, or creates it if it does not exist, and calls load to read its
+// content. If the library panics on corrupt pages meanwhile, Open returns an error that
+// matches ErrCorrupt. It also fails if another process has the file open.
 func Open(path string, load func(*bbolt.Tx) error) (file *File, err error) {
-	// The library panics on invalid pages, or reads beyond the end of the file. The
-	// file stays open then, as the library does not release it.
+	// On invalid pages the library panics, or reads beyond the end of the file.
+	// The file then stays open, because the library does not release it.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -56,12 +55,13 @@
 			err = fmt.Errorf("%s: %w: %v", path, ErrCorrupt, reason)
 		}
 	}()
-	// The list of free pages is written with each commit: without it, the library
-	// looks for them in a goroutine of its own, where no panic can be recovered.
+	// NoFreelistSync stays off: if the list of free pages is not written with each
+	// commit, the library searches for them in a goroutine of its own, in which a panic
+	// can't be recovered.
 	options := &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType}
 	db, err := bbolt.Open(path, 0o600, options)
 	if errors.Is(err, bolterrors.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another process has it", path)
+		return nil, fmt.Errorf("%s: another process has the file open", path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -76,8 +76,8 @@
 	return &File{Commit: db.Update, db: db}, nil
 }
 
-// Update commits a change, all of it or nothing. An error matches ErrNoSpace or
-// ErrCommitFailed; after ErrCommitFailed nothing is written any more.
+// Update commits a change atomically. An error matches ErrNoSpace or ErrCommitFailed.
+// After ErrCommitFailed, every later call returns the same error and writes nothing.
 func (f *File) Update(change func(*bbolt.Tx) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,9 +95,9 @@
 	return f.failure
 }
 
-// isNoSpace reports whether the system refused to make the file longer: because
-// of the disk, a quota, or a limit of the process. The library passes some of
-// these errors on as text only.
+// isNoSpace reports whether the system refused to extend the file, because of a full
+// disk, a quota, or a limit of the process. The library returns some of these errors as
+// text only, so their texts are compared too.
 func isNoSpace(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
 		if errors.Is(err, errno) || strings.HasSuffix(err.Error(), ": "+errno.Error()) {
@@ -107,11 +107,12 @@
 	return false
 }
 
-// View reads the file.
+// View runs a read-only transaction.
 func (f *File) View(read func(*bbolt.Tx) error) error { return f.db.View(read) }
 
-// commit turns a panic into an error. A load at the start reads only pages in use,
-// while a commit also uses free ones, which may be corrupt.
+// commit runs a transaction and turns a panic into an error that matches ErrCorrupt. A
+// panic is still possible here: reading the content at Open touches only pages in use,
+// while a commit also uses pages that the file lists as free, which may be corrupt.
 func (f *File) commit(change func(*bbolt.Tx) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -123,7 +124,8 @@
 	return f.Commit(change)
 }
 
-// Close waits for a running transaction and closes the file.
+// Close waits for running transactions and closes the file. After a panic in a commit it leaves the file open and
+// returns the failure.
 func (f *File) Close() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// While the file may not grow, the disk counts as full: the file is unchanged, and
-// can be written again later. Any other failure is final.
-func TestFileSizeLimit(t *testing.T) {
+// A file-size limit stands in for a full disk: a write that would extend the file fails and leaves it unchanged, and
+// after the limit is lifted the file can be written again. After any other failure of a commit it is never written.
+func TestFullDiskIsRecoverable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	f, err := Open(path, func(*bbolt.Tx) error { return nil })
 	if err != nil {
@@ -33,31 +33,31 @@
 	if err := put(1); err != nil {
 		t.Fatal(err)
 	}
-	var was unix.Rlimit
-	if err := unix.Prlimit(0, unix.RLIMIT_FSIZE, nil, &was); err != nil {
+	var oldLimit unix.Rlimit
+	if err := unix.Prlimit(0, unix.RLIMIT_FSIZE, nil, &oldLimit); err != nil {
 		t.Fatal(err)
 	}
-	at, _ := os.Stat(path)
-	if err := unix.Prlimit(0, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(at.Size()), Max: was.Max}, nil); err != nil {
+	info, _ := os.Stat(path)
+	if err := unix.Prlimit(0, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(info.Size()), Max: oldLimit.Max}, nil); err != nil {
 		t.Fatal(err)
 	}
 	n := 2
 	for err = put(n); err == nil && n < 50; err = put(n) {
 		n++
 	}
-	failed := errors.Join(err, put(n))
-	unix.Prlimit(0, unix.RLIMIT_FSIZE, &was, nil)
-	if !errors.Is(err, ErrNoSpace) || errors.Is(failed, ErrCommitFailed) {
-		t.Fatalf("record %d, and once more: %v", n, failed)
+	bothErrs := errors.Join(err, put(n))
+	unix.Prlimit(0, unix.RLIMIT_FSIZE, &oldLimit, nil)
+	if !errors.Is(err, ErrNoSpace) || errors.Is(bothErrs, ErrCommitFailed) {
+		t.Fatalf("record %d, written twice at the size limit: got %v, want ErrNoSpace", n, bothErrs)
 	}
 	if err := put(n); err != nil {
-		t.Fatalf("there is space again, and %v", err)
+		t.Fatalf("write after the limit was lifted: %v", err)
 	}
 	f.Close()
 	f, err = Open(path, func(tx *bbolt.Tx) error {
 		for i := 1; i <= n; i++ {
 			if v := tx.Bucket([]byte("b")).Get(fmt.Append(nil, i)); !bytes.Equal(v, bytes.Repeat([]byte{byte(i)}, 8<<10)) {
-				t.Errorf("record %d of %d has %d bytes", i, n, len(v))
+				t.Errorf("record %d of %d is wrong: it has %d bytes", i, n, len(v))
 			}
 		}
 		return nil
@@ -68,11 +68,11 @@
 	defer f.Close()
 	f.Commit = func(func(*bbolt.Tx) error) error { return unix.EIO }
 	if err := put(1); !errors.Is(err, ErrCommitFailed) || !errors.Is(put(1), ErrCommitFailed) {
-		t.Errorf("an input/output error is %v", err)
+		t.Errorf("I/O error in a commit: got %v, want ErrCommitFailed", err)
 	}
 }
 
-// A panic of the library in a commit, on an invalid free page, is a failed commit.
+// If the library panics in a commit, as it does on an invalid free page, the commit fails with an error.
 func TestCommitPanic(t *testing.T) {
 	f, err := Open(filepath.Join(t.TempDir(), "f"), func(*bbolt.Tx) error { return nil })
 	if err != nil {
@@ -81,10 +81,10 @@
 	f.Commit = func(func(*bbolt.Tx) error) error { panic("write: circular dependency occurred") }
 	for range 2 {
 		if err := f.Update(nil); !errors.Is(err, ErrCommitFailed) || !strings.Contains(err.Error(), "circular") {
-			t.Errorf("%v, want a failed commit with its reason", err)
+			t.Errorf("got %v, want ErrCommitFailed with the reason", err)
 		}
 	}
 	if err := f.Close(); !errors.Is(err, ErrCommitFailed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("Close after a panic: got %v, want ErrCommitFailed", err)
 	}
 }
--- a/internal/boltfile/golden_test.go
+++ b/internal/boltfile/golden_test.go
@@ -11,14 +11,14 @@
 	key, record := []byte("key"), []byte("record")
 	encoded := EncodeRecord(key, record)
 	if got := fmt.Sprintf("%x", encoded); got != want {
-		t.Errorf("encoded: %s", got)
+		t.Errorf("encoded record: got %s", got)
 	}
 	var raw []byte
 	fmt.Sscanf(want, "%x", &raw)
 	if got, ok := DecodeRecord(key, raw); !ok || string(got) != "record" {
-		t.Errorf("decoded: %q, %v", got, ok)
+		t.Errorf("decoded record: got %q, %v", got, ok)
 	}
 	if got := fmt.Sprintf("%x", EncodeRecord([]byte("key"), nil)); got != "40a4756d" {
-		t.Errorf("an empty record: %s", got)
+		t.Errorf("encoded empty record: got %s", got)
 	}
 }
--- a/internal/jobledger/job.go
+++ b/internal/jobledger/job.go
@@ -1,11 +1,11 @@
 // Package jobledger holds the states of durable jobs and their legal
-// transitions. It does no I/O and reads no clock: a transition is a record, which
-// the caller makes durable, and a state is what the records amount to.
+// transitions. It does no I/O and reads no clock. Each transition is a record that
+// the caller makes durable; applying a job's records in order gives its state.
 // docs/design/leases.md has the reasons for the rules.
 //
-// Effects wait for their records: a submission is acknowledged once its
-// JobAccepted record is durable, an attempt starts once its LeaseGranted record
-// is, and a response is sent once its JobCompleted record is.
+// The caller must not act on a record before the record is durable: it acknowledges
+// a submission after the JobAccepted record, starts an attempt after the
+// LeaseGranted record, and sends a response after the JobCompleted record.
 package jobledger
 
 import (
@@ -35,21 +35,21 @@
 	Failed    Outcome = "failed"  // it may have run
 )
 
-// LeaseOutcome is what is known of a lease.
+// LeaseOutcome is what is known about the run of a lease.
 type LeaseOutcome string
 
 // Outcomes of a lease.
 const (
-	Open          LeaseOutcome = "open"    // the job may run, now or later
-	NeverRan      LeaseOutcome = "void"    // and never will
-	Indeterminate LeaseOutcome = "unknown" // the job may have run, and nobody can tell any more
+	Open          LeaseOutcome = "open"    // the job may be running, or start later
+	NeverRan      LeaseOutcome = "void"    // the job did not run under this lease and never will
+	Indeterminate LeaseOutcome = "unknown" // the job may have run, and this can't be found out any more
 )
 
-// Lease is the right of one worker to run a job once.
+// Lease allows one worker to run a job once.
 type Lease struct {
 	Term    uint64 // the fencing token; increases with each lease of the job
 	Worker  string
-	Epoch   string // of the worker's process that got the lease
+	Epoch   string // of the worker process that got the lease
 	Outcome LeaseOutcome
 }
 
@@ -58,14 +58,14 @@
 	ID          string
 	Idempotence balance.Idempotence
 	Deadline    float64 // Unix time in seconds
-	Data        []byte  // the request, for a start after a crash
+	Data        []byte  // the request, kept so that the job can be started after a crash
 	State       State
 	Leases      []Lease
 	Outcome     Outcome
 	Result      []byte
 }
 
-// lastTerm returns the highest term of any lease.
+// lastTerm returns the term of the latest lease, which is the highest one; 0 if there is none.
 func (j *Job) lastTerm() uint64 {
 	if len(j.Leases) == 0 {
 		return 0
@@ -75,36 +75,37 @@
 
 func (j *Job) lastLease() Lease { return j.Leases[len(j.Leases)-1] }
 
-// ProvenNotRun reports whether it is proven that the job never ran and that no
-// lease can run it.
+// ProvenNotRun reports whether it is proven that the job has not run and that none of
+// its leases can still run it.
 func (j *Job) ProvenNotRun() bool {
 	return !slices.ContainsFunc(j.Leases, func(l Lease) bool { return l.Outcome != NeverRan })
 }
 
-// leaseBlocker returns why no lease may be granted; empty if one may. An open
-// lease blocks all others of any class, so attempts of a job never overlap. An
-// indeterminate one blocks those of jobs that are not idempotent. For a job that
-// is idempotent with a key, the caller chooses workers that know the key.
+// leaseBlocker returns the reason why no lease may be granted; empty if one may. An open
+// lease blocks further leases of the job, whatever its idempotence, so attempts of a job
+// never overlap. An indeterminate lease blocks further leases only if the job is not
+// idempotent. For a job that is idempotent with a key, the caller chooses workers that
+// know the key.
 func (j *Job) leaseBlocker() string {
 	switch {
 	case j.State != Accepted:
-		return "it is " + string(j.State)
+		return "the job is " + string(j.State)
 	case j.Idempotence == balance.NonIdempotent && !j.ProvenNotRun():
-		return "it may have run, and must not run twice"
+		return "the job may have run and must not run twice"
 	}
 	return ""
 }
 
-// CanLease reports whether the job may go to a worker now.
+// CanLease reports whether a lease of the job may be granted now.
 func (j *Job) CanLease() bool { return j.leaseBlocker() == "" }
 
-// NewLease returns the record that leases the job to a worker's process.
+// NewLease returns the record that leases the job to a worker process, with the next term.
 func (j *Job) NewLease(worker, epoch string) Record {
 	return Record{Kind: LeaseGranted, ID: j.ID, Term: j.lastTerm() + 1, Worker: worker, Epoch: epoch}
 }
 
-// RecordFromRejection returns the record that follows when a worker has rejected a
-// lease in a way that proves that the job did not start.
+// RecordFromRejection returns the record that follows when a worker has rejected the lease
+// of a term in a way that proves that the job did not start; false if that lease is not open.
 func (j *Job) RecordFromRejection(term uint64) (Record, bool) {
 	if j.State != Leased || j.lastTerm() != term {
 		return Record{}, false
@@ -116,9 +117,9 @@
 	return Record{Kind: LeaseResolved, ID: j.ID, Term: term, LeaseOutcome: outcome}
 }
 
-// CompleteUnserved returns the record that completes a job which will not be
-// served any more: its deadline has passed, or no lease may be granted. It is
-// rejected if a retry is proven harmless.
+// CompleteUnserved returns the record that completes a job which will not be served,
+// because its deadline has passed or no lease may be granted; false if the job is completed
+// already. The outcome is Rejected if it is proven that the job has not run, else Failed.
 func (j *Job) CompleteUnserved() (Record, bool) {
 	if j.State != Accepted && j.State != Leased {
 		return Record{}, false
@@ -130,20 +131,20 @@
 	return Record{Kind: JobCompleted, ID: j.ID, Outcome: outcome}, true
 }
 
-// Action is what has to be done for a job.
+// Action is what the caller has to do next for a job.
 type Action string
 
 // Actions.
 const (
-	ActionSchedule    Action = "offer" // for a lease
-	ActionQueryWorker Action = "query" // the worker of the open lease
+	ActionSchedule    Action = "offer" // find a worker and grant a lease
+	ActionQueryWorker Action = "query" // send a status query to the worker of the open lease
 	ActionFail        Action = "fail"  // the outcome is indeterminate, and the job must not run twice
 	ActionRespond     Action = "answer"
 	ActionNone        Action = "rest"
 )
 
-// NextAction returns what has to be done for the job, after a start as at any
-// other time.
+// NextAction returns what has to be done next for the job. The answer depends only on the
+// records, so it is also valid right after a restart.
 func (j *Job) NextAction() Action {
 	switch j.State {
 	case Acknowledged:
--- a/internal/jobledger/ledger.go
+++ b/internal/jobledger/ledger.go
@@ -9,14 +9,14 @@
 	"example.org/bellstream/balance"
 )
 
-// RecordKind is the kind of a record.
+// RecordKind is the kind of a record. Its values are stored in files.
 type RecordKind string
 
 // Kinds of records.
 const (
 	JobAccepted     RecordKind = "take"
 	LeaseGranted    RecordKind = "lease"
-	LeaseResolved   RecordKind = "settle" // as NeverRan or Indeterminate
+	LeaseResolved   RecordKind = "settle" // to NeverRan or Indeterminate
 	JobCompleted    RecordKind = "report"
 	JobAcknowledged RecordKind = "ack"
 )
@@ -48,9 +48,9 @@
 // IDs returns the IDs of all jobs in ascending order.
 func (l *Ledger) IDs() []string { return slices.Sorted(maps.Keys(l.jobs)) }
 
-// Forget removes an acknowledged job, and reports whether it did. Its ID may be
-// used again only if the caller allows that: outcomes have to be kept for as long
-// as clients may ask for them.
+// Forget removes a job if it is acknowledged, and reports whether it did. After that the
+// ledger accepts a new job with the same ID, so the caller has to keep an acknowledged
+// job for as long as the client may request its outcome.
 func (l *Ledger) Forget(id string) bool {
 	job := l.jobs[id]
 	if job == nil || job.State != Acknowledged {
@@ -60,25 +60,25 @@
 	return true
 }
 
-// ErrIllegal is wrapped by every error of Apply: the records contradict each
-// other, so they are corrupt, or a transition was not allowed.
-var ErrIllegal = errors.New("illegal step")
+// ErrIllegal is wrapped by every error of Apply. Either the record is not a legal
+// transition of its job, or the records are corrupt and contradict each other.
+var ErrIllegal = errors.New("illegal transition")
 
 func (r Record) illegal(format string, args ...any) error {
 	return fmt.Errorf("%w: %s of job %q: %s", ErrIllegal, r.Kind, r.ID, fmt.Sprintf(format, args...))
 }
 
-// Apply makes the transition of a record. An illegal one changes nothing. A record
-// that was applied before, as may happen after a crash between writing a snapshot
-// and truncating the log, is illegal too: the caller skips what its snapshot
-// contains.
+// Apply applies the transition of a record. An illegal transition changes nothing and
+// returns an error that wraps ErrIllegal. So does a record that was applied before. The
+// log may contain such records after a crash between writing a snapshot and truncating
+// the log; the caller has to skip the records that its snapshot contains.
 func (l *Ledger) Apply(r Record) error {
 	job := l.jobs[r.ID]
 	if r.Kind == JobAccepted {
 		return l.accept(job, r)
 	}
 	if job == nil {
-		return r.illegal("unknown")
+		return r.illegal("no such job")
 	}
 	switch r.Kind {
 	case LeaseGranted:
@@ -90,15 +90,15 @@
 	case JobAcknowledged:
 		return job.acknowledge(r)
 	}
-	return r.illegal("unknown kind")
+	return r.illegal("unknown record kind")
 }
 
 func (l *Ledger) accept(existing *Job, r Record) error {
 	switch {
 	case r.ID == "":
-		return r.illegal("no id")
+		return r.illegal("empty ID")
 	case existing != nil:
-		return r.illegal("it is here already, %s", existing.State)
+		return r.illegal("the job exists already and is %s", existing.State)
 	}
 	switch r.Idempotence {
 	case balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent:
@@ -120,7 +120,7 @@
 		return r.illegal("%s", blocker)
 	}
 	if r.Term <= j.lastTerm() || r.Worker == "" {
-		return r.illegal("term %d after %d, worker %q", r.Term, j.lastTerm(), r.Worker)
+		return r.illegal("term %d is not above %d, or worker %q is empty", r.Term, j.lastTerm(), r.Worker)
 	}
 	lease := Lease{Term: r.Term, Worker: r.Worker, Epoch: r.Epoch, Outcome: Open}
 	j.Leases = append(slices.Clip(j.Leases), lease)
@@ -132,7 +132,8 @@
 	i := slices.IndexFunc(j.Leases, func(l Lease) bool { return l.Term == r.Term })
 	isOpen := j.State == Leased && i >= 0 && j.Leases[i].Outcome == Open
 	if !isOpen || r.LeaseOutcome != NeverRan && r.LeaseOutcome != Indeterminate {
-		return r.illegal("term %d as %q while it is %s", r.Term, r.LeaseOutcome, j.State)
+		return r.illegal("the lease of term %d can't be resolved as %q while the job is %s",
+			r.Term, r.LeaseOutcome, j.State)
 	}
 	j.Leases = slices.Clone(j.Leases)
 	j.Leases[i].Outcome = r.LeaseOutcome
@@ -142,10 +143,10 @@
 
 func (j *Job) complete(r Record) error {
 	if j.State != Accepted && j.State != Leased {
-		return r.illegal("it is %s", j.State)
+		return r.illegal("the job is %s", j.State)
 	}
 	if !j.allowsOutcome(r.Outcome) {
-		return r.illegal("%q while a lease may have run", r.Outcome)
+		return r.illegal("outcome %q is unknown, or not allowed because a lease may have run", r.Outcome)
 	}
 	j.State = Completed
 	j.Outcome = r.Outcome
@@ -165,7 +166,7 @@
 
 func (j *Job) acknowledge(r Record) error {
 	if j.State != Completed {
-		return r.illegal("it is %s", j.State)
+		return r.illegal("the job is %s", j.State)
 	}
 	j.State = Acknowledged
 	return nil
--- a/internal/jobledger/ledger_test.go
+++ b/internal/jobledger/ledger_test.go
@@ -12,14 +12,14 @@
 	return Record{Kind: JobAccepted, ID: id, Idempotence: r}
 }
 
-// apply applies records, of which the last one must be legal or not.
+// apply applies records to a new ledger. The last one must be legal or illegal as given, all others must be legal.
 func apply(t *testing.T, legal bool, records ...Record) *Ledger {
 	t.Helper()
 	l := New()
 	for n, r := range records {
 		err := l.Apply(r)
 		if last := n == len(records)-1; (err == nil) != (legal || !last) || err != nil && !errors.Is(err, ErrIllegal) {
-			t.Fatalf("%+v after %+v: %v", r, records[:n], err)
+			t.Fatalf("applying %+v after %+v: got error %v", r, records[:n], err)
 		}
 	}
 	return l
@@ -68,15 +68,15 @@
 	}
 	l := apply(t, true, nonIdempotent, complete(Failed), ack)
 	if !l.Forget("a") || l.Forget("a") || len(l.IDs()) != 0 {
-		t.Error("an acknowledged job is not forgotten, or twice")
+		t.Error("an acknowledged job was not forgotten exactly once")
 	}
 	if l := apply(t, true, nonIdempotent); l.Forget("a") {
 		t.Error("a job without acknowledgement was forgotten")
 	}
 }
 
-// FuzzApply applies random records: illegal ones change nothing, and every state
-// obeys the rules.
+// FuzzApply applies random records and checks that illegal ones change nothing and that
+// every state that is reached keeps the invariants.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4})
 	f.Add([]byte{0, 9, 18, 27, 1, 10, 19, 4, 3, 12})
@@ -87,13 +87,13 @@
 			r := Record{Kind: []RecordKind{JobAccepted, LeaseGranted, LeaseResolved, JobCompleted, JobAcknowledged, LeaseGranted, LeaseResolved, "x"}[b%8], ID: []string{"a", "b"}[arg%2],
 				Idempotence: []balance.Idempotence{balance.Idempotent, balance.NonIdempotent}[arg/2%2], Term: uint64(arg % 5), Worker: "w",
 				LeaseOutcome: []LeaseOutcome{NeverRan, Indeterminate, Open}[arg%3], Outcome: []Outcome{Succeeded, Failed, Rejected}[arg%3]}
-			var was Job
+			var before Job
 			if j := l.Job(r.ID); j != nil {
-				was = *j
+				before = *j
 			}
 			if err := l.Apply(r); err != nil {
-				if j := l.Job(r.ID); j != nil && !reflect.DeepEqual(*j, was) {
-					t.Fatalf("%+v was illegal and changed %+v to %+v", r, was, *j)
+				if j := l.Job(r.ID); j != nil && !reflect.DeepEqual(*j, before) {
+					t.Fatalf("illegal record %+v changed the job from %+v to %+v", r, before, *j)
 				}
 			}
 			for _, id := range l.IDs() {
@@ -110,10 +110,10 @@
 				}
 				if open > 1 || (open == 1) != (j.State == Leased) && j.State != Completed && j.State != Acknowledged ||
 					j.Outcome == Rejected && !j.ProvenNotRun() {
-					t.Fatalf("%+v", *j)
+					t.Fatalf("invalid state: %+v", *j)
 				}
 				if j.NextAction() == ActionNone && j.State != Acknowledged {
-					t.Fatalf("nothing is to be done for %+v", *j)
+					t.Fatalf("no action for the unfinished job %+v", *j)
 				}
 			}
 		}
--- a/internal/jobstore/format.go
+++ b/internal/jobstore/format.go
@@ -21,7 +21,7 @@
 	keyVersion    = []byte("version")
 )
 
-// Sizes of the parts of a key around the ID.
+// Sizes of the parts of a key before and after the ID.
 const (
 	keyLengthBytes = 2
 	keyNumberBytes = 8
@@ -47,21 +47,20 @@
 func checkFormat(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	if meta == nil || tx.Bucket(bucketRecords) == nil {
-		return errors.New("it is no store, or its meta data are damaged")
+		return errors.New("not a job store, or its metadata is damaged")
 	}
 	version := meta.Get(keyVersion)
 	if len(version) != 1 {
-		return errors.New("it is no store, or its meta data are damaged")
+		return errors.New("not a job store, or its metadata is damaged")
 	}
 	if version[0] != FormatVersion {
-		return fmt.Errorf("its version is %d, this program knows %d", version[0], FormatVersion)
+		return fmt.Errorf("format version %d is not supported, want %d", version[0], FormatVersion)
 	}
 	return nil
 }
 
-// ForEachRecord calls f for every record of the file: jobs in the order of the
-// lengths of their IDs and then of the IDs, a job's records by number. It stops at
-// the first corrupt record.
+// ForEachRecord calls f for every record of the file, ordered by length of the job's ID, ID
+// and number. It stops with an error at the first corrupt record or the first error of f.
 func ForEachRecord(tx *bbolt.Tx, f func(id string, number uint64, record jobledger.Record) error) error {
 	records := tx.Bucket(bucketRecords)
 	if records == nil {
@@ -81,13 +80,13 @@
 			return fmt.Errorf("job %q: record %d can't be read: %w", id, number, err)
 		}
 		if record.ID != id {
-			return fmt.Errorf("job %q: record %d can't be read: it is of job %q", id, number, record.ID)
+			return fmt.Errorf("job %q: record %d can't be read: it has the ID of job %q", id, number, record.ID)
 		}
 		return f(id, number, record)
 	})
 }
 
-// recordKey returns the key of a job's record: length of the ID, ID, number.
+// recordKey returns the key of a job's record: the length of the ID, the ID, and the number. Integers are big-endian.
 func recordKey(id string, number uint64) []byte {
 	key := binary.BigEndian.AppendUint16(nil, uint16(len(id)))
 	key = append(key, id...)
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -15,9 +15,9 @@
 	"example.org/bellstream/internal/jobledger"
 )
 
-var update = flag.Bool("update", false, "write the files under testdata/golden anew")
+var update = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-// goldenRecords are of each kind, and between them have every field set.
+// goldenRecords returns records of every kind. Each field is set in at least one of them.
 func goldenRecords() []jobledger.Record {
 	return []jobledger.Record{
 		{Kind: jobledger.JobAccepted, ID: "safe", Idempotence: balance.Idempotent, Deadline: 1700000000.25, Data: []byte{0, 1, 0xff}},
@@ -38,7 +38,7 @@
 	}
 }
 
-// goldenJobs is what the records come to.
+// goldenJobs returns the jobs that result from goldenRecords.
 func goldenJobs() []jobledger.Job {
 	return []jobledger.Job{
 		{ID: "keyed", Idempotence: balance.IdempotentWithKey, Deadline: 1700000001, Data: []byte("keyed data"), State: jobledger.Completed,
@@ -54,8 +54,8 @@
 	}
 }
 
-// dump is what a file holds: buckets, keys and values. Pages are the library's own.
-func dump(t *testing.T, path string) string {
+// dumpFile returns the buckets, keys and values of a file. The layout of the pages is left to the library.
+func dumpFile(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestGoldenStore pins the file: each record's key and bytes.
+// TestGoldenStore pins the stored format: the key and the bytes of each record, and that a golden file can be read.
 func TestGoldenStore(t *testing.T) {
 	golden := filepath.Join("testdata", "golden", "jobs.db")
 	listing := filepath.Join("testdata", "golden", "jobs.txt")
@@ -100,21 +100,21 @@
 			t.Fatalf("record %d: %v", i, err)
 		}
 	}
-	told := make(chan error)
-	s.Delete("forgotten", func(err error) { told <- err })
-	if err := <-told; err != nil {
+	result := make(chan error)
+	s.Delete("forgotten", func(err error) { result <- err })
+	if err := <-result; err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	made := dump(t, path)
+	written := dumpFile(t, path)
 	if *update {
 		if err := os.MkdirAll(filepath.Dir(golden), 0o755); err != nil {
 			t.Fatal(err)
 		}
 		copyFile(t, golden, path)
-		if err := os.WriteFile(listing, []byte(made), 0o644); err != nil {
+		if err := os.WriteFile(listing, []byte(written), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -122,13 +122,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if made != string(want) {
-		t.Errorf("written:\n%s\nwant:\n%s", made, want)
+	if written != string(want) {
+		t.Errorf("written file has\n%s\nwant\n%s", written, want)
 	}
 	old := filepath.Join(t.TempDir(), "jobs.db")
 	copyFile(t, old, golden)
-	if got := dump(t, old); got != string(want) {
-		t.Errorf("the file holds\n%s\nwant\n%s", got, want)
+	if got := dumpFile(t, old); got != string(want) {
+		t.Errorf("golden file has\n%s\nwant\n%s", got, want)
 	}
 	_, l := open(t, old)
 	var jobs []jobledger.Job
@@ -136,7 +136,7 @@
 		jobs = append(jobs, *l.Job(id))
 	}
 	if want := goldenJobs(); !reflect.DeepEqual(jobs, want) {
-		t.Errorf("jobs %+v\nwant %+v", jobs, want)
+		t.Errorf("got jobs %+v\nwant %+v", jobs, want)
 	}
 	db, err := bbolt.Open(golden, 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -152,11 +152,11 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	wrote := map[string][]jobledger.Record{}
+	wantRecords := map[string][]jobledger.Record{}
 	for _, r := range goldenRecords() {
-		wrote[r.ID] = append(wrote[r.ID], r)
+		wantRecords[r.ID] = append(wantRecords[r.ID], r)
 	}
-	if !reflect.DeepEqual(read, wrote) {
-		t.Errorf("records %+v\nwant %+v", read, wrote)
+	if !reflect.DeepEqual(read, wantRecords) {
+		t.Errorf("got records %+v\nwant %+v", read, wantRecords)
 	}
 }
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -1,5 +1,5 @@
-// Package jobstore keeps the job ledger's records on disk. Many records share one
-// commit; a record is durable once its commit has returned.
+// Package jobstore keeps the job ledger's records on disk. Queued records are committed in
+// groups; a record is durable once its commit has returned.
 package jobstore
 
 import (
@@ -16,7 +16,7 @@
 
 const (
 	maxRecordsPerCommit = 512
-	maxQueuedRecords    = 4096 // that wait for a commit; beyond that Append blocks
+	maxQueuedRecords    = 4096 // records that wait for a commit; if the queue is full, Append blocks
 	maxIDBytes          = 1 << 10
 )
 
@@ -33,23 +33,22 @@
 	queue chan pendingWrite
 	wg    sync.WaitGroup
 
-	closeMu sync.RWMutex // held for reading while the queue is written to
+	closeMu sync.RWMutex // guards closed; held for reading while a record is queued
 	closed  bool
 
-	nextNumber map[string]uint64 // of each job's next record; used by the writer only
+	nextNumber map[string]uint64 // of each job's next record; used only by Open and writeLoop
 }
 
-// pendingWrite is a record, or the deletion of a job, that waits for its commit.
+// pendingWrite is a record to append, or a job to delete, that waits for its commit.
 type pendingWrite struct {
 	id     string
-	record []byte // nil: the job's records are to be deleted
+	record []byte // nil if the job's records are to be deleted
 	done   func(error)
 }
 
-// Open opens a file, which is created if need be, and returns the ledger that its
-// records amount to. Corruption is an error that names the job and the record, and
-// the file is not changed then. A file that another process has open is an error
-// too.
+// Open opens a file, or creates it if it does not exist, and returns the ledger that results
+// from its records. If a record is corrupt or missing, the error names the job and the record
+// and the file is not changed. Open also fails if another process has the file open.
 func Open(path string) (*Store, *jobledger.Ledger, error) {
 	s := &Store{
 		queue:      make(chan pendingWrite, maxQueuedRecords),
@@ -92,22 +91,22 @@
 	})
 }
 
-// Append writes a record. It calls done from another goroutine, with nil once the
-// record is durable, or with an error. Records of one job are written in the order
-// of the calls. It blocks while the queue is full.
+// Append queues a record to be written. It calls done from another goroutine, with nil once
+// the record is durable, or with an error. Records of one job are written in the order of
+// the calls. Append blocks while the queue is full.
 func (s *Store) Append(record jobledger.Record, done func(error)) {
 	encoded, err := json.Marshal(record)
 	s.enqueue(pendingWrite{id: record.ID, record: encoded, done: done}, err)
 }
 
-// Delete deletes a job's records.
+// Delete queues the deletion of a job's records and calls done as Append does.
 func (s *Store) Delete(id string, done func(error)) {
 	s.enqueue(pendingWrite{id: id, done: done}, nil)
 }
 
 func (s *Store) enqueue(write pendingWrite, err error) {
 	if err == nil && (write.id == "" || len(write.id) > maxIDBytes) {
-		err = fmt.Errorf("jobstore: an ID of %d bytes", len(write.id))
+		err = fmt.Errorf("jobstore: ID has %d bytes, want 1 to %d", len(write.id), maxIDBytes)
 	}
 	s.closeMu.RLock()
 	defer s.closeMu.RUnlock()
@@ -121,8 +120,7 @@
 	s.queue <- write
 }
 
-// writeLoop commits all that is queued at once, until the queue is closed and
-// empty.
+// writeLoop commits queued writes in groups until the queue is closed and empty.
 func (s *Store) writeLoop() {
 	for write := range s.queue {
 		group := s.collect(write)
@@ -133,7 +131,8 @@
 	}
 }
 
-// collect returns a write with those that are queued already.
+// collect returns a group of a write and those queued behind it, at most maxRecordsPerCommit
+// together. It does not wait for more.
 func (s *Store) collect(first pendingWrite) []pendingWrite {
 	group := []pendingWrite{first}
 	for len(group) < maxRecordsPerCommit {
@@ -150,9 +149,9 @@
 	return group
 }
 
-// commit writes a group, all of it or nothing.
+// commit writes a group atomically.
 func (s *Store) commit(group []pendingWrite) error {
-	var next map[string]uint64 // numbers of the jobs in this group
+	var next map[string]uint64 // numbers of the next records of the jobs in this group
 	err := s.file.Update(func(tx *bbolt.Tx) error {
 		next = map[string]uint64{}
 		for _, write := range group {
@@ -196,7 +195,7 @@
 	return 0, nil
 }
 
-// Close writes what is queued and closes the file.
+// Close waits until the queued writes are committed and closes the file. Further calls do nothing.
 func (s *Store) Close() error {
 	if !s.closeQueue() {
 		return nil
@@ -205,7 +204,7 @@
 	return s.file.Close()
 }
 
-// closeQueue reports whether this call has closed the queue.
+// closeQueue closes the queue and reports whether it was open before.
 func (s *Store) closeQueue() bool {
 	s.closeMu.Lock()
 	defer s.closeMu.Unlock()
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -20,7 +20,8 @@
 	"example.org/bellstream/internal/jobledger"
 )
 
-// TestMain lets the test binary stand in for a process that is killed.
+// TestMain runs runChild instead of the tests if STORE_CHILD is set, so that a test can start it as a process and kill
+// it.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("STORE_CHILD"); path != "" {
 		runChild(path)
@@ -50,7 +51,8 @@
 	return errs
 }
 
-// appendOneByOne is appendAndWait with a commit for each record, so that the same calls give the same file.
+// appendOneByOne appends records with a commit for each, so that the same calls give the same file, and returns the
+// result of each.
 func appendOneByOne(s *Store, records ...jobledger.Record) (errs []error) {
 	for _, r := range records {
 		errs = append(errs, appendAndWait(s, r)...)
@@ -82,32 +84,32 @@
 	if err := <-result; err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another process has it") {
-		t.Errorf("opened twice: %v", err)
+	if _, _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another process has the file open") {
+		t.Errorf("second Open: got error %v", err)
 	}
 	s.Close()
 	if errs := appendAndWait(s, jobRecords("d")[0]); !errors.Is(errs[0], ErrClosed) {
-		t.Errorf("after Close: %v", errs)
+		t.Errorf("Append after Close: got %v, want ErrClosed", errs)
 	}
 	_, l = open(t, path)
 	if got := fmt.Sprintf("%q", l.IDs()); got != `["\x00" "a" "b" "c"]` {
-		t.Errorf("got %s", got)
+		t.Errorf("got IDs %s", got)
 	}
 	if j := l.Job("a"); j.State != jobledger.Completed || string(j.Data) != "body" || j.Deadline != 1.5 || string(j.Result) != "\x00\xff" {
-		t.Errorf("got %+v", j)
+		t.Errorf("got job %+v", j)
 	}
 	if j := l.Job("c"); j.NextAction() != jobledger.ActionQueryWorker || j.Leases[0].Worker != "w" || j.Leases[0].Epoch != "e" {
-		t.Errorf("got %+v", j)
+		t.Errorf("got job %+v", j)
 	}
 }
 
-// A full disk rejects records until there is space; after any other failure all
-// are rejected.
+// While the disk is full, records are rejected, and after there is space again they are accepted. After any other
+// failure of a commit all records are rejected.
 func TestFailingCommits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, _ := open(t, path)
 	original := s.file.Commit
-	fail := func(err error) { // between two records, while the writer waits
+	fail := func(err error) { // called only while no record is queued
 		s.file.Commit = func(f func(*bbolt.Tx) error) error {
 			return original(func(tx *bbolt.Tx) error {
 				if e := f(tx); e != nil {
@@ -121,38 +123,39 @@
 	appendAndWait(s, a[0])
 	fail(fmt.Errorf("write: %w", syscall.ENOSPC))
 	if errs := appendAndWait(s, a[1]); !errors.Is(errs[0], syscall.ENOSPC) {
-		t.Fatalf("got %v", errs)
+		t.Fatalf("append on a full disk: got %v, want ENOSPC", errs)
 	}
 	fail(nil)
 	if errs := appendAndWait(s, a[1]); errs[0] != nil {
-		t.Fatalf("space again, and %v", errs)
+		t.Fatalf("append after there is space again: %v", errs)
 	}
 	fail(syscall.EIO)
 	if errs := appendAndWait(s, a[2]); !errors.Is(errs[0], ErrCommitFailed) {
-		t.Fatalf("got %v", errs)
+		t.Fatalf("append with an I/O error: got %v, want ErrCommitFailed", errs)
 	}
 	fail(nil)
 	if errs := appendAndWait(s, a[2]); !errors.Is(errs[0], ErrCommitFailed) {
-		t.Errorf("the file is written again: %v", errs)
+		t.Errorf("append after a failed commit: got %v, want ErrCommitFailed", errs)
 	}
 	if errs := appendAndWait(s, jobledger.Record{Kind: jobledger.JobAccepted, ID: strings.Repeat("x", maxIDBytes+1)}); errs[0] == nil {
-		t.Error("no limit of IDs")
+		t.Error("an ID above the maximum length was accepted")
 	}
 	s.Close()
 	_, l := open(t, path)
 	if j := l.Job("a"); j.State != jobledger.Leased {
-		t.Errorf("got %+v", j)
+		t.Errorf("got job %+v", j)
 	}
 }
 
-// A flipped byte is detected and reported, and the file is not changed.
+// Records that are changed, moved, missing or have an invalid key, and an unknown format version, are detected and
+// reported, and the file is not changed.
 func TestCorruptRecords(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, _ := open(t, path)
 	appendAndWait(s, append(jobRecords("a"), jobRecords("b")...)...)
 	for _, c := range []struct {
-		spoil func(b *bbolt.Bucket, m *bbolt.Bucket) error
-		want  string
+		corrupt func(b *bbolt.Bucket, m *bbolt.Bucket) error
+		want    string
 	}{
 		{func(b, _ *bbolt.Bucket) error {
 			v := append([]byte(nil), b.Get(recordKey("b", 1))...)
@@ -162,7 +165,7 @@
 		{func(b, _ *bbolt.Bucket) error { return b.Put(recordKey("b", 1), b.Get(recordKey("a", 1))) }, `job "b": record 1 is damaged`},
 		{func(b, _ *bbolt.Bucket) error { return b.Delete(recordKey("a", 0)) }, `job "a": record 0 is missing`},
 		{func(b, _ *bbolt.Bucket) error { return b.Put([]byte("stray"), []byte("x")) }, "a key of 5 bytes is damaged"},
-		{func(_, m *bbolt.Bucket) error { return m.Put(keyVersion, []byte{9}) }, "its version is 9"},
+		{func(_, m *bbolt.Bucket) error { return m.Put(keyVersion, []byte{9}) }, "format version 9"},
 	} {
 		s.Close()
 		original, err := os.ReadFile(path)
@@ -175,28 +178,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := db.Update(func(tx *bbolt.Tx) error { return c.spoil(tx.Bucket(bucketRecords), tx.Bucket(bucketMeta)) }); err != nil {
+		if err := db.Update(func(tx *bbolt.Tx) error { return c.corrupt(tx.Bucket(bucketRecords), tx.Bucket(bucketMeta)) }); err != nil {
 			t.Fatal(err)
 		}
 		db.Close()
-		was, _ := os.ReadFile(bad)
+		before, _ := os.ReadFile(bad)
 		if _, _, err := Open(bad); err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), bad) {
 			t.Errorf("got %v, want %q", err, c.want)
 		}
-		if is, _ := os.ReadFile(bad); string(is) != string(was) {
-			t.Errorf("%s: the damaged file was changed", c.want)
+		if after, _ := os.ReadFile(bad); string(after) != string(before) {
+			t.Errorf("%s: Open changed the corrupt file", c.want)
 		}
 	}
 }
 
-// With a flipped byte anywhere in the file, it is either rejected or has its
-// complete content. It never causes a panic, nor a record that was not written.
+// A file with up to three flipped bits anywhere is either rejected by Open or read completely. The damage must never
+// lead to a panic or to a record that was not written.
 func TestFlippedBytesAreDetected(t *testing.T) {
 	testFlippedBytes(t, 3, appendOneByOne)
 }
 
-// Several records share a commit here, as in production. Which records do depends on timing, so the file and its
-// damage differ from run to run. Open does not detect every flipped byte in the file's list of free pages, and later
+// Several records share a commit here, as in production. The grouping depends on timing, so the file and its damage
+// differ from run to run. Open does not detect every flipped byte in the file's list of free pages, and later
 // commits can then overwrite records; see KNOWN-RED.txt.
 func TestFlippedBytesInGroupedCommitsAreDetected(t *testing.T) {
 	testFlippedBytes(t, 3, appendAndWait)
@@ -215,37 +218,37 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 4))
-	refused, late := 0, 0
+	rejectedByOpen, rejectedByCommit := 0, 0
 	for range 300 {
 		bad := filepath.Join(t.TempDir(), "bad")
-		spoilt := append([]byte(nil), original...)
+		corrupted := append([]byte(nil), original...)
 		for range 1 + rng.IntN(3) {
-			spoilt[rng.IntN(len(spoilt))] ^= 1 << rng.IntN(8)
+			corrupted[rng.IntN(len(corrupted))] ^= 1 << rng.IntN(8)
 		}
-		os.WriteFile(bad, spoilt, 0o600)
+		os.WriteFile(bad, corrupted, 0o600)
 		s, l, err := Open(bad)
 		if err != nil {
-			refused++
+			rejectedByOpen++
 			continue
 		}
 		for _, id := range l.IDs() {
 			if j := l.Job(id); j.State != jobledger.Completed || string(j.Data) != "body" || !strings.HasPrefix(id, "job") {
-				t.Fatalf("%q came out as %+v", id, j)
+				t.Fatalf("job %q was read as %+v", id, j)
 			}
 		}
 		if len(l.IDs()) != 40 {
-			t.Fatalf("%d jobs of 40 came back, and no word of it", len(l.IDs()))
+			t.Fatalf("Open returned %d of 40 jobs without an error", len(l.IDs()))
 		}
-		// New records must not overwrite existing ones. An invalid free page is detected only now: the
-		// commit fails, and nothing is written any more.
-		var failed error
+		// New records must not overwrite existing ones. An invalid free page is detected only now: the commit fails,
+		// and the file is not written any more.
+		var appendErr error
 		for n := range 60 {
-			failed = errors.Join(append(appendRecords(s, jobRecords(fmt.Sprint("new", n))...), failed)...)
+			appendErr = errors.Join(append(appendRecords(s, jobRecords(fmt.Sprint("new", n))...), appendErr)...)
 		}
 		s.Close()
-		if failed != nil {
-			if late++; !errors.Is(failed, ErrCommitFailed) {
-				t.Fatalf("more was not written: %v", failed)
+		if appendErr != nil {
+			if rejectedByCommit++; !errors.Is(appendErr, ErrCommitFailed) {
+				t.Fatalf("append to the corrupt file: got %v, want ErrCommitFailed", appendErr)
 			}
 			continue
 		}
@@ -254,14 +257,14 @@
 			t.Fatalf("after more was written: %v", err)
 		}
 		if n := len(l.IDs()); n != 100 {
-			t.Fatalf("after more was written: %d jobs", n)
+			t.Fatalf("after more was written: got %d jobs, want 100", n)
 		}
 		s.Close()
 	}
-	t.Logf("%d of 300 refused, %d as more was written", refused, late)
+	t.Logf("of 300 files, Open rejected %d and a later commit %d", rejectedByOpen, rejectedByCommit)
 }
 
-// runChild appends records and prints which are durable, until it is killed.
+// runChild appends records until it is killed, and prints a line for each one that is durable.
 func runChild(path string) {
 	s, l, err := Open(path)
 	if err != nil {
@@ -280,7 +283,7 @@
 						out <- "error " + err.Error()
 						return
 					}
-					out <- fmt.Sprintf("safe %s %d", id, no)
+					out <- fmt.Sprintf("durable %s %d", id, no)
 				}
 			}
 		}()
@@ -290,12 +293,12 @@
 	}
 }
 
-// A process is killed at any moment, again and again: all records that it reported
-// as durable are in the file.
+// A process that writes records is killed at a random moment, eight times. Every record that it reported as durable
+// must be in the file.
 func TestKilledProcessLosesNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	rng := rand.New(rand.NewPCG(1, 2))
-	safe := map[string]int{}
+	durable := map[string]int{} // the number of the last durable record, by job
 	for range 8 {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "STORE_CHILD="+path)
@@ -311,32 +314,32 @@
 		for n := 0; ; n++ {
 			line, err := r.ReadString('\n')
 			if errors.Is(err, io.EOF) || err != nil {
-				break // the output before the kill is read to its end
+				break // all output written before the kill has been read
 			}
 			var id string
 			var no int
-			if _, err := fmt.Sscanf(line, "safe %s %d", &id, &no); err != nil {
-				t.Fatalf("the child says %q", line)
+			if _, err := fmt.Sscanf(line, "durable %s %d", &id, &no); err != nil {
+				t.Fatalf("got output %q of the child", line)
 			}
-			safe[id] = no
+			durable[id] = no
 			if n == lines {
 				cmd.Process.Kill()
 			}
 		}
 		cmd.Wait()
 		s, l := open(t, path)
-		for id, no := range safe {
+		for id, no := range durable {
 			j := l.Job(id)
 			if j == nil || no == 1 && j.State == jobledger.Accepted || no == 2 && j.State != jobledger.Completed {
-				t.Fatalf("record %d of %s was safe, and now it is %+v", no, id, j)
+				t.Fatalf("record %d of job %s was durable, but the job was read as %+v", no, id, j)
 			}
 		}
 		s.Close()
 	}
-	t.Logf("%d jobs over 8 kills", len(safe))
+	t.Logf("%d jobs were written over 8 kills", len(durable))
 }
 
-// BenchmarkAppend measures group commit.
+// BenchmarkAppend measures appends with the given numbers of records in flight, which share commits.
 func BenchmarkAppend(b *testing.B) {
 	for _, callers := range []int{1, 32, 256} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
@@ -345,26 +348,26 @@
 				b.Fatal(err)
 			}
 			defer s.Close()
-			places := make(chan struct{}, callers)
+			inFlight := make(chan struct{}, callers)
 			start := time.Now()
 			for n := range b.N {
-				places <- struct{}{}
+				inFlight <- struct{}{}
 				s.Append(jobledger.Record{Kind: jobledger.JobAccepted, ID: fmt.Sprint(n), Idempotence: balance.NonIdempotent, Data: make([]byte, 300)}, func(err error) {
 					if err != nil {
 						b.Error(err)
 					}
-					<-places
+					<-inFlight
 				})
 			}
 			for range callers {
-				places <- struct{}{}
+				inFlight <- struct{}{}
 			}
 			b.ReportMetric(float64(b.N)/time.Since(start).Seconds(), "records/s")
 		})
 	}
 }
 
-// BenchmarkOpen opens a file with many open jobs, each accepted and leased.
+// BenchmarkOpen measures Open on a file with 100,000 jobs, each accepted and leased.
 func BenchmarkOpen(b *testing.B) {
 	const jobs = 100_000
 	path := filepath.Join(b.TempDir(), "s")
