--- a/internal/tools/interp/main.go
+++ b/internal/tools/interp/main.go
@@ -1,5 +1,5 @@
-// Command interp prints the interpreter that an ELF program names: the loader
-// of a dynamically linked one. A static program has none, and nothing is printed.
+// Command interp prints the interpreter of an ELF program, which is the dynamic
+// loader of a dynamically linked program. For a statically linked one it prints nothing.
 package main
 
 import (
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A module of two packages with one green test and some that fail, each in its own way.
+// module is a Go module of two packages. Among its tests are passing, failing, skipping and panicking ones.
 var module = map[string]string{
 	"go.mod": "module example.test/fleet\n\ngo 1.26\n",
 	"one/one_test.go": `package one
@@ -39,7 +39,8 @@
 `,
 }
 
-func lay(t *testing.T, files map[string]string) string {
+// writeModule writes files to a new directory and returns the directory.
+func writeModule(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range files {
@@ -55,7 +56,7 @@
 }
 
 func TestRun(t *testing.T) {
-	dir := lay(t, module)
+	dir := writeModule(t, module)
 	var tooMany []string
 	for n := range 4 {
 		tooMany = append(tooMany, fmt.Sprintf("TestGreen%d, broken, 7\n", n))
@@ -166,16 +167,16 @@
 			}
 			for _, want := range test.says {
 				if !strings.Contains(out.String(), want) {
-					t.Errorf("does not say %q", want)
+					t.Errorf("output lacks %q", want)
 				}
 			}
 			for _, bad := range test.never {
 				if strings.Contains(out.String(), bad) {
-					t.Errorf("says %q", bad)
+					t.Errorf("output has %q", bad)
 				}
 			}
 			if t.Failed() {
-				t.Logf("it said:\n%s", &out)
+				t.Logf("output:\n%s", &out)
 			}
 		})
 	}
@@ -191,34 +192,34 @@
 		"TestX, intermittent: go test ./x; seen, 7\n", "TestX, intermittent: make; seed 1; seen, 7\n",
 		"TestX, intermittent: go test ./x; seed ; seen, 7\n", "TestX, intermittent: go test ./x; seed 1; , 7\n",
 	} {
-		if reds, err := parse(bad); err == nil {
-			t.Errorf("%q: taken as %v", bad, reds)
+		if known, err := parseList(bad); err == nil {
+			t.Errorf("parseList(%q): got %v, want an error", bad, known)
 		}
 	}
-	reds, err := parse("TestX, one, and another, #7\nFuzzY/seed#0,cause,8")
+	known, err := parseList("TestX, one, and another, #7\nFuzzY/seed#0,cause,8")
 	if err != nil {
 		t.Fatal(err)
 	}
-	marked, err := parse("TestX, intermittent: go test -run 'TestX' ./x; seed 7; one job lost, of 40, #7")
-	if err != nil || len(marked) != 1 || !marked[0].intermittent || reds[0].intermittent {
+	marked, err := parseList("TestX, intermittent: go test -run 'TestX' ./x; seed 7; one job lost, of 40, #7")
+	if err != nil || len(marked) != 1 || !marked[0].intermittent || known[0].intermittent {
 		t.Errorf("got %+v, error %v; want one intermittent test", marked, err)
 	}
-	if len(reds) != 2 || reds[0] != (red{test: "TestX", cause: "one, and another", issue: "#7"}) ||
-		reds[1] != (red{test: "FuzzY/seed#0", cause: "cause", issue: "8"}) {
-		t.Errorf("read %+v", reds)
+	if len(known) != 2 || known[0] != (knownFailure{test: "TestX", cause: "one, and another", issue: "#7"}) ||
+		known[1] != (knownFailure{test: "FuzzY/seed#0", cause: "cause", issue: "8"}) {
+		t.Errorf("got %+v", known)
 	}
-	if have, want := skip(reds), `^TestX$|^FuzzY$/^seed#0$`; have != want {
-		t.Errorf("skips %s, want %s", have, want)
+	if have, want := skipPattern(known), `^TestX$|^FuzzY$/^seed#0$`; have != want {
+		t.Errorf("skip pattern: got %s, want %s", have, want)
 	}
 }
 
-// A name is taken as it stands, not as a pattern.
+// Characters of a test's name that have a meaning in a regular expression are quoted.
 func TestNameIsNoPattern(t *testing.T) {
-	reds, err := parse("TestX/a.b(c|d)[1], cause, 7\n")
+	known, err := parseList("TestX/a.b(c|d)[1], cause, 7\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if have, want := skip(reds), `^TestX$/^a\.b\(c\|d\)\[1\]$`; have != want {
-		t.Errorf("skips %s, want %s", have, want)
+	if have, want := skipPattern(known), `^TestX$/^a\.b\(c\|d\)\[1\]$`; have != want {
+		t.Errorf("skip pattern: got %s, want %s", have, want)
 	}
 }
--- a/internal/tools/protogen/main.go
+++ b/internal/tools/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen compiles one .proto file and has protoc-gen-go write the Go
-// code beside it, with Go modules alone: neither protoc nor anything installed.
+// Command protogen compiles one .proto file and writes the Go code that protoc-gen-go
+// generates next to it. It uses Go modules only, so protoc need not be installed.
 //
 //	go run example.org/bellstream/internal/tools/protogen [--check] FILE.proto
 //
@@ -65,11 +65,11 @@
 	}
 	for _, f := range resp.File {
 		path := filepath.Join(dir, f.GetName())
-		// The compiler's version is in a comment; here there is none to name.
+		// The generated comment names the version of protoc, which is unknown here.
 		code := strings.ReplaceAll(f.GetContent(), "(unknown)", "protocompile")
 		if check {
-			if have, err := os.ReadFile(path); err != nil || string(have) != code {
-				return fmt.Errorf("%s is not what %s gives: go generate ./...", path, file)
+			if committed, err := os.ReadFile(path); err != nil || string(committed) != code {
+				return fmt.Errorf("%s is not the code generated from %s: run go generate ./...", path, file)
 			}
 			continue
 		}
--- a/internal/tools/tools.go
+++ b/internal/tools/tools.go
@@ -1,7 +1,7 @@
 //go:build tools
 
-// Package tools names the commands that generated code needs, so that go.mod
-// keeps their versions.
+// Package tools imports the commands that generate code, so that go.mod records
+// their versions.
 package tools
 
 import _ "google.golang.org/protobuf/cmd/protoc-gen-go"
