--- a/cmd/bellstream/control_test.go
+++ b/cmd/bellstream/control_test.go
@@ -67,7 +67,7 @@
 	io.WriteString(half, strings.Replace(job, "Request-Id: r", "Request-Id: h", 1)[40:])
 	wiretest.Get(t, target.Calls, "the job in two halves").WriteRaw(wiretest.Lines(true, `{"id":"h","state":"done","result":"two"}`))
 	if got, body := half.Status(t); got != 200 || body != "two" {
-		t.Errorf("response: got %d %q", got, body)
+		t.Errorf("response to the request in two halves: got %d %q, want 200 and two", got, body)
 	}
 	half.Ended(t)
 	idle.Ended(t)
@@ -76,7 +76,7 @@
 	}
 	call.WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"one"}`))
 	if got, body := busy.Status(t); got != 200 || body != "one" {
-		t.Errorf("response: got %d %q", got, body)
+		t.Errorf("response to the job that ran during the pause: got %d %q, want 200 and one", got, body)
 	}
 	busy.Ended(t)
 	if a := sendCommand(t, control, "RESUME"); a != "ok\n" {
@@ -148,7 +148,7 @@
 	writeFile(t, path, next)
 	cmd.Process.Signal(syscall.SIGHUP)
 	if logged := waitForLog(t, log, "the settings are new: "); logged != "class d appears (unsafe), class c vanishes" {
-		t.Errorf("got log text %q", logged)
+		t.Errorf("reload of a valid file: got log text %q", logged)
 	}
 	wiretest.Until(t, "the new class", func() bool { return post("d", fmt.Sprint("d", time.Now().UnixNano())) == 200 })
 	wiretest.Until(t, "the old class to be removed", func() bool { return post("c", fmt.Sprint("c", time.Now().UnixNano())) == 404 })
@@ -161,6 +161,6 @@
 	}
 	call.WriteRaw(wiretest.Lines(true, `{"id":"r","state":"done","result":"one"}`))
 	if got, body := client.Status(t); got != 200 || body != "one" {
-		t.Errorf("job of the removed class: got %d %q", got, body)
+		t.Errorf("job of the removed class: got %d %q, want 200 and one", got, body)
 	}
 }
--- a/cmd/bellstream/idle_test.go
+++ b/cmd/bellstream/idle_test.go
@@ -39,7 +39,7 @@
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", path, ".")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	f, err := elf.Open(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 	first.Env = append(os.Environ(), "GODEBUG=inittrace=1")
 	var trace bytes.Buffer
 	if first.Stderr = &trace; first.Run() != nil {
-		t.Fatalf("%s", trace.String())
+		t.Fatalf("bellstream version failed: %s", trace.String())
 	}
 	allocated := 0
 	for _, m := range regexp.MustCompile(`(?m)^init .*, (\d+) bytes,`).FindAllStringSubmatch(trace.String(), -1) {
--- a/cmd/bellstream/upgrade_test.go
+++ b/cmd/bellstream/upgrade_test.go
@@ -107,7 +107,7 @@
 			ok := strings.HasPrefix(a, "ok")
 			rejected := n%4 == 2 && strings.Contains(a, "unknown worker")
 			if ok != (line != "SUSPEND nobody") && !rejected {
-				t.Errorf("%s: got %q", line, a)
+				t.Errorf("command %s: got unexpected answer %q", line, a)
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 		ended <- p.Wait()
 	}()
 	if err := wiretest.Get(t, ended, "the exit"); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit: got %v, want success", err)
 	}
 }
 
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another process has the file open") {
-		t.Errorf("second Open: got error %v", err)
+		t.Errorf("second Open: got error %v, want that another process has the file open", err)
 	}
 	s.Close()
 	if errs := appendAndWait(s, jobRecords("d")[0]); !errors.Is(errs[0], ErrClosed) {
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -160,8 +160,8 @@
 	stdout, stderr io.Writer
 }
 
-// runOthers runs the command as it was given, without the tests that skip matches, and returns its exit
-// code.
+// runOthers runs the command as it was given, without the tests that skip matches. It returns 0, or 1 if
+// the command failed.
 func (c command) runOthers(skip string) int {
 	args := []string{"test"}
 	if skip != "" {
