--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -51,8 +51,8 @@
 	return errs
 }
 
-// appendOneByOne appends records with a commit for each, so that the same calls give the same file, and returns the
-// result of each.
+// appendOneByOne appends records with a commit for each, so that the grouping of records does not depend on timing, and
+// returns the result of each. The files that the same calls write can still differ.
 func appendOneByOne(s *Store, records ...jobledger.Record) (errs []error) {
 	for _, r := range records {
 		errs = append(errs, appendAndWait(s, r)...)
@@ -193,7 +193,8 @@
 }
 
 // A file with up to three flipped bits anywhere is either rejected by Open or read completely. The damage must never
-// lead to a panic or to a record that was not written.
+// lead to a panic or to a record that was not written. The file, and so the damage, differs from run to run even
+// with one commit for each record; see KNOWN-RED.txt.
 func TestFlippedBytesAreDetected(t *testing.T) {
 	testFlippedBytes(t, 3, appendOneByOne)
 }
