--- a/internal/service/life_test.go
+++ b/internal/service/life_test.go
@@ -254,7 +254,7 @@
 	s.served += p.served
 	for _, a := range p.requests {
 		switch {
-		case a.Never:
+		case a.NeverAccepted:
 			s.outcomes["never"]++
 		case len(a.Answers) > 0:
 			s.outcomes[fmt.Sprint(a.Answers[0].Status)]++
