--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -37,11 +37,11 @@
 	configMu     sync.Mutex
 	quotaUpdates atomic.Uint64 // news of shares that the loop would have got
 
-	scheduler dispatcher.Scheduler // of seats; nil: there are none
-	clock     func() float64       // of its steps
-	wakes     chan struct{}
-	done      chan struct{}
-	ended     sync.WaitGroup
+	scheduler     dispatcher.Scheduler // of seats; nil: there are none
+	clock         func() float64       // of its steps
+	wakes         chan struct{}
+	done          chan struct{}
+	schedulerDone sync.WaitGroup
 
 	mu              sync.Mutex // of what follows, which the generator uses
 	rng             *rand.Rand
@@ -86,17 +86,17 @@
 		base := time.Now()
 		i.clock = func() float64 { return time.Since(base).Seconds() }
 		i.scheduler = o.NewScheduler(bal, i.clock)
-		i.ended.Add(1)
-		go i.steps()
+		i.schedulerDone.Add(1)
+		go i.runScheduler()
 	}
-	s.Bind(loop{i})
+	s.Bind(loopStub{i})
 	i.refreshConfig()
 	return i, nil
 }
 
-// steps has seats look at the rules, and do what they ask to be woken for, as a loop without jobs does.
-func (i *Instance) steps() {
-	defer i.ended.Done()
+// runScheduler has seats look at the rules, and do what they ask to be woken for, as a loop without jobs does.
+func (i *Instance) runScheduler() {
+	defer i.schedulerDone.Done()
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
@@ -113,20 +113,20 @@
 	}
 }
 
-// loop stands in the place of a dispatcher's loop.
-type loop struct{ i *Instance }
+// loopStub stands in the place of a dispatcher's loop.
+type loopStub struct{ i *Instance }
 
-func (l loop) UpdateQuotas(news []balance.QuotaUpdate) { l.i.quotaUpdates.Add(uint64(len(news))) }
-func (l loop) Wake() {
+func (l loopStub) UpdateQuotas(news []balance.QuotaUpdate) { l.i.quotaUpdates.Add(uint64(len(news))) }
+func (l loopStub) Wake() {
 	select {
 	case l.i.wakes <- struct{}{}:
 	default: // it will see this too
 	}
 }
-func (l loop) Notify()                                   { go l.i.refreshConfig() } // a nudge must not wait
-func (l loop) SetDeferredLimits(deferred.Limits)         {}
-func (l loop) SetMaxWaits(map[string]float64)            {}
-func (l loop) Stats() (f dispatcher.Stats, running bool) { return f, false }
+func (l loopStub) Notify()                                   { go l.i.refreshConfig() } // a nudge must not wait
+func (l loopStub) SetDeferredLimits(deferred.Limits)         {}
+func (l loopStub) SetMaxWaits(map[string]float64)            {}
+func (l loopStub) Stats() (f dispatcher.Stats, running bool) { return f, false }
 
 // refreshConfig takes what the rules say, as the loop does before each of its steps.
 func (i *Instance) refreshConfig() {
@@ -158,8 +158,8 @@
 	}
 }
 
-// rate is how much enters, in starts a second.
-func (i *Instance) rate() float64 {
+// totalRate is how much enters, in starts a second.
+func (i *Instance) totalRate() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.cumulativeRates) == 0 || i.closed || i.subsystems.Options.Usage == nil {
@@ -168,8 +168,8 @@
 	return i.cumulativeRates[len(i.cumulativeRates)-1]
 }
 
-// enter has one start come in.
-func (i *Instance) enter() {
+// generateStart has one start come in.
+func (i *Instance) generateStart() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.cumulativeRates) == 0 || i.closed {
@@ -221,6 +221,6 @@
 	}
 	i.subsystems.Leave()
 	close(i.done)
-	i.ended.Wait()
+	i.schedulerDone.Wait()
 	i.subsystems.Close()
 }
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -21,9 +21,9 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("time.Sleep"), goleak.IgnoreTopFunction("github.com/hashicorp/memberlist.(*Memberlist).probeNode"))
 }
 
-// free is an address that is free now, for streams and datagrams. Its port is none that the system gives to
+// freeAddress is an address that is free now, for streams and datagrams. Its port is none that the system gives to
 // who connects: between this call and the instance's Listen, a connection of any process could take such a port.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	const firstPort, ports = 10_000, 22_000
 	for range 50 {
@@ -44,8 +44,8 @@
 	return ""
 }
 
-// files writes those of n instances, of which the first three vote.
-func files(t *testing.T, n int) (list []Files) {
+// writeFiles writes those of n instances, of which the first three vote.
+func writeFiles(t *testing.T, n int) (list []Files) {
 	t.Helper()
 	dir := t.TempDir()
 	put := func(name, text string) string {
@@ -57,7 +57,7 @@
 	}
 	var peers, accord, voters, seats, lines, names []string
 	for i := range n {
-		peers, accord, seats = append(peers, free(t)), append(accord, free(t)), append(seats, free(t))
+		peers, accord, seats = append(peers, freeAddress(t)), append(accord, freeAddress(t)), append(seats, freeAddress(t))
 		lines, names = append(lines, fmt.Sprintf("n%d = %q", i, seats[i])), append(names, fmt.Sprintf("\"n%d\"", i))
 		if i < 3 {
 			voters = append(voters, fmt.Sprintf("n%d = %q", i, accord[i]))
@@ -79,16 +79,16 @@
 	return list
 }
 
-// served runs instances as a process would, and is told by lines.
-type served struct {
+// testServer runs instances as a process would, and is told by lines.
+type testServer struct {
 	t    *testing.T
 	in   *json.Encoder
 	out  *json.Decoder
-	end  func()
-	told error
+	stop func()
+	err  error
 }
 
-func serve(t *testing.T, s Spec) *served {
+func serve(t *testing.T, s Spec) *testServer {
 	t.Helper()
 	orders, in := io.Pipe()
 	out, answers := io.Pipe()
@@ -98,10 +98,10 @@
 		answers.Close()
 		ended <- err
 	}()
-	x := &served{t: t, in: json.NewEncoder(in), out: json.NewDecoder(out)}
-	x.end = func() {
+	x := &testServer{t: t, in: json.NewEncoder(in), out: json.NewDecoder(out)}
+	x.stop = func() {
 		in.Close()
-		x.told = <-ended
+		x.err = <-ended
 	}
 	if err := x.in.Encode(s); err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	return x
 }
 
-func (s *served) answer() (a Response) {
+func (s *testServer) response() (a Response) {
 	s.t.Helper()
 	if err := s.out.Decode(&a); err != nil {
 		s.t.Fatal(err)
@@ -117,16 +117,16 @@
 	return a
 }
 
-func (s *served) ask(o Command) Response {
+func (s *testServer) command(o Command) Response {
 	s.t.Helper()
 	if err := s.in.Encode(o); err != nil {
 		s.t.Fatal(err)
 	}
-	return s.answer()
+	return s.response()
 }
 
-// until waits for a condition, which the network brings about.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits for a condition, which the network brings about.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -137,13 +137,13 @@
 
 // Hollow instances meet, agree on rules, count what is generated, each the same, and part.
 func TestCluster(t *testing.T) {
-	s := serve(t, Spec{Seed: 7, Instances: files(t, 5)})
-	if a := s.answer(); a.Error != "" || a.Usage.Goroutines == 0 || a.Usage.Descriptors == 0 || a.Usage.Resident == 0 {
+	s := serve(t, Spec{Seed: 7, Instances: writeFiles(t, 5)})
+	if a := s.response(); a.Error != "" || a.Usage.Goroutines == 0 || a.Usage.Descriptors == 0 || a.Usage.Resident == 0 {
 		t.Fatalf("%+v", a)
 	}
 	all := func(ok func(State) bool) func() bool {
 		return func() bool {
-			for _, x := range s.ask(Command{Report: true}).All {
+			for _, x := range s.command(Command{Report: true}).All {
 				if !ok(x) {
 					return false
 				}
@@ -151,31 +151,31 @@
 			return true
 		}
 	}
-	until(t, "all have met, and act on rules", all(func(x State) bool { return x.Joined && x.Peers == 4 && x.Leased && x.Version >= 1 }))
+	waitFor(t, "all have met, and act on rules", all(func(x State) bool { return x.Joined && x.Peers == 4 && x.Leased && x.Version >= 1 }))
 	seated := func(of int) func() bool {
 		return func() bool {
 			sum := 0
-			for _, x := range s.ask(Command{Report: true}).All[:of] {
+			for _, x := range s.command(Command{Report: true}).All[:of] {
 				sum += x.OwnedShards
 			}
 			return sum == 20
 		}
 	}
-	until(t, "each shard has a seat", seated(5))
+	waitFor(t, "each shard has a seat", seated(5))
 	rate := Demand{"a": 100, "b": 20}
-	s.ask(Command{Demand: []Demand{rate, rate, nil, rate}})
+	s.command(Command{Demand: []Demand{rate, rate, nil, rate}})
 	started := func() (n uint64) {
-		for _, x := range s.ask(Command{Report: true}).All {
+		for _, x := range s.command(Command{Report: true}).All {
 			n += x.Starts
 		}
 		return n
 	}
-	until(t, "starts", func() bool { return started() > 100 })
-	s.ask(Command{Demand: []Demand{{}, {}, {}, {}, {}}})
+	waitFor(t, "starts", func() bool { return started() > 100 })
+	s.command(Command{Demand: []Demand{{}, {}, {}, {}, {}}})
 	want := started()
-	until(t, "all count all starts", all(func(x State) bool { return x.Net == want }))
+	waitFor(t, "all count all starts", all(func(x State) bool { return x.Net == want }))
 	one := 0
-	for i, x := range s.ask(Command{Report: true}).All {
+	for i, x := range s.command(Command{Report: true}).All {
 		if x.Starts > 0 != (i == 0 || i == 1 || i == 3) || x.SentBytes == 0 {
 			t.Errorf("instance %d: %+v", i, x)
 		}
@@ -186,32 +186,32 @@
 	if one != 1 {
 		t.Errorf("%d lead", one)
 	}
-	if s.ask(Command{Report: true}).All[4].OwnedShards == 0 {
+	if s.command(Command{Report: true}).All[4].OwnedShards == 0 {
 		t.Error("one seats nothing")
 	}
-	s.ask(Command{Stop: []int{4}})
-	until(t, "the others go on without the one that left", func() bool {
-		for _, x := range s.ask(Command{Report: true}).All[:4] {
+	s.command(Command{Stop: []int{4}})
+	waitFor(t, "the others go on without the one that left", func() bool {
+		for _, x := range s.command(Command{Report: true}).All[:4] {
 			if x.Peers != 3 {
 				return false
 			}
 		}
 		return true
 	})
-	until(t, "the others seat what it seated", seated(4))
-	s.end()
-	if s.told != nil {
-		t.Error(s.told)
+	waitFor(t, "the others seat what it seated", seated(4))
+	s.stop()
+	if s.err != nil {
+		t.Error(s.err)
 	}
 }
 
 // What can't be started is said, and so is what can't be read.
 func TestServeErrors(t *testing.T) {
 	s := serve(t, Spec{Instances: []Files{{Config: "/nowhere", File: "/nowhere"}}})
-	if a := s.answer(); a.Error == "" {
+	if a := s.response(); a.Error == "" {
 		t.Errorf("%+v", a)
 	}
-	if s.end(); s.told == nil {
+	if s.stop(); s.err == nil {
 		t.Error("no error")
 	}
 	for _, in := range []string{"", "x\n"} {
--- a/internal/lab/hollow/host.go
+++ b/internal/lab/hollow/host.go
@@ -98,7 +98,7 @@
 	if err := read(&spec); err != nil {
 		return fmt.Errorf("hollow: the first line: %w", err)
 	}
-	h := &host{done: make(chan struct{}), changed: make(chan struct{}, 1)}
+	h := &host{done: make(chan struct{}), demandChanged: make(chan struct{}, 1)}
 	defer h.close()
 	if len(spec.Instances) == 1 {
 		// As a dispatcher keeps within its part of the machine.
@@ -113,10 +113,10 @@
 			say.Encode(Response{Error: err.Error()})
 			return err
 		}
-		h.all = append(h.all, i)
+		h.instances = append(h.instances, i)
 		time.Sleep(time.Duration(spec.Over / float64(len(spec.Instances)) * float64(time.Second)))
 	}
-	h.ended.Add(1)
+	h.running.Add(1)
 	go h.run(spec.Seed)
 	a := Response{Usage: Measure()}
 	for {
@@ -136,33 +136,33 @@
 
 // host plays its instances.
 type host struct {
-	all     []*Instance
-	done    chan struct{}
-	changed chan struct{} // what enters
-	ended   sync.WaitGroup
+	instances     []*Instance
+	done          chan struct{}
+	demandChanged chan struct{} // what enters
+	running       sync.WaitGroup
 
 	polls, latePolls atomic.Uint64
 }
 
 func (h *host) execute(o Command) (a Response) {
 	for n, d := range o.Demand {
-		if n < len(h.all) && d != nil {
-			h.all[n].Demand(d)
+		if n < len(h.instances) && d != nil {
+			h.instances[n].Demand(d)
 		}
 	}
 	for _, n := range o.Stop {
-		if n >= 0 && n < len(h.all) {
-			h.all[n].Stop()
+		if n >= 0 && n < len(h.instances) {
+			h.instances[n].Stop()
 		}
 	}
 	select {
-	case h.changed <- struct{}{}:
+	case h.demandChanged <- struct{}{}:
 	default: // it will see this too
 	}
 	if o.Report {
 		a.Usage = Measure()
 		a.Usage.Polls, a.Usage.LatePolls = h.polls.Load(), h.latePolls.Load() // before the states are asked for, which costs something
-		for _, i := range h.all {
+		for _, i := range h.instances {
 			a.All = append(a.All, i.State())
 		}
 	}
@@ -171,20 +171,20 @@
 
 // run has starts come in, each at a moment of its own, and the rules looked at.
 func (h *host) run(seed uint64) {
-	defer h.ended.Done()
+	defer h.running.Done()
 	rng := rand.New(rand.NewPCG(seed, 0x405))
 	timer, looked := time.NewTimer(0), time.Now()
 	defer timer.Stop()
-	upTo := make([]float64, len(h.all)) // running sums of the instances' rates
+	upTo := make([]float64, len(h.instances)) // running sums of the instances' rates
 	next, comes, due := time.Now(), false, time.Time{}
 	for {
 		select {
 		case <-h.done:
 			return
-		case <-h.changed:
+		case <-h.demandChanged:
 			sum := 0.0
-			for k, i := range h.all {
-				sum += i.rate()
+			for k, i := range h.instances {
+				sum += i.totalRate()
 				upTo[k] = sum
 			}
 			next, comes = time.Now(), false // what was to come does not
@@ -195,7 +195,7 @@
 		}
 		now := time.Now()
 		if now.Sub(looked) >= sweepInterval {
-			for _, i := range h.all {
+			for _, i := range h.instances {
 				i.refreshConfig()
 			}
 			looked = now
@@ -207,9 +207,9 @@
 		for ; all > 0 && !next.After(now); next = next.Add(time.Duration(rng.ExpFloat64() / all * float64(time.Second))) {
 			if comes {
 				k, _ := slices.BinarySearch(upTo, rng.Float64()*all)
-				i := h.all[min(k, len(h.all)-1)]
+				i := h.instances[min(k, len(h.instances)-1)]
 				i.refreshConfig() // as the loop does before a step
-				i.enter()
+				i.generateStart()
 			}
 			comes = true
 		}
@@ -223,9 +223,9 @@
 
 func (h *host) close() {
 	close(h.done)
-	h.ended.Wait()
+	h.running.Wait()
 	var all sync.WaitGroup
-	for _, i := range h.all {
+	for _, i := range h.instances {
 		all.Go(i.Stop)
 	}
 	all.Wait()
--- a/internal/lab/simulation/agreement_test.go
+++ b/internal/lab/simulation/agreement_test.go
@@ -8,11 +8,11 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-func agreementOf(seed uint64, n int, apart float64) *Agreement {
-	return agreementBy(seed, n, apart, lease.DefaultSettings)
+func newTestAgreement(seed uint64, n int, apart float64) *Agreement {
+	return newTestAgreementWith(seed, n, apart, lease.DefaultSettings)
 }
 
-func agreementBy(seed uint64, n int, apart float64, s lease.Settings) *Agreement {
+func newTestAgreementWith(seed uint64, n int, apart float64, s lease.Settings) *Agreement {
 	return NewAgreement(AgreementSettings{Seed: seed, Instances: n, Voters: 5, Leases: s, Jitter: 0.1, DiskSyncSeconds: 0.005, SchedulerDelaySeconds: 0.004,
 		Delay: func(from, to int) float64 {
 			if from%6 == to%6 {
@@ -22,8 +22,8 @@
 		}})
 }
 
-// teams is a first version with so many, and changing one of them.
-func teams(n int) ProposalFunc {
+// firstTable is a first version with so many, and changing one of them.
+func firstTable(n int) ProposalFunc {
 	return func(history []*config.Table, by string) (*config.Table, error) {
 		if newest := history[len(history)-1]; newest.Version > 0 {
 			return newest, nil
@@ -37,8 +37,8 @@
 	}
 }
 
-// raise proposes another reservation, or weight, of one team on top of the newest table.
-func raise(team int, exclusive bool) ProposalFunc {
+// raiseTeam proposes another reservation, or weight, of one team on top of the newest table.
+func raiseTeam(team int, exclusive bool) ProposalFunc {
 	to := 50.0
 	return func(history []*config.Table, by string) (*config.Table, error) {
 		newest := history[len(history)-1]
@@ -59,10 +59,10 @@
 	}
 }
 
-// born is a cluster of which all act on a first version.
-func born(t *testing.T, seed uint64, n int, apart float64) *Agreement {
-	a := agreementOf(seed, n, apart)
-	a.Propose(a.Members[0], teams(41))
+// startedAgreement is a cluster of which all act on a first version.
+func startedAgreement(t *testing.T, seed uint64, n int, apart float64) *Agreement {
+	a := newTestAgreement(seed, n, apart)
+	a.Propose(a.Members[0], firstTable(41))
 	a.Run(20, func() bool { return a.InForceEverywhereAt[1] > 0 && a.Leased() })
 	if a.InForceEverywhereAt[1] == 0 || !a.Leased() {
 		t.Fatalf("seed %d, %d instances %v s apart: no first version in 20 s", seed, n, apart)
@@ -76,13 +76,13 @@
 	bounds := lease.DefaultSettings.Bounds()
 	for seed := range uint64(3) {
 		for _, apart := range []float64{0.001, 0.02} { // the promise is by a delay of 0.05
-			a := born(t, seed, 7, apart)
+			a := startedAgreement(t, seed, 7, apart)
 			for k := range 4 {
 				from, exclusive, most := a.Now, k%2 == 0, bounds.PropagationSeconds
 				if exclusive {
 					most += 2 * bounds.AdvanceSeconds
 				}
-				a.Propose(a.Members[k], raise(k, exclusive))
+				a.Propose(a.Members[k], raiseTeam(k, exclusive))
 				a.Run(from+10, func() bool { return a.InForceEverywhereAt[uint64(2+k)] > 0 })
 				if took := a.InForceEverywhereAt[uint64(2+k)] - from; took <= 0 || took > most {
 					t.Errorf("seed %d, %v s apart, exclusive %v: in force after %.2f s, promised %.2f", seed, apart, exclusive, took, most)
@@ -95,10 +95,10 @@
 
 // Versions that are asked for at once come one behind the other, each once, and none is lost.
 func TestAgreementAtOnce(t *testing.T) {
-	a := born(t, 1, 7, 0.001)
+	a := startedAgreement(t, 1, 7, 0.001)
 	from := a.Now
 	for k := range 7 {
-		a.Propose(a.Members[k], raise(k, true))
+		a.Propose(a.Members[k], raiseTeam(k, true))
 	}
 	a.Run(from+60, func() bool { return a.InForceEverywhereAt[8] > 0 })
 	for v := uint64(3); v <= 8; v++ {
@@ -128,11 +128,11 @@
 func testAgreementIsSeeded(t *testing.T, leaderDies bool) {
 	t.Helper()
 	play := func() string {
-		a := born(t, 5, 9, 0.02)
+		a := startedAgreement(t, 5, 9, 0.02)
 		if leaderDies {
 			a.Kill(a.Leader(), true)
 		}
-		a.Propose(a.Members[8], raise(3, true))
+		a.Propose(a.Members[8], raiseTeam(3, true))
 		a.Run(a.Now+6, nil)
 		return fmt.Sprint(a.InForceEverywhereAt, a.Members[0].Sent, a.Members[8].Received)
 	}
@@ -144,7 +144,7 @@
 // The leader's end costs an election and the longest lease; one voter that does not lead costs no lease at all.
 func TestAgreementOutlivesVoters(t *testing.T) {
 	for _, leads := range []bool{false, true} {
-		a := born(t, 2, 9, 0.02)
+		a := startedAgreement(t, 2, 9, 0.02)
 		a.Reset()
 		gone := a.Leader()
 		if !leads {
@@ -152,7 +152,7 @@
 		}
 		from := a.Now
 		a.Kill(gone, true)
-		a.Propose(a.Members[8], raise(3, true))
+		a.Propose(a.Members[8], raiseTeam(3, true))
 		a.Run(from+30, func() bool { return a.InForceEverywhereAt[2] > 0 })
 		// Two steps, each with an instance gone, and the news of the last; behind an election the first waits for former leases.
 		b := lease.DefaultSettings.Bounds()
@@ -171,7 +171,7 @@
 
 // A side that is cut off without a majority loses its leases, and all act on one version again after the cut.
 func TestAgreementOutlivesCuts(t *testing.T) {
-	a := born(t, 3, 12, 0.02)
+	a := startedAgreement(t, 3, 12, 0.02)
 	side := func(i int) bool { return i%6 < 2 } // two of five voters
 	a.SetPartition(func(x, y int) bool { return side(x) != side(y) })
 	a.Run(a.Now+5, nil)
@@ -180,7 +180,7 @@
 			t.Errorf("instance %d: leased %v, cut off %v", i, leased, side(i))
 		}
 	}
-	a.Propose(a.Members[4], raise(3, true))
+	a.Propose(a.Members[4], raiseTeam(3, true))
 	a.Run(a.Now+5, nil)
 	for i, in := range a.Members {
 		if got := in.InForce; (got == 2) == side(i) {
@@ -205,7 +205,7 @@
 			}
 			for seed := range uint64(2) {
 				a := NewAgreement(AgreementSettings{Seed: seed, Instances: 12, Voters: 5, Leases: s, Delay: func(int, int) float64 { return delay }})
-				a.Propose(a.Members[0], teams(41))
+				a.Propose(a.Members[0], firstTable(41))
 				a.Run(30, func() bool { return a.InForceEverywhereAt[1] > 0 && a.Leased() })
 				a.Run(a.Now+5, nil)
 				a.Reset()
@@ -226,8 +226,8 @@
 	s.NetworkDelaySeconds = 0.1
 	for seed := range uint64(3) {
 		for _, cut := range []bool{false, true} {
-			a := agreementBy(seed, 15, 0.08, s)
-			a.Propose(a.Members[0], teams(41))
+			a := newTestAgreementWith(seed, 15, 0.08, s)
+			a.Propose(a.Members[0], firstTable(41))
 			a.Run(20, func() bool { return a.InForceEverywhereAt[1] > 0 && a.Leased() })
 			a.Run(a.Now+4, nil)
 			a.Reset()
@@ -240,7 +240,7 @@
 				a.Kill(a.Members[other], true)
 			}
 			from := a.Now
-			a.Propose(a.Members[12], raise(3, true))
+			a.Propose(a.Members[12], raiseTeam(3, true))
 			a.Run(from+25, nil)
 			if a.InForceEverywhereAt[2] == 0 || !a.Leased() {
 				t.Errorf("seed %d, cut %v: a version in force at %.2f s, all have a lease: %v", seed, cut, a.InForceEverywhereAt[2]-from, a.Leased())
--- a/internal/lab/simulation/fleet.go
+++ b/internal/lab/simulation/fleet.go
@@ -49,21 +49,21 @@
 type FleetResult struct {
 	Jobs, InTime, Late, Rejected, Failed int
 	Attempts, HealthChecks, Dials        int
-	Wide, WideInTime                     int       // jobs of four slots
-	Unreached                            int       // attempts that got no connection
-	Retries                              int       // answers beyond the first
-	ByDispatcher                         []Part    // by dispatcher
-	Connections                          int       // at the worker that has most, when the last job comes
-	Ideal                                int       // in time where one queue sees all and nothing takes a way
-	Latencies                            []float64 // of those that were served, s
+	Wide, WideInTime                     int                // jobs of four slots
+	Unreached                            int                // attempts that got no connection
+	Retries                              int                // answers beyond the first
+	ByDispatcher                         []dispatcherCounts // by dispatcher
+	Connections                          int                // at the worker that has most, when the last job comes
+	Ideal                                int                // in time where one queue sees all and nothing takes a way
+	Latencies                            []float64          // of those that were served, s
 	Digest                               uint64
 	CPU                                  time.Duration // of the decisions, all dispatchers together
 	Wall                                 time.Duration
 	Heap                                 uint64 // bytes that the dispatchers hold
 }
 
-// Part is what came to one dispatcher.
-type Part struct{ Jobs, InTime, Served int }
+// dispatcherCounts is what came to one dispatcher.
+type dispatcherCounts struct{ Jobs, InTime, Served int }
 
 // Fleet plays the dispatchers' decision module against modelled workers, tick by
 // tick on all cores. Dispatchers share nothing but the workers; within a tick
@@ -75,7 +75,7 @@
 	endpointChanges []endpointChange // of the list, in order of time
 	drainAt         []float64        // when a worker drains; 0: never
 	startAt         []float64        // when it starts; 0: long ago
-	ended           []bool           // its process is no more
+	processEnded    []bool           // its process is no more
 	workers         []*emulator.Worker
 	names           []string
 	index           map[string]int
@@ -122,7 +122,7 @@
 	digest              *xxhash.Digest
 	cpu                 time.Duration
 	lastJob             int
-	links               map[int]*connectionPool // by worker
+	connections         map[int]*connectionPool // by worker
 	faultRand           *rand.Rand              // of its troubles: arrivals stay what they are without
 	endpointDelay       float64                 // of lists
 	appliedChanges      int                     // changes
@@ -141,10 +141,10 @@
 
 // acquire uses a connection, the one that was used last, or dials, and says which.
 func (d *fleetDispatcher) acquire(w int, now, keep float64) (dialled bool) {
-	l := d.links[w]
+	l := d.connections[w]
 	if l == nil {
 		l = &connectionPool{}
-		d.links[w] = l
+		d.connections[w] = l
 	}
 	l.sweep(now - keep)
 	if n := len(l.idle); n > 0 {
@@ -166,14 +166,14 @@
 
 // release gives a connection back, or closes it.
 func (d *fleetDispatcher) release(w int, now float64, closed bool) {
-	l := d.links[w]
+	l := d.connections[w]
 	if l.busy--; !closed {
 		l.idle = append(l.idle, now)
 	}
 }
 
-// name is what a dispatcher calls a worker, at whom it means.
-func (f *Fleet) name(d, w int) string {
+// workerID is what a dispatcher calls a worker, at whom it means.
+func (f *Fleet) workerID(d, w int) string {
 	if f.DistinctWorkerIDs {
 		return f.names[w] + "@" + strconv.Itoa(d)
 	}
@@ -190,10 +190,10 @@
 
 // fleetShard is a part of the workers, played by one core.
 type fleetShard struct {
-	out   [][]balance.Event // by dispatcher
-	jobs  map[string]*fleetJob
-	tries []*invariants.Attempt
-	last  map[string]*invariants.Attempt // that is out, by job
+	events       [][]balance.Event // by dispatcher
+	jobs         map[string]*fleetJob
+	attempts     []*invariants.Attempt
+	openAttempts map[string]*invariants.Attempt // that is out, by job
 }
 
 // NewFleet makes a fleet of warm workers that every dispatcher knows.
@@ -255,7 +255,7 @@
 		var list []balance.WorkerInfo
 		for w := range s.Workers {
 			list = append(list, balance.WorkerInfo{
-				ID:    f.name(i, w),
+				ID:    f.workerID(i, w),
 				Kind:  "k",
 				Zone:  fmt.Sprint("z", w%4),
 				State: balance.Running,
@@ -270,7 +270,7 @@
 			balancer:            b,
 			rng:                 rand.New(rand.NewPCG(s.Seed, uint64(i))),
 			jobs:                map[string]*fleetJob{},
-			links:               map[int]*connectionPool{},
+			connections:         map[int]*connectionPool{},
 			digest:              xxhash.New(),
 			requests:            map[string]*invariants.Request{},
 			unreachableByWorker: map[int]int{},
@@ -282,9 +282,9 @@
 	f.shards = make([]fleetShard, shards)
 	for i := range f.shards {
 		f.shards[i] = fleetShard{
-			out:  make([][]balance.Event, s.Dispatchers),
-			jobs: map[string]*fleetJob{},
-			last: map[string]*invariants.Attempt{},
+			events:       make([][]balance.Event, s.Dispatchers),
+			jobs:         map[string]*fleetJob{},
+			openAttempts: map[string]*invariants.Attempt{},
 		}
 	}
 	return f, nil
@@ -346,7 +346,7 @@
 		r.Wide += d.Wide
 		r.WideInTime += d.WideInTime
 		r.Unreached, r.Retries = r.Unreached+d.Unreached, r.Retries+d.Retries
-		r.ByDispatcher = append(r.ByDispatcher, Part{d.Jobs, d.InTime, d.InTime + d.Late})
+		r.ByDispatcher = append(r.ByDispatcher, dispatcherCounts{d.Jobs, d.InTime, d.InTime + d.Late})
 		_ = binary.Write(sum, binary.LittleEndian, d.digest.Sum64()) // a hash never fails
 	}
 	r.Digest = sum.Sum64()
@@ -357,7 +357,7 @@
 func (f *Fleet) countConnections() {
 	open := make([]int, len(f.workers))
 	for _, d := range f.dispatchers {
-		for w, l := range d.links {
+		for w, l := range d.connections {
 			l.sweep(f.now - f.KeepAlive)
 			open[w] += l.busy + len(l.idle)
 		}
@@ -368,8 +368,8 @@
 // stepDispatcher plays a tick of one dispatcher: what has come to it, then its decisions.
 func (f *Fleet) stepDispatcher(d *fleetDispatcher, arrivals bool) {
 	for i := range f.shards {
-		d.events = append(d.events, f.shards[i].out[d.number]...)
-		f.shards[i].out[d.number] = f.shards[i].out[d.number][:0]
+		d.events = append(d.events, f.shards[i].events[d.number]...)
+		f.shards[i].events[d.number] = f.shards[i].events[d.number][:0]
 	}
 	for _, e := range d.events {
 		if e, ok := e.(balance.HealthCheckDone); ok {
@@ -385,7 +385,7 @@
 			}
 			delete(j.inFlight, e.Attempt)
 			if e.Outcome == balance.Served && !j.closed {
-				d.end(f, j, 'S')
+				d.endJob(f, j, 'S')
 			}
 		}
 	}
@@ -412,7 +412,7 @@
 		}
 	}
 	if arrivals {
-		for range Poisson(d.rng, f.rate(d.number)*f.Tick) {
+		for range Poisson(d.rng, f.arrivalRate(d.number)*f.Tick) {
 			d.lastJob++
 			d.Jobs++
 			j := &fleetJob{
@@ -492,23 +492,23 @@
 		case balance.SetTimer:
 			d.timers = append(d.timers, f.now+a.After)
 		case balance.Reject:
-			d.final(f, a.ID, 'R')
+			d.handleFinalAnswer(f, a.ID, 'R')
 		case balance.Fail:
-			d.final(f, a.ID, 'F')
+			d.handleFinalAnswer(f, a.ID, 'F')
 		}
 	}
 }
 
-// final takes an answer of the module's.
-func (d *fleetDispatcher) final(f *Fleet, id string, how byte) {
+// handleFinalAnswer takes an answer of the module's.
+func (d *fleetDispatcher) handleFinalAnswer(f *Fleet, id string, how byte) {
 	if d.jobs[id] == nil {
 		d.Retries++
 	}
-	d.end(f, d.jobs[id], how)
+	d.endJob(f, d.jobs[id], how)
 }
 
-// end counts how a job ended.
-func (d *fleetDispatcher) end(f *Fleet, j *fleetJob, how byte) {
+// endJob counts how a job ended.
+func (d *fleetDispatcher) endJob(f *Fleet, j *fleetJob, how byte) {
 	if j == nil || j.closed {
 		return
 	}
@@ -542,7 +542,7 @@
 // stepWorkers plays a tick of a part of the workers.
 func (f *Fleet) stepWorkers(part int) {
 	s := &f.shards[part]
-	tell := func(j *fleetJob, e balance.Event) { s.out[j.owner] = append(s.out[j.owner], e) }
+	tell := func(j *fleetJob, e balance.Event) { s.events[j.owner] = append(s.events[j.owner], e) }
 	report := func(w *emulator.Worker) []float64 {
 		if f.WithoutLoadReports {
 			return nil
@@ -551,9 +551,9 @@
 		return []float64{r.FreeSlots, r.Queue}
 	}
 	ended := func(id string, unstarted bool, result string) {
-		if a := s.last[id]; a != nil {
+		if a := s.openAttempts[id]; a != nil {
 			a.End, a.Unstarted, a.Result = f.now, unstarted, result
-			delete(s.last, id)
+			delete(s.openAttempts, id)
 		}
 	}
 	happen := func(i int, events []emulator.Event) {
@@ -623,7 +623,7 @@
 						Last:       f.now,
 						Work:       f.MeanWork * o.job.slots,
 					}
-					s.tries, s.last[a.ID] = append(s.tries, a), a
+					s.attempts, s.openAttempts[a.ID] = append(s.attempts, a), a
 				}
 				if w.Submit(f.now, emulator.Job{
 					ID:    o.job.id,
@@ -646,8 +646,8 @@
 				ended(o.job.id, false, "")
 				delete(s.jobs, o.job.id)
 			case checkHealth:
-				s.out[d.number] = append(s.out[d.number], balance.HealthCheckDone{
-					Worker:  f.name(d.number, o.worker),
+				s.events[d.number] = append(s.events[d.number], balance.HealthCheckDone{
+					Worker:  f.workerID(d.number, o.worker),
 					Outcome: balance.Served,
 					Report:  report(w),
 				})
--- a/internal/lab/simulation/fleet_faults.go
+++ b/internal/lab/simulation/fleet_faults.go
@@ -44,9 +44,9 @@
 
 // delayedDial is a message that waits for its connection, or for the dial to fail.
 type delayedDial struct {
-	at     float64
-	order  outgoing
-	failed bool
+	at      float64
+	message outgoing
+	failed  bool
 }
 
 // scheduleFaults draws which workers are replaced and when, and how late each dispatcher learns of it.
@@ -64,7 +64,7 @@
 		}
 		return 1
 	})
-	f.ended = make([]bool, len(f.workers))
+	f.processEnded = make([]bool, len(f.workers))
 	for _, d := range f.dispatchers {
 		d.faultRand = rand.New(rand.NewPCG(f.Seed, 1<<41+uint64(d.number)))
 		d.endpointDelay = d.faultRand.Float64() * f.MaxEndpointDelay
@@ -103,8 +103,8 @@
 		endpointChange{startAt, running})
 }
 
-// rate returns how many jobs a second arrive at a dispatcher.
-func (f *Fleet) rate(d int) float64 {
+// arrivalRate returns how many jobs a second arrive at a dispatcher.
+func (f *Fleet) arrivalRate(d int) float64 {
 	mean := f.Load * float64(f.Workers) * f.Slots / f.MeanWork / float64(f.Dispatchers) / (1 + 3*f.WideFraction)
 	switch n := float64(f.Dispatchers); {
 	case f.FirstDispatcherLoad == 0 || n < 2:
@@ -125,7 +125,7 @@
 		}
 		d.appliedChanges++
 		info := change.info
-		info.ID = f.name(d.number, f.index[change.info.ID])
+		info.ID = f.workerID(d.number, f.index[change.info.ID])
 		d.events = append(d.events, balance.EndpointUpdate{
 			Kind:    balance.EndpointsDelta,
 			Workers: []balance.WorkerInfo{info},
@@ -156,13 +156,13 @@
 // refusesConnections reports whether a worker refuses new connections.
 func (f *Fleet) refusesConnections(w int) bool {
 	from := f.began + f.FaultsFrom
-	return f.ended[w] || w < f.RefusingWorkers && f.now >= from && f.now < from+f.FaultsSpan
+	return f.processEnded[w] || w < f.RefusingWorkers && f.now >= from && f.now < from+f.FaultsSpan
 }
 
 // dispatch sends a message: at once on an open connection, else when the dial succeeds, or never.
 func (d *fleetDispatcher) dispatch(f *Fleet, o outgoing) {
-	if f.refusesConnections(o.worker) && d.links[o.worker] != nil {
-		d.links[o.worker].idle = nil
+	if f.refusesConnections(o.worker) && d.connections[o.worker] != nil {
+		d.connections[o.worker].idle = nil
 	}
 	dialled := d.acquire(o.worker, f.now, f.KeepAlive)
 	if dialled && f.refusesConnections(o.worker) {
@@ -181,7 +181,7 @@
 func (d *fleetDispatcher) completeDials(f *Fleet) {
 	kept := d.delayed[:0]
 	for _, p := range d.delayed {
-		o := p.order
+		o := p.message
 		switch {
 		case o.kind == sendJob && !o.job.inFlight[o.attempt]: // cancelled meanwhile
 		case p.at > f.now:
@@ -191,7 +191,7 @@
 		case o.kind == checkHealth:
 			d.release(o.worker, f.now, true)
 			d.events = append(d.events, balance.HealthCheckDone{
-				Worker:  f.name(d.number, o.worker),
+				Worker:  f.workerID(d.number, o.worker),
 				Outcome: balance.Unreachable,
 			})
 		default:
@@ -202,7 +202,7 @@
 			d.events = append(d.events, balance.AttemptDone{
 				ID:      o.job.id,
 				Attempt: o.attempt,
-				Worker:  f.name(d.number, o.worker),
+				Worker:  f.workerID(d.number, o.worker),
 				Outcome: balance.Unreachable,
 			})
 		}
@@ -218,7 +218,7 @@
 	case just(f.drainAt[i]):
 		return w.Drain(f.now)
 	case f.drainAt[i] > 0 && just(f.drainAt[i]+f.DrainSpan):
-		f.ended[i] = true
+		f.processEnded[i] = true
 		lost := w.Restart(f.now)
 		w.Drain(f.now)
 		return lost
@@ -259,7 +259,7 @@
 		}
 	}
 	for i := range f.shards {
-		for _, a := range f.shards[i].tries {
+		for _, a := range f.shards[i].attempts {
 			h.Attempts = append(h.Attempts, *a)
 		}
 	}
--- a/internal/lab/simulation/fleet_faults_test.go
+++ b/internal/lab/simulation/fleet_faults_test.go
@@ -7,17 +7,17 @@
 	"example.org/bellstream/internal/lab/invariants"
 )
 
-// troubled is a fleet of 40 workers before 40 dispatchers, six in ten slots in use, of which
+// faultySettings is a fleet of 40 workers before 40 dispatchers, six in ten slots in use, of which
 // a job in twenty takes four and must not run twice. A cold worker bears half of what the site's do, without
 // slack for chance: so its budget alone keeps it up.
-func troubled(seed uint64, tr Faults) FleetSettings {
+func faultySettings(seed uint64, tr Faults) FleetSettings {
 	return FleetSettings{Seed: seed, Workers: 40, Slots: 5, Dispatchers: 40, MeanWork: 0.5, Load: 0.6, LatencyObjective: 1.6, Timeout: 6,
 		Tick: 0.004, Span: 20, WideFraction: 0.05, KeepAlive: 15, DialTimeout: 0.25, DrainGrace: 2, Record: true, Faults: tr,
 		Cold: SlowStart{Floor: 0.3, WarmAfter: 8, OverloadMultiple: 1.5, OverloadSpan: 3}}
 }
 
-// judged plays a fleet and holds it to the four rules and to one answer a job.
-func judged(t *testing.T, s FleetSettings) (FleetResult, *Fleet, *invariants.History) {
+// runChecked plays a fleet and holds it to the four rules and to one answer a job.
+func runChecked(t *testing.T, s FleetSettings) (FleetResult, *Fleet, *invariants.History) {
 	t.Helper()
 	f, err := NewFleet(s)
 	if err != nil {
@@ -36,8 +36,8 @@
 
 func (r FleetResult) served() float64 { return float64(r.InTime+r.Late) / float64(r.Jobs) }
 
-// came counts by worker what reached it from a time on, counted from the start.
-func came(f *Fleet, h *invariants.History, from float64) []int {
+// attemptsByWorker counts by worker what reached it from a time on, counted from the start.
+func attemptsByWorker(f *Fleet, h *invariants.History, from float64) []int {
 	n := make([]int, len(f.workers))
 	for _, a := range h.Attempts {
 		if a.First >= f.began+from {
@@ -47,8 +47,8 @@
 	return n
 }
 
-// pairs counts the dispatchers and workers between which jobs went from a time on.
-func pairs(f *Fleet, h *invariants.History, from float64) int {
+// activePairs counts the dispatchers and workers between which jobs went from a time on.
+func activePairs(f *Fleet, h *invariants.History, from float64) int {
 	seen := map[[2]string]bool{}
 	for _, a := range h.Attempts {
 		if a.First >= f.began+from {
@@ -82,8 +82,8 @@
 // slots; and jobs that meet three workers in a row that have left, of which nothing was heard yet.
 func TestSixInTenAreReplacedWhileListsComeLate(t *testing.T) {
 	for seed := range uint64(3) {
-		s := troubled(seed, Faults{FaultsFrom: 4, FaultsSpan: 7, ReplacedFraction: 0.6, SuccessorDelay: 1, DrainSpan: 6, MaxEndpointDelay: 3})
-		r, f, h := judged(t, s)
+		s := faultySettings(seed, Faults{FaultsFrom: 4, FaultsSpan: 7, ReplacedFraction: 0.6, SuccessorDelay: 1, DrainSpan: 6, MaxEndpointDelay: 3})
+		r, f, h := runChecked(t, s)
 		narrow := (4/s.Slots - s.Cold.Floor) / (1 - s.Cold.Floor) * s.Cold.WarmAfter // for so long after a start
 		gone := s.ReplacedFraction * s.MaxEndpointDelay / s.FaultsSpan               // of all listed workers at most
 		least := 1 - shortage(f) - s.WideFraction*(s.FaultsSpan+s.SuccessorDelay+narrow)/s.Span - gone*gone*gone*(s.FaultsSpan+s.MaxEndpointDelay)/s.Span
@@ -110,12 +110,12 @@
 func TestRefusingWorkersGetBackToWork(t *testing.T) {
 	for n := range uint64(4) {
 		seed, blind := n/2, n%2 == 1 // with probes, and where only jobs can find out
-		calm, tr := troubled(seed, Faults{}), troubled(seed, Faults{FaultsFrom: 4, FaultsSpan: 7, RefusingWorkers: 4})
+		calm, tr := faultySettings(seed, Faults{}), faultySettings(seed, Faults{FaultsFrom: 4, FaultsSpan: 7, RefusingWorkers: 4})
 		calm.WithoutLoadReports, tr.WithoutLoadReports, calm.KeepAlive, tr.KeepAlive = blind, blind, 1, 1
-		want, f, h := judged(t, calm)
-		usual := came(f, h, 15)
-		got, f, h := judged(t, tr)
-		again := came(f, h, 15)
+		want, f, h := runChecked(t, calm)
+		usual := attemptsByWorker(f, h, 15)
+		got, f, h := runChecked(t, tr)
+		again := attemptsByWorker(f, h, 15)
 		back, ever := 0, 0
 		for i := range tr.RefusingWorkers {
 			back, ever = back+again[i], ever+usual[i]
@@ -148,11 +148,11 @@
 // need be refused. One that had been full some times was never tried again, and over a minute two jobs in three
 // were refused, while most workers stood idle.
 func TestFullWorkersAreTriedAgainWithoutReports(t *testing.T) {
-	s := troubled(1, Faults{})
+	s := faultySettings(1, Faults{})
 	s.WithoutLoadReports, s.WideFraction, s.Workers, s.Dispatchers, s.Span = true, 0, 20, 10, 60
-	r, f, h := judged(t, s)
+	r, f, h := runChecked(t, s)
 	least := math.MaxInt
-	for _, n := range came(f, h, 50) {
+	for _, n := range attemptsByWorker(f, h, 50) {
 		least = min(least, n)
 	}
 	t.Logf("%.4f served; %d jobs at least at a worker in the last 10 s", r.served(), least)
@@ -165,14 +165,14 @@
 // left for it: as many dispatchers as ever send to as many workers, and none of them goes short.
 func TestLateConnectionsDoNotCostAWorkerItsWork(t *testing.T) {
 	for seed := range uint64(2) {
-		calm, tr := troubled(seed, Faults{}), troubled(seed, Faults{SlowDialFraction: 0.5, MaxDialDelay: 1})
+		calm, tr := faultySettings(seed, Faults{}), faultySettings(seed, Faults{SlowDialFraction: 0.5, MaxDialDelay: 1})
 		calm.KeepAlive, tr.KeepAlive = 1, 1
-		want, f, h := judged(t, calm)
-		usual, all := came(f, h, 10), pairs(f, h, 10)
-		got, f, h := judged(t, tr)
-		now := pairs(f, h, 10)
+		want, f, h := runChecked(t, calm)
+		usual, all := attemptsByWorker(f, h, 10), activePairs(f, h, 10)
+		got, f, h := runChecked(t, tr)
+		now := activePairs(f, h, 10)
 		t.Logf("seed %d: %.4f served, %.4f in calm; %d never came up; %d pairs in the last 10 s, %d in calm", seed, got.served(), want.served(), got.Unreached, now, all)
-		for i, n := range came(f, h, 10) {
+		for i, n := range attemptsByWorker(f, h, 10) {
 			if n < usual[i]/4 {
 				t.Errorf("seed %d: %s gets %d jobs in the last 10 s, %d in calm", seed, f.names[i], n, usual[i])
 			}
@@ -193,9 +193,9 @@
 func TestBusyDispatcherServesItsShare(t *testing.T) {
 	for seed := range uint64(3) {
 		tr := Faults{FaultsFrom: 4, FaultsSpan: 7, ReplacedFraction: 0.25, SuccessorDelay: 1, DrainSpan: 6, MaxEndpointDelay: 1}
-		even, _, _ := judged(t, troubled(seed, tr))
+		even, _, _ := runChecked(t, faultySettings(seed, tr))
 		tr.FirstDispatcherLoad = 4
-		r, _, _ := judged(t, troubled(seed, tr))
+		r, _, _ := runChecked(t, faultySettings(seed, tr))
 		part := func(r FleetResult, from, to int) (p, n float64) {
 			for _, x := range r.ByDispatcher[from:to] {
 				p, n = p+float64(x.InTime), n+float64(x.Jobs)
--- a/internal/lab/simulation/services.go
+++ b/internal/lab/simulation/services.go
@@ -112,17 +112,17 @@
 
 type serviceWorld struct {
 	*Cluster
-	set              ServicesSettings
-	sides            [2]*serviceCluster
-	services         []string
-	expected         map[string]migration.Amount
-	partitionedUntil float64 // until when the link is
-	moves            []*serviceMove
-	placements       []migration.Placement
-	done             int
-	earned           float64
-	none             float64
-	r                ServicesResult
+	settings           ServicesSettings
+	sides              [2]*serviceCluster
+	services           []string
+	expected           map[string]migration.Amount
+	partitionedUntil   float64 // until when the link is
+	moves              []*serviceMove
+	placements         []migration.Placement
+	endedMoves         int
+	earned             float64
+	earnedWithoutMoves float64
+	result             ServicesResult
 }
 
 // Services plays two clusters of three instances that move services between
@@ -131,7 +131,7 @@
 func Services(set ServicesSettings) ServicesResult {
 	w := &serviceWorld{
 		Cluster:  New(set.Seed, quota.Settings{}, Network{}, nil),
-		set:      set,
+		settings: set,
 		expected: map[string]migration.Amount{},
 	}
 	for n, name := range []string{"east", "west"} {
@@ -165,19 +165,19 @@
 		w.After(w.Rand.Float64()*serviceTickSeconds, c.tick)
 		w.After(1, c.proposeLocalSteps)
 	}
-	w.After(1, w.drive)
+	w.After(1, w.startMoves)
 	w.After(serviceTickSeconds, w.serve)
 	end := math.Inf(1)
 	for w.Now < float64(600+60*set.Moves) && (w.Now < end || len(w.moves) > 0 && w.Now < end+600) {
 		w.Run(w.Now+10, nil)
-		if w.done >= set.Moves && math.IsInf(end, 1) {
+		if w.endedMoves >= set.Moves && math.IsInf(end, 1) {
 			end = w.Now
 		}
 	}
-	w.r.Unfinished, w.r.Span = len(w.moves)+max(0, set.Moves-w.done), w.Now
-	w.r.Audit = migration.Audit(w.sides[0].journal, w.sides[1].journal)
-	w.r.ValueRatio = w.earned / w.none
-	return w.r
+	w.result.Unfinished, w.result.Span = len(w.moves)+max(0, set.Moves-w.endedMoves), w.Now
+	w.result.Audit = migration.Audit(w.sides[0].journal, w.sides[1].journal)
+	w.result.ValueRatio = w.earned / w.earnedWithoutMoves
+	return w.result
 }
 
 func (k *moveObservation) served() migration.Outcomes {
@@ -211,7 +211,7 @@
 func (c *serviceCluster) agree(r migration.Record) {
 	was := c.agreed()
 	from := *was
-	if c.set.WithoutReservation && r.Step == migration.StepReceive && r.Message.Type == migration.MessageOffer {
+	if c.settings.WithoutReservation && r.Step == migration.StepReceive && r.Message.Type == migration.MessageOffer {
 		from.Capacity = migration.MaxAmount
 	}
 	n, err := from.Apply(r)
@@ -224,20 +224,20 @@
 	}
 	c.log = append(c.log, &is)
 	c.journal.Entries = append(c.journal.Entries, migration.Entry{AtSeconds: c.Now, Record: r})
-	c.r.Records++
+	c.result.Records++
 	if r.Step == migration.StepReserve {
 		c.expected[r.Service] += r.Amount
 	}
 	if b := is.Ledger(); b.Free() < 0 && b.Promised() > was.Ledger().Promised() {
-		c.r.OverCapacity = max(c.r.OverCapacity, -b.Free())
+		c.result.OverCapacity = max(c.result.OverCapacity, -b.Free())
 	}
 	if c.sides[1] != nil {
 		for _, v := range migration.CheckInvariants(c.expected, c.sides[0].agreed(), c.sides[1].agreed()) {
 			switch v.Problem {
 			case "a step is counted twice":
-				c.r.DoubleCounted = max(c.r.DoubleCounted, v.By)
+				c.result.DoubleCounted = max(c.result.DoubleCounted, v.By)
 			case "a step is lost":
-				c.r.Lost = max(c.r.Lost, v.By)
+				c.result.Lost = max(c.result.Lost, v.By)
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 func (c *serviceCluster) recordInForce() {
 	for _, s := range c.services {
 		usable := c.sides[0].usableBy(s, false) + c.sides[1].usableBy(s, false)
-		c.r.Oversubscribed = max(c.r.Oversubscribed, usable-c.expected[s])
+		c.result.Oversubscribed = max(c.result.Oversubscribed, usable-c.expected[s])
 	}
 }
 
@@ -350,12 +350,12 @@
 			r.Step = migration.StepFinish
 		case k.verdictReceived:
 			r.Step, r.Direction, k.verdictReceived = migration.StepSetDirection, migration.Backward, false
-			c.r.PacerReversals++
+			c.result.PacerReversals++
 			if i := slices.IndexFunc(c.moves, func(x *serviceMove) bool { return x.ID == m.ID }); !c.moves[i].degraded {
-				c.r.NeedlessReversals++
+				c.result.NeedlessReversals++
 			}
 		default:
-			if r.Amount = servicePacer.NextShift(m, k.received); c.set.SingleStep {
+			if r.Amount = servicePacer.NextShift(m, k.received); c.settings.SingleStep {
 				r.Amount = m.Shiftable()
 			}
 			if r.Step = migration.StepShift; r.Amount == 0 {
@@ -390,7 +390,7 @@
 }
 
 func (c *serviceCluster) send(list []migration.Message) {
-	c.r.Messages += len(list)
+	c.result.Messages += len(list)
 	to := c.sides[1-c.number]
 	for _, raw := range wire.MarshalMessages(list) {
 		for range 1 + c.Rand.IntN(20)/19 {
@@ -414,7 +414,7 @@
 	var answers []migration.Message
 	for _, w := range list {
 		m := c.agreed().Move(w.ID.Key)
-		if c.set.WithoutSequenceNumbers && m != nil && w.Type == migration.MessageShift && w.Number <= m.Number {
+		if c.settings.WithoutSequenceNumbers && m != nil && w.Type == migration.MessageShift && w.Number <= m.Number {
 			w.Number = m.Number + 1
 		}
 		r, news, err := c.agreed().RecordFor(w)
@@ -454,7 +454,7 @@
 
 // restart ends all of a cluster's instances at once; what was agreed is there when they are back.
 func (c *serviceCluster) restart(s float64) {
-	c.r.Restarts++
+	c.result.Restarts++
 	c.incarnation++
 	c.downUntil = max(c.downUntil, c.Now+s)
 	c.observations = map[migration.ID]*moveObservation{}
@@ -463,10 +463,10 @@
 	}
 }
 
-// drive has services moved where a plan says, plan by plan.
-func (w *serviceWorld) drive() {
-	w.After(1, w.drive)
-	if len(w.moves) > 0 || w.done >= w.set.Moves || !w.sides[0].up() || !w.sides[1].up() {
+// startMoves has services moved where a plan says, plan by plan.
+func (w *serviceWorld) startMoves() {
+	w.After(1, w.startMoves)
+	if len(w.moves) > 0 || w.endedMoves >= w.settings.Moves || !w.sides[0].up() || !w.sides[1].up() {
 		return
 	}
 	if w.chance(0.5) { // by hand: whether there is room is for the destination to say
@@ -484,7 +484,7 @@
 	books := []*migration.CapacityLedger{w.sides[0].agreed().Ledger(), w.sides[1].agreed().Ledger()}
 	turns, err := migration.Plan(books, w.placements, migration.Limits{MaxPieces: 8})
 	if err != nil {
-		w.r.RejectedPlans++
+		w.result.RejectedPlans++
 	}
 	if len(turns) == 0 {
 		w.placements = nil
@@ -517,7 +517,7 @@
 				c.sides[1].agreed().Usable(r.Move.Service),
 			},
 		}
-		if c.set.Faults {
+		if c.settings.Faults {
 			x.degraded, x.recordsUntilFault, x.fault = c.chance(0.1), 1+c.Rand.IntN(30), c.fault(x)
 		}
 		c.moves = append(c.moves, x)
@@ -535,7 +535,7 @@
 	switch r.Step {
 	case migration.StepShift:
 		x.steps++
-		c.r.InTransit = max(c.r.InTransit, r.Amount)
+		c.result.InTransit = max(c.result.InTransit, r.Amount)
 	case migration.StepPassToken:
 		x.reversed = true
 	}
@@ -549,19 +549,19 @@
 		c.moves = slices.Delete(c.moves, i, i+1)
 		switch {
 		case m.End == migration.Rejected:
-			c.r.Refused++
+			c.result.Refused++
 			return
 		case m.Local == 0:
-			c.r.Moved++
+			c.result.Moved++
 		case m.Local == m.Amount:
-			c.r.RolledBack++
+			c.result.RolledBack++
 		default:
-			c.r.Split++
+			c.result.Split++
 		}
-		c.done++
-		c.r.Steps, c.r.Durations = append(c.r.Steps, x.steps), append(c.r.Durations, c.Now-x.began)
+		c.endedMoves++
+		c.result.Steps, c.result.Durations = append(c.result.Steps, x.steps), append(c.result.Durations, c.Now-x.began)
 		if !x.reversed && m.Local == 0 {
-			c.r.StepsUnreversed = append(c.r.StepsUnreversed, x.steps)
+			c.result.StepsUnreversed = append(c.result.StepsUnreversed, x.steps)
 		}
 	}
 }
@@ -587,7 +587,7 @@
 		}
 	}
 	want := func(way migration.Direction) {
-		w.r.Reversals++
+		w.result.Reversals++
 		x.lastDirection = way
 		say()
 	}
@@ -595,7 +595,7 @@
 	return func() {
 		switch {
 		case p < 0.25:
-			w.r.Partitions++
+			w.result.Partitions++
 			w.partitionedUntil = max(w.partitionedUntil, w.Now+long)
 		case p < 0.45:
 			c.restart(long / 3)
@@ -603,10 +603,10 @@
 			w.sides[0].restart(long / 3)
 			w.sides[1].restart(long / 2)
 		case p < 0.6:
-			w.r.Paused++
+			w.result.Paused++
 			c.instances[w.Rand.IntN(serviceInstances)].pausedUntil = w.Now + long
 		case p < 0.7:
-			w.r.CapacityDrops++
+			w.result.CapacityDrops++
 			c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity / 2})
 			w.After(long, func() { c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity}) })
 			w.After(3*long, func() {
@@ -624,7 +624,7 @@
 			want(migration.Stop)
 			w.After(long, func() { want(migration.Forward) })
 		default:
-			w.r.Releases++
+			w.result.Releases++
 			c.propose(migration.Record{Step: migration.StepForceRelease, Move: x.Key, Seq: x.Seq})
 		}
 	}
@@ -641,7 +641,7 @@
 		for n, c := range w.sides {
 			m := c.agreed().Move(x.Key)
 			part := float64(x.split[n]) / float64(x.split[0]+x.split[1])
-			w.none += healthyJobValue * min(asked*part, serviceTickSeconds*x.split[n].SlotStarts()*c.awake())
+			w.earnedWithoutMoves += healthyJobValue * min(asked*part, serviceTickSeconds*x.split[n].SlotStarts()*c.effectiveFraction())
 			if m == nil || usable[n] == 0 {
 				continue
 			}
@@ -662,8 +662,8 @@
 	}
 }
 
-// awake returns the part of a reservation that the cluster's instances bear and act on, whatever it amounts to.
-func (c *serviceCluster) awake() float64 {
+// effectiveFraction returns the part of a reservation that the cluster's instances bear and act on, whatever it amounts to.
+func (c *serviceCluster) effectiveFraction() float64 {
 	n := 0.0
 	for i := range c.instances {
 		if c.Now < c.instances[i].leaseUntil {
--- a/internal/lab/simulation/tasks.go
+++ b/internal/lab/simulation/tasks.go
@@ -113,7 +113,7 @@
 	plainTask taskKind = iota
 	gangTask
 	urgentTask
-	fillTask
+	initialTask
 )
 
 // task is one request, and those that ask again for it.
@@ -186,26 +186,26 @@
 // jobs of their own, as nothing in the dispatcher knows more of them.
 type Tasks struct {
 	TaskSettings
-	now                      float64
-	events                   eventQueue
-	lastEvent                int
-	rng                      *rand.Rand
-	dispatchers              []*taskDispatcher
-	workers                  []*emulator.Worker
-	index                    map[string]int
-	wakes                    []float64 // when each worker's next event is due; 0: none is known
-	attemptsByKey            map[string]*taskAttempt
-	lastID                   int
-	pools                    [2]slotPool
-	running                  int
-	taskSeconds              float64 // task-seconds
-	starts, attempts, probes int
-	countedUntil             float64
-	tasks                    []*task // of the window
-	gangs                    []*gang
-	digest                   *xxhash.Digest
-	result                   TaskResult
-	teamsByShare             []float64
+	now                            float64
+	events                         eventQueue
+	lastEvent                      int
+	rng                            *rand.Rand
+	dispatchers                    []*taskDispatcher
+	workers                        []*emulator.Worker
+	index                          map[string]int
+	wakes                          []float64 // when each worker's next event is due; 0: none is known
+	attemptsByKey                  map[string]*taskAttempt
+	lastID                         int
+	pools                          [2]slotPool
+	running                        int
+	taskSeconds                    float64 // task-seconds
+	starts, attempts, healthChecks int
+	countedUntil                   float64
+	tasks                          []*task // of the window
+	gangs                          []*gang
+	digest                         *xxhash.Digest
+	result                         TaskResult
+	teamsByShare                   []float64
 }
 
 // NewTasks makes a world whose dispatchers know all workers, and of each team what of its reservation is
@@ -229,7 +229,7 @@
 		list = append(list, balance.WorkerInfo{
 			ID:    name,
 			Zone:  strconv.Itoa(x.Zone),
-			Kind:  kindOf(x.Accelerated),
+			Kind:  workerKind(x.Accelerated),
 			State: balance.Running,
 		})
 		w.result.Slots += x.Slots
@@ -251,8 +251,8 @@
 	}
 	for _, accel := range []bool{false, true} {
 		c := balance.Class{
-			Name:               classOf(plainTask, accel),
-			WorkerKind:         kindOf(accel),
+			Name:               className(plainTask, accel),
+			WorkerKind:         workerKind(accel),
 			LatencyObjective:   taskObjectiveSeconds,
 			ObjectiveStretch:   1,
 			Deadline:           clientTimeoutSeconds,
@@ -261,7 +261,7 @@
 			Idempotence:        balance.Idempotent,
 		}
 		cfg.Classes = append(cfg.Classes, c)
-		c.Name = classOf(urgentTask, accel)
+		c.Name = className(urgentTask, accel)
 		c.PriorityWeight = urgentWeight
 		c.LatencyObjective = s.UrgentObjective
 		c.MaxWait = s.UrgentMaxWait
@@ -312,8 +312,8 @@
 	return 0
 }
 
-// wait notes that a task begins to wait for a slot, or ends to.
-func (w *Tasks) wait(t *task, waits bool) {
+// setWaiting notes that a task begins to wait for a slot, or ends to.
+func (w *Tasks) setWaiting(t *task, waits bool) {
 	if t.waiting == waits {
 		return
 	}
@@ -328,29 +328,29 @@
 	}
 }
 
-// runs notes that a worker has so many tasks more.
-func (w *Tasks) runs(worker, more int) {
+// addRunning notes that a worker has so many tasks more.
+func (w *Tasks) addRunning(worker, more int) {
 	k := &w.pools[poolIndex(w.Workers[worker].Accelerated)]
 	k.advance(w.now)
 	k.running += more
-	w.count()
+	w.addTaskSeconds()
 	w.running += more
 	w.result.MostRunning = max(w.result.MostRunning, w.running)
 }
 
-func kindOf(accel bool) string {
+func workerKind(accel bool) string {
 	if accel {
 		return "accelerated"
 	}
 	return "plain"
 }
 
-// classOf is the class of a task. A gang's tasks are tasks like others: nothing tells them apart.
-func classOf(k taskKind, accel bool) string {
+// className is the class of a task. A gang's tasks are tasks like others: nothing tells them apart.
+func className(k taskKind, accel bool) string {
 	if k == urgentTask {
-		return "urgent-" + kindOf(accel)
+		return "urgent-" + workerKind(accel)
 	}
-	return "task-" + kindOf(accel)
+	return "task-" + workerKind(accel)
 }
 
 func (w *Tasks) after(s float64, do func()) {
@@ -364,7 +364,7 @@
 	for i := range w.dispatchers {
 		w.step(i)
 	}
-	w.fill()
+	w.addInitialTasks()
 	total := 0.0
 	for _, r := range w.teamsByShare {
 		total += r
@@ -372,13 +372,13 @@
 	for _, g := range w.Gangs {
 		total -= float64(g.Size) * g.Rate
 	}
-	w.stream(max(0, total-w.UrgentRate), func() {
-		w.addTask(plainTask, w.team(), w.rng.Float64() < w.AcceleratedFraction, nil, w.Work(w.rng))
+	w.scheduleArrivals(max(0, total-w.UrgentRate), func() {
+		w.addTask(plainTask, w.drawTeam(), w.rng.Float64() < w.AcceleratedFraction, nil, w.Work(w.rng))
 	})
 	for _, g := range w.Gangs {
-		w.stream(g.Rate, func() { w.addGang(g.Size) })
+		w.scheduleArrivals(g.Rate, func() { w.addGang(g.Size) })
 	}
-	w.stream(w.UrgentRate, func() {
+	w.scheduleArrivals(w.UrgentRate, func() {
 		team := w.rng.IntN(len(w.Teams))
 		if w.UrgentTeamReservation > 0 {
 			team = len(w.Teams) - 1
@@ -389,14 +389,14 @@
 		for _, d := range w.dispatchers {
 			d.cpuSeconds, d.arrivals = 0, 0
 		}
-		w.attempts, w.probes, w.starts = 0, 0, 0
-		w.count()
+		w.attempts, w.healthChecks, w.starts = 0, 0, 0
+		w.addTaskSeconds()
 		w.taskSeconds = 0
 	})
 	w.after(w.WarmUp+w.Window, func() {
-		w.count()
+		w.addTaskSeconds()
 		w.result.Running, w.result.Starts = w.taskSeconds/w.Window, float64(w.starts)/w.Window
-		w.result.Attempts, w.result.HealthChecks = w.attempts, w.probes
+		w.result.Attempts, w.result.HealthChecks = w.attempts, w.healthChecks
 		for i, d := range w.dispatchers {
 			w.result.CPUPerSecond[i], w.result.Jobs[i] = d.cpuSeconds/w.Window, d.arrivals
 		}
@@ -419,14 +419,14 @@
 	}
 }
 
-// count adds up what has run since it was last looked at.
-func (w *Tasks) count() {
+// addTaskSeconds adds up what has run since it was last looked at.
+func (w *Tasks) addTaskSeconds() {
 	w.taskSeconds += float64(w.running) * (w.now - w.countedUntil)
 	w.countedUntil = w.now
 }
 
-// stream has something come at a rate, until the end.
-func (w *Tasks) stream(rate float64, come func()) {
+// scheduleArrivals has something come at a rate, until the end.
+func (w *Tasks) scheduleArrivals(rate float64, come func()) {
 	if rate <= 0 {
 		return
 	}
@@ -438,8 +438,8 @@
 	w.after(w.rng.ExpFloat64()/rate, next)
 }
 
-// team draws one by its part of the starts.
-func (w *Tasks) team() int {
+// drawTeam draws one by its part of the starts.
+func (w *Tasks) drawTeam() int {
 	total := 0.0
 	for _, r := range w.teamsByShare {
 		total += r
@@ -453,9 +453,9 @@
 	return len(w.teamsByShare) - 1
 }
 
-// fill has so many tasks come in the first half of Warm, with the rests of tasks that are met at a random
+// addInitialTasks has so many tasks come in the first half of Warm, with the rests of tasks that are met at a random
 // moment: long ones are met more often, by their length.
-func (w *Tasks) fill() {
+func (w *Tasks) addInitialTasks() {
 	draws := make([]float64, 1<<16)
 	total := 0.0
 	for i := range draws {
@@ -471,12 +471,12 @@
 			long -= draws[i-1]
 		}
 		left := long * w.rng.Float64()
-		accel, team := w.rng.Float64() < w.AcceleratedFraction, w.team()
-		w.after(w.rng.Float64()*w.WarmUp/2, func() { w.addTask(fillTask, team, accel, nil, left) })
+		accel, team := w.rng.Float64() < w.AcceleratedFraction, w.drawTeam()
+		w.after(w.rng.Float64()*w.WarmUp/2, func() { w.addTask(initialTask, team, accel, nil, left) })
 	}
 }
 
-func (w *Tasks) counted() bool { return w.now >= w.WarmUp && w.now < w.WarmUp+w.Window }
+func (w *Tasks) inWindow() bool { return w.now >= w.WarmUp && w.now < w.WarmUp+w.Window }
 
 // addTask has a task come to one of the dispatchers that its team enters through.
 func (w *Tasks) addTask(k taskKind, team int, accel bool, g *gang, work float64) *task {
@@ -487,7 +487,7 @@
 		accelerated: accel,
 		team:        team,
 		arrivedAt:   w.now,
-		counted:     w.counted() && k != fillTask,
+		counted:     w.inWindow() && k != initialTask,
 		work:        work,
 		gang:        g,
 	}
@@ -504,8 +504,8 @@
 
 // addGang adds a job whose tasks are submitted at once, each to one of its team's dispatchers.
 func (w *Tasks) addGang(size int) {
-	team, accel := w.team(), w.rng.Float64() < w.AcceleratedFraction
-	g := &gang{size: size, arrivedAt: w.now, counted: w.counted(), work: w.Work(w.rng)}
+	team, accel := w.drawTeam(), w.rng.Float64() < w.AcceleratedFraction
+	g := &gang{size: size, arrivedAt: w.now, counted: w.inWindow(), work: w.Work(w.rng)}
 	if g.counted {
 		w.gangs = append(w.gangs, g)
 	}
@@ -523,13 +523,13 @@
 func (w *Tasks) submit(t *task, d int) {
 	t.requests++
 	t.dispatcher = d
-	w.wait(t, true)
+	w.setWaiting(t, true)
 	id := t.id + "." + strconv.Itoa(t.requests)
 	w.dispatchers[d].jobs[id] = t
 	w.dispatchers[d].arrivals++
 	w.deliver(d, balance.JobArrived{
 		ID:      id,
-		Class:   classOf(t.kind, t.accelerated),
+		Class:   className(t.kind, t.accelerated),
 		Tenant:  w.Teams[t.team].Name,
 		Timeout: clientTimeoutSeconds - (w.now - t.arrivedAt),
 		Slots:   1,
@@ -545,7 +545,7 @@
 			continue
 		}
 		t.done = true
-		w.wait(t, false)
+		w.setWaiting(t, false)
 		w.deliver(t.dispatcher, balance.ClientDisconnected{ID: t.id + "." + strconv.Itoa(t.requests)})
 		for _, a := range t.attempts {
 			if a.inFlight {
@@ -565,11 +565,11 @@
 		Outcome:     balance.Cancelled,
 		JobFinished: closed,
 	})
-	w.after(w.delay(a.dispatcher, a.worker), func() { w.at(a.worker, func(m *emulator.Worker) { w.start(m, a) }) })
+	w.after(w.delay(a.dispatcher, a.worker), func() { w.withWorker(a.worker, func(m *emulator.Worker) { w.cancelAtWorker(m, a) }) })
 }
 
-// start has a worker give up an attempt.
-func (w *Tasks) start(m *emulator.Worker, a *taskAttempt) {
+// cancelAtWorker has a worker give up an attempt.
+func (w *Tasks) cancelAtWorker(m *emulator.Worker, a *taskAttempt) {
 	if w.attemptsByKey[a.key()] == nil {
 		return
 	}
@@ -577,20 +577,20 @@
 	m.Cancel(w.now, a.key())
 	if t := a.task; a.ran && !t.done { // it had begun unheard, and begins anew elsewhere
 		t.started = 0
-		w.wait(t, true)
+		w.setWaiting(t, true)
 		if t.gang != nil && !t.gang.complete {
 			t.gang.starts--
 		}
 	}
-	w.ended(a)
+	w.markEnded(a)
 }
 
 func (a *taskAttempt) key() string { return a.id + "/" + strconv.Itoa(a.number) }
 func taskWorkerName(w int) string  { return fmt.Sprintf("w-%04d", w) }
-func (w *Tasks) ended(a *taskAttempt) {
+func (w *Tasks) markEnded(a *taskAttempt) {
 	if a.ran {
 		a.ran = false
-		w.runs(a.worker, -1)
+		w.addRunning(a.worker, -1)
 	}
 }
 
@@ -641,7 +641,7 @@
 			x := &taskAttempt{task: t, dispatcher: i, number: no, id: a.ID, worker: w.index[a.Worker], inFlight: true}
 			t.attempts = append(t.attempts, x)
 			w.attempts++
-			w.after(w.delay(i, x.worker), func() { w.arrive(x) })
+			w.after(w.delay(i, x.worker), func() { w.submitAttempt(x) })
 		case balance.Cancel:
 			if t := d.jobs[a.ID]; t != nil {
 				for _, o := range t.attempts {
@@ -651,10 +651,10 @@
 				}
 			}
 		case balance.HealthCheck:
-			w.probes++
+			w.healthChecks++
 			at := w.index[a.Worker]
 			w.after(w.delay(i, at), func() {
-				w.at(at, func(m *emulator.Worker) {
+				w.withWorker(at, func(m *emulator.Worker) {
 					report := w.report(m)
 					w.after(w.delay(i, at), func() {
 						w.deliver(i, balance.HealthCheckDone{
@@ -668,12 +668,12 @@
 		case balance.SetTimer:
 			w.after(a.After, func() { w.deliver(i, balance.TimerFired{}) })
 		case balance.Reject:
-			w.rejected(d.jobs[a.ID], a)
+			w.handleReject(d.jobs[a.ID], a)
 			delete(d.jobs, a.ID)
 		case balance.Fail:
 			if t := d.jobs[a.ID]; t != nil && !t.done {
 				t.done = true
-				w.wait(t, false)
+				w.setWaiting(t, false)
 				w.addToDigest(t, 'F')
 				if t.counted && t.kind == plainTask {
 					w.result.Failed++
@@ -684,8 +684,8 @@
 	}
 }
 
-// rejected is a final answer of 503. What belongs to a gang, or is urgent, is asked for again.
-func (w *Tasks) rejected(t *task, a balance.Reject) {
+// handleReject is a final answer of 503. What belongs to a gang, or is urgent, is asked for again.
+func (w *Tasks) handleReject(t *task, a balance.Reject) {
 	if t == nil || t.done {
 		return
 	}
@@ -702,7 +702,7 @@
 		})
 	default:
 		t.done = true
-		w.wait(t, false)
+		w.setWaiting(t, false)
 		if t.counted {
 			w.result.Rejected++
 		}
@@ -719,8 +719,8 @@
 	return []float64{r.FreeSlots, r.Queue}
 }
 
-// at plays a worker up to now, does something to it and plays what follows.
-func (w *Tasks) at(i int, do func(m *emulator.Worker)) {
+// withWorker plays a worker up to now, does something to it and plays what follows.
+func (w *Tasks) withWorker(i int, do func(m *emulator.Worker)) {
 	m := w.workers[i]
 	w.handleWorkerEvents(i, m.Advance(w.now))
 	if do != nil {
@@ -732,12 +732,12 @@
 		return
 	}
 	w.wakes[i] = next
-	w.after(next-w.now, func() { w.at(i, nil) })
+	w.after(next-w.now, func() { w.withWorker(i, nil) })
 }
 
-// arrive is an attempt's coming to its worker.
-func (w *Tasks) arrive(a *taskAttempt) {
-	w.at(a.worker, func(m *emulator.Worker) {
+// submitAttempt is an attempt's coming to its worker.
+func (w *Tasks) submitAttempt(a *taskAttempt) {
+	w.withWorker(a.worker, func(m *emulator.Worker) {
 		if !a.inFlight {
 			return // called off on its way
 		}
@@ -779,9 +779,9 @@
 		switch e.Kind {
 		case emulator.Started:
 			a.ran = true
-			w.runs(i, 1)
+			w.addRunning(i, 1)
 			w.starts++
-			w.began(a)
+			w.recordStart(a)
 			w.after(w.delay(a.dispatcher, i), func() {
 				if a.inFlight {
 					w.deliver(a.dispatcher, balance.AttemptStarted{ID: a.id, Attempt: a.number})
@@ -793,14 +793,14 @@
 	}
 }
 
-// began is a task's start, the first one of those that it may have.
-func (w *Tasks) began(a *taskAttempt) {
+// recordStart is a task's start, the first one of those that it may have.
+func (w *Tasks) recordStart(a *taskAttempt) {
 	t := a.task
 	if t.started > 0 || t.done {
 		return
 	}
 	t.started = w.now
-	w.wait(t, false)
+	w.setWaiting(t, false)
 	w.addToDigest(t, 'B')
 	if g := t.gang; g != nil {
 		if g.starts++; g.starts == g.size && !g.done {
@@ -810,7 +810,7 @@
 				for _, t := range g.tasks {
 					for _, a := range t.attempts {
 						if a.ran {
-							w.at(a.worker, func(m *emulator.Worker) {
+							w.withWorker(a.worker, func(m *emulator.Worker) {
 								m.Cancel(w.now, a.key())
 								w.finish(a)
 							})
@@ -825,7 +825,7 @@
 // finish is the end of a task's work.
 func (w *Tasks) finish(a *taskAttempt) {
 	delete(w.attemptsByKey, a.key())
-	w.ended(a)
+	w.markEnded(a)
 	w.addToDigest(a.task, 'D')
 	a.task.done = true
 	w.reportOutcome(a, balance.AttemptDone{
--- a/internal/lab/simulation/tasks_test.go
+++ b/internal/lab/simulation/tasks_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-func playTasks(t *testing.T, s TaskSettings) TaskResult {
+func runTasks(t *testing.T, s TaskSettings) TaskResult {
 	t.Helper()
 	w, err := NewTasks(s)
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 func TestTasksAreTheSameAgain(t *testing.T) {
-	a, b, c := playTasks(t, smallTasks(3, 0.7)), playTasks(t, smallTasks(3, 0.7)), playTasks(t, smallTasks(4, 0.7))
+	a, b, c := runTasks(t, smallTasks(3, 0.7)), runTasks(t, smallTasks(3, 0.7)), runTasks(t, smallTasks(4, 0.7))
 	if a.Digest != b.Digest || a.Digest == c.Digest {
 		t.Errorf("digests %x, %x, other seed %x", a.Digest, b.Digest, c.Digest)
 	}
@@ -59,12 +59,12 @@
 func TestTasksInRoomAndInNone(t *testing.T) {
 	some, full := smallTasks(5, 0.4), smallTasks(5, 1.3)
 	some.Window, full.Window = 60, 60
-	room, none := playTasks(t, some), playTasks(t, full)
+	room, none := runTasks(t, some), runTasks(t, full)
 	if room.Arrived < 600 || room.Started < room.Arrived || room.Rejected > 0 || math.Abs(room.Running/32-1) > 0.3 {
 		t.Errorf("with room %d came, %d started, %d were refused, %.1f ran", room.Arrived, room.Started, room.Rejected, room.Running)
 	}
-	if none.Running < 70 || quantileOf(none.Waits, 0.5) < 10*quantileOf(room.Waits, 0.5) {
-		t.Errorf("in a full fleet %.1f of 80 ran, waits %v and %v", none.Running, quantileOf(none.Waits, 0.5), quantileOf(room.Waits, 0.5))
+	if none.Running < 70 || quantile(none.Waits, 0.5) < 10*quantile(room.Waits, 0.5) {
+		t.Errorf("in a full fleet %.1f of 80 ran, waits %v and %v", none.Running, quantile(none.Waits, 0.5), quantile(room.Waits, 0.5))
 	}
 	// With room nearly all of a wait is avoidable, in a full fleet next to nothing.
 	if sum(room.Avoidable) < 0.9*sum(room.Waits) || sum(none.Avoidable) > 0.1*sum(none.Waits) {
@@ -76,7 +76,7 @@
 			t.Errorf("gangs of %d: with room %+v, with none %+v", g.Size, g, h)
 		}
 	}
-	if len(room.Urgent) < 5 || quantileOf(room.Urgent, 1) > 1 || quantileOf(none.Urgent, 1) < quantileOf(room.Urgent, 1) {
+	if len(room.Urgent) < 5 || quantile(room.Urgent, 1) > 1 || quantile(none.Urgent, 1) < quantile(room.Urgent, 1) {
 		t.Errorf("urgent with room %v, with none %v", room.Urgent, none.Urgent)
 	}
 }
@@ -95,7 +95,7 @@
 			t.Fatalf("a task of kind %d is of team %d", x.kind, x.team)
 		}
 	}
-	if len(r.Urgent) < 5 || quantileOf(r.Urgent, 1) > 2 || len(s.Teams) != 4 {
+	if len(r.Urgent) < 5 || quantile(r.Urgent, 1) > 2 || len(s.Teams) != 4 {
 		t.Errorf("%v, %d teams", r.Urgent, len(s.Teams))
 	}
 }
@@ -104,15 +104,15 @@
 func TestGangThatCantBeWhole(t *testing.T) {
 	s := smallTasks(6, 0.01)
 	s.Gangs, s.UrgentRate, s.InitialTasks, s.AcceleratedFraction, s.Window = []Gangs{{Size: 100, Rate: 0.1}}, 0, 0, 0, 20
-	r := playTasks(t, s)
+	r := runTasks(t, s)
 	g := r.Gangs[0]
 	if g.Arrived == 0 || g.Within60 > 0 || g.HeldSlotSeconds != g.WastedSlotSeconds || g.WastedSlotSeconds < 40*gangTimeoutSeconds || g.WastedSlotSeconds > 64*gangTimeoutSeconds*float64(g.Arrived) {
 		t.Errorf("%+v", g)
 	}
 }
 
-// quantileOf is that of sorted figures.
-func quantileOf(list []float64, p float64) float64 { return list[int(p*float64(len(list)-1))] }
+// quantile is that of sorted figures.
+func quantile(list []float64, p float64) float64 { return list[int(p*float64(len(list)-1))] }
 
 func sum(list []float64) (s float64) {
 	for _, x := range list {
