--- a/internal/lab/simulation/agreement.go
+++ b/internal/lab/simulation/agreement.go
@@ -17,45 +17,45 @@
 type AgreementSettings struct {
 	Seed      uint64
 	Instances int
-	Voters    int // the first instances vote
+	Voters    int // this many of the first instances vote
 	Leases    lease.Settings
 
-	Delay  func(from, to int) float64 // one way, of a frame
-	Jitter float64                    // at most this part of Delay is added to it
+	Delay  func(from, to int) float64 // one-way delay of a frame
+	Jitter float64                    // up to this fraction of Delay is added to it at random
 
-	DiskSyncSeconds       float64        // until a synced write is durable
-	SchedulerDelaySeconds float64        // until a loop that is woken has applied the configuration
-	RevokePollSeconds     float64        // between two polls for shards to give up; 0: no shards
+	DiskSyncSeconds       float64        // duration of a synced write
+	SchedulerDelaySeconds float64        // until a woken dispatcher loop has applied the configuration
+	RevokePollSeconds     float64        // between two polls for shards to give up; 0: no polls
 	CPUSeconds            func() float64 // processor time of this thread; nil: not measured
 }
 
-// ProposalFunc makes the table that an instance wants to propose: see [agent.Proposal].
+// ProposalFunc returns the table that an instance proposes; see [agent.Proposal].
 type ProposalFunc = agent.Proposal
 
 // Agreement runs the agreement on config versions in virtual time. The decisions and messages are the
-// product's own code: lease's State, Grantor, Holder and View, raft's state machine as package consensus
-// configures it, and every frame is encoded and decoded. What consensus and agent do around that
-// (goroutines, files, sockets) is modelled with their constants: the same order of steps, a write that
-// takes DiskSyncSeconds, frames that stay in order on a link.
+// product's own code: lease's State, Grantor, Holder and View, and raft's state machine as package consensus
+// configures it; every frame is encoded and decoded. The goroutines, files and sockets of the packages
+// consensus and agent are modelled with their constants and order of steps. A write takes DiskSyncSeconds,
+// and frames stay in order on a link.
 //
-// The same seed gives the same run, elections included.
+// The same seed gives the same run, including elections.
 type Agreement struct {
 	AgreementSettings
 	Now                    float64
 	Members                []*AgreementInstance
-	Partitioned            func(from, to int) bool // frames between them are lost; set by SetPartition
-	InForceEverywhereAt    map[uint64]float64      // by version: when the last running instance had it in force
+	Partitioned            func(from, to int) bool // whether frames between them are lost; set by SetPartition
+	InForceEverywhereAt    map[uint64]float64      // by version: when it was in force on all running instances
 	UnleasedSeconds        float64                 // summed over running instances, since the last Reset
 	LongestUnleasedSeconds float64                 // the longest span of one instance, since the last Reset
 
 	events         eventQueue
 	lastEvent      int
 	rng            *rand.Rand
-	electionSource *rand.ChaCha8      // raft's election timeouts
-	lastArrivals   map[[2]int]float64 // by link
-	partitionedAt  float64
-	oldestInForce  uint64
-	decodedTables  map[uint64]*config.Table // shared by the instances' histories to save memory
+	electionSource *rand.ChaCha8            // source of raft's election timeouts
+	lastArrivals   map[[2]int]float64       // by link
+	partitionedAt  float64                  // time of the last SetPartition
+	oldestInForce  uint64                   // the last version that was in force on all running instances
+	decodedTables  map[uint64]*config.Table // by version; shared by the instances' histories to save memory
 	sampledUntil   float64
 }
 
@@ -64,7 +64,7 @@
 	agreementIdentity      = wire.Identity{1}
 )
 
-// NewAgreement starts all instances, their clocks in step, with no configuration yet.
+// NewAgreement starts all instances with synchronised clocks and without a configuration.
 func NewAgreement(s AgreementSettings) *Agreement {
 	a := &Agreement{
 		AgreementSettings:   s,
@@ -170,7 +170,7 @@
 
 const sampleIntervalSeconds = 0.02
 
-// sample measures for how long instances have had no lease.
+// sample measures up to now how long instances have had no lease.
 func (a *Agreement) sample() {
 	for ; a.sampledUntil+sampleIntervalSeconds <= a.Now; a.sampledUntil += sampleIntervalSeconds {
 		for _, in := range a.Members {
@@ -196,7 +196,7 @@
 	return true
 }
 
-// Leader returns the running voter that leads in the highest term, or nil.
+// Leader returns the running voter that leads in the highest term, or nil if there is none.
 func (a *Agreement) Leader() *AgreementInstance {
 	var last *AgreementInstance
 	for _, in := range a.Members[:a.Voters] {
@@ -207,7 +207,7 @@
 	return last
 }
 
-// Propose has an instance propose a new table until it is accepted or rejected for good.
+// Propose makes an instance propose a new table until it is accepted or rejected permanently.
 func (a *Agreement) Propose(in *AgreementInstance, proposal ProposalFunc) {
 	in.proposal = proposal
 	in.nextProposalAt = 0
@@ -215,7 +215,8 @@
 	a.after(0, in, in.step)
 }
 
-// Kill ends an instance: its process alone, whose port refuses dials at once, or its machine.
+// Kill ends the process of an instance, whose port then refuses dials at once, or its machine, which then does not
+// answer dials.
 func (a *Agreement) Kill(in *AgreementInstance, machine bool) {
 	in.Up = false
 	in.diedAt = a.Now
@@ -223,7 +224,7 @@
 	a.recordVersionsInForce()
 }
 
-// SetPartition sets between which instances frames are lost from now on.
+// SetPartition sets the pairs of instances between which frames are lost from now on.
 func (a *Agreement) SetPartition(partitioned func(from, to int) bool) {
 	a.Partitioned = partitioned
 	a.partitionedAt = a.Now
@@ -240,7 +241,7 @@
 	}
 }
 
-// recordVersionsInForce records when a version has come into force on all running instances.
+// recordVersionsInForce records the time for each version that is now in force on all running instances.
 func (a *Agreement) recordVersionsInForce() {
 	least := uint64(math.MaxUint64)
 	for _, in := range a.Members {
--- a/internal/lab/simulation/agreement_instance.go
+++ b/internal/lab/simulation/agreement_instance.go
@@ -15,17 +15,17 @@
 	Up                bool
 	Sent, Received    map[string]Flow
 	CPUSeconds        float64
-	AppliedRevision   lease.Revision // by the dispatcher's loop
-	InForce           uint64         // the version in force there
+	AppliedRevision   lease.Revision // applied by the dispatcher's loop
+	InForce           uint64         // the version in force in the dispatcher's loop
 	RejectedProposals int
-	UnleasedSeconds   float64 // since it last had a lease
+	UnleasedSeconds   float64 // in the current span without a lease; 0 with a lease
 
 	agreement    *Agreement
 	index        int
-	voter        *voter       // nil: it does not vote
-	connections  map[int]bool // open ones with voters, of an instance that asks them itself
+	voter        *voter       // nil if it does not vote
+	connections  map[int]bool // voters to which it has an open connection
 	diedAt       float64
-	refusesDials bool // its machine runs without the process
+	refusesDials bool // its process has ended, but its machine runs
 
 	holder            *lease.Holder
 	requestPending    bool
@@ -102,7 +102,8 @@
 	})
 }
 
-// publish passes the effective configuration to the dispatcher's loop, which acknowledges it to the holder.
+// publish passes the effective configuration to the dispatcher's loop, which acknowledges it to the holder. An
+// unchanged table is acknowledged at once.
 func (in *AgreementInstance) publish() {
 	effective := in.holder.EffectiveConfig(in.agreement.Now)
 	if !effective.Leased {
@@ -147,7 +148,7 @@
 		if version.Number == 0 || n > 0 && version.Number <= in.history[n-1].Version {
 			continue
 		}
-		table, err := config.Decode(version.Table) // by each instance, as its processor time is measured
+		table, err := config.Decode(version.Table) // decoded by each instance, because its processor time is measured
 		if err != nil {
 			continue
 		}
@@ -164,7 +165,7 @@
 	in.history = in.history[max(0, len(in.history)-lease.MaxHistoryLength):]
 }
 
-// propose sends the wanted table to the leader, once the table that it changes is known.
+// propose sends the proposed table to the leader once the table that it is based on is known.
 func (in *AgreementInstance) propose() {
 	if in.proposal == nil {
 		return
@@ -189,7 +190,7 @@
 	}
 	raw, err := config.Encode(table)
 	if err != nil {
-		panic(err) // an experiment's own table
+		panic(err) // the table is the experiment's own and valid
 	}
 	in.nextProposalAt = in.agreement.Now + 2*agent.ProposeTimeout.Seconds()
 	in.proposedBase = newest.Version
@@ -202,7 +203,7 @@
 func (in *AgreementInstance) handleProposalResponse(proposal ProposalFunc, err error) {
 	var rejected *agent.RejectedError
 	switch {
-	case in.proposal == nil || fmt.Sprintf("%p", proposal) != fmt.Sprintf("%p", in.proposal): // replaced meanwhile
+	case in.proposal == nil || fmt.Sprintf("%p", proposal) != fmt.Sprintf("%p", in.proposal): // Propose has replaced it
 	case err == nil:
 		in.proposal = nil
 	case errors.As(err, &rejected) && rejected.Permanent:
--- a/internal/lab/simulation/agreement_network.go
+++ b/internal/lab/simulation/agreement_network.go
@@ -10,11 +10,11 @@
 
 // Kinds of frames.
 const (
-	FlowLeaseRequest = "question"  // once for each hop
-	FlowLeaseGrant   = "grant"     // with the table where it is new to the holder
-	FlowProposal     = "proposal"  // and its response
-	FlowRevokePoll   = "seats"     // which shards an instance has to give up, and the response
-	FlowHeartbeat    = "heartbeat" // between voters; they confirm reads as well
+	FlowLeaseRequest = "question"  // lease request; counted once per hop
+	FlowLeaseGrant   = "grant"     // lease grant, with the table if it is new to the holder
+	FlowProposal     = "proposal"  // proposed table, and the response
+	FlowRevokePoll   = "seats"     // poll for shards to give up, and the response
+	FlowHeartbeat    = "heartbeat" // between voters; heartbeats also confirm reads
 	FlowEntries      = "entries"   // between voters, and their acknowledgements
 	FlowElection     = "election"
 	FlowPing         = "ping"
@@ -39,7 +39,8 @@
 	return FlowLeaseRequest
 }
 
-// send carries a frame to another instance, behind those that are on the same link already.
+// send sends a frame to another instance. It arrives after the frames that were sent on the same link before, or is
+// lost if the instance is down or partitioned off.
 func (in *AgreementInstance) send(to *AgreementInstance, kind string, frame wire.Frame, receive func(wire.Frame)) {
 	a := in.agreement
 	frame.Identity = agreementIdentity
@@ -58,21 +59,21 @@
 		countFrame(to.Received, kind, len(raw))
 		received, err := wire.Decode(agreementClusterDigest, raw)
 		if err != nil {
-			panic(err) // this build can't read its own frame
+			panic(err) // the build can't decode its own frame
 		}
 		receive(received)
 	})
 }
 
-// Of a connection: pings keep it from its timeout.
+// Times of a connection. Pings prevent its timeout.
 var (
 	pingIntervalSeconds      = 10 * agent.TickInterval.Seconds()
 	connectionTimeoutSeconds = 3 * pingIntervalSeconds
 	dialTimeoutSeconds       = 10 * agent.TickInterval.Seconds()
 )
 
-// ping keeps the open connections alive. An instance that does not vote has one with every voter that it
-// has sent a request to: neither side closes a connection that is in use.
+// ping keeps the open connections alive. A voter has a connection with every other voter, another instance with
+// every voter that it has sent a request to: neither side closes a connection in use.
 func (in *AgreementInstance) ping() {
 	if !in.Up {
 		return
@@ -81,7 +82,7 @@
 		if peer == in || in.voter == nil && !in.connections[i] {
 			continue
 		}
-		if !peer.Up || in.agreement.Partitioned(in.index, i) { // a silent connection ends
+		if !peer.Up || in.agreement.Partitioned(in.index, i) { // the connection times out
 			delete(in.connections, i)
 			continue
 		}
--- a/internal/lab/simulation/agreement_request.go
+++ b/internal/lab/simulation/agreement_request.go
@@ -16,11 +16,12 @@
 // The first byte of a response's payload.
 const (
 	responseOK             byte = 'y'
-	responseRejected       byte = 'n' // for good
+	responseRejected       byte = 'n' // permanently
 	responseRejectedForNow byte = 'l'
 )
 
-// request sends a payload to the leader by way of a voter: the instance's own, or the others in turn.
+// request sends a payload to the leader through the instance's own voter, or through the voters in turn if it does
+// not vote or its own finds no quorum.
 func (in *AgreementInstance) request(kind byte, payload []byte, timeout float64, done func([]byte, error)) {
 	payload = append([]byte{kind}, payload...)
 	ended := false
@@ -39,7 +40,7 @@
 	a.after(timeout, in, func() { once(nil, &consensus.NoQuorumError{}) })
 	respond := func(response *wire.Response) {
 		a.after(0, in, func() {
-			if response.Result == wire.Response_NO_QUORUM && !ended { // only this voter may be cut off from the leader
+			if response.Result == wire.Response_NO_QUORUM && !ended { // perhaps only this voter is cut off
 				in.requestFromVoters(kind, payload, deadline-a.Now, once)
 				return
 			}
@@ -49,14 +50,14 @@
 	in.voter.enqueue(func() { in.voter.handleRequest(in.Name, false, payload, respond) })
 }
 
-// voterRequest tries the other voters in turn, each for a part of the time, until one responds.
+// voterRequest tries the other voters in turn, each for a part of the remaining time, until one responds.
 type voterRequest struct {
 	instance *AgreementInstance
 	kind     byte
 	payload  []byte
 	deadline float64
 	voters   []int
-	first    int // place in voters
+	first    int // index in voters of the first attempt
 	ended    bool
 	done     func([]byte, error)
 }
@@ -65,9 +66,9 @@
 type voterAttempt struct {
 	*voterRequest
 	number int
-	place  int // in voters
+	place  int // index in voters
 	voter  *AgreementInstance
-	over   bool
+	over   bool // it has ended
 }
 
 func (in *AgreementInstance) requestFromVoters(
@@ -118,7 +119,7 @@
 	attempt.send()
 }
 
-// timeout returns after how many seconds the next voter is tried.
+// timeout returns the number of seconds after which the next voter is tried.
 func (t *voterAttempt) timeout() float64 {
 	a := t.instance.agreement
 	part := (t.deadline - a.Now) / float64(min(len(t.voters)-t.number, 2))
@@ -134,13 +135,13 @@
 		silentSince = a.partitionedAt
 	}
 	wait := min(part, silentSince+connectionTimeoutSeconds-a.Now)
-	if wait <= 0 { // the connection is closed already: the dial times out
+	if wait <= 0 { // the connection has timed out: a new dial times out too
 		wait = min(part, dialTimeoutSeconds)
 	}
 	return wait
 }
 
-// next goes on to the next voter, once.
+// next ends this attempt and tries the next voter. It does nothing if the attempt has ended.
 func (t *voterAttempt) next() {
 	if !t.over && !t.ended {
 		t.over = true
--- a/internal/lab/simulation/cluster.go
+++ b/internal/lab/simulation/cluster.go
@@ -9,31 +9,31 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// Network configures what happens to messages. Times are in seconds.
+// Network configures the delivery of messages between instances. Times are in seconds.
 type Network struct {
 	Loss, Duplication float64 // fraction of the messages
-	MaxDelay          float64 // one way; each message draws its own
-	LateFraction      float64 // of the messages, that are delayed by up to 20 s
-	DetectionDelay    float64 // until membership sees an instance come or go
-	SyncInterval      float64 // between an instance's exchanges of its complete state; 0: none
+	MaxDelay          float64 // one way; the delay of each message is uniformly distributed
+	LateFraction      float64 // fraction of the messages that are delayed by up to 20 s instead
+	DetectionDelay    float64 // until membership reports that an instance has started or ended
+	SyncInterval      float64 // mean interval between an instance's exchanges of its complete state; 0: none
 }
 
 // Instance is one instance of a Cluster.
 type Instance struct {
 	*quota.Exchange
 	Name         string
-	ClockOffset  float64 // of its clock from the cluster's
+	ClockOffset  float64 // seconds by which its clock is ahead of the cluster's
 	Up           bool
 	FrozenUntil  float64
-	DetectionLag float64 // on top of the network's DetectionDelay
-	Side         int     // of a partition
+	DetectionLag float64 // seconds on top of the network's DetectionDelay
+	Side         int     // side of a partition that it is on
 	Region       string  // as membership reports it
 	Build        uint32  // as membership reports it
 	BytesSent    float64
-	CPUSeconds   float64 // measured with a Tap
-	Allotments   []uint32
+	CPUSeconds   float64  // measured if there is a Tap
+	Allotments   []uint32 // by tenant, in millionths of the tenant's reservation
 
-	inbox               []*quota.Message // of the time that it was frozen
+	inbox               []*quota.Message // messages that arrived while it was frozen
 	membershipChangedAt float64
 }
 
@@ -45,10 +45,10 @@
 	Tenants      []quota.Tenant
 	Settings     quota.Settings
 	Rand         *rand.Rand
-	Incarnations uint64 // started so far
+	Incarnations uint64 // number of instances started so far
 
 	MessageSize func(*quota.Message) int     // in bytes; nil: not counted
-	Unreachable func(a, b *Instance) bool    // messages are lost, though membership sees both; nil: none
+	Unreachable func(a, b *Instance) bool    // messages are lost although membership reports both; nil: none
 	ExtraDelay  func(a, b *Instance) float64 // seconds on top of a message's delay; nil: none
 	Tap         *Tap                         // nil: nothing is measured
 
@@ -57,7 +57,7 @@
 	lastEvent int
 }
 
-// Tap measures what instances exchange. With it, messages are encoded and decoded.
+// Tap measures the bytes and the processor time of the exchange. With a Tap, messages are encoded and decoded.
 type Tap struct {
 	Pack       func(*quota.Message) []byte
 	Unpack     func([]byte) (*quota.Message, error)
@@ -66,7 +66,7 @@
 	OnBytes    func(in *Instance, sent bool, bytes int)
 }
 
-// New makes a cluster with no instance.
+// New returns a cluster without instances.
 func New(seed uint64, settings quota.Settings, network Network, tenants []quota.Tenant) *Cluster {
 	return &Cluster{
 		Network:  network,
@@ -83,7 +83,7 @@
 	heap.Push(&c.events, event{c.Now + seconds, c.lastEvent, do})
 }
 
-// Run runs until a time, and calls each after every event.
+// Run runs until the given time and calls each, if it is not nil, after every event.
 func (c *Cluster) Run(until float64, each func()) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
@@ -96,12 +96,12 @@
 	c.Now = until
 }
 
-// Start starts an instance with no state.
+// Start starts an instance with the cluster's settings and without state.
 func (c *Cluster) Start(name string, clockOffset float64) *Instance {
 	return c.StartAs(name, clockOffset, c.Settings)
 }
 
-// StartAs starts an instance that has settings of its own.
+// StartAs starts an instance with its own settings.
 func (c *Cluster) StartAs(name string, clockOffset float64, settings quota.Settings) *Instance {
 	c.Incarnations++
 	in := &Instance{
@@ -126,27 +126,27 @@
 
 func (in *Instance) localTime(c *Cluster) float64 { return c.Now + in.ClockOffset }
 
-// Kill ends an instance at once.
+// Kill ends an instance without notice to the others.
 func (c *Cluster) Kill(in *Instance) {
 	in.Up = false
 	in.membershipChangedAt = c.Now
 	in.Allotments = nil
 }
 
-// Freeze stops an instance for some seconds; its messages wait for it.
+// Freeze suspends an instance for some seconds. Messages to it wait until then.
 func (c *Cluster) Freeze(in *Instance, seconds float64) {
 	in.FrozenUntil = max(in.FrozenUntil, c.Now+seconds)
 }
 
-// Partition divides the cluster: side returns the side of the instance of an index.
+// Partition divides the cluster: side returns the side of the instance with index i.
 func (c *Cluster) Partition(side func(i int) int) {
 	for i, in := range c.Instances {
 		in.Side = side(i)
 	}
 }
 
-// Usable sums up, by tenant index, how much of a tenant's reservation all instances may use now, in
-// millionths. A frozen instance starts nothing.
+// Usable returns, by tenant index, how much of a tenant's reservation all instances together may use now, in
+// millionths. Frozen instances do not count, because they start no jobs. The result reuses buf.
 func (c *Cluster) Usable(buf []uint64) []uint64 {
 	buf = append(buf[:0], make([]uint64, len(c.Tenants))...)
 	for _, in := range c.Instances {
--- a/internal/lab/simulation/cluster_network.go
+++ b/internal/lab/simulation/cluster_network.go
@@ -7,7 +7,7 @@
 
 const maxLateSeconds = 20
 
-// measure runs work of an instance and adds up its processor time.
+// measure runs work on behalf of an instance and, with a Tap, counts its processor time.
 func (c *Cluster) measure(in *Instance, work func()) {
 	if c.Tap == nil {
 		work()
@@ -18,7 +18,7 @@
 	in.CPUSeconds += c.Tap.CPUSeconds() - began
 }
 
-// members returns the other instances that membership shows to an instance.
+// members returns the other instances that membership reports to an instance.
 func (c *Cluster) members(in *Instance) (members []quota.Member) {
 	for _, other := range c.Instances {
 		alive := other.Up && in.Side == other.Side && c.Now >= other.FrozenUntil
@@ -91,7 +91,7 @@
 	return delay
 }
 
-// deliver has a message arrive, as bytes if there are any.
+// deliver passes a message to its receiver, in its encoded form if raw is not nil.
 func (c *Cluster) deliver(from *Instance, m *quota.Message, raw []byte) {
 	to := c.byName[m.To]
 	switch {
@@ -110,7 +110,7 @@
 	}
 }
 
-// receive passes a message to an instance; one that the exchange rejects has no effect on the run.
+// receive passes a message to an instance. A message that the exchange rejects is ignored.
 func (c *Cluster) receive(in *Instance, m *quota.Message) {
 	_ = in.Receive(in.localTime(c), m)
 }
@@ -119,7 +119,7 @@
 	return a.Side == b.Side && (c.Unreachable == nil || !c.Unreachable(a, b))
 }
 
-// sync has an instance exchange its complete state with a random other one, as membership does at intervals.
+// sync makes an instance exchange its complete state with a random other one, as membership does at intervals.
 func (c *Cluster) sync(in *Instance) {
 	if !in.Up {
 		return
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// event is an action at a time. Events of one time keep the order in which they were added.
+// event is an action at a time, in seconds. Events of the same time run in the order in which they were added.
 type event struct {
 	at     float64
 	number int
@@ -34,7 +34,8 @@
 	return last
 }
 
-// Poisson draws how often something of a mean rate happens.
+// Poisson draws a number from the Poisson distribution with the given mean. Above 50 it uses the normal
+// approximation.
 func Poisson(r *rand.Rand, mean float64) int {
 	if mean > 50 {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*r.NormFloat64())))
--- a/internal/lab/simulation/fleet.go
+++ b/internal/lab/simulation/fleet.go
@@ -20,62 +20,62 @@
 	"example.org/bellstream/internal/lab/invariants"
 )
 
-// FleetSettings are what a Fleet is made of. Times are in seconds.
+// FleetSettings configure a Fleet. Times are in seconds.
 type FleetSettings struct {
 	Seed               uint64
 	Workers            int
 	Slots              float64
 	Dispatchers        int
-	MeanWork           float64 // of the work, exponential
-	Load               float64 // part of what all workers can do
-	LatencyObjective   float64 // an answer within that is in time
+	MeanWork           float64 // of a job on one slot; exponentially distributed
+	Load               float64 // offered load as a fraction of the capacity of all workers
+	LatencyObjective   float64 // a job served within it counts as in time
 	Timeout            float64
-	Tick               float64 // of the dispatchers; a message takes one, each way
-	Span               float64
-	Quota              float64 // of the one tenant, jobs a second; 0: all that comes
-	WithoutLoadReports bool    // no reports and no probes
-	WideFraction       float64 // part of the jobs that take four slots, and must not run twice
-	KeepAlive          float64 // an idle connection is used again for so long
-	DialTimeout        float64 // until a connection counts as failed
-	DrainGrace         float64 // after a drain was told
-	Record             bool    // History is kept
+	Tick               float64 // between two steps of a dispatcher; a message takes one tick each way
+	Span               float64 // during which jobs arrive
+	Quota              float64 // of the only tenant, in jobs per second; 0: the mean arrival rate
+	WithoutLoadReports bool    // workers send no load reports and dispatchers no health checks
+	WideFraction       float64 // fraction of the jobs that take four slots and are not idempotent
+	KeepAlive          float64 // after which an idle connection is closed
+	DialTimeout        float64 // after which a dial fails
+	DrainGrace         float64 // allowed for sends after a dispatcher has received a drain; see History
+	Record             bool    // keep the data that History returns
 	Faults
 	Cold              SlowStart
-	DistinctWorkerIDs bool // each dispatcher knows the workers by other ids, so that no order is shared
+	DistinctWorkerIDs bool // each dispatcher has its own worker IDs: dispatchers share no order of workers
 }
 
-// FleetResult is what came of it. Digest, and all but the last three figures,
-// depend on the settings alone.
+// FleetResult is the result of [Fleet.Run]. All fields but CPU, Wall and Heap depend on
+// the settings alone.
 type FleetResult struct {
 	Jobs, InTime, Late, Rejected, Failed int
 	Attempts, HealthChecks, Dials        int
-	Wide, WideInTime                     int                // jobs of four slots
+	Wide, WideInTime                     int                // jobs that take four slots
 	Unreached                            int                // attempts that got no connection
-	Retries                              int                // answers beyond the first
+	Retries                              int                // final answers to jobs that had ended already
 	ByDispatcher                         []dispatcherCounts // by dispatcher
-	Connections                          int                // at the worker that has most, when the last job comes
-	Ideal                                int                // in time where one queue sees all and nothing takes a way
-	Latencies                            []float64          // of those that were served, s
+	Connections                          int                // at the worker with most connections, at the end of Span
+	Ideal                                int                // jobs in time with one central queue and no message delays
+	Latencies                            []float64          // of served jobs, in seconds
 	Digest                               uint64
-	CPU                                  time.Duration // of the decisions, all dispatchers together
+	CPU                                  time.Duration // processor time of the decisions of all dispatchers
 	Wall                                 time.Duration
-	Heap                                 uint64 // bytes that the dispatchers hold
+	Heap                                 uint64 // growth of the heap during the run, in bytes
 }
 
-// dispatcherCounts is what came to one dispatcher.
+// dispatcherCounts counts the jobs that arrived at one dispatcher.
 type dispatcherCounts struct{ Jobs, InTime, Served int }
 
-// Fleet plays the dispatchers' decision module against modelled workers, tick by
-// tick on all cores. Dispatchers share nothing but the workers; within a tick
-// they are played in any order, their messages are taken in theirs.
+// Fleet runs the dispatchers' decision modules against modelled workers, tick by
+// tick on all cores. Dispatchers share only the workers. Within a tick the
+// dispatchers run in any order; workers process their messages in the order of the dispatchers.
 type Fleet struct {
 	FleetSettings
 	now             float64
 	began           float64
-	endpointChanges []endpointChange // of the list, in order of time
-	drainAt         []float64        // when a worker drains; 0: never
-	startAt         []float64        // when it starts; 0: long ago
-	processEnded    []bool           // its process is no more
+	endpointChanges []endpointChange // of the endpoint list, in order of time
+	drainAt         []float64        // by worker: when it drains; 0: never
+	startAt         []float64        // by worker: when it starts; 0: it is warm from the beginning
+	processEnded    []bool           // by worker: its process has ended
 	workers         []*emulator.Worker
 	names           []string
 	index           map[string]int
@@ -87,7 +87,7 @@
 // outgoing is a message to a worker.
 type outgoing struct {
 	worker  int
-	kind    int // send, cancel, probe
+	kind    int // sendJob, cancelJob or checkHealth
 	job     *fleetJob
 	attempt int
 }
@@ -104,8 +104,8 @@
 	arrivedAt float64
 	work      float64
 	slots     float64
-	attempts  []int // workers
-	inFlight  map[int]bool
+	attempts  []int        // the worker of each attempt
+	inFlight  map[int]bool // by attempt
 	closed    bool
 }
 
@@ -114,18 +114,18 @@
 	balancer            *balance.Balancer
 	rng                 *rand.Rand
 	jobs                map[string]*fleetJob
-	queue               []*fleetJob // by deadline: all have one patience
+	queue               []*fleetJob // in order of their deadlines: all jobs have the same timeout
 	events              []balance.Event
 	outbox              []outgoing
 	timers              []float64
-	arrivals            []*fleetJob // in this tick
+	arrivals            []*fleetJob // of this tick
 	digest              *xxhash.Digest
 	cpu                 time.Duration
 	lastJob             int
 	connections         map[int]*connectionPool // by worker
-	faultRand           *rand.Rand              // of its troubles: arrivals stay what they are without
-	endpointDelay       float64                 // of lists
-	appliedChanges      int                     // changes
+	faultRand           *rand.Rand              // for faults only: arrivals are the same without faults
+	endpointDelay       float64                 // after which endpoint changes reach this dispatcher
+	appliedChanges      int                     // number of endpoint changes received
 	delayed             []delayedDial
 	unreachableByWorker map[int]int // attempts that got no connection, by worker
 	endpointHistory     []invariants.EndpointChange
@@ -133,46 +133,46 @@
 	FleetResult
 }
 
-// connectionPool are a dispatcher's connections to one worker.
+// connectionPool counts a dispatcher's connections to one worker.
 type connectionPool struct {
 	busy int
-	idle []float64 // since when
+	idle []float64 // since when each is idle, in ascending order
 }
 
-// acquire uses a connection, the one that was used last, or dials, and says which.
+// acquire takes the idle connection that was used last. If there is none it dials a new one and returns true.
 func (d *fleetDispatcher) acquire(w int, now, keep float64) (dialled bool) {
-	l := d.connections[w]
-	if l == nil {
-		l = &connectionPool{}
-		d.connections[w] = l
-	}
-	l.sweep(now - keep)
-	if n := len(l.idle); n > 0 {
-		l.idle = l.idle[:n-1]
+	pool := d.connections[w]
+	if pool == nil {
+		pool = &connectionPool{}
+		d.connections[w] = pool
+	}
+	pool.sweep(now - keep)
+	if n := len(pool.idle); n > 0 {
+		pool.idle = pool.idle[:n-1]
 	} else {
 		dialled = true
 		d.Dials++
 	}
-	l.busy++
+	pool.busy++
 	return dialled
 }
 
-// sweep closes what is idle since before a time.
+// sweep closes the connections that have been idle since before the given time.
 func (l *connectionPool) sweep(before float64) {
 	for len(l.idle) > 0 && l.idle[0] < before {
 		l.idle = l.idle[1:]
 	}
 }
 
-// release gives a connection back, or closes it.
+// release returns a connection to the pool, or closes it.
 func (d *fleetDispatcher) release(w int, now float64, closed bool) {
-	l := d.connections[w]
-	if l.busy--; !closed {
-		l.idle = append(l.idle, now)
+	pool := d.connections[w]
+	if pool.busy--; !closed {
+		pool.idle = append(pool.idle, now)
 	}
 }
 
-// workerID is what a dispatcher calls a worker, at whom it means.
+// workerID returns the ID by which a dispatcher knows a worker.
 func (f *Fleet) workerID(d, w int) string {
 	if f.DistinctWorkerIDs {
 		return f.names[w] + "@" + strconv.Itoa(d)
@@ -180,23 +180,24 @@
 	return f.names[w]
 }
 
+// workerIndex returns the worker of an ID as returned by workerID.
 func (f *Fleet) workerIndex(name string) int {
 	name, _, _ = strings.Cut(name, "@")
 	return f.index[name]
 }
 
-// shards is fixed: the order of events follows from it, and so the result.
+// shards does not depend on the number of cores, since the order of events, and thus the result, depends on it.
 const shards = 16
 
-// fleetShard is a part of the workers, played by one core.
+// fleetShard is a part of the workers. Only one goroutine at a time runs it.
 type fleetShard struct {
 	events       [][]balance.Event // by dispatcher
 	jobs         map[string]*fleetJob
 	attempts     []*invariants.Attempt
-	openAttempts map[string]*invariants.Attempt // that is out, by job
+	openAttempts map[string]*invariants.Attempt // attempts that have not ended, by job
 }
 
-// NewFleet makes a fleet of warm workers that every dispatcher knows.
+// NewFleet returns a fleet of warm workers, all known to every dispatcher. Errors are those of [balance.New].
 func NewFleet(s FleetSettings) (*Fleet, error) {
 	f := &Fleet{FleetSettings: s, index: map[string]int{}, now: 100, began: 100}
 	for i := range s.Workers {
@@ -241,7 +242,7 @@
 		if s.WithoutLoadReports {
 			cfg.ReportFields = nil
 		}
-		if s.WideFraction > 0 { // which one kind of machine runs, as it is at our site: so all workers are looked at
+		if s.WideFraction > 0 { // all workers are of this class's kind, as at the modelled site
 			cfg.Classes[0].PriorityWeight = 5
 			cfg.Classes = append(cfg.Classes, balance.Class{
 				Name:             "wide",
@@ -290,10 +291,10 @@
 	return f, nil
 }
 
-// parallel plays n parts on all cores.
+// parallel calls play for each of n parts, on all cores.
 func parallel(n int, play func(i int)) {
 	var all sync.WaitGroup
-	var next atomic.Int64 // who is ready takes the next: parts differ in length
+	var next atomic.Int64 // the next part: goroutines draw parts one by one, as they take unequal time
 	for range min(n, runtime.GOMAXPROCS(0)) {
 		all.Go(func() {
 			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
@@ -304,7 +305,7 @@
 	all.Wait()
 }
 
-// Run plays the whole span and what is left of it.
+// Run runs the fleet for Span, and then until no job is open, for at most two timeouts.
 func (f *Fleet) Run() FleetResult {
 	began := time.Now()
 	ideal := newIdealQueue(f.Workers * int(f.Slots))
@@ -347,25 +348,25 @@
 		r.WideInTime += d.WideInTime
 		r.Unreached, r.Retries = r.Unreached+d.Unreached, r.Retries+d.Retries
 		r.ByDispatcher = append(r.ByDispatcher, dispatcherCounts{d.Jobs, d.InTime, d.InTime + d.Late})
-		_ = binary.Write(sum, binary.LittleEndian, d.digest.Sum64()) // a hash never fails
+		_ = binary.Write(sum, binary.LittleEndian, d.digest.Sum64()) // a hash returns no error
 	}
 	r.Digest = sum.Sum64()
 	return r
 }
 
-// countConnections counts the connections at the worker that has most.
+// countConnections sets mostConnections to the number of connections at the worker with most of them.
 func (f *Fleet) countConnections() {
 	open := make([]int, len(f.workers))
 	for _, d := range f.dispatchers {
-		for w, l := range d.connections {
-			l.sweep(f.now - f.KeepAlive)
-			open[w] += l.busy + len(l.idle)
+		for w, pool := range d.connections {
+			pool.sweep(f.now - f.KeepAlive)
+			open[w] += pool.busy + len(pool.idle)
 		}
 	}
 	f.mostConnections = slices.Max(open)
 }
 
-// stepDispatcher plays a tick of one dispatcher: what has come to it, then its decisions.
+// stepDispatcher runs one tick of a dispatcher: it collects the events, then carries out the decisions on them.
 func (f *Fleet) stepDispatcher(d *fleetDispatcher, arrivals bool) {
 	for i := range f.shards {
 		d.events = append(d.events, f.shards[i].events[d.number]...)
@@ -463,9 +464,9 @@
 	events := d.events
 	d.events = nil
 	began := time.Now()
-	acts := d.balancer.Step(f.now, events)
+	actions := d.balancer.Step(f.now, events)
 	d.cpu += time.Since(began)
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case balance.Send:
 			if j := d.jobs[a.ID]; j != nil {
@@ -499,7 +500,7 @@
 	}
 }
 
-// handleFinalAnswer takes an answer of the module's.
+// handleFinalAnswer ends a job that the decision module has rejected or failed.
 func (d *fleetDispatcher) handleFinalAnswer(f *Fleet, id string, how byte) {
 	if d.jobs[id] == nil {
 		d.Retries++
@@ -507,7 +508,7 @@
 	d.endJob(f, d.jobs[id], how)
 }
 
-// endJob counts how a job ended.
+// endJob records how a job ended: S served, R rejected, F failed.
 func (d *fleetDispatcher) endJob(f *Fleet, j *fleetJob, how byte) {
 	if j == nil || j.closed {
 		return
@@ -539,10 +540,10 @@
 	fmt.Fprintf(d.digest, "%s%c%.3f;", j.id, how, f.now)
 }
 
-// stepWorkers plays a tick of a part of the workers.
+// stepWorkers runs one tick of the workers of a shard.
 func (f *Fleet) stepWorkers(part int) {
 	s := &f.shards[part]
-	tell := func(j *fleetJob, e balance.Event) { s.events[j.owner] = append(s.events[j.owner], e) }
+	notify := func(j *fleetJob, e balance.Event) { s.events[j.owner] = append(s.events[j.owner], e) }
 	report := func(w *emulator.Worker) []float64 {
 		if f.WithoutLoadReports {
 			return nil
@@ -550,13 +551,13 @@
 		r := w.Report(f.now)
 		return []float64{r.FreeSlots, r.Queue}
 	}
-	ended := func(id string, unstarted bool, result string) {
+	endAttempt := func(id string, unstarted bool, result string) {
 		if a := s.openAttempts[id]; a != nil {
 			a.End, a.Unstarted, a.Result = f.now, unstarted, result
 			delete(s.openAttempts, id)
 		}
 	}
-	happen := func(i int, events []emulator.Event) {
+	handleEvents := func(i int, events []emulator.Event) {
 		w := f.workers[i]
 		for _, e := range events {
 			j := s.jobs[e.ID]
@@ -566,11 +567,11 @@
 			k := len(j.attempts) - 1
 			switch e.Kind {
 			case emulator.Started:
-				tell(j, balance.AttemptStarted{ID: j.id, Attempt: k})
+				notify(j, balance.AttemptStarted{ID: j.id, Attempt: k})
 			case emulator.Done:
 				delete(s.jobs, e.ID)
-				ended(j.id, false, j.id)
-				tell(j, balance.AttemptDone{
+				endAttempt(j.id, false, j.id)
+				notify(j, balance.AttemptDone{
 					ID:          j.id,
 					Attempt:     k,
 					Worker:      f.names[i],
@@ -580,8 +581,8 @@
 				})
 			case emulator.Returned:
 				delete(s.jobs, e.ID)
-				ended(j.id, true, "")
-				tell(j, balance.AttemptDone{
+				endAttempt(j.id, true, "")
+				notify(j, balance.AttemptDone{
 					ID:      j.id,
 					Attempt: k,
 					Worker:  f.names[i],
@@ -590,8 +591,8 @@
 				})
 			case emulator.Lost:
 				delete(s.jobs, e.ID)
-				ended(j.id, false, "")
-				tell(j, balance.AttemptDone{
+				endAttempt(j.id, false, "")
+				notify(j, balance.AttemptDone{
 					ID:      j.id,
 					Attempt: k,
 					Worker:  f.names[i],
@@ -600,14 +601,14 @@
 			}
 		}
 	}
-	advance := func(i int) { happen(i, f.workers[i].Advance(f.now)) }
+	advance := func(i int) { handleEvents(i, f.workers[i].Advance(f.now)) }
 	for i := part; i < len(f.workers); i += len(f.shards) {
-		happen(i, f.replaceWorker(i))
+		handleEvents(i, f.replaceWorker(i))
 	}
-	mine := func(i int) bool { return i%len(f.shards) == part }
+	inShard := func(i int) bool { return i%len(f.shards) == part }
 	for _, d := range f.dispatchers {
 		for _, o := range d.outbox {
-			if !mine(o.worker) {
+			if !inShard(o.worker) {
 				continue
 			}
 			w := f.workers[o.worker]
@@ -630,8 +631,8 @@
 					Slots: o.job.slots,
 					Work:  o.job.work,
 				}) != emulator.Accepted {
-					ended(o.job.id, true, "")
-					tell(o.job, balance.AttemptDone{
+					endAttempt(o.job.id, true, "")
+					notify(o.job, balance.AttemptDone{
 						ID:      o.job.id,
 						Attempt: o.attempt,
 						Worker:  f.names[o.worker],
@@ -643,7 +644,7 @@
 				s.jobs[o.job.id] = o.job
 			case cancelJob:
 				w.Cancel(f.now, o.job.id)
-				ended(o.job.id, false, "")
+				endAttempt(o.job.id, false, "")
 				delete(s.jobs, o.job.id)
 			case checkHealth:
 				s.events[d.number] = append(s.events[d.number], balance.HealthCheckDone{
@@ -659,7 +660,7 @@
 	}
 }
 
-// idealQueue is one queue before all slots, which sees all.
+// idealQueue is a single queue for all slots that knows the work of each job in advance.
 type idealQueue struct {
 	free   floats
 	inTime int
@@ -667,9 +668,9 @@
 
 func newIdealQueue(slots int) *idealQueue { return &idealQueue{free: make(floats, slots)} }
 
-func (x *idealQueue) serve(at, work, aim float64) {
+func (x *idealQueue) serve(at, work, objective float64) {
 	start := max(at, x.free[0])
-	if start+work-at > aim { // it earns nothing: the ideal does not run it
+	if start+work-at > objective { // it would be late: the ideal queue drops it
 		return
 	}
 	x.inTime++
--- a/internal/lab/simulation/fleet_faults.go
+++ b/internal/lab/simulation/fleet_faults.go
@@ -16,24 +16,24 @@
 	FaultsFrom float64 // after the start
 	FaultsSpan float64
 
-	ReplacedFraction float64 // of the workers, that leave evenly spread over FaultsSpan
-	SuccessorDelay   float64 // from a worker's drain until another starts cold in its place
+	ReplacedFraction float64 // of the workers: they are drained one by one, evenly spread over FaultsSpan
+	SuccessorDelay   float64 // from a worker's drain until its successor starts cold
 	DrainSpan        float64 // from a worker's drain until its process ends
-	MaxEndpointDelay float64 // each dispatcher receives all changes up to that much later, in order
+	MaxEndpointDelay float64 // a dispatcher receives all endpoint changes late by a constant of at most this
 
-	RefusingWorkers  int     // the first so many workers refuse new connections during FaultsSpan
-	SlowDialFraction float64 // of all new connections, at any time
-	MaxDialDelay     float64 // of a slow dial
+	RefusingWorkers  int     // this many workers refuse new connections during FaultsSpan
+	SlowDialFraction float64 // fraction of all dials that are slow, at any time
+	MaxDialDelay     float64 // of a slow dial, which is uniformly distributed
 
-	FirstDispatcherLoad float64 // the first dispatcher gets this multiple of the mean traffic; 0: all alike
+	FirstDispatcherLoad float64 // the first dispatcher receives this multiple of the mean traffic; 0: equal shares
 }
 
 // SlowStart configures workers that have just started. The zero value: full capacity at once.
 type SlowStart struct {
 	Floor            float64 // the fraction of its slots that a worker has at first
-	WarmAfter        float64 // seconds until it has all
-	OverloadMultiple float64 // more than this multiple of its capacity
-	OverloadSpan     float64 // for so many seconds makes it fail
+	WarmAfter        float64 // seconds until it has all its slots
+	OverloadMultiple float64 // load above this multiple of the capacity
+	OverloadSpan     float64 // for this many seconds makes the worker fail
 }
 
 // endpointChange is a change of the endpoint list.
@@ -42,14 +42,14 @@
 	info balance.WorkerInfo
 }
 
-// delayedDial is a message that waits for its connection, or for the dial to fail.
+// delayedDial is a message that waits until a dial succeeds or fails.
 type delayedDial struct {
 	at      float64
 	message outgoing
 	failed  bool
 }
 
-// scheduleFaults draws which workers are replaced and when, and how late each dispatcher learns of it.
+// scheduleFaults draws which workers are replaced, when, and with which delay each dispatcher receives the changes.
 func (f *Fleet) scheduleFaults() {
 	replaced := int(f.ReplacedFraction * float64(f.Workers))
 	f.drainAt = make([]float64, f.Workers)
@@ -103,7 +103,7 @@
 		endpointChange{startAt, running})
 }
 
-// arrivalRate returns how many jobs a second arrive at a dispatcher.
+// arrivalRate returns the mean number of jobs per second that arrive at a dispatcher.
 func (f *Fleet) arrivalRate(d int) float64 {
 	mean := f.Load * float64(f.Workers) * f.Slots / f.MeanWork / float64(f.Dispatchers) / (1 + 3*f.WideFraction)
 	switch n := float64(f.Dispatchers); {
@@ -159,7 +159,8 @@
 	return f.processEnded[w] || w < f.RefusingWorkers && f.now >= from && f.now < from+f.FaultsSpan
 }
 
-// dispatch sends a message: at once on an open connection, else when the dial succeeds, or never.
+// dispatch sends a message: at once on an open connection, else when the dial succeeds. If the dial fails
+// the message is not sent.
 func (d *fleetDispatcher) dispatch(f *Fleet, o outgoing) {
 	if f.refusesConnections(o.worker) && d.connections[o.worker] != nil {
 		d.connections[o.worker].idle = nil
@@ -170,23 +171,23 @@
 		return
 	}
 	if dialled && f.SlowDialFraction > 0 && d.faultRand.Float64() < f.SlowDialFraction {
-		by := d.faultRand.Float64() * f.MaxDialDelay
-		d.delayed = append(d.delayed, delayedDial{f.now + min(by, f.DialTimeout), o, by > f.DialTimeout})
+		delay := d.faultRand.Float64() * f.MaxDialDelay
+		d.delayed = append(d.delayed, delayedDial{f.now + min(delay, f.DialTimeout), o, delay > f.DialTimeout})
 		return
 	}
 	d.outbox = append(d.outbox, o)
 }
 
-// completeDials sends what waited for a dial that has succeeded by now, and reports failed dials.
+// completeDials sends the messages whose dials have succeeded by now, and reports failed dials.
 func (d *fleetDispatcher) completeDials(f *Fleet) {
 	kept := d.delayed[:0]
-	for _, p := range d.delayed {
-		o := p.message
+	for _, dial := range d.delayed {
+		o := dial.message
 		switch {
-		case o.kind == sendJob && !o.job.inFlight[o.attempt]: // cancelled meanwhile
-		case p.at > f.now:
-			kept = append(kept, p)
-		case !p.failed:
+		case o.kind == sendJob && !o.job.inFlight[o.attempt]: // cancelled during the dial
+		case dial.at > f.now:
+			kept = append(kept, dial)
+		case !dial.failed:
 			d.outbox = append(d.outbox, o)
 		case o.kind == checkHealth:
 			d.release(o.worker, f.now, true)
@@ -210,7 +211,7 @@
 	d.delayed = kept
 }
 
-// replaceWorker drains, ends or starts a worker when that is due.
+// replaceWorker drains, ends or starts a worker if that is due in this tick. It returns the resulting events.
 func (f *Fleet) replaceWorker(i int) []emulator.Event {
 	w := f.workers[i]
 	just := func(at float64) bool { return at > 0 && f.now >= at && f.now-f.Tick < at }
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// History returns what clients, workers and discovery saw, if Record was set.
+// History returns the run's requests, attempts and endpoint changes. Without Record it has no requests and attempts.
 func (f *Fleet) History() *invariants.History {
 	h := &invariants.History{
 		Limits: invariants.Limits{
--- a/internal/lab/simulation/services.go
+++ b/internal/lab/simulation/services.go
@@ -10,49 +10,49 @@
 	"example.org/bellstream/internal/cluster/quota"
 )
 
-// ServicesSettings are what services are moved under.
+// ServicesSettings configure a run of Services.
 type ServicesSettings struct {
 	Seed                   uint64
-	Moves                  int  // that are to come to their end, refused ones aside
-	Faults                 bool // see ServicesResult for their kinds
-	WithoutReservation     bool // a destination says that it holds without a look at its book
-	WithoutSequenceNumbers bool // a step is credited as often as it comes
-	SingleStep             bool // no pace: all of a service in one step
+	Moves                  int  // to complete; rejected ones do not count
+	Faults                 bool // inject faults; ServicesResult lists their kinds
+	WithoutReservation     bool // a destination accepts each offer without checking its capacity
+	WithoutSequenceNumbers bool // a shift is applied each time that it is received
+	SingleStep             bool // no pacing: a service moves in one step
 }
 
-// ServicesResult is the result of a run of Services. Amounts are the worst at any instant.
+// ServicesResult is the result of Services. Each amount is the largest at any instant of the run.
 type ServicesResult struct {
-	// Moves, by how they ended.
+	// Moves by outcome.
 	Moved, RolledBack, Split, Refused, Unfinished int
 
-	// Faults and interventions.
+	// Injected faults, interventions of operators and of the pacer, and plans that failed.
 	Partitions, Restarts, Paused, CapacityDrops        int
 	Reversals, Releases, PacerReversals, RejectedPlans int
-	NeedlessReversals                                  int // by the pacer, though the cluster served well
+	NeedlessReversals                                  int // by the pacer, although the destination served well
 
-	Oversubscribed      migration.Amount // usable by all instances beyond what is reserved
-	DoubleCounted, Lost migration.Amount // steps, by both sides' records
-	OverCapacity        migration.Amount // reserved beyond a cluster's capacity
-	InTransit           migration.Amount // of a service at a time, on neither side
+	Oversubscribed      migration.Amount // usable by all instances in excess of the reservation
+	DoubleCounted, Lost migration.Amount // shifts that were counted twice or lost, by the records of both sides
+	OverCapacity        migration.Amount // promised in excess of a cluster's capacity
+	InTransit           migration.Amount // the largest shift: usable on neither side while in transit
 	Audit               []migration.Violation
 
 	Steps           []int     // of each move
-	StepsUnreversed []int     // of each move that was never reversed
+	StepsUnreversed []int     // of each complete move that was never reversed
 	Durations       []float64 // of each move, in seconds
-	ValueRatio      float64   // of the moving services, to that without a move
+	ValueRatio      float64   // value earned by the moving services, relative to the same without a move
 	Records         int
 	Messages        int
 	Span            float64 // of virtual time, in seconds
 }
 
-// What the clusters are.
+// Constants of the model.
 const (
 	serviceInstances    = 3
 	serviceLeaseSeconds = 3.0  // s
-	serviceTickSeconds  = 0.2  // s between two looks and sayings of a cluster
-	serviceDemand       = 0.9  // of a reservation that is asked for
-	healthyJobValue     = 0.97 // of a job that is served in time
-	degradedJobValue    = 0.4  // the same at a place that serves badly
+	serviceTickSeconds  = 0.2  // s; between two ticks of a cluster
+	serviceDemand       = 0.9  // fraction of a reservation that clients request
+	healthyJobValue     = 0.97 // mean value of a served job
+	degradedJobValue    = 0.4  // the same at a degraded destination
 )
 
 var servicePacer = migration.Pacer{
@@ -62,72 +62,74 @@
 	Tolerance:      0.1,
 }
 
+// serviceInstance is an instance of a cluster.
 type serviceInstance struct {
 	view        *migration.State
-	applied     int
-	leaseUntil  float64 // until when it acts on its view
-	bookedUntil float64 // until when the cluster thinks that it does
-	pausedUntil float64 // until when it does nothing, whatever it believes
+	applied     int     // index of view in the log
+	leaseUntil  float64 // its own end of its lease, until which it uses its view
+	bookedUntil float64 // the end of its lease as the cluster has recorded it
+	pausedUntil float64 // it does nothing until then, although its lease may be valid
 }
 
-// serviceCluster is a cluster whose agreement is given: a record is agreed after a
-// moment or, if the cluster restarts before that, never. Its instances learn of it
-// each in its own time, and it is in force when all that hold a lease act on it.
+// serviceCluster is a cluster without a consensus protocol: a record is committed 5 to 20 ms
+// after its proposal or, if the cluster restarts before that, never. Each instance applies it
+// after its own delay. The record is in force when all instances with a lease have applied it.
 type serviceCluster struct {
 	*serviceWorld
 	number       int
-	log          []*migration.State // after each record; those before what is in force are dropped
+	log          []*migration.State // the state after each record; nil before inForceIndex
 	journal      migration.Journal
 	instances    [serviceInstances]serviceInstance
 	inForceIndex int
-	downUntil    float64 // until when it is
+	downUntil    float64 // all its instances are down until then
 	incarnation  int
 	capacity     migration.Amount
-	observations map[migration.ID]*moveObservation // what its leader remembers: a restart forgets it
+	observations map[migration.ID]*moveObservation // in its leader's memory: a restart clears it
 }
 
-// moveObservation is what a side has observed of a move.
+// moveObservation is what one side of a move has observed of it.
 type moveObservation struct {
-	since, step     float64 // when it took the first and the last number
+	since, step     float64 // times at which it applied the first and the latest number
 	number          uint64
-	jobs, value     float64 // of the service that were asked here since the move began, and what they earned
-	last            float64 // jobs as of the last number
-	received        migration.Message
-	verdictReceived bool // what it heard came with a verdict that is acted on
+	jobs, value     float64           // the service's jobs requested here since the move began, and their value
+	last            float64           // jobs at the time of the latest number
+	received        migration.Message // the latest one
+	verdictReceived bool              // the pacer has decided to roll back; not yet proposed
 }
 
-// serviceMove is one of the moves that are under way.
+// serviceMove is an open move.
 type serviceMove struct {
 	migration.ID
 	began             float64
-	since             float64 // when its first step was taken
-	degraded          bool
+	since             float64 // when the destination received the first step; 0: not yet
+	degraded          bool    // the destination serves badly
 	steps             int
-	recordsUntilFault int // records until its fault
+	recordsUntilFault int // number of records until its fault
 	fault             func()
-	lastDirection     migration.Direction // that its operator said last
+	lastDirection     migration.Direction // the latest that its operator has requested
 	reversed          bool
-	split             [2]migration.Amount // of the service, before
+	split             [2]migration.Amount // the service's usable amount on each side when the move began
 }
 
+// serviceWorld is the state of a run of Services.
 type serviceWorld struct {
 	*Cluster
-	settings           ServicesSettings
-	sides              [2]*serviceCluster
-	services           []string
-	expected           map[string]migration.Amount
-	partitionedUntil   float64 // until when the link is
-	moves              []*serviceMove
-	placements         []migration.Placement
-	endedMoves         int
-	earned             float64
-	earnedWithoutMoves float64
-	result             ServicesResult
+	settings         ServicesSettings
+	sides            [2]*serviceCluster
+	services         []string
+	expected         map[string]migration.Amount
+	partitionedUntil float64 // the clusters can't reach each other until then
+	moves            []*serviceMove
+	placements       []migration.Placement
+	endedMoves       int
+	earned           float64
+	baseline         float64
+	result           ServicesResult
 }
 
-// Services plays two clusters of three instances that move services between
-// them. The states, steps, words, pace and plans are the product's; agreement, link, workers and
-// clients are played.
+// Services runs two clusters of three instances that move services between each other. The
+// states, records, messages, pacing and plans are the product's own code; consensus, the link,
+// workers and clients are modelled.
 func Services(set ServicesSettings) ServicesResult {
 	w := &serviceWorld{
 		Cluster:  New(set.Seed, quota.Settings{}, Network{}, nil),
@@ -176,18 +178,21 @@
 	}
 	w.result.Unfinished, w.result.Span = len(w.moves)+max(0, set.Moves-w.endedMoves), w.Now
 	w.result.Audit = migration.Audit(w.sides[0].journal, w.sides[1].journal)
-	w.result.ValueRatio = w.earned / w.earnedWithoutMoves
+	w.result.ValueRatio = w.earned / w.baseline
 	return w.result
 }
 
+// served returns the observed outcomes; each job has a value of at most 1000.
 func (k *moveObservation) served() migration.Outcomes {
 	return migration.Outcomes{Jobs: uint64(k.jobs), PriorityWeight: uint64(1000 * k.value)}
 }
 
 func (w *serviceWorld) chance(p float64) bool { return w.Rand.Float64() < p }
 
+// agreed returns the state after the last committed record.
 func (c *serviceCluster) agreed() *migration.State { return c.log[len(c.log)-1] }
 
+// up reports whether a majority of the instances runs.
 func (c *serviceCluster) up() bool {
 	n := 0
 	for i := range c.instances {
@@ -198,16 +203,17 @@
 	return c.Now >= c.downUntil && n > serviceInstances/2
 }
 
-// propose has a record agreed in a moment, unless the cluster restarts before that.
+// propose commits a record after 5 to 20 ms, unless the cluster restarts or is down then.
 func (c *serviceCluster) propose(r migration.Record) {
-	life := c.incarnation
+	incarnation := c.incarnation
 	c.After(0.005+0.015*c.Rand.Float64(), func() {
-		if c.incarnation == life && c.up() {
+		if c.incarnation == incarnation && c.up() {
 			c.agree(r)
 		}
 	})
 }
 
+// agree commits a record unless it can't be applied, and checks the invariants.
 func (c *serviceCluster) agree(r migration.Record) {
 	was := c.agreed()
 	from := *was
@@ -248,7 +254,7 @@
 	c.onRecord(r)
 }
 
-// apply has an instance act on the state after a record.
+// apply makes an instance use the state after a record.
 func (c *serviceCluster) apply(i, at int) {
 	x := &c.instances[i]
 	if c.Now < c.downUntil || c.Now < x.pausedUntil || at <= x.applied || c.log[at] == nil {
@@ -258,7 +264,7 @@
 	c.recordInForce()
 }
 
-// renew has an instance ask for its lease, which comes with the newest state.
+// renew renews an instance's lease, which includes the newest state.
 func (c *serviceCluster) renew(i int) {
 	x := &c.instances[i]
 	if c.Now >= x.pausedUntil && c.up() {
@@ -270,7 +276,8 @@
 	c.After(0.5, func() { c.renew(i) })
 }
 
-// usableBy is the part of a service's reservation that the instances of a cluster act on.
+// usableBy returns how much of a service's reservation the instances with a lease may use together, by their own
+// views. With cut it is reduced if the capacity has fallen below the promised amount.
 func (c *serviceCluster) usableBy(service string, cut bool) (sum migration.Amount) {
 	for i := range c.instances {
 		x := &c.instances[i]
@@ -286,7 +293,8 @@
 	return sum
 }
 
-// recordInForce compares what all instances act on with what is reserved, whenever one may act on more than before.
+// recordInForce compares what all instances may use with the reservations. Call it whenever an instance may use more
+// than before.
 func (c *serviceCluster) recordInForce() {
 	for _, s := range c.services {
 		usable := c.sides[0].usableBy(s, false) + c.sides[1].usableBy(s, false)
@@ -294,7 +302,8 @@
 	}
 }
 
-// inForce is the state that every instance with a lease acts on, or a later one.
+// inForce returns the newest state that every instance with a recorded lease has applied. It drops the states
+// before it.
 func (c *serviceCluster) inForce() *migration.State {
 	at := len(c.log) - 1
 	for i := range c.instances {
@@ -308,6 +317,7 @@
 	return c.log[c.inForceIndex]
 }
 
+// observation returns what the cluster has observed of a move, and begins to observe a new one.
 func (c *serviceCluster) observation(id migration.ID) *moveObservation {
 	m := c.observations[id]
 	if m == nil {
@@ -317,7 +327,7 @@
 	return m
 }
 
-// tick says what is to be said and takes the steps that are due.
+// tick sends the messages of the outbox and proposes the records that are due.
 func (c *serviceCluster) tick() {
 	c.After(serviceTickSeconds, c.tick)
 	if !c.up() {
@@ -366,26 +376,26 @@
 	}
 }
 
-// advise puts beside a word what its sender observes.
+// advise sets the advice of a message to what its sender has observed.
 func (c *serviceCluster) advise(w *migration.Message) {
 	m := c.agreed().Move(w.ID.Key)
 	if m == nil || m.ID != w.ID || m.Number != w.Number || m.HasToken {
 		return
 	}
-	k, book := c.observation(w.ID), c.agreed().Ledger()
+	k, ledger := c.observation(w.ID), c.agreed().Ledger()
 	since := k.since
 	if m.Number == 0 {
 		since = c.Now
 	}
 	w.Advice = migration.Advice{
-		CapacityStep:   servicePacer.CapacityStep(m, book, since, c.Now),
+		CapacityStep:   servicePacer.CapacityStep(m, ledger, since, c.Now),
 		Jobs:           k.served().Jobs,
 		PriorityWeight: k.served().PriorityWeight,
-		ServedPPM:      book.ServedPPM(),
+		ServedPPM:      ledger.ServedPPM(),
 	}
 	tooEarly := k.jobs-k.last < float64(servicePacer.MinJobs) && c.Now-k.step < servicePacer.MaxWaitSeconds
 	if tooEarly && m.Number > 0 && !m.Source {
-		w.Advice.CapacityStep = 0 // it is yet to be seen how it is served
+		w.Advice.CapacityStep = 0 // too few jobs have been observed since the latest step
 	}
 }
 
@@ -402,8 +412,8 @@
 				delay = 20 * c.Rand.Float64()
 			}
 			c.After(delay, func() {
-				if words, err := wire.UnmarshalMessages(raw); err == nil && to.up() {
-					to.receive(words)
+				if messages, err := wire.UnmarshalMessages(raw); err == nil && to.up() {
+					to.receive(messages)
 				}
 			})
 		}
@@ -417,11 +427,11 @@
 		if c.settings.WithoutSequenceNumbers && m != nil && w.Type == migration.MessageShift && w.Number <= m.Number {
 			w.Number = m.Number + 1
 		}
-		r, news, err := c.agreed().RecordFor(w)
+		r, changes, err := c.agreed().RecordFor(w)
 		if err != nil {
 			continue
 		}
-		if news {
+		if changes {
 			c.propose(r)
 		}
 		if a, ok := c.inForce().Answer(w); ok {
@@ -434,9 +444,9 @@
 		k := c.observation(w.ID)
 		k.received = w
 		if m.Source && m.HasToken && m.Request.Direction == migration.Forward {
-			there := migration.Outcomes{Jobs: w.Advice.Jobs, PriorityWeight: w.Advice.PriorityWeight}
-			if there.Jobs >= servicePacer.MinJobs {
-				verdict := servicePacer.Evaluate(k.served(), there, servicePacer.MinJobs, 0)
+			atDestination := migration.Outcomes{Jobs: w.Advice.Jobs, PriorityWeight: w.Advice.PriorityWeight}
+			if atDestination.Jobs >= servicePacer.MinJobs {
+				verdict := servicePacer.Evaluate(k.served(), atDestination, servicePacer.MinJobs, 0)
 				k.verdictReceived = verdict == migration.VerdictRollBack
 			}
 		}
@@ -444,7 +454,7 @@
 	c.send(answers)
 }
 
-// proposeLocalSteps has a service of the cluster's own take and give back room, as others' plans do.
+// proposeLocalSteps changes the reservation of a service that never moves, so that the free capacity varies.
 func (c *serviceCluster) proposeLocalSteps() {
 	c.After(2, c.proposeLocalSteps)
 	if a := migration.Amount(c.Rand.IntN(160)-80) * migration.SlotStart; c.up() && c.agreed().Usable("local")+a >= 0 {
@@ -452,7 +462,7 @@
 	}
 }
 
-// restart ends all of a cluster's instances at once; what was agreed is there when they are back.
+// restart stops all instances of a cluster for some seconds. Committed records survive.
 func (c *serviceCluster) restart(s float64) {
 	c.result.Restarts++
 	c.incarnation++
@@ -463,13 +473,14 @@
 	}
 }
 
-// startMoves has services moved where a plan says, plan by plan.
+// startMoves begins new moves once no move is open: those of the next round of a plan, or one that an operator
+// requests without a plan.
 func (w *serviceWorld) startMoves() {
 	w.After(1, w.startMoves)
 	if len(w.moves) > 0 || w.endedMoves >= w.settings.Moves || !w.sides[0].up() || !w.sides[1].up() {
 		return
 	}
-	if w.chance(0.5) { // by hand: whether there is room is for the destination to say
+	if w.chance(0.5) { // an operator's move: the destination accepts or rejects it
 		s := w.services[w.Rand.IntN(len(w.services))]
 		c := w.sides[w.Rand.IntN(2)]
 		if a := c.agreed().Unclaimed(s); a > 0 {
@@ -481,22 +492,22 @@
 		}
 		return
 	}
-	books := []*migration.CapacityLedger{w.sides[0].agreed().Ledger(), w.sides[1].agreed().Ledger()}
-	turns, err := migration.Plan(books, w.placements, migration.Limits{MaxPieces: 8})
+	ledgers := []*migration.CapacityLedger{w.sides[0].agreed().Ledger(), w.sides[1].agreed().Ledger()}
+	rounds, err := migration.Plan(ledgers, w.placements, migration.Limits{MaxPieces: 8})
 	if err != nil {
 		w.result.RejectedPlans++
 	}
-	if len(turns) == 0 {
+	if len(rounds) == 0 {
 		w.placements = nil
 		for _, i := range w.Rand.Perm(len(w.services))[:2+w.Rand.IntN(4)] {
 			w.placements = append(w.placements, migration.Placement{
 				Service: w.services[i],
-				Cluster: books[w.Rand.IntN(2)].Cluster,
+				Cluster: ledgers[w.Rand.IntN(2)].Cluster,
 			})
 		}
 		return
 	}
-	for _, p := range turns[0] {
+	for _, p := range rounds[0] {
 		c := w.sides[0]
 		if c.agreed().Cluster != p.From {
 			c = w.sides[1]
@@ -505,7 +516,7 @@
 	}
 }
 
-// onRecord follows the moves by the records of both sides, and has their faults come at the step they are to come.
+// onRecord keeps the list of open moves by the records of both sides, and injects the fault of a move at its record.
 func (c *serviceCluster) onRecord(r migration.Record) {
 	if r.Step == migration.StepBeginMove {
 		m := c.agreed().Move(r.Move)
@@ -566,15 +577,15 @@
 	}
 }
 
-// fault draws what happens to a move.
+// fault draws the fault of a move.
 func (w *serviceWorld) fault(x *serviceMove) func() {
 	c, p := w.sides[w.Rand.IntN(2)], w.Rand.Float64()
 	source := w.sides[0]
 	if source.agreed().Cluster != x.From {
 		source = w.sides[1]
 	}
-	var say func()
-	say = func() { // operators say it until the cluster, which may be down, has it
+	var propose func()
+	propose = func() { // repeated until the cluster, which may be down, has committed it
 		m := source.agreed().Move(x.Key)
 		if m.ID == x.ID && m.End == migration.Open && m.Request.Direction != x.lastDirection {
 			source.propose(migration.Record{
@@ -583,46 +594,46 @@
 				Seq:       x.Seq,
 				Direction: x.lastDirection,
 			})
-			w.After(1, say)
+			w.After(1, propose)
 		}
 	}
-	want := func(way migration.Direction) {
+	request := func(direction migration.Direction) {
 		w.result.Reversals++
-		x.lastDirection = way
-		say()
+		x.lastDirection = direction
+		propose()
 	}
-	long := serviceLeaseSeconds * (2 + 3*w.Rand.Float64())
+	span := serviceLeaseSeconds * (2 + 3*w.Rand.Float64())
 	return func() {
 		switch {
 		case p < 0.25:
 			w.result.Partitions++
-			w.partitionedUntil = max(w.partitionedUntil, w.Now+long)
+			w.partitionedUntil = max(w.partitionedUntil, w.Now+span)
 		case p < 0.45:
-			c.restart(long / 3)
-		case p < 0.5: // both at once
-			w.sides[0].restart(long / 3)
-			w.sides[1].restart(long / 2)
+			c.restart(span / 3)
+		case p < 0.5: // both clusters
+			w.sides[0].restart(span / 3)
+			w.sides[1].restart(span / 2)
 		case p < 0.6:
 			w.result.Paused++
-			c.instances[w.Rand.IntN(serviceInstances)].pausedUntil = w.Now + long
+			c.instances[w.Rand.IntN(serviceInstances)].pausedUntil = w.Now + span
 		case p < 0.7:
 			w.result.CapacityDrops++
 			c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity / 2})
-			w.After(long, func() { c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity}) })
-			w.After(3*long, func() {
+			w.After(span, func() { c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity}) })
+			w.After(3*span, func() {
 				c.propose(migration.Record{
 					Step:   migration.StepSetCapacity,
 					Amount: c.capacity,
 				})
 			})
 		case p < 0.9:
-			want(migration.Backward)
+			request(migration.Backward)
 			if w.chance(0.5) {
-				w.After(long/3, func() { want(migration.Forward) })
+				w.After(span/3, func() { request(migration.Forward) })
 			}
 		case p < 0.95:
-			want(migration.Stop)
-			w.After(long, func() { want(migration.Forward) })
+			request(migration.Stop)
+			w.After(span, func() { request(migration.Forward) })
 		default:
 			w.result.Releases++
 			c.propose(migration.Record{Step: migration.StepForceRelease, Move: x.Key, Seq: x.Seq})
@@ -630,46 +641,47 @@
 	}
 }
 
-// serve has clients ask for the services that move: they are sent to both clusters
-// by what is usable there. Beside it stands what the same service earns where it was.
+// serve serves the clients' jobs of the services that move. Jobs are divided between the clusters in proportion to
+// the usable amounts. For comparison it also adds up what the service would earn without the move.
 func (w *serviceWorld) serve() {
 	w.After(serviceTickSeconds, w.serve)
 	for _, x := range w.moves {
 		all := w.expected[x.Service].SlotStarts()
-		asked := serviceDemand * all * serviceTickSeconds
+		demand := serviceDemand * all * serviceTickSeconds
 		usable := [2]migration.Amount{w.sides[0].usableBy(x.Service, true), w.sides[1].usableBy(x.Service, true)}
 		for n, c := range w.sides {
 			m := c.agreed().Move(x.Key)
 			part := float64(x.split[n]) / float64(x.split[0]+x.split[1])
-			w.earnedWithoutMoves += healthyJobValue * min(asked*part, serviceTickSeconds*x.split[n].SlotStarts()*c.effectiveFraction())
+			w.baseline += healthyJobValue * min(demand*part, serviceTickSeconds*x.split[n].SlotStarts()*c.liveShare())
 			if m == nil || usable[n] == 0 {
 				continue
 			}
-			load := asked * float64(usable[n]) / float64(usable[0]+usable[1])
-			served, worth := min(load, serviceTickSeconds*usable[n].SlotStarts()), healthyJobValue
+			load := demand * float64(usable[n]) / float64(usable[0]+usable[1])
+			served, value := min(load, serviceTickSeconds*usable[n].SlotStarts()), healthyJobValue
 			if !m.Source && m.ID == x.ID {
 				fraction := servicePacer.Fraction(w.Now - x.since)
 				warm := (usable[n].SlotStarts() - m.Local.SlotStarts()) + m.Amount.SlotStarts()*fraction
 				served = min(served, serviceTickSeconds*max(0, warm))
 				if x.degraded {
-					worth = degradedJobValue
+					value = degradedJobValue
 				}
 			}
-			w.earned += worth * served
+			w.earned += value * served
 			k := c.observation(x.ID)
-			k.jobs, k.value = k.jobs+load, k.value+worth*served
+			k.jobs, k.value = k.jobs+load, k.value+value*served
 		}
 	}
 }
 
-// effectiveFraction returns the part of a reservation that the cluster's instances bear and act on, whatever it amounts to.
-func (c *serviceCluster) effectiveFraction() float64 {
+// liveShare returns the fraction of any reservation that the cluster can serve now, by its instances with a
+// lease and its capacity.
+func (c *serviceCluster) liveShare() float64 {
 	n := 0.0
 	for i := range c.instances {
 		if c.Now < c.instances[i].leaseUntil {
 			n++
 		}
 	}
-	book := c.agreed().Ledger()
-	return n / serviceInstances * float64(book.ServedPPM()) / 1e6
+	ledger := c.agreed().Ledger()
+	return n / serviceInstances * float64(ledger.ServedPPM()) / 1e6
 }
--- a/internal/lab/simulation/tasks.go
+++ b/internal/lab/simulation/tasks.go
@@ -16,94 +16,96 @@
 	"example.org/bellstream/internal/lab/emulator"
 )
 
-// TaskWorker is a machine of a Tasks world.
+// TaskWorker configures a worker of Tasks.
 type TaskWorker struct {
 	Zone        int
 	Slots       int
-	Accelerated bool // its slots are accelerators, for tasks that ask for them
+	Accelerated bool // its slots are accelerators and run only tasks that require one
 }
 
-// TaskTeam sends tasks.
+// TaskTeam configures a team that sends tasks.
 type TaskTeam struct {
 	Name   string
-	Rate   float64 // tasks a second
-	Quota  float64 // a second, guaranteed
-	Enters []int   // dispatchers; they are used alike
+	Rate   float64 // tasks per second; the sum over all teams includes urgent tasks and those of gangs
+	Quota  float64 // guaranteed tasks per second
+	Enters []int   // dispatchers that it sends to, each with the same probability
 }
 
-// Gangs are jobs of so many tasks each, which begin their work when all of them have started.
+// Gangs configures jobs of Size tasks each. The tasks of a gang begin their work when all of them have started.
 type Gangs struct {
 	Size int
-	Rate float64 // jobs a second
+	Rate float64 // gangs per second
 }
 
-// TaskSettings are what a Tasks world is made of. Times are in seconds.
+// TaskSettings configure Tasks. Times are in seconds.
 type TaskSettings struct {
 	Seed                  uint64
 	Workers               []TaskWorker
-	Regions               []int // by zone
-	Dispatchers           []int // zone of each
+	Regions               []int // region of each zone
+	Dispatchers           []int // zone of each dispatcher
 	Teams                 []TaskTeam
-	Work                  func(r *rand.Rand) float64
-	MeanWork              float64 // of Work
-	AcceleratedFraction   float64 // part of the tasks, and of the gangs, that ask for accelerators
+	Work                  func(r *rand.Rand) float64 // draws the work of a task
+	MeanWork              float64                    // mean of Work
+	AcceleratedFraction   float64                    // fraction of tasks, and of gangs, that require accelerators
 	Gangs                 []Gangs
-	UrgentRate            float64 // urgent tasks a second, of teams drawn alike
-	UrgentTeamReservation float64 // of a separate team that they belong to; 0: none
-	UrgentObjective       float64 // within which one is to start
-	UrgentMaxWait         float64 // longest wait that their class is promised ('ageing'); 0: no promise
-	InitialTasks          int     // that run already at the start
-	WarmUp                float64 // until it is looked at
-	Window                float64 // in which what comes is looked at
-	Tail                  float64 // for which it goes on behind that
-	// Clock is the processor time that was used, in seconds; nil: it is not measured.
+	UrgentRate            float64 // urgent tasks per second, of teams drawn with equal probability
+	UrgentTeamReservation float64 // quota of a separate team for all urgent tasks; 0: no such team
+	UrgentObjective       float64 // latency objective of urgent tasks
+	UrgentMaxWait         float64 // balance.Class.MaxWait of the urgent classes ('ageing'); 0: none
+	InitialTasks          int     // that arrive during the first half of WarmUp, partly done
+	WarmUp                float64 // until the window begins
+	Window                float64 // tasks and gangs that arrive in it are measured
+	Tail                  float64 // how long the run continues after the window
+	// CPUSeconds returns the processor time used so far; nil: it is not measured.
 	CPUSeconds func() float64
 }
 
-// Figures of the world that are nobody's setting.
+// Constants of the model.
 const (
-	taskRoundSeconds     = 0.004 // s between two steps of a dispatcher at least
-	nearDelaySeconds     = 0.001 // s one way, within a region
-	farDelaySeconds      = 0.02  // s one way, to another region
-	taskObjectiveSeconds = 30.0  // s that a task may wait and still earn all its worth
-	clientTimeoutSeconds = 7200  // s that a client waits for its answer
-	lateTaskWeight       = 0.5   // worth of a task that waited for longer
-	urgentWeight         = 100.0 // worth of an urgent one
-	gangTimeoutSeconds   = 60.0  // s after which a job gives up whose tasks have not all started
-	retryDelaySeconds    = 0.5   // s at least until a job asks again for a task that was refused
+	taskRoundSeconds     = 0.004 // s; least time between two steps of a dispatcher
+	nearDelaySeconds     = 0.001 // s; one way, within a region
+	farDelaySeconds      = 0.02  // s; one way, to another region
+	taskObjectiveSeconds = 30.0  // s; wait up to which a task has its full weight
+	clientTimeoutSeconds = 7200  // s; a client's timeout
+	lateTaskWeight       = 0.5   // fraction of its weight that a task has after a longer wait
+	urgentWeight         = 100.0 // priority weight of urgent tasks; that of others is 1
+	gangTimeoutSeconds   = 60.0  // s; a gang whose tasks have not all started by then is abandoned
+	retryDelaySeconds    = 0.5   // s; least time until a rejected task is requested again
 )
 
-// GangResult is what became of the gangs of one size that came in the window.
+// GangResult is the result for the gangs of one size that arrived in the window.
 type GangResult struct {
 	Size               int
 	Arrived            int
-	Within10, Within60 int       // all tasks had started by then
-	Spread             []float64 // s between the first task's start and the last one's, of those that were whole
-	CompleteAfter      []float64 // s from the job's coming to its last task's start
-	HeldSlotSeconds    float64   // slot-seconds of tasks that had started and waited for others of their gang
-	WastedSlotSeconds  float64   // the part of it of gangs that gave up
-	Rejected           int       // answers of 503 to their tasks, which they asked for again
+	Within10, Within60 int       // gangs whose tasks had all started within 10 or 60 s
+	Spread             []float64 // s from the first task's start to the last task's, of complete gangs
+	CompleteAfter      []float64 // s from a gang's arrival to its last task's start, of complete gangs
+	HeldSlotSeconds    float64   // slot-seconds in which started tasks waited for the others of their gang
+	WastedSlotSeconds  float64   // the part of HeldSlotSeconds of gangs that were abandoned
+	Rejected           int       // requests for their tasks that were rejected (503) and repeated
 }
 
-// TaskResult is what was seen in the window, apart from Digest, which is of all.
+// TaskResult is the result of [Tasks.Run]. It covers the window, except for Slots, MostRunning and Digest, which
+// cover the whole run.
 type TaskResult struct {
-	Arrived, Started, Rejected, Failed int       // tasks that belong to no gang and are not urgent
-	Waits                              []float64 // s from a task's coming to its start
-	Accelerated                        []float64 // the same, for accelerators; infinity: not until the end
-	// Avoidable is, of each task, and of those for accelerators, the part of its wait in which slots for it and for
-	// all others that waited stood free: a queue that saw all would not have had it.
+	Arrived, Started, Rejected, Failed int       // tasks that are neither urgent nor part of a gang
+	Waits                              []float64 // s from such a task's arrival to its start, in ascending order
+	Accelerated                        []float64 // the same for accelerators, by arrival; infinity: not started
+	// Avoidable is, for each task, the part of its wait in seconds during which there were enough free slots for it
+	// and all other waiting tasks: with one central queue it would not have waited then. AvoidableAccelerated is
+	// the same for tasks that require accelerators.
 	Avoidable, AvoidableAccelerated []float64
-	Running                         float64 // tasks that ran, in the mean over the window
+	Running                         float64 // mean number of running tasks in the window
 	Slots                           int
-	Starts                          float64 // a second, of all kinds
-	Unanswered                      int     // tasks of the window that were lost: 0
-	MostRunning                     int     // tasks that ran at one time
+	Starts                          float64 // task starts per second, of all kinds
+	Unanswered                      int     // tasks of the window that were lost: expected to be 0
+	MostRunning                     int     // largest number of tasks that ran at one time
 	Attempts, HealthChecks          int
 	Gangs                           []GangResult
-	Urgent                          []float64 // s until each started; infinity: not until the end
-	UrgentRejected                  int       // answers of 503 to urgent tasks; they asked again
-	CPUPerSecond                    []float64 // processor time of the decisions, by dispatcher, s a second
-	Jobs                            []int     // that came to each dispatcher
+	Urgent                          []float64 // s from arrival to start, ascending; infinity: not started
+	UrgentRejected                  int       // requests for urgent tasks that were rejected (503) and repeated
+	CPUPerSecond                    []float64 // processor time of the decisions, by dispatcher, in s per second
+	Jobs                            []int     // requests that arrived at each dispatcher
 	Digest                          uint64
 }
 
@@ -116,11 +118,11 @@
 	initialTask
 )
 
-// task is one request, and those that ask again for it.
+// task is a task with all requests for it.
 type task struct {
 	id            string
 	requests      int // requests for it so far
-	dispatcher    int // dispatcher of the last one
+	dispatcher    int // dispatcher of the last request
 	kind          taskKind
 	accelerated   bool
 	team          int
@@ -128,22 +130,22 @@
 	counted       bool
 	work          float64
 	gang          *gang
-	started       float64 // 0: not yet
-	freeAtArrival float64 // freeFor when it came
-	freeAtEnd     float64 // the same when it had waited
+	started       float64 // 0: not yet started
+	freeAtArrival float64 // slotPool.freeFor at its arrival
+	freeAtEnd     float64 // slotPool.freeFor when it stopped waiting
 	done          bool
-	waiting       bool // at a dispatcher, or about to be
+	waiting       bool // at a dispatcher, or for its next request
 	attempts      []*taskAttempt
 }
 
 type taskAttempt struct {
 	task       *task
 	dispatcher int
-	number     int // of the attempt
+	number     int // of the attempt within its request, from 0
 	id         string
 	worker     int
-	inFlight   bool // as the dispatcher knows it
-	ran        bool
+	inFlight   bool // as far as the dispatcher knows
+	ran        bool // it occupies a slot of the worker
 }
 
 type gang struct {
@@ -157,13 +159,14 @@
 	work      float64
 }
 
-// slotPool are the slots of plain workers, or of those with accelerators.
+// slotPool counts the slots of the plain workers, or of those with accelerators.
 type slotPool struct {
 	slots, running, waiting int
-	freeFor                 float64 // for how long so far there were free ones for all that waited
-	advancedAt              float64 // when that was looked at
+	freeFor                 float64 // seconds so far during which there were free slots for all waiting tasks
+	advancedAt              float64 // time up to which freeFor is counted
 }
 
+// advance counts freeFor up to now. Call it before any change of the pool.
 func (k *slotPool) advance(now float64) {
 	if k.slots-k.running >= k.waiting {
 		k.freeFor += now - k.advancedAt
@@ -181,9 +184,9 @@
 	arrivals      int
 }
 
-// Tasks plays dispatchers' decision modules before workers that run tasks for long, event by event: a
-// dispatcher steps when something has come, at most once a round. Tasks that belong to one job are sent as
-// jobs of their own, as nothing in the dispatcher knows more of them.
+// Tasks runs the dispatchers' decision modules against modelled workers that run long tasks, event by event. A
+// dispatcher steps when it has received an event, at most once per taskRoundSeconds. The tasks of a gang are sent
+// as separate jobs, because the dispatcher has no notion of gangs.
 type Tasks struct {
 	TaskSettings
 	now                            float64
@@ -193,23 +196,23 @@
 	dispatchers                    []*taskDispatcher
 	workers                        []*emulator.Worker
 	index                          map[string]int
-	wakes                          []float64 // when each worker's next event is due; 0: none is known
+	wakes                          []float64 // by worker: the time of the last scheduled wake-up; 0: none
 	attemptsByKey                  map[string]*taskAttempt
 	lastID                         int
 	pools                          [2]slotPool
 	running                        int
-	taskSeconds                    float64 // task-seconds
+	taskSeconds                    float64 // integral of running
 	starts, attempts, healthChecks int
 	countedUntil                   float64
-	tasks                          []*task // of the window
+	tasks                          []*task // that arrived in the window
 	gangs                          []*gang
 	digest                         *xxhash.Digest
 	result                         TaskResult
 	teamsByShare                   []float64
 }
 
-// NewTasks makes a world whose dispatchers know all workers, and of each team what of its reservation is
-// theirs: as much at each of those that it enters through, as the exchange of counts settles it.
+// NewTasks returns a model whose dispatchers know all workers. A team's quota is divided equally among the
+// dispatchers that the team sends to, as the exchange of usage would divide it. Errors are those of [balance.New].
 func NewTasks(s TaskSettings) (*Tasks, error) {
 	w := &Tasks{
 		TaskSettings:  s,
@@ -272,13 +275,13 @@
 		w.teamsByShare = append(w.teamsByShare, t.Rate)
 	}
 	if s.UrgentTeamReservation > 0 {
-		own := TaskTeam{Name: "urgent", Quota: s.UrgentTeamReservation}
+		urgent := TaskTeam{Name: "urgent", Quota: s.UrgentTeamReservation}
 		for i := range s.Dispatchers {
-			own.Enters = append(own.Enters, i)
+			urgent.Enters = append(urgent.Enters, i)
 		}
-		s.Teams = append(slices.Clone(s.Teams), own)
+		s.Teams = append(slices.Clone(s.Teams), urgent)
 		w.Teams, w.teamsByShare = s.Teams, append(w.teamsByShare, 0)
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Name: own.Name, Quota: own.Quota})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Name: urgent.Name, Quota: urgent.Quota})
 	}
 	for i, z := range s.Dispatchers {
 		c := cfg
@@ -312,7 +315,7 @@
 	return 0
 }
 
-// setWaiting notes that a task begins to wait for a slot, or ends to.
+// setWaiting records that a task begins or stops waiting for a slot.
 func (w *Tasks) setWaiting(t *task, waits bool) {
 	if t.waiting == waits {
 		return
@@ -328,7 +331,7 @@
 	}
 }
 
-// addRunning notes that a worker has so many tasks more.
+// addRunning adds to the number of tasks that a worker runs.
 func (w *Tasks) addRunning(worker, more int) {
 	k := &w.pools[poolIndex(w.Workers[worker].Accelerated)]
 	k.advance(w.now)
@@ -345,7 +348,7 @@
 	return "plain"
 }
 
-// className is the class of a task. A gang's tasks are tasks like others: nothing tells them apart.
+// className returns the class of a task. A gang's tasks have the same class as other tasks.
 func className(k taskKind, accel bool) string {
 	if k == urgentTask {
 		return "urgent-" + workerKind(accel)
@@ -353,12 +356,13 @@
 	return "task-" + workerKind(accel)
 }
 
+// after schedules an action in s seconds.
 func (w *Tasks) after(s float64, do func()) {
 	w.lastEvent++
 	heap.Push(&w.events, event{w.now + s, w.lastEvent, do})
 }
 
-// Run plays it all.
+// Run runs the warm-up, the window and the tail, and returns the result.
 func (w *Tasks) Run() TaskResult {
 	end := w.WarmUp + w.Window + w.Tail
 	for i := range w.dispatchers {
@@ -412,33 +416,33 @@
 	return w.result
 }
 
-// Release lets go of the decision modules, so that what they hold can be told apart.
+// Release drops the decision modules, so that a caller can measure how much memory they held.
 func (w *Tasks) Release() {
 	for _, d := range w.dispatchers {
 		d.balancer, d.jobs, d.events = nil, nil, nil
 	}
 }
 
-// addTaskSeconds adds up what has run since it was last looked at.
+// addTaskSeconds adds the task-seconds since its last call to taskSeconds.
 func (w *Tasks) addTaskSeconds() {
 	w.taskSeconds += float64(w.running) * (w.now - w.countedUntil)
 	w.countedUntil = w.now
 }
 
-// scheduleArrivals has something come at a rate, until the end.
-func (w *Tasks) scheduleArrivals(rate float64, come func()) {
+// scheduleArrivals calls a function as a Poisson process of the given rate per second, until the end of the run.
+func (w *Tasks) scheduleArrivals(rate float64, arrive func()) {
 	if rate <= 0 {
 		return
 	}
 	var next func()
 	next = func() {
-		come()
+		arrive()
 		w.after(w.rng.ExpFloat64()/rate, next)
 	}
 	w.after(w.rng.ExpFloat64()/rate, next)
 }
 
-// drawTeam draws one by its part of the starts.
+// drawTeam draws a team with a probability in proportion to its rate.
 func (w *Tasks) drawTeam() int {
 	total := 0.0
 	for _, r := range w.teamsByShare {
@@ -453,8 +457,8 @@
 	return len(w.teamsByShare) - 1
 }
 
-// addInitialTasks has so many tasks come in the first half of Warm, with the rests of tasks that are met at a random
-// moment: long ones are met more often, by their length.
+// addInitialTasks adds InitialTasks tasks, which arrive in the first half of WarmUp. Their work is the remaining
+// work of tasks that are observed at a random moment: a task is drawn with a probability in proportion to its length.
 func (w *Tasks) addInitialTasks() {
 	draws := make([]float64, 1<<16)
 	total := 0.0
@@ -476,9 +480,10 @@
 	}
 }
 
+// inWindow reports whether the window is open now.
 func (w *Tasks) inWindow() bool { return w.now >= w.WarmUp && w.now < w.WarmUp+w.Window }
 
-// addTask has a task come to one of the dispatchers that its team enters through.
+// addTask adds a task and submits it to one of the dispatchers that its team sends to.
 func (w *Tasks) addTask(k taskKind, team int, accel bool, g *gang, work float64) *task {
 	w.lastID++
 	t := &task{
@@ -497,8 +502,8 @@
 	on := &w.pools[poolIndex(accel)]
 	on.advance(w.now)
 	t.freeAtArrival = on.freeFor
-	enters := w.Teams[team].Enters
-	w.submit(t, enters[w.rng.IntN(len(enters))])
+	dispatchers := w.Teams[team].Enters
+	w.submit(t, dispatchers[w.rng.IntN(len(dispatchers))])
 	return t
 }
 
@@ -519,7 +524,7 @@
 	})
 }
 
-// submit sends a request for a task.
+// submit sends a new request for a task to a dispatcher.
 func (w *Tasks) submit(t *task, d int) {
 	t.requests++
 	t.dispatcher = d
@@ -537,7 +542,7 @@
 	})
 }
 
-// abandon ends a gang that did not become whole: its client closes what it asked for.
+// abandon ends a gang whose tasks have not all started in time: its client disconnects all its requests.
 func (w *Tasks) abandon(g *gang) {
 	g.done = true
 	for _, t := range g.tasks {
@@ -555,7 +560,7 @@
 	}
 }
 
-// cancel ends an attempt from the dispatcher's side.
+// cancel ends an attempt at the dispatcher and sends the cancellation to the worker.
 func (w *Tasks) cancel(a *taskAttempt, closed bool) {
 	a.inFlight = false
 	w.deliver(a.dispatcher, balance.AttemptDone{
@@ -565,17 +570,17 @@
 		Outcome:     balance.Cancelled,
 		JobFinished: closed,
 	})
-	w.after(w.delay(a.dispatcher, a.worker), func() { w.withWorker(a.worker, func(m *emulator.Worker) { w.cancelAtWorker(m, a) }) })
+	w.after(w.delay(a.dispatcher, a.worker), func() { w.atWorker(a.worker, func(m *emulator.Worker) { w.drop(m, a) }) })
 }
 
-// cancelAtWorker has a worker give up an attempt.
-func (w *Tasks) cancelAtWorker(m *emulator.Worker, a *taskAttempt) {
+// drop ends an attempt when the dispatcher's cancellation reaches the worker.
+func (w *Tasks) drop(m *emulator.Worker, a *taskAttempt) {
 	if w.attemptsByKey[a.key()] == nil {
 		return
 	}
 	delete(w.attemptsByKey, a.key())
 	m.Cancel(w.now, a.key())
-	if t := a.task; a.ran && !t.done { // it had begun unheard, and begins anew elsewhere
+	if t := a.task; a.ran && !t.done { // the cancellation crossed its start: the task waits for another attempt
 		t.started = 0
 		w.setWaiting(t, true)
 		if t.gang != nil && !t.gang.complete {
@@ -594,7 +599,7 @@
 	}
 }
 
-// delay is how long a message is on the way between a dispatcher and a worker.
+// delay returns how many seconds a message takes between a dispatcher and a worker.
 func (w *Tasks) delay(d, worker int) float64 {
 	if w.Regions[w.Dispatchers[d]] == w.Regions[w.Workers[worker].Zone] {
 		return nearDelaySeconds
@@ -602,7 +607,7 @@
 	return farDelaySeconds
 }
 
-// deliver hands an event to a dispatcher, which steps within a round.
+// deliver passes an event to a dispatcher, which steps within taskRoundSeconds.
 func (w *Tasks) deliver(d int, e balance.Event) {
 	x := w.dispatchers[d]
 	x.events = append(x.events, e)
@@ -612,7 +617,7 @@
 	}
 }
 
-// step plays a dispatcher's decisions on what has come.
+// step runs one step of a dispatcher on the events that it has received, and carries out its decisions.
 func (w *Tasks) step(i int) {
 	d := w.dispatchers[i]
 	events := d.events
@@ -621,11 +626,11 @@
 	if w.CPUSeconds != nil {
 		began = w.CPUSeconds()
 	}
-	acts := d.balancer.Step(1+w.now, events)
+	actions := d.balancer.Step(1+w.now, events)
 	if w.CPUSeconds != nil {
 		d.cpuSeconds += w.CPUSeconds() - began
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case balance.Send:
 			t := d.jobs[a.ID]
@@ -654,7 +659,7 @@
 			w.healthChecks++
 			at := w.index[a.Worker]
 			w.after(w.delay(i, at), func() {
-				w.withWorker(at, func(m *emulator.Worker) {
+				w.atWorker(at, func(m *emulator.Worker) {
 					report := w.report(m)
 					w.after(w.delay(i, at), func() {
 						w.deliver(i, balance.HealthCheckDone{
@@ -684,7 +689,7 @@
 	}
 }
 
-// handleReject is a final answer of 503. What belongs to a gang, or is urgent, is asked for again.
+// handleReject handles a final answer of 503. Tasks of gangs and urgent tasks are requested again.
 func (w *Tasks) handleReject(t *task, a balance.Reject) {
 	if t == nil || t.done {
 		return
@@ -696,8 +701,8 @@
 			w.result.UrgentRejected++
 		}
 		w.after(max(retryDelaySeconds, math.Ceil(a.RetryAfter)), func() {
-			if enters := w.Teams[t.team].Enters; !t.done {
-				w.submit(t, enters[w.rng.IntN(len(enters))])
+			if dispatchers := w.Teams[t.team].Enters; !t.done {
+				w.submit(t, dispatchers[w.rng.IntN(len(dispatchers))])
 			}
 		})
 	default:
@@ -710,7 +715,7 @@
 }
 
 func (w *Tasks) addToDigest(t *task, how byte) {
-	_, _ = w.digest.WriteString(t.id) // a hash never fails
+	_, _ = w.digest.WriteString(t.id) // a hash returns no error
 	_, _ = w.digest.Write(binary.LittleEndian.AppendUint64([]byte{how}, math.Float64bits(w.now)))
 }
 
@@ -719,8 +724,9 @@
 	return []float64{r.FreeSlots, r.Queue}
 }
 
-// withWorker plays a worker up to now, does something to it and plays what follows.
-func (w *Tasks) withWorker(i int, do func(m *emulator.Worker)) {
+// atWorker advances a worker to now, calls do if it is not nil, handles the worker's events and schedules its
+// next wake-up.
+func (w *Tasks) atWorker(i int, do func(m *emulator.Worker)) {
 	m := w.workers[i]
 	w.handleWorkerEvents(i, m.Advance(w.now))
 	if do != nil {
@@ -732,14 +738,14 @@
 		return
 	}
 	w.wakes[i] = next
-	w.after(next-w.now, func() { w.withWorker(i, nil) })
+	w.after(next-w.now, func() { w.atWorker(i, nil) })
 }
 
-// submitAttempt is an attempt's coming to its worker.
+// submitAttempt submits an attempt to its worker, at which it has just arrived.
 func (w *Tasks) submitAttempt(a *taskAttempt) {
-	w.withWorker(a.worker, func(m *emulator.Worker) {
+	w.atWorker(a.worker, func(m *emulator.Worker) {
 		if !a.inFlight {
-			return // called off on its way
+			return // cancelled before it arrived
 		}
 		if m.Submit(w.now, emulator.Job{ID: a.key(), Slots: 1, Work: a.task.work}) != emulator.Accepted {
 			w.reportOutcome(a, balance.AttemptDone{
@@ -755,7 +761,7 @@
 	})
 }
 
-// reportOutcome sends the end of an attempt back to its dispatcher.
+// reportOutcome sends the outcome of an attempt to its dispatcher.
 func (w *Tasks) reportOutcome(a *taskAttempt, e balance.AttemptDone) {
 	w.after(w.delay(a.dispatcher, a.worker), func() {
 		if !a.inFlight {
@@ -769,7 +775,7 @@
 	})
 }
 
-// handleWorkerEvents plays what happened at a worker.
+// handleWorkerEvents handles the events of a worker.
 func (w *Tasks) handleWorkerEvents(i int, list []emulator.Event) {
 	for _, e := range list {
 		a := w.attemptsByKey[e.ID]
@@ -793,7 +799,7 @@
 	}
 }
 
-// recordStart is a task's start, the first one of those that it may have.
+// recordStart records the first start of a task. When all tasks of a gang have started it schedules their end.
 func (w *Tasks) recordStart(a *taskAttempt) {
 	t := a.task
 	if t.started > 0 || t.done {
@@ -810,7 +816,7 @@
 				for _, t := range g.tasks {
 					for _, a := range t.attempts {
 						if a.ran {
-							w.withWorker(a.worker, func(m *emulator.Worker) {
+							w.atWorker(a.worker, func(m *emulator.Worker) {
 								m.Cancel(w.now, a.key())
 								w.finish(a)
 							})
@@ -822,7 +828,7 @@
 	}
 }
 
-// finish is the end of a task's work.
+// finish ends a task whose work is done.
 func (w *Tasks) finish(a *taskAttempt) {
 	delete(w.attemptsByKey, a.key())
 	w.markEnded(a)
@@ -838,7 +844,7 @@
 	})
 }
 
-// summarize looks at what came in the window.
+// summarize computes the results of the tasks and gangs that arrived in the window.
 func (w *Tasks) summarize() {
 	for _, t := range w.tasks {
 		switch t.kind {
--- a/internal/lab/simulation/voter.go
+++ b/internal/lab/simulation/voter.go
@@ -17,7 +17,7 @@
 	"example.org/bellstream/internal/cluster/lease/agent"
 )
 
-// voter is the consensus node of an instance that votes, run step by step in virtual time.
+// voter is the consensus node of a voting instance, run step by step in virtual time.
 type voter struct {
 	agreement *Agreement
 	instance  *AgreementInstance
@@ -28,7 +28,7 @@
 	storage    *raft.MemoryStorage
 	hardState  *raftpb.HardState
 	applied    uint64
-	leaderTerm uint64 // 0: it does not lead
+	leaderTerm uint64 // 0 if it does not lead
 
 	lastNumber       uint64
 	pendingProposals map[uint64]func(error)
@@ -37,13 +37,13 @@
 	batch            *readBatch
 
 	identifyCheckedAt float64
-	busy              bool // with a step, or a write to disk
+	busy              bool // runs tasks, or writes to disk
 	tasks             []func()
 }
 
 type readCallback func(term uint64, err error)
 
-// readBatch is the reads that one read index confirms.
+// readBatch holds the reads that one read index confirms.
 type readBatch struct {
 	key       []byte
 	index     uint64
@@ -51,7 +51,7 @@
 	callbacks []readCallback
 }
 
-// entryOutcome is the result of applying an entry, for those that submitted it.
+// entryOutcome is the result of applying an entry, kept until all its submitters have received it.
 type entryOutcome struct {
 	waiters int
 	err     error
@@ -84,7 +84,7 @@
 	return v
 }
 
-// silentLogger drops raft's log lines, and panics where raft asks for it.
+// silentLogger drops raft's log lines. It panics on Fatal and Panic.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)              {}
@@ -100,7 +100,7 @@
 func (silentLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// mustSucceed panics on an error that the simulation can't have.
+// mustSucceed panics on an error, which would be a fault of the simulation.
 func (v *voter) mustSucceed(err error) {
 	if err != nil {
 		panic(err)
@@ -119,7 +119,7 @@
 	for !v.busy && v.instance.Up && len(v.tasks) > 0 {
 		tasks := v.tasks
 		v.tasks = nil
-		v.busy = true // what these enqueue is for the next pass
+		v.busy = true // tasks that these enqueue run in the next pass
 		for _, task := range tasks {
 			task()
 		}
@@ -140,7 +140,8 @@
 	v.agreement.after(agent.TickInterval.Seconds(), v.instance, v.tick)
 }
 
-// processReady carries out what raft has ready; a write that has to be durable first holds it up.
+// processReady carries out raft's Ready batches. A batch that must be synced to disk is applied after the sync, and
+// later batches wait for it.
 func (v *voter) processReady() {
 	for {
 		v.updateLeadership()
@@ -158,7 +159,7 @@
 	}
 }
 
-// startReadBatch requests a read index for the reads that wait, one batch at a time.
+// startReadBatch requests a read index for the pending reads, one batch at a time.
 func (v *voter) startReadBatch() {
 	if v.batch != nil || len(v.pendingReads) == 0 || v.leaderTerm == 0 {
 		return
@@ -171,7 +172,7 @@
 	v.node.ReadIndex(key)
 }
 
-// store keeps raft's entries and hard state, and returns whether they have to be synced to disk.
+// store stores raft's entries and hard state, and returns whether they must be synced to disk.
 func (v *voter) store(ready raft.Ready) (sync bool) {
 	hardState := v.hardState
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -232,7 +233,7 @@
 	}
 	v.instance.send(to, kind, wire.Frame{Raft: message}, func(f wire.Frame) {
 		to.voter.enqueue(func() {
-			_ = to.voter.node.Step(f.Raft) // an error is a message of a node that is no voter, which none is
+			_ = to.voter.node.Step(f.Raft) // fails only on a message from a node that does not vote; there is none
 			to.voter.updateLeadership()
 		})
 	})
@@ -248,7 +249,7 @@
 	return FlowElection
 }
 
-// voterByID returns the voter of a raft ID, or nil.
+// voterByID returns the voter with a raft ID, or nil if there is none.
 func (a *Agreement) voterByID(id uint64) *AgreementInstance {
 	for _, in := range a.Members[:a.Voters] {
 		if wire.NodeID(in.Name) == id {
@@ -309,9 +310,10 @@
 	}
 }
 
+// incarnation distinguishes the proposals of different voters.
 func (v *voter) incarnation() uint64 { return uint64(v.instance.index) + 1 }
 
-// submit proposes an entry and reports the result of applying it.
+// submit proposes an entry and passes the result of applying it to done.
 func (v *voter) submit(entry lease.Entry, done func(error)) {
 	raw, err := entry.Marshal()
 	v.mustSucceed(err)
@@ -345,7 +347,7 @@
 	v.pendingProposals[number] = finish
 }
 
-// advance submits the next entry that the grantor has due, and the cluster's identity until it is agreed.
+// advance submits the next entry that is due by the grantor, and the cluster's identity until it is committed.
 func (v *voter) advance() {
 	if v.leaderTerm == 0 {
 		return
--- a/internal/lab/simulation/voter_requests.go
+++ b/internal/lab/simulation/voter_requests.go
@@ -14,7 +14,8 @@
 	forwardTimeoutTicks     = 20
 )
 
-// handleRequest responds to an instance's request if this voter leads, else forwards it to the leader, once.
+// handleRequest responds to an instance's request if this voter leads. Otherwise it forwards the request to the
+// leader, unless the request has been forwarded already.
 func (v *voter) handleRequest(from string, forwarded bool, payload []byte, respond func(*wire.Response)) {
 	if v.leaderTerm != 0 {
 		v.serveAsLeader(payload, func(out []byte) { respond(&wire.Response{Payload: out}) })
@@ -62,7 +63,7 @@
 	body := payload[1:]
 	switch payload[0] {
 	case requestRevocations:
-		respond([]byte("ynull")) // there is never one
+		respond([]byte("ynull")) // no shard ever has to be given up
 	case requestProposal:
 		v.serveProposal(body, respond)
 	default:
@@ -97,7 +98,7 @@
 	})
 }
 
-// proposalEntry makes the log entry of a proposed table.
+// proposalEntry returns the log entry of a proposed table, or an error if the table has the wrong base version.
 func (v *voter) proposalEntry(body []byte) (lease.Entry, error) {
 	table, err := config.Decode(body)
 	v.mustSucceed(err)
