--- a/internal/lab/hollow/hollow.go
+++ b/internal/lab/hollow/hollow.go
@@ -1,8 +1,9 @@
-// Package hollow runs instances without clients, workers and a loop: what the
-// operator's file switches on is made by the constructors of the dispatcher
-// itself, from the same two files, and runs on real sockets. A generator of
-// starts stands in the loop's place. Many share a process, so that a cluster of
-// the size to come fits one machine. It is no part of the product's own path.
+// Package hollow runs dispatcher instances without clients, workers and a
+// dispatcher loop. The subsystems that the operator's file enables are made by
+// the dispatcher's own constructors from the same two files, and use real
+// sockets. A generator of starts replaces the loop. Many instances share a
+// process, so that a large cluster fits on one machine. The product does not
+// use this package.
 package hollow
 
 import (
@@ -21,56 +22,57 @@
 	"example.org/bellstream/internal/service"
 )
 
-// Files are those that a dispatcher is started with.
+// Files are the paths of the two files that a dispatcher is started with.
 type Files struct {
-	Config string `json:"config"` // the platform's
-	File   string `json:"file"`   // the operator's
+	Config string `json:"config"` // the platform's settings
+	File   string `json:"file"`   // the operator's file
 }
 
-// Demand is what enters at one instance: starts a second, by tenant.
+// Demand is the rate of generated starts at one instance, per second and tenant.
 type Demand map[string]float64
 
-// Instance is one of a cluster. Make one with Start.
+// Instance is a hollow instance of a cluster. Create it with Start.
 type Instance struct {
 	subsystems   *service.Subsystems
-	config       *dispatcher.EffectiveConfig // the looker's own: the last that was taken
+	config       *dispatcher.EffectiveConfig // the last one that was acknowledged; guarded by configMu
 	configMu     sync.Mutex
-	quotaUpdates atomic.Uint64 // news of shares that the loop would have got
+	quotaUpdates atomic.Uint64 // quota updates that a loop would have received
 
-	scheduler     dispatcher.Scheduler // of seats; nil: there are none
-	clock         func() float64       // of its steps
+	scheduler     dispatcher.Scheduler // nil if the operator's file has no shards
+	clock         func() float64       // seconds, for its steps
 	wakes         chan struct{}
 	done          chan struct{}
 	schedulerDone sync.WaitGroup
 
-	mu              sync.Mutex // of what follows, which the generator uses
+	mu              sync.Mutex // guards the fields below, which the generator uses
 	rng             *rand.Rand
 	tenants         []string
 	cumulativeRates []float64 // running sums of the rates, in the order of tenants
 	starts          uint64
-	closed          bool
+	closed          bool // Stop has been called
 }
 
-// State is what an instance knows.
+// State is the state of an instance and what it knows of the cluster.
 type State struct {
 	Name         string `json:"name"`
-	Peers        int    `json:"peers"`      // that count here, without itself
-	Joined       bool   `json:"joined"`     // has a home
-	Sent         uint64 `json:"sent"`       // messages of the exchange
-	SentBytes    uint64 `json:"sent_bytes"` // of them, as they are handed to membership
-	Received     uint64 `json:"heard"`
-	QuotaUpdates uint64 `json:"shares"` // that the loop would have been told
-	Starts       uint64 `json:"starts"` // that were generated here
-	Net          uint64 `json:"net"`    // slots started by all, as known here
-	// Known is the same by tenant, of those that this instance knows of.
+	Peers        int    `json:"peers"`      // other instances in its exchange of quotas
+	Joined       bool   `json:"joined"`     // may own parts of reservations
+	Sent         uint64 `json:"sent"`       // messages of the exchange that were sent
+	SentBytes    uint64 `json:"sent_bytes"` // bytes of the sent messages, as passed to membership
+	Received     uint64 `json:"heard"`      // messages of the exchange that were received
+	QuotaUpdates uint64 `json:"shares"`     // quota updates that a loop would have received
+	Starts       uint64 `json:"starts"`     // starts that were generated at this instance
+	Net          uint64 `json:"net"`        // slots started by all instances, as far as known here
+	// Known is Net by tenant, for the tenants that this instance knows.
 	Known       map[string]uint64 `json:"known,omitempty"`
 	Leased      bool              `json:"leased"`
-	Version     uint64            `json:"version"` // of the rules, in force as far as is known here
-	Leads       bool              `json:"leads"`
-	OwnedShards int               `json:"seats"` // shards whose seat here grants
+	Version     uint64            `json:"version"` // of the rules that are in force as far as known here
+	Leads       bool              `json:"leads"`   // its voter is the leader
+	OwnedShards int               `json:"seats"`   // shards that this instance owns
 }
 
-// Start makes an instance of a dispatcher's files. Errors are those of service.NewSubsystems.
+// Start starts an instance with a dispatcher's files. seed seeds its generator. Errors are those of
+// service.NewSubsystems and balance.New.
 func Start(f Files, seed uint64, log zerolog.Logger) (*Instance, error) {
 	s, err := service.NewSubsystems(f.Config, f.File, log)
 	if err != nil {
@@ -94,7 +96,8 @@
 	return i, nil
 }
 
-// runScheduler has seats look at the rules, and do what they ask to be woken for, as a loop without jobs does.
+// runScheduler applies new configurations and steps the scheduler when it asks to be woken, as a loop without jobs
+// does, until the instance is stopped.
 func (i *Instance) runScheduler() {
 	defer i.schedulerDone.Done()
 	tick := time.NewTicker(sweepInterval)
@@ -109,26 +112,26 @@
 		case <-tick.C:
 		}
 		i.refreshConfig()
-		i.scheduler.Step(i.clock(), events) // there are no jobs that it could act on
+		i.scheduler.Step(i.clock(), events) // actions are ignored: there are no jobs
 	}
 }
 
-// loopStub stands in the place of a dispatcher's loop.
+// loopStub replaces a dispatcher's loop for the subsystems.
 type loopStub struct{ i *Instance }
 
-func (l loopStub) UpdateQuotas(news []balance.QuotaUpdate) { l.i.quotaUpdates.Add(uint64(len(news))) }
+func (l loopStub) UpdateQuotas(list []balance.QuotaUpdate) { l.i.quotaUpdates.Add(uint64(len(list))) }
 func (l loopStub) Wake() {
 	select {
 	case l.i.wakes <- struct{}{}:
-	default: // it will see this too
+	default: // a wake-up is pending already
 	}
 }
-func (l loopStub) Notify()                                   { go l.i.refreshConfig() } // a nudge must not wait
+func (l loopStub) Notify()                                   { go l.i.refreshConfig() } // Notify must not block
 func (l loopStub) SetDeferredLimits(deferred.Limits)         {}
 func (l loopStub) SetMaxWaits(map[string]float64)            {}
 func (l loopStub) Stats() (f dispatcher.Stats, running bool) { return f, false }
 
-// refreshConfig takes what the rules say, as the loop does before each of its steps.
+// refreshConfig acknowledges the configuration in force, as a loop does before each step.
 func (i *Instance) refreshConfig() {
 	r := i.subsystems.Options.ConfigSource
 	if r == nil {
@@ -142,7 +145,7 @@
 	}
 }
 
-// Demand has so much enter from now on. Tenants are those of the platform's settings.
+// Demand sets the demand from now on. Tenants are those of the platform's settings.
 func (i *Instance) Demand(d Demand) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -150,7 +153,7 @@
 	for t := range d {
 		i.tenants = append(i.tenants, t)
 	}
-	slices.Sort(i.tenants) // the same seed draws the same tenants
+	slices.Sort(i.tenants) // so that the same seed draws the same tenants
 	sum := 0.0
 	for _, t := range i.tenants {
 		sum += d[t]
@@ -158,7 +161,7 @@
 	}
 }
 
-// totalRate is how much enters, in starts a second.
+// totalRate returns the rate of starts per second at this instance; 0 if it is stopped or does not count usage.
 func (i *Instance) totalRate() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -168,7 +171,7 @@
 	return i.cumulativeRates[len(i.cumulativeRates)-1]
 }
 
-// generateStart has one start come in.
+// generateStart records the arrival and the start of one job, of a tenant drawn by its rate.
 func (i *Instance) generateStart() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -182,7 +185,7 @@
 	i.starts++
 }
 
-// State is what the instance knows now.
+// State returns the current state.
 func (i *Instance) State() (s State) {
 	i.mu.Lock()
 	s.Starts = i.starts
@@ -210,13 +213,13 @@
 	return s
 }
 
-// Stop ends it in good order: it says goodbye first.
+// Stop announces to the cluster that the instance leaves, and ends it. A second call does nothing.
 func (i *Instance) Stop() {
 	i.mu.Lock()
-	was := i.closed
+	stopped := i.closed
 	i.closed = true
 	i.mu.Unlock()
-	if was {
+	if stopped {
 		return
 	}
 	i.subsystems.Leave()
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -17,12 +17,12 @@
 )
 
 func TestMain(m *testing.M) {
-	// memberlist leaves its delayed gossip, and a probe that is out, to end by themselves after Shutdown.
+	// memberlist does not wait in Shutdown for its delayed gossip and a running probe, which end by themselves.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("time.Sleep"), goleak.IgnoreTopFunction("github.com/hashicorp/memberlist.(*Memberlist).probeNode"))
 }
 
-// freeAddress is an address that is free now, for streams and datagrams. Its port is none that the system gives to
-// who connects: between this call and the instance's Listen, a connection of any process could take such a port.
+// freeAddress returns an address whose port is free now for TCP and UDP. The port is outside the range of ephemeral
+// ports, since a connection of any process could take one of those between this call and the instance's Listen.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	const firstPort, ports = 10_000, 22_000
@@ -40,11 +40,11 @@
 		datagrams.Close()
 		return address
 	}
-	t.Fatal("50 ports were taken")
+	t.Fatal("no free port found in 50 attempts")
 	return ""
 }
 
-// writeFiles writes those of n instances, of which the first three vote.
+// writeFiles writes the files of n instances, of which the first three vote.
 func writeFiles(t *testing.T, n int) (list []Files) {
 	t.Helper()
 	dir := t.TempDir()
@@ -79,7 +79,7 @@
 	return list
 }
 
-// testServer runs instances as a process would, and is told by lines.
+// testServer runs Serve in a goroutine and exchanges lines with it, as with a process.
 type testServer struct {
 	t    *testing.T
 	in   *json.Encoder
@@ -90,12 +90,12 @@
 
 func serve(t *testing.T, s Spec) *testServer {
 	t.Helper()
-	orders, in := io.Pipe()
-	out, answers := io.Pipe()
+	commands, in := io.Pipe()
+	out, responses := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
-		err := Serve(orders, answers, zerolog.Nop())
-		answers.Close()
+		err := Serve(commands, responses, zerolog.Nop())
+		responses.Close()
 		ended <- err
 	}()
 	x := &testServer{t: t, in: json.NewEncoder(in), out: json.NewDecoder(out)}
@@ -125,7 +125,7 @@
 	return s.response()
 }
 
-// waitFor waits for a condition, which the network brings about.
+// waitFor waits up to 20 s for a condition that depends on the network.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
@@ -135,11 +135,12 @@
 	}
 }
 
-// Hollow instances meet, agree on rules, count what is generated, each the same, and part.
+// Hollow instances join a cluster, agree on rules and all count the same starts. After one has left, the others own its
+// shards.
 func TestCluster(t *testing.T) {
 	s := serve(t, Spec{Seed: 7, Instances: writeFiles(t, 5)})
 	if a := s.response(); a.Error != "" || a.Usage.Goroutines == 0 || a.Usage.Descriptors == 0 || a.Usage.Resident == 0 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("response to the spec: got %+v, want no error and the usage", a)
 	}
 	all := func(ok func(State) bool) func() bool {
 		return func() bool {
@@ -151,8 +152,8 @@
 			return true
 		}
 	}
-	waitFor(t, "all have met, and act on rules", all(func(x State) bool { return x.Joined && x.Peers == 4 && x.Leased && x.Version >= 1 }))
-	seated := func(of int) func() bool {
+	waitFor(t, "all instances have joined, and have a lease and rules", all(func(x State) bool { return x.Joined && x.Peers == 4 && x.Leased && x.Version >= 1 }))
+	allOwned := func(of int) func() bool {
 		return func() bool {
 			sum := 0
 			for _, x := range s.command(Command{Report: true}).All[:of] {
@@ -161,7 +162,7 @@
 			return sum == 20
 		}
 	}
-	waitFor(t, "each shard has a seat", seated(5))
+	waitFor(t, "each shard has one owner", allOwned(5))
 	rate := Demand{"a": 100, "b": 20}
 	s.command(Command{Demand: []Demand{rate, rate, nil, rate}})
 	started := func() (n uint64) {
@@ -170,24 +171,24 @@
 		}
 		return n
 	}
-	waitFor(t, "starts", func() bool { return started() > 100 })
+	waitFor(t, "more than 100 starts are generated", func() bool { return started() > 100 })
 	s.command(Command{Demand: []Demand{{}, {}, {}, {}, {}}})
 	want := started()
-	waitFor(t, "all count all starts", all(func(x State) bool { return x.Net == want }))
-	one := 0
+	waitFor(t, "all instances count all starts", all(func(x State) bool { return x.Net == want }))
+	leaders := 0
 	for i, x := range s.command(Command{Report: true}).All {
 		if x.Starts > 0 != (i == 0 || i == 1 || i == 3) || x.SentBytes == 0 {
-			t.Errorf("instance %d: %+v", i, x)
+			t.Errorf("instance %d: unexpected starts or no bytes sent: %+v", i, x)
 		}
 		if x.Leads {
-			one++
+			leaders++
 		}
 	}
-	if one != 1 {
-		t.Errorf("%d lead", one)
+	if leaders != 1 {
+		t.Errorf("got %d leaders, want 1", leaders)
 	}
 	if s.command(Command{Report: true}).All[4].OwnedShards == 0 {
-		t.Error("one seats nothing")
+		t.Error("instance 4 owns no shard")
 	}
 	s.command(Command{Stop: []int{4}})
 	waitFor(t, "the others go on without the one that left", func() bool {
@@ -198,28 +199,28 @@
 		}
 		return true
 	})
-	waitFor(t, "the others seat what it seated", seated(4))
+	waitFor(t, "the others own all shards", allOwned(4))
 	s.stop()
 	if s.err != nil {
 		t.Error(s.err)
 	}
 }
 
-// What can't be started is said, and so is what can't be read.
+// Serve reports an instance that can't be started, and input that can't be read.
 func TestServeErrors(t *testing.T) {
 	s := serve(t, Spec{Instances: []Files{{Config: "/nowhere", File: "/nowhere"}}})
 	if a := s.response(); a.Error == "" {
-		t.Errorf("%+v", a)
+		t.Errorf("response for an instance without files: got %+v, want an error", a)
 	}
 	if s.stop(); s.err == nil {
-		t.Error("no error")
+		t.Error("Serve returned no error for an instance without files")
 	}
 	for _, in := range []string{"", "x\n"} {
 		if err := Serve(strings.NewReader(in), io.Discard, zerolog.Nop()); err == nil {
-			t.Errorf("%q: no error", in)
+			t.Errorf("input %q: got no error, want one", in)
 		}
 	}
 	if err := Serve(strings.NewReader("{}\n[\n"), io.Discard, zerolog.Nop()); err == nil {
-		t.Error("an order that is none: no error")
+		t.Error("invalid command: got no error, want one")
 	}
 }
