--- a/internal/lab/simulation/services.go
+++ b/internal/lab/simulation/services.go
@@ -182,7 +182,7 @@
 	return w.result
 }
 
-// served returns the observed outcomes; each job has a value of at most 1000.
+// served returns the observed outcomes, with the value in thousandths.
 func (k *moveObservation) served() migration.Outcomes {
 	return migration.Outcomes{Jobs: uint64(k.jobs), PriorityWeight: uint64(1000 * k.value)}
 }
