--- a/internal/lab/experiments/ageing.go
+++ b/internal/lab/experiments/ageing.go
@@ -40,7 +40,7 @@
 	if ageing {
 		file += fmt.Sprintf("ageing {\n  max_wait = %q\n  classes = [\"cheap\", \"wide\"]\n}\n", ageingWait.String())
 	}
-	d, err := alone(p, fleet, name, `{"name":"dear","aim":0.8,"hard_limit":3,"value":10,"semantics":"safe"},
+	d, err := startSingleDispatcher(p, fleet, name, `{"name":"dear","aim":0.8,"hard_limit":3,"value":10,"semantics":"safe"},
  {"name":"cheap","aim":7,"hard_limit":9,"value":1,"semantics":"unsafe"},
  {"name":"wide","aim":7,"hard_limit":9,"value":2,"semantics":"unsafe"}`, file)
 	if err != nil {
--- a/internal/lab/experiments/agree.go
+++ b/internal/lab/experiments/agree.go
@@ -18,11 +18,11 @@
 	Run:     runAgree,
 }
 
-// How far apart they may be.
+// Allowed relative differences between the two.
 const (
-	agreeWorth  = 0.05 // of the worth
-	agreeMedian = 0.15 // of the median answer
-	agreeTail   = 0.25 // of the answer at the 99th percentile
+	agreeWorth  = 0.05 // of the value of answers in time (worth)
+	agreeMedian = 0.15 // of the median latency
+	agreeTail   = 0.25 // of the 99th percentile of the latency
 )
 
 func runAgree(p Params) (*Result, error) {
@@ -45,16 +45,16 @@
 		if err != nil {
 			return nil, err
 		}
-		at := func(q float64) float64 {
+		quantile := func(q float64) float64 {
 			return 1000 * v.Latencies[min(int(q*float64(len(v.Latencies))), len(v.Latencies)-1)]
 		}
 		vWorth := float64(v.InTime) / float64(v.Jobs)
 		name := fmt.Sprintf("load %.0f%%: ", 100*part)
 		c := s.Classes["job"]
-		p.Log("%sworth %.3f on sockets, %.3f in virtual time; median %.1f and %.1f ms, 99%% %.1f and %.1f ms; %v; refused %d, failed %d", name, worth, vWorth, c.P50, at(0.5), c.P99, at(0.99), s.Status, v.Rejected, v.Failed)
+		p.Log("%sworth %.3f on sockets, %.3f in virtual time; median %.1f and %.1f ms, 99%% %.1f and %.1f ms; %v; refused %d, failed %d", name, worth, vWorth, c.P50, quantile(0.5), c.P99, quantile(0.99), s.Status, v.Rejected, v.Failed)
 		r.AtMost(name+"worth, apart by", agreeWorth, math.Abs(worth-vWorth), "part")
-		r.AtMost(name+"median answer, apart by", agreeMedian, math.Abs(c.P50/at(0.5)-1), "part")
-		r.AtMost(name+"answer at the 99th percentile, apart by", agreeTail, math.Abs(c.P99/at(0.99)-1), "part")
+		r.AtMost(name+"median answer, apart by", agreeMedian, math.Abs(c.P50/quantile(0.5)-1), "part")
+		r.AtMost(name+"answer at the 99th percentile, apart by", agreeTail, math.Abs(c.P99/quantile(0.99)-1), "part")
 		r.Note(name+"worth on sockets", worth, "part")
 		r.Note(name+"median on sockets", c.P50, "ms")
 		r.Note(name+"99th percentile on sockets", c.P99, "ms")
@@ -62,14 +62,14 @@
 	return r, nil
 }
 
-// agreeOnSockets is the same load at a real process.
+// agreeOnSockets runs the same load on a real process. It also returns the fraction of jobs answered in time.
 func agreeOnSockets(p Params, workers, slots int, mean, aim, patience, rate, span float64) (*LoadReport, float64, error) {
 	fleet, err := NewFleet(p.Seed, workers, slots, time.Duration(mean*float64(time.Second)))
 	if err != nil {
 		return nil, 0, err
 	}
 	defer fleet.Close()
-	d, err := alone(p, fleet, fmt.Sprintf("n%.0f", rate), fmt.Sprintf(`{"name":"job","aim":%v,"hard_limit":%v,"value":1,"semantics":"safe"}`, aim, patience), "")
+	d, err := startSingleDispatcher(p, fleet, fmt.Sprintf("n%.0f", rate), fmt.Sprintf(`{"name":"job","aim":%v,"hard_limit":%v,"value":1,"semantics":"safe"}`, aim, patience), "")
 	if err != nil {
 		return nil, 0, err
 	}
@@ -81,7 +81,7 @@
 		return nil, 0, err
 	}
 	if s.Classes["job"] == nil || s.Jobs == 0 {
-		return nil, 0, fmt.Errorf("no job came at a load of %v a second", rate)
+		return nil, 0, fmt.Errorf("no job arrived at a load of %v jobs/s", rate)
 	}
 	return s, float64(s.InTime) / float64(s.Jobs), nil
 }
--- a/internal/lab/experiments/agreed.go
+++ b/internal/lab/experiments/agreed.go
@@ -20,52 +20,52 @@
 	Run:     runAgreed,
 }
 
-// Five of seven vote. A job takes 0.1 s of one of 40 slots; clients ask for a third of that.
+// Five of seven instances vote. A job takes 0.1 s of one of 40 slots; clients ask for a third of that capacity.
 const (
 	agreedN      = 7
 	agreedVoters = 5
-	agreedRate   = 20.0 // jobs a second and instance
+	agreedRate   = 20.0 // jobs per second and instance
 )
 
 var agreedLeases = lease.Settings{LeaseSeconds: 1, RenewIntervalSeconds: 0.25, NetworkDelaySeconds: 0.03, ClockDrift: 0.01, PollIntervalSeconds: 0.05}
 
-// agreedSite is a cluster of n, of which the first vote.
+// agreedSite describes a cluster of n instances, of which the first ones vote.
 func agreedSite(n, voters int, s lease.Settings, leases bool) Site {
 	return Site{N: n, Workers: 20, Slots: 2, Mean: 100 * time.Millisecond, Link: Link{Delay: 2 * time.Millisecond, Jitter: 8 * time.Millisecond},
-		Lanes: `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"},` +
+		ClassesJSON: `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"},` +
 			`{"name":"once","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"unsafe"}`,
-		Parties: `{"name":"a","quota_per_s":30},{"name":"b","quota_per_s":30}`,
+		TenantsJSON: `{"name":"a","quota_per_s":30},{"name":"b","quota_per_s":30}`,
 		File: func(c *Processes, x *Instance) string {
-			return x.agreeing(c.Nodes[:voters], s, leases)
+			return x.accordConfig(c.Nodes[:voters], s, leases)
 		}}
 }
 
-// agreeing is the operator's file of an instance that knows these voters.
-func (x *Instance) agreeing(voters []*Instance, s lease.Settings, leases bool) string {
-	var at []string
+// accordConfig returns the operator's file of an instance with these initial voters.
+func (x *Instance) accordConfig(voters []*Instance, s lease.Settings, leases bool) string {
+	var addresses []string
 	for _, v := range voters {
-		at = append(at, fmt.Sprintf("%s = %q", v.Name, v.Way))
+		addresses = append(addresses, fmt.Sprintf("%s = %q", v.Name, v.AccordAddr))
 	}
 	return fmt.Sprintf("admin {\n  listen = %q\n}\naccord {\n  cluster = \"lab\"\n  listen = %q\n  folder = %q\n  voters = { %s }\n"+
 		"  lease = \"%gs\"\n  period = \"%gs\"\n  delay = \"%gs\"\n  drift = %g\n  look = \"%gs\"\n  journal = %q\n  leases = %v\n}\n",
-		x.Admin, x.Accord, x.Dir, strings.Join(at, ", "), s.LeaseSeconds, s.RenewIntervalSeconds, s.NetworkDelaySeconds, s.ClockDrift, s.PollIntervalSeconds, x.Journal, leases)
+		x.Admin, x.AccordListen, x.Dir, strings.Join(addresses, ", "), s.LeaseSeconds, s.RenewIntervalSeconds, s.NetworkDelaySeconds, s.ClockDrift, s.PollIntervalSeconds, x.Journal, leases)
 }
 
-// agreedRules is a rules block. Reservations are exclusive, weights loose.
+// agreedRules returns a rules block. Changes of reservations are exclusive, changes of weights are loose.
 func agreedRules(base uint64, reservation, weight int, more ...string) string {
 	return fmt.Sprintf("rules {\n  based_on = %d\n  tenant \"a\" {\n    reservation = %d\n    weight = %d\n  }\n%s}\n", base, reservation, weight, strings.Join(more, ""))
 }
 
-// accord is what an instance shows of the rules; without an answer it is empty, and leased nothing.
-func (x *Instance) accord() (s agent.Status, ok bool) {
+// accordStatus returns an instance's /accord page; if it does not answer, an empty status (not leased) and false.
+func (x *Instance) accordStatus() (s agent.Status, ok bool) {
 	if x.Ask("/accord", &s) != nil {
 		return agent.Status{}, false
 	}
 	return s, true
 }
 
-// twice are the jobs of a class that workers ran more than once.
-func (c *Processes) twice(class string) (list []string) {
+// jobsRunTwice describes the jobs of a class that workers ran more than once.
+func (c *Processes) jobsRunTwice(class string) (list []string) {
 	runs := map[string]int{}
 	for _, t := range c.Fleet.Attempts() {
 		if t.Last > 0 && !t.Unstarted {
@@ -80,32 +80,34 @@
 	return list
 }
 
-// unanswered are the jobs without one final answer, though their instance ran all the while.
-func (c *Processes) unanswered() (list []string) {
+// jobsWithoutOneAnswer describes the jobs that did not get exactly one final answer although their instance kept
+// running.
+func (c *Processes) jobsWithoutOneAnswer() (list []string) {
 	for _, x := range c.History(invariants.Limits{}, nil).Requests {
 		if len(x.Answers) != 1 && x.DisconnectedAt == 0 && !x.Never {
-			list = append(list, fmt.Sprintf("job %s, asked of n%s at %.3f s, got %d answers", x.ID, x.Dispatcher, x.SentAt, len(x.Answers)))
+			list = append(list, fmt.Sprintf("job %s, sent to n%s at %.3f s, got %d answers", x.ID, x.Dispatcher, x.SentAt, len(x.Answers)))
 		}
 	}
 	return list
 }
 
-// agreement proposes versions and keeps what came of them.
+// agreement proposes versions of the rules and records the outcomes.
 type agreement struct {
 	*Processes
 	site      Site
 	rng       *rand.Rand
 	version   uint64
-	figures   [2]int // reservation and weight in force
+	values    [2]int // reservation and weight of tenant a in force
 	exclusive map[uint64]bool
 	refused   int
-	slowest   [2]time.Duration // from a proposal to in force: loose, exclusive
+	slowest   [2]time.Duration // longest time from a proposal until it is in force: loose, exclusive
 }
 
-// newest looks at an instance that acts on a later version than the last that was seen.
-func (a *agreement) newest() bool {
+// observeNewVersion reports whether an instance acts on a later version than the last observed one, and records that
+// version.
+func (a *agreement) observeNewVersion() bool {
 	for _, x := range a.Nodes {
-		s, ok := x.accord()
+		s, ok := x.accordStatus()
 		if !ok || !s.Leased || s.Table == nil || s.Stage != "in force" || s.Version <= a.version || s.Table.Version != s.Version {
 			continue
 		}
@@ -113,24 +115,24 @@
 		if t.Reservation == nil || t.Weight == nil {
 			continue
 		}
-		next := [2]int{int(*t.Reservation), int(*t.Weight)}
-		// Each version is waited for, so there is one more at a time; two where sides of a cut
-		// proposed one after the other, and then the change may be of either.
+		values := [2]int{int(*t.Reservation), int(*t.Weight)}
+		// Since propose waits for each version, usually there is one new version. There can be two if both
+		// sides of a cut proposed one after the other; then either may have changed the value.
 		for v := a.version + 1; v <= s.Version; v++ {
-			a.exclusive[v] = next[0] != a.figures[0]
+			a.exclusive[v] = values[0] != a.values[0]
 		}
-		a.version, a.figures = s.Version, next
+		a.version, a.values = s.Version, values
 		return true
 	}
 	return false
 }
 
-// propose has one instance's file say something new, or two instances' files different things.
+// propose changes the rules in one instance's file or, in one of five cases, differently in two instances' files.
 func (a *agreement) propose() {
 	exclusive := a.rng.IntN(2) == 0
 	began, base := time.Now(), a.version
 	for range 1 + a.rng.IntN(5)/4 {
-		next := a.figures
+		next := a.values
 		if exclusive {
 			next[0] = 1 + (next[0]+a.rng.IntN(40))%60
 		} else {
@@ -140,8 +142,8 @@
 		x.Write(a.site.File(a.Processes, x) + agreedRules(base, next[0], next[1]))
 		x.Reload()
 	}
-	if Until(5*time.Second, "a new version", a.newest) != nil {
-		a.refused++ // by a process that was killed, cut off or had an old file, say
+	if Until(5*time.Second, "a new version", a.observeNewVersion) != nil {
+		a.refused++ // for example, by a process that was killed, cut off or had an outdated file
 		return
 	}
 	k := 0
@@ -167,7 +169,7 @@
 	defer c.Close()
 	a.Processes = c
 	r := &Result{Size: fmt.Sprintf("%d processes, %d of them voters, leases of %g s, %d versions", agreedN, agreedVoters, agreedLeases.LeaseSeconds, versions)}
-	if err := Until(20*time.Second, "a first version in force", a.newest); err != nil {
+	if err := Until(20*time.Second, "a first version in force", a.observeNewVersion); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -184,7 +186,7 @@
 
 	player := &Player{Processes: c, Log: p.Log, Names: map[string]func() string{"leader": func() string {
 		for _, x := range c.Nodes {
-			if s, ok := x.accord(); ok && s.Voter != nil && s.Voter.IsLeader {
+			if s, ok := x.accordStatus(); ok && s.Voter != nil && s.Voter.IsLeader {
 				return x.Name
 			}
 		}
@@ -194,13 +196,13 @@
 	for _, x := range c.Nodes {
 		names = append(names, x.Name)
 	}
-	menu := Menu{Gap: gap, Span: 3 * time.Second, Faults: []string{"kill", "stop", "stop", "cut", "cut", "delay", "slow", "lose", "reset", "fill"}, Names: names}
+	menu := ScheduleOptions{Gap: gap, Span: 3 * time.Second, Faults: []string{"kill", "stop", "stop", "cut", "cut", "delay", "slow", "lose", "reset", "fill"}, Names: names}
 	faults, played := 0, make(chan error, 1)
 	ended := make(chan struct{})
-	go func() { // one short schedule after the other, until there are versions enough
+	go func() { // short schedules one after the other, until enough versions are agreed on
 		for n := uint64(0); ; n++ {
 			menu.Steps = 6
-			s := menu.Draw(p.Seed + n)
+			s := menu.Generate(p.Seed + n)
 			if err := player.Play(context.Background(), s); err != nil {
 				played <- err
 				return
@@ -216,19 +218,19 @@
 	}()
 	agreed, deadline := 0, time.Now().Add(time.Duration(versions)*4*time.Second)
 	for agreed < versions && time.Now().Before(deadline) {
-		was := a.version
+		before := a.version
 		a.propose()
-		agreed += int(a.version - was)
+		agreed += int(a.version - before)
 	}
 	close(ended)
 	if err := <-played; err != nil {
 		return nil, err
 	}
 
-	// A cut with a minority of the voters on one side.
+	// Cut off a side with a minority of the voters.
 	if err := Until(20*time.Second, "all have a lease", func() bool {
 		for _, x := range c.Nodes {
-			if s, ok := x.accord(); !ok || !s.Leased {
+			if s, ok := x.accordStatus(); !ok || !s.Leased {
 				return false
 			}
 		}
@@ -236,22 +238,22 @@
 	}); err != nil {
 		return nil, err
 	}
-	small := func(i int) bool { return i >= 3 && i != 4 } // n3, n5, n6: one voter of five
-	heal := c.Relay.Lay(func(x, y int) bool { return small(x) != small(y) }, Link{Cut: true})
+	inMinority := func(i int) bool { return i >= 3 && i != 4 } // n3, n5, n6: one voter of five
+	heal := c.Relay.AddFault(func(x, y int) bool { return inMinority(x) != inMinority(y) }, Link{Cut: true})
 	lapse := time.Duration((agreedLeases.Bounds().ConflictSeconds + 0.5) * float64(time.Second))
 	time.Sleep(lapse)
 	from := time.Now()
-	for n := range 2 { // the others go on: what the small side knows is not in force any more
-		next := [2]int{1 + (a.figures[0]+7*n+5)%60, a.figures[1]}
+	for n := range 2 { // the majority agrees on new versions, so the minority's version is outdated
+		next := [2]int{1 + (a.values[0]+7*n+5)%60, a.values[1]}
 		c.Nodes[4].Write(a.site.File(c, c.Nodes[4]) + agreedRules(a.version, next[0], next[1]))
 		c.Nodes[4].Reload()
-		if err := Until(10*time.Second, "a version in force on the large side of the cut", a.newest); err != nil {
+		if err := Until(10*time.Second, "a version in force on the large side of the cut", a.observeNewVersion); err != nil {
 			return nil, err
 		}
 	}
 	time.Sleep(time.Until(from.Add(4 * time.Second)))
 	to := time.Now()
-	time.Sleep(3 * time.Second) // of patience
+	time.Sleep(3 * time.Second) // longer than the clients' timeout
 	heal()
 	stop()
 	c.Load.Wait()
@@ -272,7 +274,7 @@
 	for _, x := range append(v.Regressions, v.Late...) {
 		p.Log("%s", x)
 	}
-	twice, unanswered := c.twice("once"), c.unanswered()
+	twice, unanswered := c.jobsRunTwice("once"), c.jobsWithoutOneAnswer()
 	for _, x := range append(unanswered, twice...) {
 		p.Log("%s", x)
 	}
--- a/internal/lab/experiments/capacityhollow.go
+++ b/internal/lab/experiments/capacityhollow.go
@@ -70,27 +70,27 @@
 // file is the operator's file of an instance.
 func (h hollowCluster) file(c *Processes, x *Instance) string {
 	var b strings.Builder
-	if x.shares < 0 {
+	if x.hostIndex < 0 {
 		fmt.Fprintf(&b, "admin {\n  listen = %q\n}\n", x.Admin)
 	}
 	if h.peers {
 		s := h.exchanged()
 		fmt.Fprintf(&b, "peers {\n  listen = %q\n  advertise = %q\n  join = [%q, %q]\n  cluster = \"lab\"\n  period = \"%gs\"\n  region = \"r%d\"\n}\ncounts {\n  staleness = \"%gs\"\n  homes = %d\n}\n",
-			x.Peers, x.Door, c.Nodes[0].Door, c.Nodes[1].Door, s.Period, h.regions()(x.Index), s.LeaseDuration, s.Owners)
+			x.GossipListen, x.GossipAddr, c.Nodes[0].GossipAddr, c.Nodes[1].GossipAddr, s.Period, h.regions()(x.Index), s.LeaseDuration, s.Owners)
 	}
 	if h.accord {
 		var at []string
 		for _, v := range c.Nodes[h.voter():][:hollowVoters] {
-			at = append(at, fmt.Sprintf("%s = %q", v.Name, v.Way))
+			at = append(at, fmt.Sprintf("%s = %q", v.Name, v.AccordAddr))
 		}
 		var lines, names []string
 		for _, y := range c.Nodes {
-			lines, names = append(lines, fmt.Sprintf("%s = %q", y.Name, y.Line)), append(names, fmt.Sprintf("%q", y.Name))
+			lines, names = append(lines, fmt.Sprintf("%s = %q", y.Name, y.JobsAddr)), append(names, fmt.Sprintf("%q", y.Name))
 		}
 		fmt.Fprintf(&b, "accord {\n  cluster = \"lab\"\n  listen = %q\n  folder = %q\n  voters = { %s }\n}\nrules {\n  based_on = 0\n  tenant %q {\n    weight = 1\n  }\n",
-			x.Accord, x.Dir, strings.Join(at, ", "), h.load.Teams[0].Name)
+			x.AccordListen, x.Dir, strings.Join(at, ", "), h.load.Teams[0].Name)
 		if h.seats > 0 {
-			fmt.Fprintf(&b, "  instances = [%s]\n}\nshards {\n  count = %d\n  listen = %q\n  instances = { %s }\n", strings.Join(names, ", "), h.seats, x.Jobs, strings.Join(lines, ", "))
+			fmt.Fprintf(&b, "  instances = [%s]\n}\nshards {\n  count = %d\n  listen = %q\n  instances = { %s }\n", strings.Join(names, ", "), h.seats, x.JobsListen, strings.Join(lines, ", "))
 		}
 		b.WriteString("}\n")
 	}
@@ -105,8 +105,8 @@
 	}
 	zones := h.load.Place(h.n)
 	one := Site{N: h.n, Workers: 8, Slots: 4, Mean: 100 * time.Millisecond,
-		Lanes:   `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"}`,
-		Parties: strings.Join(parties, ","), File: h.file,
+		ClassesJSON: `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"}`,
+		TenantsJSON: strings.Join(parties, ","), File: h.file,
 		Hollow: func(i int) int {
 			switch {
 			case i < h.real && !h.stand:
@@ -149,7 +149,7 @@
 	c = sites[0]
 	if h.apart > 0 {
 		region := h.regions()
-		c.Relay.Lay(func(a, b int) bool { return region(a) != region(b) }, Link{Delay: h.apart})
+		c.Relay.AddFault(func(a, b int) bool { return region(a) != region(b) }, Link{Delay: h.apart})
 	}
 	if err := Until(60*time.Second, "all have met", func() bool { return h.whole(c) }); err != nil {
 		closeSites(sites)
@@ -222,7 +222,7 @@
 		if h.peers && (x.Ask("/peers", &s) != nil || !s.Joined || len(s.Peers) < alive-1) {
 			return false
 		}
-		if a, ok := x.accord(); h.accord && (!ok || !a.Leased || a.Version < 1) {
+		if a, ok := x.accordStatus(); h.accord && (!ok || !a.Leased || a.Version < 1) {
 			return false
 		}
 	}
@@ -376,7 +376,7 @@
 		return f, nil
 	}
 	region := h.regions()
-	heal := c.Relay.Lay(func(a, b int) bool { return min(region(a), region(b)) == 0 && max(region(a), region(b)) == 1 }, Link{Cut: true})
+	heal := c.Relay.AddFault(func(a, b int) bool { return min(region(a), region(b)) == 0 && max(region(a), region(b)) == 1 }, Link{Cut: true})
 	time.Sleep(t.cut)
 	heal()
 	stop()
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -123,7 +123,7 @@
 	c.whole = bytes()
 	const told = 8
 	for i := range told {
-		f.Tell(i%workers, "leaving")
+		f.SetHealth(i%workers, "leaving")
 		if err := next(); err != nil {
 			return c, err
 		}
--- a/internal/lab/experiments/clusters.go
+++ b/internal/lab/experiments/clusters.go
@@ -15,8 +15,8 @@
 }
 
 const (
-	clustersSteps = 32   // of a move that is never turned, at most
-	clustersWorth = 0.97 // of moving services, without faults, against no move
+	clustersSteps = 32   // upper bound for a move that is never reversed
+	clustersWorth = 0.97 // fraction of the value that services earn while they move without faults, relative to no move
 )
 
 func runClusters(p Params) (*Result, error) {
@@ -45,7 +45,7 @@
 	r.AtMost("moves that did not end on both sides once faults did", 0, float64(x.Unfinished+calm.Unfinished), "")
 	r.AtMost("moves that the pace turned back without faults, all places serving alike", 0, float64(calm.NeedlessReversals), "moves")
 	if len(x.Steps) == 0 || len(calm.StepsUnreversed) == 0 {
-		return r, nil // nothing came to its end, and that is claimed above
+		return r, nil // no move ended; the claims above fail then
 	}
 	slices.Sort(x.Steps)
 	slices.Sort(x.Durations)
--- a/internal/lab/experiments/clustersreal_test.go
+++ b/internal/lab/experiments/clustersreal_test.go
@@ -7,17 +7,17 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// Two sites on one relay are two clusters: instances are numbered through, so that links between them
-// can be told from others, and each one's file, wherever services are, names the other's voters by their doors.
+// Checks two sites on one relay: instances are numbered consecutively, so that links between the clusters can be
+// identified, and each instance's file, for both placements, names the other cluster's voters by their forwarders.
 func TestSites(t *testing.T) {
-	x := &crossing{p: Params{Seed: 7, Out: t.TempDir()}, rng: rand.New(rand.NewPCG(7, 0))}
+	x := &migrationRun{p: Params{Seed: 7, Out: t.TempDir()}, rng: rand.New(rand.NewPCG(7, 0))}
 	relay := NewRelay(7, Link{})
 	defer relay.Close()
 	for i := range 2 {
 		c := &Processes{Relay: relay, seed: 7}
 		x.sites = append(x.sites, c)
 		defer c.Close()
-		if err := x.site().lay(x.p, c, i*crossN); err != nil {
+		if err := x.site().createInstances(x.p, c, i*crossN); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -25,9 +25,9 @@
 		c.Sites = x.sites
 		for k, i := range c.Nodes {
 			if i.Index != side*crossN+k {
-				t.Errorf("%s has number %d", i.Name, i.Index)
+				t.Errorf("%s: got index %d, want its consecutive number", i.Name, i.Index)
 			}
-			x.at = k % 2
+			x.placedAt = k % 2
 			if err := i.Write(x.file(c, i, 5)); err != nil {
 				t.Fatal(err)
 			}
@@ -40,12 +40,12 @@
 			}
 			peer := f.Migration.Peers[0]
 			for _, y := range x.sites[1-side].Nodes {
-				if peer.Voters[y.Name] != y.Way {
-					t.Errorf("%s knows %s at %q, not %q", i.Name, y.Name, peer.Voters[y.Name], y.Way)
+				if peer.Voters[y.Name] != y.AccordAddr {
+					t.Errorf("address in the file of %s for voter %s: got %q, want %q", i.Name, y.Name, peer.Voters[y.Name], y.AccordAddr)
 				}
 			}
 			if f.Migration.Self == peer.Name || f.Lease.Cluster == peer.Cluster {
-				t.Errorf("%s is of %s and %s, like its peer", i.Name, f.Migration.Self, f.Lease.Cluster)
+				t.Errorf("%s: its peer has the same name %s or accord cluster %s", i.Name, f.Migration.Self, f.Lease.Cluster)
 			}
 		}
 	}
--- a/internal/lab/experiments/counts.go
+++ b/internal/lab/experiments/counts.go
@@ -47,8 +47,8 @@
 	}
 	// 20 workers of 2 slots and 0.2 s: 200 jobs a second.
 	c, err := Site{N: countsN, Workers: 20, Slots: 2, Mean: 200 * time.Millisecond,
-		Link:  Link{Loss: 0.1, Repeat: 0.02, Jitter: 50 * time.Millisecond},
-		Lanes: `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"}`, Parties: strings.Join(parties, ","),
+		Link:        Link{Loss: 0.1, Repeat: 0.02, Jitter: 50 * time.Millisecond},
+		ClassesJSON: `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"}`, TenantsJSON: strings.Join(parties, ","),
 		File: func(c *Processes, x *Instance) string {
 			s := countsSet
 			return x.Peering(c, s.Period) + fmt.Sprintf("counts {\n  staleness = \"%gs\"\n  floor = %g\n  forget = \"%gs\"\n  loss = %g\n  exchange = %v\n}\n",
@@ -132,7 +132,7 @@
 func (c *cluster) agree(within time.Duration) (took, over, under float64, err error) {
 	began := time.Now()
 	for {
-		truth := c.Fleet.Taken()
+		truth := c.Fleet.JobsByTenant()
 		under, all := 0.0, 0.0
 		for _, d := range c.Nodes {
 			var got map[string]struct{ Starts, Backs uint64 }
@@ -196,7 +196,7 @@
 	r.AtLeast("a tenant that enters through one instance gets of its reservation, in every 10 s window", 0.95, lone, "part")
 
 	p.Log("cut for %v: 2 against 3", cut)
-	heal := c.Relay.Lay(func(a, b int) bool { return (a < 2) != (b < 2) }, Link{Cut: true})
+	heal := c.Relay.AddFault(func(a, b int) bool { return (a < 2) != (b < 2) }, Link{Cut: true})
 	quiet := 3500 * time.Millisecond // so that what is out has ended when the cut does
 	time.Sleep(cut - quiet)
 	stop()
--- a/internal/lab/experiments/fleet.go
+++ b/internal/lab/experiments/fleet.go
@@ -21,64 +21,64 @@
 
 // Job is one job as a worker saw it.
 type Job struct {
-	At         time.Time // when it was taken
-	Started    time.Time // when it got a slot; zero: it was called off before
-	Done       time.Time // when its end was written; zero: it was not
+	At         time.Time // when its request arrived
+	Started    time.Time // when it got a slot; zero: it did not start
+	Done       time.Time // when it ended; zero: it did not
 	Failed     bool      // it ran and failed
 	ID, Worker string
 	Tenant     string
-	Entry      string // the dispatcher that the client asked
+	Entry      string // the dispatcher to which the client sent it
 }
 
-// Fleet emulates zone workers and discovery on loopback, after the protocol:
-// slots with a queue, load reports with answers and probes. It keeps a record
-// of every job that a worker took.
+// Fleet emulates zone workers and discovery on loopback. Workers have slots and a queue, and send load reports
+// with answers and probes, as the protocol specifies. Fleet records every job that a worker
+// accepted.
 type Fleet struct {
-	Mean time.Duration // of a job's work, exponential
+	Mean time.Duration // mean work of a job; work is exponentially distributed
 
-	mu      sync.Mutex
-	jobs    []Job
-	tries   []invariants.Attempt // all that came, also what was turned away
-	base    time.Time
-	seq     int
-	changed chan struct{} // closed at each change of the list
-	told    []invariants.EndpointChange
-	rng     *rand.Rand
-	workers []*emulated
-	disc    net.Listener
-	servers []*http.Server
-	faults  []*FleetFault
+	mu              sync.Mutex
+	jobs            []Job
+	attempts        []invariants.Attempt // all that arrived, including rejected ones
+	base            time.Time
+	seq             int
+	changed         chan struct{} // closed at each change of the endpoint list
+	endpointChanges []invariants.EndpointChange
+	rng             *rand.Rand
+	workers         []*emulatedWorker
+	disc            net.Listener
+	servers         []*http.Server
+	faults          []*FleetFault
 
 	priorities map[string]int // by class
 }
 
-type emulated struct {
-	f      *Fleet
-	name   string
-	group  string
-	zone   string
-	kind   string
-	addr   string
-	health string    // as discovery has it; the fleet's lock
-	seq    int       // of its last change
-	born   time.Time // of its last start; zero: long ago
-	mu     sync.Mutex
-	model  *emulator.Worker
-	waits  map[string]chan emulator.Event // by job that it has taken
-	timer  *time.Timer
-	lag    time.Duration // how old its reports are
-	noise  float64       // by which part of its slots they are wrong
-	past   []pastReport  // where there is a lag: oldest first
-	silent time.Time     // until when it takes jobs and says nothing
+type emulatedWorker struct {
+	f           *Fleet
+	name        string
+	group       string
+	zone        string
+	kind        string
+	addr        string
+	health      string    // as reported by discovery; guarded by the fleet's mu
+	seq         int       // sequence number of its last change
+	restartedAt time.Time // time of the last restart; zero: never restarted
+	mu          sync.Mutex
+	model       *emulator.Worker
+	pending     map[string]chan emulator.Event // events of each accepted job, by its ID
+	timer       *time.Timer
+	lag         time.Duration // age of its load reports
+	noise       float64       // largest error of its load reports, as a fraction of its slots
+	pastReports []pastReport  // kept if lag is set, oldest first
+	silent      time.Time     // until then it takes jobs and answers nothing
 }
 
-// pastReport is a report and when it was true.
+// pastReport is a load report with its time, in seconds on the fleet's clock.
 type pastReport struct {
 	at float64
 	emulator.Report
 }
 
-// Silence has a worker take jobs and say nothing for some time.
+// Silence makes a worker take jobs and answer nothing for the duration d.
 func (f *Fleet) Silence(worker int, d time.Duration) {
 	w := f.workers[worker%len(f.workers)]
 	w.mu.Lock()
@@ -86,7 +86,7 @@
 	w.mu.Unlock()
 }
 
-// NewFleet starts so many workers and a discovery that knows them.
+// NewFleet starts workers and a discovery that lists them. The caller must Close the fleet.
 func NewFleet(seed uint64, workers, slots int, mean time.Duration) (*Fleet, error) {
 	f := newFleet(seed, mean)
 	for i := range workers {
@@ -106,11 +106,11 @@
 	return &Fleet{Mean: mean, base: time.Now(), seq: 1, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0xf1ee7))}
 }
 
-// add starts a worker.
-func (f *Fleet) add(name, group, zone, kind string, s emulator.Settings, repeats *emulator.Zone) (*emulated, error) {
-	w := &emulated{f: f, health: "active", seq: 1, name: name, group: group, zone: zone, kind: kind, waits: map[string]chan emulator.Event{},
+// add starts a worker on a free port of the loopback.
+func (f *Fleet) add(name, group, zone, kind string, s emulator.Settings, repeats *emulator.Zone) (*emulatedWorker, error) {
+	w := &emulatedWorker{f: f, health: "active", seq: 1, name: name, group: group, zone: zone, kind: kind, pending: map[string]chan emulator.Event{},
 		model: emulator.New(s, repeats)}
-	w.timer = time.AfterFunc(time.Hour, func() { w.play(func(float64) {}) })
+	w.timer = time.AfterFunc(time.Hour, func() { w.update(func(float64) {}) })
 	l, err := f.serve("127.0.0.1:0", w)
 	if err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 	return l, nil
 }
 
-// Close ends the fleet.
+// Close ends workers and discovery.
 func (f *Fleet) Close() {
 	for _, s := range f.servers {
 		s.Close()
@@ -147,27 +147,27 @@
 	}
 }
 
-// Discovery is where discovery listens.
+// Discovery returns the address of discovery.
 func (f *Fleet) Discovery() string { return f.disc.Addr().String() }
 
-// Jobs are the records so far.
+// Jobs returns a copy of the records so far.
 func (f *Fleet) Jobs() []Job {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Job(nil), f.jobs...)
 }
 
-// Attempts are all requests that came to workers, for an audit, on the clock of Clock.
+// Attempts returns all requests that arrived at workers, for an audit. Their times are on the clock of Clock.
 func (f *Fleet) Attempts() []invariants.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]invariants.Attempt(nil), f.tries...)
+	return append([]invariants.Attempt(nil), f.attempts...)
 }
 
-// Clock is a time as the records of an audit have it.
+// Clock converts a time to the clock of the audit's records: seconds since the fleet was created.
 func (f *Fleet) Clock(t time.Time) float64 { return t.Sub(f.base).Seconds() }
 
-// Workers are the fleet's, for an audit.
+// Workers returns the fleet's workers, for an audit.
 func (f *Fleet) Workers() (list []invariants.Worker) {
 	for _, w := range f.workers {
 		list = append(list, invariants.Worker{Name: w.name, Zone: w.zone, Slots: w.model.Slots})
@@ -175,9 +175,9 @@
 	return list
 }
 
-// Behind puts a tool between the dispatchers and the workers: each is reached
-// through a door of its own name from now on, as discovery says it.
-func (f *Fleet) Behind(seed uint64, log func(faultproxy.Entry)) (*faultproxy.Proxy, error) {
+// InsertFaultProxy starts a fault proxy between dispatchers and workers. Discovery lists the address of the proxy's
+// endpoint for each worker from then on.
+func (f *Fleet) InsertFaultProxy(seed uint64, log func(faultproxy.Entry)) (*faultproxy.Proxy, error) {
 	var doors []fault.Endpoint
 	for _, w := range f.workers {
 		doors = append(doors, fault.Endpoint{Name: w.name, Listen: "127.0.0.1:0", Target: w.addr, Network: "tcp"})
@@ -192,8 +192,8 @@
 	return p, nil
 }
 
-// Taken counts the jobs that were taken, by tenant.
-func (f *Fleet) Taken() map[string]int {
+// JobsByTenant counts the accepted jobs by tenant.
+func (f *Fleet) JobsByTenant() map[string]int {
 	n := map[string]int{}
 	for _, j := range f.Jobs() {
 		n[j.Tenant]++
@@ -201,27 +201,27 @@
 	return n
 }
 
-// List is the route table in discovery's form.
+// List returns the whole endpoint list in discovery's JSON format.
 func (f *Fleet) List() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changes(0)
 }
 
-// changes are the entries changed after a version. The lock is held.
+// changes returns the entries changed after a sequence number, as JSON. The caller holds mu.
 func (f *Fleet) changes(after int) string {
 	var hosts []string
 	for _, w := range f.workers {
 		if w.seq > after {
 			hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":%q,"block":0,"health":%q,"share":1.0,"born_ms":%d}`,
-				w.name, w.addr, w.zone, w.kind, w.health, max(w.born.UnixMilli(), 0)))
+				w.name, w.addr, w.zone, w.kind, w.health, max(w.restartedAt.UnixMilli(), 0)))
 		}
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, f.seq, after == 0, strings.Join(hosts, ","))
 }
 
-// Tell has discovery say something else of a worker: active, leaving or left.
-func (f *Fleet) Tell(worker int, health string) {
+// SetHealth changes the state that discovery reports for a worker: active, leaving or left.
+func (f *Fleet) SetHealth(worker int, health string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[worker]
@@ -231,14 +231,14 @@
 	f.changed = make(chan struct{})
 }
 
-// Told is what discovery has written to those who watch it, for an audit.
-func (f *Fleet) Told() []invariants.EndpointChange {
+// EndpointChanges returns the changes that discovery has sent to watchers, for an audit.
+func (f *Fleet) EndpointChanges() []invariants.EndpointChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]invariants.EndpointChange(nil), f.told...)
+	return append([]invariants.EndpointChange(nil), f.endpointChanges...)
 }
 
-// discovery answers with the list, or keeps a watch open and writes changes.
+// discovery answers with the list; for a stream it then sends changes until the client disconnects.
 func (f *Fleet) discovery(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	line, seen := f.changes(0), f.seq
@@ -259,7 +259,7 @@
 			line, changed = f.changes(seen), f.changed
 			for _, x := range f.workers {
 				if x.seq > seen {
-					f.told = append(f.told, invariants.EndpointChange{Dispatcher: "0", Worker: x.name, State: x.health, At: f.Clock(time.Now())})
+					f.endpointChanges = append(f.endpointChanges, invariants.EndpointChange{Dispatcher: "0", Worker: x.name, State: x.health, At: f.Clock(time.Now())})
 				}
 			}
 			seen = f.seq
@@ -269,25 +269,25 @@
 	}
 }
 
-// play does something to the model now, and hands out what happens by it.
-func (w *emulated) play(do func(now float64)) {
-	w.act(func(now float64) []emulator.Event { do(now); return nil })
+// update applies do to the worker's model at the current time and delivers the resulting events.
+func (w *emulatedWorker) update(do func(now float64)) {
+	w.apply(func(now float64) []emulator.Event { do(now); return nil })
 }
 
-func (w *emulated) act(do func(now float64) []emulator.Event) {
+func (w *emulatedWorker) apply(do func(now float64) []emulator.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.f.Clock(time.Now())
 	events := append(w.model.Advance(now), do(now)...)
 	for _, e := range append(events, w.model.Advance(now)...) {
-		if c := w.waits[e.ID]; c != nil && e.Kind != emulator.Suspended && e.Kind != emulator.Resumed {
-			c <- e // it has room for a start and an end
+		if c := w.pending[e.ID]; c != nil && e.Kind != emulator.Suspended && e.Kind != emulator.Resumed {
+			c <- e // never blocks: the channel has room for the start and the end of a job
 		}
 	}
 	if w.lag > 0 {
-		w.past = append(w.past, pastReport{now, w.model.Report(now)})
-		for len(w.past) > 1 && w.past[1].at <= now-w.lag.Seconds() {
-			w.past = w.past[1:]
+		w.pastReports = append(w.pastReports, pastReport{now, w.model.Report(now)})
+		for len(w.pastReports) > 1 && w.pastReports[1].at <= now-w.lag.Seconds() {
+			w.pastReports = w.pastReports[1:]
 		}
 	}
 	if next := w.model.Next(now); !math.IsInf(next, 1) {
@@ -295,32 +295,32 @@
 	}
 }
 
-func (w *emulated) load() (text string) {
-	lies := w.fault(faultLies)
-	wrong := 0.0
+func (w *emulatedWorker) loadReport() (text string) {
+	lying := w.activeFault(faultLies)
+	offset := 0.0
 	if w.noise > 0 {
 		w.f.mu.Lock()
-		wrong = w.noise * (2*w.f.rng.Float64() - 1)
+		offset = w.noise * (2*w.f.rng.Float64() - 1)
 		w.f.mu.Unlock()
 	}
-	w.play(func(now float64) {
+	w.update(func(now float64) {
 		r := w.model.Report(now)
-		if len(w.past) > 0 {
-			r = w.past[0].Report
+		if len(w.pastReports) > 0 {
+			r = w.pastReports[0].Report
 		}
-		r.FreeSlots = min(max(math.Round(r.FreeSlots+wrong*w.model.Slots), 0), w.model.Slots)
-		if lies != nil {
-			r.FreeSlots, r.Queue = lies.Free, 0
+		r.FreeSlots = min(max(math.Round(r.FreeSlots+offset*w.model.Slots), 0), w.model.Slots)
+		if lying != nil {
+			r.FreeSlots, r.Queue = lying.Free, 0
 		}
 		text = fmt.Sprintf(`{"x0":%v,"waiting":%v}`, r.FreeSlots, r.Queue)
 	})
 	return text
 }
 
-// ServeHTTP takes a job, or a probe.
-func (w *emulated) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers a probe (GET) with a load report and runs any other request as a job.
+func (w *emulatedWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
-		fmt.Fprint(out, w.load())
+		fmt.Fprint(out, w.loadReport())
 		return
 	}
 	first := time.Now()
@@ -330,8 +330,8 @@
 	}
 	tenant, entry, _ := strings.Cut(string(body), " ")
 	entry, fails := strings.CutSuffix(entry, " fail")
-	entry, wide, _ := strings.Cut(entry, " slots=")
-	slots, err := strconv.Atoi(wide)
+	entry, slotText, _ := strings.Cut(entry, " slots=")
+	slots, err := strconv.Atoi(slotText)
 	if err != nil {
 		slots = 1
 	}
@@ -342,32 +342,32 @@
 	work := time.Duration(w.f.rng.ExpFloat64() * float64(w.f.Mean))
 	w.f.mu.Unlock()
 	for _, kind := range []string{faultSlow, faultTail} {
-		if x := w.fault(kind); x != nil {
+		if x := w.activeFault(kind); x != nil {
 			work = time.Duration(float64(work) * x.Factor)
 		}
 	}
 	w.f.mu.Lock()
-	try := len(w.f.tries)
-	w.f.tries = append(w.f.tries, invariants.Attempt{ID: id, Worker: w.name, Dispatcher: entry, First: w.f.Clock(first), Last: w.f.Clock(time.Now()),
+	attempt := len(w.f.attempts)
+	w.f.attempts = append(w.f.attempts, invariants.Attempt{ID: id, Worker: w.name, Dispatcher: entry, First: w.f.Clock(first), Last: w.f.Clock(time.Now()),
 		Work: float64(slots) * work.Seconds()})
 	w.f.mu.Unlock()
-	var given string
-	var made time.Time // when given was about to be written: this goroutine may rest for long behind that
+	var answer string
+	var answeredAt time.Time // when answer was about to be written; this goroutine may be descheduled for long after that
 	unstarted := false
-	defer func() { // the last line is written, or the connection has ended
+	defer func() { // runs when the last line is written or the connection has ended
 		end := time.Now()
-		if given != "" {
-			end = made
+		if answer != "" {
+			end = answeredAt
 		}
 		w.f.mu.Lock()
-		a := &w.f.tries[try]
-		a.End, a.Unstarted, a.Result = w.f.Clock(end), unstarted, given
+		a := &w.f.attempts[attempt]
+		a.End, a.Unstarted, a.Result = w.f.Clock(end), unstarted, answer
 		w.f.mu.Unlock()
 	}()
 	w.mu.Lock()
 	silent := time.Until(w.silent)
 	w.mu.Unlock()
-	if x := w.fault(faultSilent); x != nil {
+	if x := w.activeFault(faultSilent); x != nil {
 		silent = time.Until(w.f.base.Add(x.end))
 	}
 	if silent > 0 {
@@ -377,81 +377,81 @@
 			return
 		}
 	}
-	if w.fault(faultErrors) != nil {
+	if w.activeFault(faultErrors) != nil {
 		out.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	half := w.fault(faultHalf) != nil
-	news := make(chan emulator.Event, 4)
-	verdict := emulator.QueueFull
-	w.play(func(now float64) {
-		if w.waits[id] == nil { // two attempts of one job at one worker: the second waits its turn elsewhere
-			if verdict = w.model.Submit(now, emulator.Job{ID: id, IdempotencyKey: r.Header.Get("Idempotency-Key"), Priority: w.f.priorities[class], Slots: float64(slots), Work: work.Seconds()}); verdict == emulator.Accepted {
-				w.waits[id] = news
+	half := w.activeFault(faultHalf) != nil
+	events := make(chan emulator.Event, 4)
+	outcome := emulator.QueueFull
+	w.update(func(now float64) {
+		if w.pending[id] == nil { // a second attempt of the same job at the same worker is rejected
+			if outcome = w.model.Submit(now, emulator.Job{ID: id, IdempotencyKey: r.Header.Get("Idempotency-Key"), Priority: w.f.priorities[class], Slots: float64(slots), Work: work.Seconds()}); outcome == emulator.Accepted {
+				w.pending[id] = events
 			}
 		}
 	})
-	if verdict == emulator.AlreadyDone { // the zone has done it: the answer comes without a run
-		given, made = fmt.Sprintf("%s known by %s, try %d", id, w.name, try), time.Now()
-		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"done","result":%q,"load":%s}`+"\n", id, w.name, given, w.load())
+	if outcome == emulator.AlreadyDone { // the zone has already run the job, so it is answered without another run
+		answer, answeredAt = fmt.Sprintf("%s known by %s, try %d", id, w.name, attempt), time.Now()
+		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"done","result":%q,"load":%s}`+"\n", id, w.name, answer, w.loadReport())
 		return
 	}
-	if verdict != emulator.Accepted {
+	if outcome != emulator.Accepted {
 		unstarted = true
 		out.Header().Set("Not-Started", "1")
-		out.Header().Set("Server-Load", w.load())
+		out.Header().Set("Server-Load", w.loadReport())
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer w.play(func(now float64) {
+	defer w.update(func(now float64) {
 		w.model.Cancel(now, id)
-		delete(w.waits, id)
+		delete(w.pending, id)
 	})
 	w.f.mu.Lock()
-	nth := len(w.f.jobs)
+	jobIndex := len(w.f.jobs)
 	w.f.jobs = append(w.f.jobs, Job{At: first, ID: id, Worker: w.name, Tenant: tenant, Entry: entry})
 	w.f.mu.Unlock()
-	say := func(state, more string) {
+	writeState := func(state, more string) {
 		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":%q%s}`+"\n", id, w.name, state, more)
 		out.(http.Flusher).Flush()
 	}
 	out.(http.Flusher).Flush()
 	for ended := false; !ended; {
 		select {
-		case e := <-news:
+		case e := <-events:
 			switch e.Kind {
 			case emulator.Returned:
 				unstarted = true
-				say("returned", fmt.Sprintf(`,"load":%s`, w.load()))
+				writeState("returned", fmt.Sprintf(`,"load":%s`, w.loadReport()))
 				return
 			case emulator.Lost:
-				say("lost", "")
+				writeState("lost", "")
 				return
 			}
 			w.f.mu.Lock()
 			if ended = e.Kind == emulator.Done; ended {
-				w.f.jobs[nth].Done, w.f.jobs[nth].Failed = time.Now(), fails
+				w.f.jobs[jobIndex].Done, w.f.jobs[jobIndex].Failed = time.Now(), fails
 			} else {
-				w.f.jobs[nth].Started = time.Now()
+				w.f.jobs[jobIndex].Started = time.Now()
 			}
 			w.f.mu.Unlock()
 			if !ended {
-				say("started", "")
+				writeState("started", "")
 			}
 		case <-r.Context().Done():
 			return
 		}
 	}
 	if fails {
-		say("failed", fmt.Sprintf(`,"load":%s`, w.load()))
+		writeState("failed", fmt.Sprintf(`,"load":%s`, w.loadReport()))
 		return
 	}
 	if half {
 		fmt.Fprintf(out, `{"id":%q,"from":%q,"sta`, id, w.name)
 		out.(http.Flusher).Flush()
-		panic(http.ErrAbortHandler) // the server breaks the connection
+		panic(http.ErrAbortHandler) // makes the server abort the connection
 	}
-	given, made = fmt.Sprintf("%s by %s, try %d", id, w.name, try), time.Now()
-	result, _ := json.Marshal(given)
-	say("done", fmt.Sprintf(`,"result":%s,"load":%s`, result, w.load()))
+	answer, answeredAt = fmt.Sprintf("%s by %s, try %d", id, w.name, attempt), time.Now()
+	result, _ := json.Marshal(answer)
+	writeState("done", fmt.Sprintf(`,"result":%s,"load":%s`, result, w.loadReport()))
 }
--- a/internal/lab/experiments/fleetfile.go
+++ b/internal/lab/experiments/fleetfile.go
@@ -13,21 +13,21 @@
 	"example.org/bellstream/internal/lab/emulator"
 )
 
-// FleetFile is a fleet as an operator describes it.
+// FleetFile is the HCL description of a fleet.
 type FleetFile struct {
 	Seed       uint64         `hcl:"seed,optional"`
-	Discovery  string         `hcl:"discovery,optional"`     // where it listens; default: a free port of the loopback
-	Mean       string         `hcl:"mean,optional"`          // of a job's work, exponential; default 150ms
-	Record     string         `hcl:"record,optional"`        // JSON lines, one for each attempt; default: none
-	Repeats    string         `hcl:"repeat_window,optional"` // how long a zone drops repeats of a keyed job; default: it knows none
-	Priorities map[string]int `hcl:"priorities,optional"`    // of classes in the workers' queues; the higher goes first; default 0
+	Discovery  string         `hcl:"discovery,optional"`     // listen address; default: a free port of the loopback
+	Mean       string         `hcl:"mean,optional"`          // mean work of a job, exponentially distributed; default 150ms
+	Record     string         `hcl:"record,optional"`        // file for JSON lines, one for each attempt; default: none
+	Repeats    string         `hcl:"repeat_window,optional"` // for how long a zone drops repeats of a keyed job; default: it runs them
+	Priorities map[string]int `hcl:"priorities,optional"`    // of classes in the workers' queues; higher ones go first; default 0
 	Workers    []*WorkerGroup `hcl:"worker,block"`
 	Faults     []*FleetFault  `hcl:"fault,block"`
 	window     time.Duration
 	mean       time.Duration
 }
 
-// WorkerGroup is some workers that are alike: NAME-00, NAME-01 ...
+// WorkerGroup is a number of workers with the same settings, named NAME-00, NAME-01 ...
 type WorkerGroup struct {
 	Name      string  `hcl:"name,label"`
 	Count     int     `hcl:"count,optional"` // default 1
@@ -38,42 +38,42 @@
 	Speed     float64 `hcl:"speed,optional"`
 	ColdFrom  float64 `hcl:"cold_from,optional"`
 	WarmAfter string  `hcl:"warm_after,optional"`
-	Suspends  bool    `hcl:"suspends,optional"`     // a job of a higher priority takes the slots of one of a lower
-	Lag       string  `hcl:"report_delay,optional"` // how old its reports are
-	Noise     float64 `hcl:"report_noise,optional"` // by which part of its slots they are wrong, evenly drawn
+	Suspends  bool    `hcl:"suspends,optional"`     // a job takes the slots of running jobs of lower priority
+	Lag       string  `hcl:"report_delay,optional"` // age of the load reports
+	Noise     float64 `hcl:"report_noise,optional"` // largest error of the load reports as a fraction of the slots, uniform
 	lag       time.Duration
 	warm      time.Duration
 }
 
-// FleetFault is something that workers do for a time. What happens to their
-// sockets is for bellstream-fault.
+// FleetFault is a temporary fault of workers themselves. Faults of their connections are injected by
+// bellstream-fault.
 type FleetFault struct {
 	Kind    string   `hcl:"kind,label"`
-	Workers []string `hcl:"workers,optional"` // names of groups or of workers; none: all
+	Workers []string `hcl:"workers,optional"` // names of groups or workers; empty: all
 	At      string   `hcl:"at,optional"`
-	For     string   `hcl:"for,optional"`    // default: to the end
-	Part    float64  `hcl:"part,optional"`   // of the jobs; 0: all
-	Factor  float64  `hcl:"factor,optional"` // of neighbour and heavy_tail: running times are multiplied by it
-	Free    float64  `hcl:"free,optional"`   // of lying_reports: slots that are said to be free
-	Drain   string   `hcl:"drain,optional"`  // of deploy: from leaving to the restart, for each in turn; default 2s
+	For     string   `hcl:"for,optional"`    // default: until the fleet ends
+	Part    float64  `hcl:"part,optional"`   // fraction of the jobs; 0: all
+	Factor  float64  `hcl:"factor,optional"` // for neighbour and heavy_tail: multiplies running times
+	Free    float64  `hcl:"free,optional"`   // for lying_reports: reported free slots
+	Drain   string   `hcl:"drain,optional"`  // for deploy: time from leaving to the restart of each worker; default 2s
 	at, end time.Duration
 	drain   time.Duration
 }
 
-// Kinds of faults of workers.
+// Kinds of worker faults.
 const (
-	faultSilent = "silent" // takes jobs and says nothing until the fault ends
+	faultSilent = "silent" // takes jobs and answers nothing until the fault ends
 	faultErrors = "errors" // answers 500 at once
 	faultSlow   = "neighbour"
 	faultTail   = "heavy_tail"
 	faultLies   = "lying_reports"
-	faultHalf   = "half_answers" // breaks the connection within the last line
+	faultHalf   = "half_answers" // aborts the connection within the last line
 	faultDeploy = "deploy"       // workers leave, restart cold and come back, one after the other
 )
 
 var fleetFaults = []string{faultSilent, faultErrors, faultSlow, faultTail, faultLies, faultHalf, faultDeploy}
 
-// LoadFleet reads a fleet's file.
+// LoadFleet reads, decodes and checks a fleet's file.
 func LoadFleet(path string) (*FleetFile, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -82,34 +82,34 @@
 	return ParseFleet(path, raw)
 }
 
-// ParseFleet decodes and checks a fleet's text. Mistakes are named by file, line and key.
+// ParseFleet decodes and checks the text of a fleet's file. Errors name file, line and key.
 func ParseFleet(path string, raw []byte) (*FleetFile, error) {
 	f := &FleetFile{}
 	text, err := hclfile.Decode(path, raw, f)
 	if err != nil {
 		return nil, err
 	}
-	var all []error
-	bad := func(block string, nth int, key, format string, args ...any) {
-		all = append(all, text.ErrorAt(block, nth, key, fmt.Errorf(format, args...)))
+	var errs []error
+	fail := func(block string, nth int, key, format string, args ...any) {
+		errs = append(errs, text.ErrorAt(block, nth, key, fmt.Errorf(format, args...)))
 	}
-	span := func(block string, nth int, key, text string, none time.Duration) time.Duration {
+	span := func(block string, nth int, key, text string, fallback time.Duration) time.Duration {
 		if text == "" {
-			return none
+			return fallback
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil || d < 0 {
-			bad(block, nth, key, "%q is no duration such as \"1.5s\"", text)
+			fail(block, nth, key, "%q is no duration such as \"1.5s\"", text)
 		}
 		return d
 	}
 	if f.Discovery == "" {
 		f.Discovery = "127.0.0.1:0"
 	} else if _, _, err := net.SplitHostPort(f.Discovery); err != nil {
-		bad("", 0, "discovery", "%v", err)
+		fail("", 0, "discovery", "%v", err)
 	}
 	if f.mean = span("", 0, "mean", f.Mean, 150*time.Millisecond); f.mean == 0 {
-		bad("", 0, "mean", "%q is not above 0", f.Mean)
+		fail("", 0, "mean", "%q is not above 0", f.Mean)
 	}
 	f.window = span("", 0, "repeat_window", f.Repeats, 0)
 	names, count := map[string]bool{}, 0
@@ -124,21 +124,21 @@
 		w.lag = span("worker", i, "report_delay", w.Lag, 0)
 		switch {
 		case w.Count < 0 || w.Count > 1000:
-			bad("worker", i, "count", "%d is not from 1 to 1000", w.Count)
+			fail("worker", i, "count", "%d is not from 1 to 1000", w.Count)
 		case w.Slots < 0 || w.Slots > 1024:
-			bad("worker", i, "slots", "%d is not from 1 to 1024", w.Slots)
+			fail("worker", i, "slots", "%d is not from 1 to 1024", w.Slots)
 		case w.Queue != nil && *w.Queue < 0:
-			bad("worker", i, "queue", "%d is below 0", *w.Queue)
+			fail("worker", i, "queue", "%d is below 0", *w.Queue)
 		case w.Speed < 0:
-			bad("worker", i, "speed", "%v is below 0", w.Speed)
+			fail("worker", i, "speed", "%v is below 0", w.Speed)
 		case w.ColdFrom < 0 || w.ColdFrom > 1:
-			bad("worker", i, "cold_from", "%v is not from 0 to 1", w.ColdFrom)
+			fail("worker", i, "cold_from", "%v is not from 0 to 1", w.ColdFrom)
 		case w.lag > time.Minute:
-			bad("worker", i, "report_delay", "%v is above 1m: all reports since are kept", w.lag)
+			fail("worker", i, "report_delay", "%v is above 1m: all reports since are kept", w.lag)
 		case w.Noise < 0 || w.Noise > 1:
-			bad("worker", i, "report_noise", "%v is not from 0 to 1", w.Noise)
+			fail("worker", i, "report_noise", "%v is not from 0 to 1", w.Noise)
 		case names[w.Name]:
-			bad("worker", i, "name", "%q is there twice", w.Name)
+			fail("worker", i, "name", "%q is there twice", w.Name)
 		}
 		names[w.Name] = true
 		count += w.Count
@@ -147,7 +147,7 @@
 		}
 	}
 	if count == 0 {
-		bad("", 0, "worker", "there is none")
+		fail("", 0, "worker", "there is none")
 	}
 	for i, x := range f.Faults {
 		x.at = span("fault", i, "at", x.At, 0)
@@ -155,27 +155,27 @@
 		x.drain = span("fault", i, "drain", x.Drain, 2*time.Second)
 		for _, w := range x.Workers {
 			if !names[w] {
-				bad("fault", i, "workers", "there is no worker %q", w)
+				fail("fault", i, "workers", "there is no worker %q", w)
 			}
 		}
 		switch {
 		case !slices.Contains(fleetFaults, x.Kind):
-			bad("fault", i, "kind", "%q is none of %v", x.Kind, fleetFaults)
+			fail("fault", i, "kind", "%q is none of %v", x.Kind, fleetFaults)
 		case x.Part < 0 || x.Part > 1:
-			bad("fault", i, "part", "%v is not from 0 to 1", x.Part)
+			fail("fault", i, "part", "%v is not from 0 to 1", x.Part)
 		case (x.Kind == faultSlow || x.Kind == faultTail) && !(x.Factor > 0):
-			bad("fault", i, "factor", "missing, or not above 0")
+			fail("fault", i, "factor", "missing, or not above 0")
 		case x.Free < 0:
-			bad("fault", i, "free", "%v is below 0", x.Free)
+			fail("fault", i, "free", "%v is below 0", x.Free)
 		}
 	}
-	if len(all) > 0 {
-		return nil, errors.Join(all...)
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
 	}
 	return f, nil
 }
 
-// Start starts the fleet that a file describes. Its faults count from now on.
+// Start starts the described fleet. Times of faults count from now on; ctx ends deployments.
 func (x *FleetFile) Start(ctx context.Context) (*Fleet, error) {
 	f := newFleet(x.Seed, x.mean)
 	f.faults, f.priorities = x.Faults, x.Priorities
@@ -209,20 +209,20 @@
 	return f, nil
 }
 
-// strikes says whether a fault falls on a worker now.
-func (x *FleetFault) strikes(w *emulated, kind string, now time.Duration) bool {
-	return x.Kind == kind && now >= x.at && now < x.end && x.on(w)
+// isActive reports whether the fault is of this kind and affects a worker at now, the time since the fleet's start.
+func (x *FleetFault) isActive(w *emulatedWorker, kind string, now time.Duration) bool {
+	return x.Kind == kind && now >= x.at && now < x.end && x.targets(w)
 }
 
-func (x *FleetFault) on(w *emulated) bool {
+func (x *FleetFault) targets(w *emulatedWorker) bool {
 	return len(x.Workers) == 0 || slices.Contains(x.Workers, w.name) || slices.Contains(x.Workers, w.group)
 }
 
-// fault finds one that falls on a worker's job now.
-func (w *emulated) fault(kind string) *FleetFault {
+// activeFault returns a fault of a kind that affects the worker's current job, or nil. With Part set, chance decides.
+func (w *emulatedWorker) activeFault(kind string) *FleetFault {
 	now := time.Since(w.f.base)
 	for _, x := range w.f.faults {
-		if !x.strikes(w, kind, now) {
+		if !x.isActive(w, kind, now) {
 			continue
 		}
 		if x.Part == 0 || x.Part == 1 {
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// deploy has workers leave, hand back, restart cold and come back, in turn.
+// deploy makes one worker after the other leave, return its queued jobs, restart cold and become active again.
 func (f *Fleet) deploy(ctx context.Context, x *FleetFault) {
 	sleep := func(d time.Duration) bool {
 		t := time.NewTimer(d)
@@ -254,18 +254,18 @@
 		return
 	}
 	for i, w := range f.workers {
-		if !x.on(w) || time.Since(f.base) > x.end {
+		if !x.targets(w) || time.Since(f.base) > x.end {
 			continue
 		}
-		f.Tell(i, "leaving")
-		w.act(func(now float64) []emulator.Event { return w.model.Drain(now) })
+		f.SetHealth(i, "leaving")
+		w.apply(func(now float64) []emulator.Event { return w.model.Drain(now) })
 		if !sleep(x.drain) {
 			return
 		}
-		w.act(func(now float64) []emulator.Event { return w.model.Restart(now) })
+		w.apply(func(now float64) []emulator.Event { return w.model.Restart(now) })
 		f.mu.Lock()
-		w.born = time.Now()
+		w.restartedAt = time.Now()
 		f.mu.Unlock()
-		f.Tell(i, "active")
+		f.SetHealth(i, "active")
 	}
 }
--- a/internal/lab/experiments/fleetfile_test.go
+++ b/internal/lab/experiments/fleetfile_test.go
@@ -34,7 +34,7 @@
 		worker + "fault \"errors\" {}\nfault \"heavy_tail\" {\n  factor = \"-1\"\n}": "f:6: fault.factor: missing, or",
 	} {
 		if _, err := ParseFleet("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\n%v, want %s", text, err, want)
+			t.Errorf("%s\ngot error %v, want %s", text, err, want)
 		}
 	}
 	raw, err := os.ReadFile("../../../deploy/fleet.hcl")
@@ -42,12 +42,12 @@
 		t.Fatal(err)
 	}
 	if x, err := ParseFleet("fleet.hcl", raw); err != nil || len(x.Workers) != 2 || x.Faults[2].drain != 3*time.Second {
-		t.Fatalf("%+v, %v", x, err)
+		t.Fatalf("fleet.hcl: got %+v, error %v; want 2 worker groups and a drain of 3s in the third fault", x, err)
 	}
 }
 
-// described starts the fleet of a text.
-func described(t *testing.T, text string) *Fleet {
+// startFleetText starts the fleet that text describes; it is closed when the test ends.
+func startFleetText(t *testing.T, text string) *Fleet {
 	t.Helper()
 	x, err := ParseFleet("f", []byte(text))
 	if err != nil {
@@ -61,8 +61,8 @@
 	return f
 }
 
-// asked is what a worker answers to a job.
-func (w *emulated) asked(id, class, key, body string) (int, string, http.Header, error) {
+// postJob sends a job to a worker and returns status, body and header of the answer.
+func (w *emulatedWorker) postJob(id, class, key, body string) (int, string, http.Header, error) {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+w.addr+"/"+class, strings.NewReader(body))
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Idempotency-Key", key)
@@ -75,10 +75,10 @@
 	return resp.StatusCode, string(raw), resp.Header, err
 }
 
-// What workers do wrong by name is seen by who asks them, and a deploy by
-// discovery's watchers: leaving, what has not run handed back, active again.
+// Checks the effects of worker faults on answers and, for deploy, the steps: the worker leaves, returns the queued
+// job, loses the running one, restarts and is active again.
 func TestFleetFaults(t *testing.T) {
-	f := described(t, `mean = "1ms"
+	f := startFleetText(t, `mean = "1ms"
 repeat_window = "60s"
 worker "err" {}
 worker "half" {}
@@ -105,30 +105,30 @@
   drain   = "100ms"
 }`)
 	post := func(worker int, id, key string) (int, string, error) {
-		status, text, _, err := f.workers[worker].asked(id, "job", key, "t 0")
+		status, text, _, err := f.workers[worker].postJob(id, "job", key, "t 0")
 		return status, text, err
 	}
-	for i, known := range []bool{false, true, false} { // a zone drops repeats
+	for i, known := range []bool{false, true, false} { // a zone answers a repeated key without another run
 		if _, text, _ := post(2, fmt.Sprint("k", i), []string{"k", "k", "other"}[i]); strings.Contains(text, " known by lies-00") != known {
-			t.Errorf("%d: %s", i, text)
+			t.Errorf("keyed job %d: got %s, want an answer known by lies-00 only for the repeat", i, text)
 		}
 	}
 	if status, _, _ := post(0, "a", ""); status != 500 {
-		t.Errorf("errors: %d", status)
+		t.Errorf("fault errors: got status %d, want 500", status)
 	}
 	if _, text, err := post(1, "b", ""); err == nil || strings.Contains(text, "done") {
-		t.Errorf("half: %q, %v", text, err)
+		t.Errorf("fault half_answers: got %q, error %v, want an aborted answer", text, err)
 	}
 	if status, text, err := post(2, "c", ""); status != 200 || err != nil || !strings.Contains(text, `"load":{"x0":99,"waiting":0}`) {
-		t.Errorf("lies: %d %s %v", status, text, err)
+		t.Errorf("fault lying_reports: got status %d, body %s, error %v; want 99 free slots", status, text, err)
 	}
 	ends := make(chan string, 2)
-	for _, id := range []string{"runs", "waits"} { // on one slot, for minutes
+	for _, id := range []string{"runs", "waits"} { // both on one slot, with jobs of minutes
 		go func() { _, text, _ := post(3, id, ""); ends <- text }()
 	}
 	first, second := <-ends, <-ends
 	if !strings.Contains(first, `"state":"returned"`) || !strings.Contains(second, `"state":"lost"`) {
-		t.Errorf("first %q, then %q", first, second)
+		t.Errorf("got first %q, then %q, want returned, then lost", first, second)
 	}
 	for end := time.Now().Add(10 * time.Second); !strings.Contains(f.List(), `"seq":3`); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -140,35 +140,35 @@
 	}
 }
 
-// Reports that are late say what was, noisy ones are wrong by no more than stated.
+// Checks that delayed load reports show the past state and that noisy ones are off by at most the stated fraction.
 func TestFleetReports(t *testing.T) {
-	f := described(t, "worker \"late\" {\n  report_delay = \"1m\"\n}\nworker \"noisy\" {\n  slots = 100\n  report_noise = 0.1\n}\n")
+	f := startFleetText(t, "worker \"late\" {\n  report_delay = \"1m\"\n}\nworker \"noisy\" {\n  slots = 100\n  report_noise = 0.1\n}\n")
 	w := f.workers[0]
-	w.play(func(float64) {}) // this is what it says for a minute
-	w.play(func(now float64) { w.model.Submit(now, emulator.Job{ID: "x", Slots: 4, Work: 100}) })
-	if got := w.load(); got != `{"x0":4,"waiting":0}` {
-		t.Errorf("late: %s", got)
+	w.update(func(float64) {}) // the report that it sends for the next minute
+	w.update(func(now float64) { w.model.Submit(now, emulator.Job{ID: "x", Slots: 4, Work: 100}) })
+	if got := w.loadReport(); got != `{"x0":4,"waiting":0}` {
+		t.Errorf("delayed report: got %s, want 4 free slots as before the job", got)
 	}
 	least, most := 1000.0, 0.0
 	for range 200 {
 		var free, waiting float64
-		fmt.Sscanf(f.workers[1].load(), `{"x0":%f,"waiting":%f}`, &free, &waiting)
+		fmt.Sscanf(f.workers[1].loadReport(), `{"x0":%f,"waiting":%f}`, &free, &waiting)
 		least, most = min(least, free), max(most, free)
 	}
 	if least < 90 || least > 95 || most > 100 {
-		t.Errorf("noisy: from %v to %v of 100", least, most)
+		t.Errorf("noisy reports: got from %v to %v free slots of 100, want a minimum from 90 to 95 and at most 100", least, most)
 	}
 }
 
-// A job of a dearer class takes the slot of a cheaper one, which ends after it.
+// Checks that a job of a class with higher priority takes the slot of a running job, which resumes after it.
 func TestFleetSuspends(t *testing.T) {
-	f := described(t, "mean = \"300ms\"\npriorities = { dear = 1 }\nworker \"w\" {\n  slots = 1\n  suspends = true\n}\n")
+	f := startFleetText(t, "mean = \"300ms\"\npriorities = { dear = 1 }\nworker \"w\" {\n  slots = 1\n  suspends = true\n}\n")
 	w := f.workers[0]
-	w.play(func(now float64) { w.model.Submit(now, emulator.Job{ID: "cheap", Work: 1000}) }) // runs for long
-	if _, text, _, err := w.asked("x", "dear", "", "t 0"); err != nil || !strings.Contains(text, `"state":"done"`) {
-		t.Errorf("%s, %v", text, err)
+	w.update(func(now float64) { w.model.Submit(now, emulator.Job{ID: "cheap", Work: 1000}) }) // a long job
+	if _, text, _, err := w.postJob("x", "dear", "", "t 0"); err != nil || !strings.Contains(text, `"state":"done"`) {
+		t.Errorf("job of higher priority: got %s, error %v, want done", text, err)
 	}
-	if got := w.load(); got != `{"x0":0,"waiting":0}` {
-		t.Errorf("the cheap one has not gone on: %s", got)
+	if got := w.loadReport(); got != `{"x0":0,"waiting":0}` {
+		t.Errorf("load report after it: got %s, want no free slot since the long job resumed", got)
 	}
 }
--- a/internal/lab/experiments/hollow.go
+++ b/internal/lab/experiments/hollow.go
@@ -326,9 +326,9 @@
 	by := map[int][]*Instance{}
 	last := -1
 	for _, x := range c.Nodes {
-		if x.shares >= 0 {
-			by[x.shares] = append(by[x.shares], x)
-			last = max(last, x.shares)
+		if x.hostIndex >= 0 {
+			by[x.hostIndex] = append(by[x.hostIndex], x)
+			last = max(last, x.hostIndex)
 		}
 	}
 	for k := 0; k <= last; k++ {
--- a/internal/lab/experiments/hollow_test.go
+++ b/internal/lab/experiments/hollow_test.go
@@ -72,7 +72,7 @@
 			return false
 		}
 		want, sum := uint64(0), uint64(0)
-		for _, n := range c.Fleet.Taken() {
+		for _, n := range c.Fleet.JobsByTenant() {
 			want += uint64(n)
 		}
 		for _, s := range states {
--- a/internal/lab/experiments/lab_test.go
+++ b/internal/lab/experiments/lab_test.go
@@ -79,7 +79,7 @@
 	defer sender.Close()
 	count := func(r *Relay, n int) (got int) {
 		t.Helper()
-		door, err := r.Door(Anyone, 0, target.LocalAddr().String())
+		door, err := r.Forward(Anyone, 0, target.LocalAddr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,8 +101,8 @@
 		return got
 	}
 	cut, other := NewRelay(1, Link{}), NewRelay(1, Link{})
-	cut.Lay(func(from, to int) bool { return from == 3 && to == 0 }, Link{Cut: true})
-	other.Lay(func(from, to int) bool { return from == 4 }, Link{Cut: true})
+	cut.AddFault(func(from, to int) bool { return from == 3 && to == 0 }, Link{Cut: true})
+	other.AddFault(func(from, to int) bool { return from == 4 }, Link{Cut: true})
 	for name, c := range map[string]struct {
 		r    *Relay
 		want int
@@ -123,7 +123,7 @@
 	}
 	defer f.Close()
 	post := func(id, body string) (int, string, http.Header) {
-		status, text, h, err := f.workers[0].asked(id, "job", "", body)
+		status, text, h, err := f.workers[0].postJob(id, "job", "", body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 	if _, text, _ := post("b", "north 2 fail"); !strings.Contains(text, `"state":"failed"`) {
 		t.Error(text)
 	}
-	f.workers[0].play(func(now float64) { // its slot and its queue are full
+	f.workers[0].update(func(now float64) { // its slot and its queue are full
 		for i := range 3 {
 			f.workers[0].model.Advance(now)
 			f.workers[0].model.Submit(now, emulator.Job{ID: fmt.Sprint(i), Work: 100})
@@ -146,7 +146,7 @@
 		t.Errorf("%d %v", status, h)
 	}
 	jobs := f.Jobs()
-	if len(jobs) != 2 || jobs[0].Tenant != "north" || jobs[0].Entry != "2" || jobs[0].Done.IsZero() || jobs[0].Failed || !jobs[1].Failed || f.Taken()["north"] != 2 {
+	if len(jobs) != 2 || jobs[0].Tenant != "north" || jobs[0].Entry != "2" || jobs[0].Done.IsZero() || jobs[0].Failed || !jobs[1].Failed || f.JobsByTenant()["north"] != 2 {
 		t.Errorf("%+v", jobs)
 	}
 	resp, err := http.Get("http://" + f.Discovery() + "/v1/servers")
--- a/internal/lab/experiments/members.go
+++ b/internal/lab/experiments/members.go
@@ -45,7 +45,7 @@
 		}
 	}
 	for d := range apart {
-		c.relay.Lay(func(x, y int) bool { return delay(x, y) == d }, Link{Delay: d})
+		c.relay.AddFault(func(x, y int) bool { return delay(x, y) == d }, Link{Delay: d})
 	}
 	at, listen := map[string]string{}, make([]string, n)
 	for i := range n {
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 		if i < voters {
-			if at[fmt.Sprint("n", i)], err = c.relay.DoorTo(accordDoor, Anyone, i, listen[i]); err != nil {
+			if at[fmt.Sprint("n", i)], err = c.relay.ForwardTraffic(accordDoor, Anyone, i, listen[i]); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/lab/experiments/members_test.go
+++ b/internal/lab/experiments/members_test.go
@@ -29,7 +29,7 @@
 		t.Fatal("nobody leads")
 	}
 	other := (leader + 1) % 5
-	c.relay.Lay(func(x, y int) bool { return x == leader && y == other || x == other && y == leader }, Link{Cut: true})
+	c.relay.AddFault(func(x, y int) bool { return x == leader && y == other || x == other && y == leader }, Link{Cut: true})
 	cut := time.Now()
 	if err := Until(20*time.Second, "a lease of the voter that hears of no leader", func() bool {
 		s := c.all[other].Status()
--- a/internal/lab/experiments/meter.go
+++ b/internal/lab/experiments/meter.go
@@ -81,8 +81,8 @@
 }
 
 // count counts a datagram by its kinds.
-func (r *Relay) count(d *door, from int, raw []byte, sent, received bool) {
-	for k, n := range kindsOf(d.serves, raw) {
+func (r *Relay) count(d *forwarder, from int, raw []byte, sent, received bool) {
+	for k, n := range kindsOf(d.traffic, raw) {
 		r.meter.add(from, d.to, k, Amount{n, n / float64(len(raw))}, sent, received)
 	}
 }
--- a/internal/lab/experiments/meter_test.go
+++ b/internal/lab/experiments/meter_test.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		door, err := relay.DoorTo(peersDoor, Anyone, i, at)
+		door, err := relay.ForwardTraffic(peersDoor, Anyone, i, at)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -155,7 +155,7 @@
 
 // Each instance sends from an address of its own, by which doors tell it.
 func TestSenders(t *testing.T) {
-	d, seen := &door{from: Anyone}, map[string]bool{}
+	d, seen := &forwarder{from: Anyone}, map[string]bool{}
 	for i := range 1000 {
 		at := IP(i)
 		if seen[at.String()] || !at.IsLoopback() || d.sender(at) != i {
--- a/internal/lab/experiments/mixed_test.go
+++ b/internal/lab/experiments/mixed_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Every second instance of a cluster runs an earlier build, whose executable BELLSTREAM_EARLIER names, as in a
-// rolling restart that lasts. The claims are those of one build: no job is lost or runs twice, no reservation is
-// oversold, no two instances act on contradicting versions.
+// Runs experiments in which every second instance of a cluster is an earlier build, as during a rolling restart.
+// BELLSTREAM_EARLIER names its executable. The claims are the same as with one build: no job is lost or runs twice,
+// no reservation is oversold, and no two instances act on contradicting versions.
 func TestMixedBuilds(t *testing.T) {
 	earlier := os.Getenv("BELLSTREAM_EARLIER")
 	if earlier == "" {
@@ -29,11 +29,11 @@
 			for _, claim := range result.Claims {
 				t.Logf("%s: %v, bound %v %s", claim.Name, claim.Measured, claim.Bound, claim.Unit)
 				if !claim.Held {
-					t.Errorf("broken: %s", claim.Name)
+					t.Errorf("claim does not hold: %s", claim.Name)
 				}
 			}
 			if result.Void != "" {
-				t.Errorf("void: %s", result.Void)
+				t.Errorf("result is void: %s", result.Void)
 			}
 		})
 	}
--- a/internal/lab/experiments/process.go
+++ b/internal/lab/experiments/process.go
@@ -22,13 +22,13 @@
 	program, log      string
 	cmd               *exec.Cmd
 	ended             chan error
-	died              bool // it ended by itself
+	died              bool // the process ended by itself
 }
 
-// handed are the addresses that this process has given to others, which may not listen there yet.
-var handed sync.Map
+// reservedAddresses holds the addresses that this process has assigned to its children, which may not listen there yet.
+var reservedAddresses sync.Map
 
-// freePort is a port of an address that is free now, for streams and datagrams.
+// freePort returns an address of ip whose port is free for TCP and UDP.
 func freePort(ip string) (at string, err error) {
 	l, u, err := listenBoth(ip)
 	if err != nil {
@@ -39,13 +39,12 @@
 	return l.Addr().String(), nil
 }
 
-// listenBoth listens for streams and datagrams at one port. It is none of those
-// that the system gives to who connects, so that a process that was killed finds
-// its port free when it starts again.
+// listenBoth listens for TCP and UDP at one port. The port is below the range from which the kernel
+// takes source ports of connections, so that a restarted process finds its port free.
 func listenBoth(ip string) (l net.Listener, u net.PacketConn, err error) {
 	for range 50 {
 		at := net.JoinHostPort(ip, strconv.Itoa(10_000+rand.IntN(22_000)))
-		if _, taken := handed.LoadOrStore(at, true); taken {
+		if _, taken := reservedAddresses.LoadOrStore(at, true); taken {
 			continue
 		}
 		if l, err = net.Listen("tcp", at); err != nil {
@@ -56,10 +55,10 @@
 		}
 		l.Close()
 	}
-	return nil, nil, fmt.Errorf("no port of %s is free (%v)", ip, err)
+	return nil, nil, fmt.Errorf("no free port on %s (%v)", ip, err)
 }
 
-// NewDispatcher writes a dispatcher's files; Start starts it.
+// NewDispatcher writes a dispatcher's configuration files; Start starts the process.
 func NewDispatcher(program, dir, name, config, file string) (*Dispatcher, error) {
 	d := &Dispatcher{Name: name, program: program, Config: filepath.Join(dir, name+".json"), log: filepath.Join(dir, name+".log")}
 	if err := os.WriteFile(d.Config, []byte(config), 0o600); err != nil {
@@ -74,7 +73,7 @@
 	return d, nil
 }
 
-// platform is the platform's configuration of dispatcher me of n.
+// platform returns the platform's JSON configuration of dispatcher number me of n.
 func platform(name, addr string, fleet *Fleet, seed uint64, me, n int, limits, lanes, parties, rules string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{%s},
 "known":%s,"settings":{"me":%d,"balancers":%d,"zone":"z","membership_mode":"pushed","round":0.004,"lanes":[%s],"parties":[%s],
@@ -84,8 +83,8 @@
 		name, addr, fleet.Discovery(), seed, limits, fleet.List(), me, n, lanes, parties, rules)
 }
 
-// alone starts the only dispatcher of a fleet, with these classes.
-func alone(p Params, fleet *Fleet, name, lanes, file string) (*Dispatcher, error) {
+// startSingleDispatcher starts the only dispatcher of a fleet; lanes are the classes' JSON objects.
+func startSingleDispatcher(p Params, fleet *Fleet, name, lanes, file string) (*Dispatcher, error) {
 	addr, err := freePort("127.0.0.1")
 	if err != nil {
 		return nil, err
@@ -112,7 +111,7 @@
 	d.cmd = exec.Command(d.program)
 	d.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+d.Config, "BELLSTREAM_FILE="+d.File)
 	d.cmd.Stderr = log
-	// It must not outlive the laboratory, however that ends.
+	// The kernel kills the process when its parent ends, for whatever reason.
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := d.cmd.Start(); err != nil {
 		return err
@@ -123,7 +122,7 @@
 		select {
 		case err := <-d.ended:
 			d.cmd = nil
-			return fmt.Errorf("%s ended at its start (%v): see %s", d.Name, err, d.log)
+			return fmt.Errorf("%s exited during start-up (%v): see %s", d.Name, err, d.log)
 		default:
 		}
 		if resp, err := http.Get("http://" + d.Addr + "/healthz"); err == nil {
@@ -133,10 +132,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("%s does not serve after 10 s: see %s", d.Name, d.log)
+	return fmt.Errorf("%s did not serve within 10 s: see %s", d.Name, d.log)
 }
 
-// Kill ends the process at once.
+// Kill ends the process by SIGKILL and notes in died whether it had already ended by itself.
 func (d *Dispatcher) Kill() {
 	if d.cmd != nil && d.cmd.Process != nil {
 		select {
@@ -150,7 +149,7 @@
 	}
 }
 
-// Stop ends it in good order and returns how long that took.
+// Stop ends the process by SIGTERM, or by SIGKILL after 6 s, and returns how long that took.
 func (d *Dispatcher) Stop() time.Duration {
 	if d.cmd == nil {
 		return 0
@@ -167,10 +166,10 @@
 	return time.Since(began)
 }
 
-// admin gives up on a process that stands still.
+// admin has a timeout because a frozen process does not answer.
 var admin = http.Client{Timeout: 3 * time.Second}
 
-// Ask reads JSON from the admin listener.
+// Ask decodes the JSON answer of the admin listener to a GET of path.
 func (d *Dispatcher) Ask(path string, into any) error {
 	resp, err := admin.Get("http://" + d.Admin + path)
 	if err != nil {
--- a/internal/lab/experiments/processes.go
+++ b/internal/lab/experiments/processes.go
@@ -18,7 +18,7 @@
 	"example.org/bellstream/internal/lab/invariants"
 )
 
-// Build builds the program into a folder and returns where it is, for tests.
+// Build compiles bellstream into a folder and returns the path of the executable. It is meant for tests.
 func Build(dir string) (string, error) {
 	path := filepath.Join(dir, "bellstream")
 	if out, err := exec.Command("go", "build", "-o", path, "example.org/bellstream/cmd/bellstream").CombinedOutput(); err != nil {
@@ -27,72 +27,72 @@
 	return path, nil
 }
 
-// Site is what a cluster of processes is made of.
+// Site describes a cluster of real processes.
 type Site struct {
-	N              int
-	Workers, Slots int
-	Mean           time.Duration // of a job's work
-	Link           Link          // as every link usually is
-	Lanes, Parties string        // of the platform's settings, JSON without the brackets
-	Rules          string        // of the platform's, JSON that goes on after others: begins with a comma, or is empty
-	Sockets        int           // each process may hold; 0: 1024, with 192 MB
-	// File is the operator's file of an instance, whose addresses are known then.
+	N                        int
+	Workers, Slots           int
+	Mean                     time.Duration // mean work of a job
+	Link                     Link          // state of every link without faults
+	ClassesJSON, TenantsJSON string        // elements of the settings' JSON arrays lanes and parties
+	ExtraRules               string        // more members of the settings' JSON object rules, each after a comma
+	Sockets                  int           // sockets that each process may hold, with 768 MB; 0: 1024, with 192 MB
+	// File returns the operator's file of an instance. It is called when all addresses are known.
 	File func(c *Processes, x *Instance) string
-	// Hollow says which of the site's processes of hollow instances one shares; below 0: it is a
-	// process of the program's own. nil: all are.
+	// Hollow returns the number of the hollow process that runs instance i. Below 0, or if Hollow is nil,
+	// the instance is a process of bellstream itself.
 	Hollow func(i int) int
 }
 
-// Instance is one process of a cluster. Its addresses are its own for all its lives.
+// Instance is one instance of a cluster. It keeps its addresses when its process is restarted.
 type Instance struct {
 	*Dispatcher
-	Index   int    // among those of all sites on the relay
-	Peers   string // where it listens for its peers
-	Door    string // where they reach it
-	Accord  string // where it listens for questions and entries
-	Way     string // where the others reach that: one address for all, as voters tell it to each other
-	Jobs    string // where it listens for others' jobs
-	Line    string // where they reach that
-	Dir     string // its state; Wipe throws it away
-	Journal string // where it writes what it acts on: a pipe, which no full disk bounds
-
-	shares int         // number of the process of hollow instances that it is one of; -1: it is none
-	host   *HollowHost // that process
-
-	mu      sync.Mutex // of all that is done to the process
-	life    int
-	stopped int // life that stands still; 0: none
-	halts   []invariants.Pause
-
-	journal sync.Mutex
-	written bytes.Buffer
+	Index        int    // among the instances of all sites on the relay
+	GossipListen string // listen address for gossip
+	GossipAddr   string // forwarder through which the other instances reach GossipListen
+	AccordListen string // listen address of the accord (configuration consensus)
+	AccordAddr   string // forwarder to AccordListen: one for all senders, since voters pass this address on
+	JobsListen   string // listen address for jobs forwarded by other instances
+	JobsAddr     string // forwarder to JobsListen
+	Dir          string // its state; Wipe removes it
+	Journal      string // pipe to which it writes the configuration that it acts on; a full disk doesn't limit a pipe
+
+	hostIndex int         // number of the hollow process that runs it; -1: none does
+	host      *HollowHost // the hollow process that runs it
+
+	mu               sync.Mutex // held while the process is started, ended, frozen or limited
+	generation       int        // number of starts
+	frozenGeneration int        // generation that is frozen; 0: none
+	pauses           []invariants.Pause
+
+	journalMu   sync.Mutex
+	journalData bytes.Buffer
 }
 
-// Processes are real processes on one machine, each pair joined by links that can
-// be struck in each direction, with a fleet of workers and what clients ask.
+// Processes is a cluster of real processes on one machine, with a fleet of workers and a client load. Each pair of
+// instances is connected by links on which faults can be injected in each direction.
 type Processes struct {
-	Nodes []*Instance
-	Fleet *Fleet
-	Relay *Relay
-	Load  *Load
-	Hosts []*HollowHost // processes of hollow instances
-	Sites []*Processes  // all that were started on this relay, itself too
-	seed  uint64
-	pipes []*os.File // writing ends, so that readers go on between lives
-	reads sync.WaitGroup
+	Nodes          []*Instance
+	Fleet          *Fleet
+	Relay          *Relay
+	Load           *Load
+	Hosts          []*HollowHost // hollow processes
+	Sites          []*Processes  // all clusters on this relay, including this one
+	seed           uint64
+	journalPipes   []*os.File // writing ends, held open so that readers see no EOF between two runs of a process
+	journalReaders sync.WaitGroup
 }
 
-// Steady is the machine's one steady clock, CLOCK_MONOTONIC in ns.
-func Steady() int64 {
+// MonotonicNow returns the machine's CLOCK_MONOTONIC in ns, which all processes share.
+func MonotonicNow() int64 {
 	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // it has no error on this clock
+	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // can't fail for this clock
 	return t.Nano()
 }
 
-// SteadyAt is what Steady was, or will be, at a time that this process took.
-func SteadyAt(t time.Time) int64 { return Steady() - int64(time.Since(t)) }
+// MonotonicAt converts a time taken by this process with time.Now to the clock of MonotonicNow.
+func MonotonicAt(t time.Time) int64 { return MonotonicNow() - int64(time.Since(t)) }
 
-// Start starts a site's processes. What has started is closed if one does not serve.
+// Start starts a site's processes. If one of them does not serve, all are closed.
 func (s Site) Start(p Params) (*Processes, error) {
 	sites, err := StartSites(p, s)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return sites[0], nil
 }
 
-// StartSites starts sites side by side: each has a fleet, a load and clients of its own, and
-// all are on one relay, whose links are usually as the first site's. Their instances are numbered through.
+// StartSites starts several sites at once: each has its own fleet and client load, and all share one relay, whose
+// links without faults are as in the first site. Instances are numbered consecutively over all sites.
 func StartSites(p Params, sites ...Site) (list []*Processes, err error) {
 	relay, first := NewRelay(p.Seed, sites[0].Link), 0
 	defer func() {
@@ -117,7 +117,7 @@
 	for _, s := range sites {
 		c := &Processes{Relay: relay, seed: p.Seed + uint64(first)}
 		list = append(list, c)
-		if err = s.lay(p, c, first); err != nil {
+		if err = s.createInstances(p, c, first); err != nil {
 			return
 		}
 		first += s.N
@@ -130,7 +130,7 @@
 			if err = x.Write(sites[i].File(c, x)); err != nil {
 				return
 			}
-			if x.shares >= 0 {
+			if x.hostIndex >= 0 {
 				continue
 			}
 			if err = x.Start(); err != nil {
@@ -145,80 +145,80 @@
 	return
 }
 
-// lay gives the instances of a site, of which the first has that number, their addresses and files.
-func (s Site) lay(p Params, c *Processes, first int) (err error) {
+// createInstances gives each instance of a site its addresses and files; the first one has the number first.
+func (s Site) createInstances(p Params, c *Processes, first int) (err error) {
 	if c.Fleet, err = NewFleet(c.seed, s.Workers, s.Slots, s.Mean); err != nil {
 		return err
 	}
 	for me := range s.N {
 		i := first + me
 		name := fmt.Sprintf("n%d", i)
-		x := &Instance{Index: i, shares: -1, Dir: filepath.Join(p.Out, name), Journal: filepath.Join(p.Out, name+".journal")}
+		x := &Instance{Index: i, hostIndex: -1, Dir: filepath.Join(p.Out, name), Journal: filepath.Join(p.Out, name+".journal")}
 		if s.Hollow != nil {
-			x.shares = s.Hollow(me)
+			x.hostIndex = s.Hollow(me)
 		}
 		var addr, admin string
-		for _, to := range []*string{&addr, &admin, &x.Peers, &x.Accord, &x.Jobs} {
+		for _, to := range []*string{&addr, &admin, &x.GossipListen, &x.AccordListen, &x.JobsListen} {
 			if *to, err = freePort(IP(i).String()); err != nil {
 				return err
 			}
 		}
-		if x.Door, err = c.Relay.DoorTo(peersDoor, Anyone, i, x.Peers); err != nil {
+		if x.GossipAddr, err = c.Relay.ForwardTraffic(peersDoor, Anyone, i, x.GossipListen); err != nil {
 			return err
 		}
-		if x.Way, err = c.Relay.DoorTo(accordDoor, Anyone, i, x.Accord); err != nil {
+		if x.AccordAddr, err = c.Relay.ForwardTraffic(accordDoor, Anyone, i, x.AccordListen); err != nil {
 			return err
 		}
-		if x.Line, err = c.Relay.DoorTo(seatsDoor, Anyone, i, x.Jobs); err != nil {
+		if x.JobsAddr, err = c.Relay.ForwardTraffic(seatsDoor, Anyone, i, x.JobsListen); err != nil {
 			return err
 		}
 		limits := `"cores":1,"memory_mb":192,"sockets":1024`
 		if s.Sockets > 0 {
 			limits = fmt.Sprintf(`"cores":1,"memory_mb":768,"sockets":%d`, s.Sockets)
 		}
-		x.Dispatcher, err = NewDispatcher(p.programOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), me, s.N, limits, s.Lanes, s.Parties, s.Rules), "")
+		x.Dispatcher, err = NewDispatcher(p.programOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), me, s.N, limits, s.ClassesJSON, s.TenantsJSON, s.ExtraRules), "")
 		if err != nil {
 			return err
 		}
 		x.Addr, x.Admin, x.File = addr, admin, filepath.Join(p.Out, name+".hcl")
-		if p.processes != nil && x.shares < 0 {
+		if p.processes != nil && x.hostIndex < 0 {
 			*p.processes = append(*p.processes, x.Dispatcher)
 		}
 		c.Nodes = append(c.Nodes, x)
-		if err = x.Wipe(); err != nil { // what an earlier run left in this folder
+		if err = x.Wipe(); err != nil { // an earlier run may have left state in this folder
 			return err
 		}
-		if err = c.listen(x); err != nil {
+		if err = c.collectJournal(x); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// listen takes in an instance's journal, over all its lives.
-func (c *Processes) listen(x *Instance) error {
+// collectJournal reads an instance's journal in the background, across restarts of its process.
+func (c *Processes) collectJournal(x *Instance) error {
 	os.Remove(x.Journal)
 	if err := unix.Mkfifo(x.Journal, 0o600); err != nil {
 		return err
 	}
-	from, err := os.OpenFile(x.Journal, os.O_RDONLY|unix.O_NONBLOCK, 0)
+	reader, err := os.OpenFile(x.Journal, os.O_RDONLY|unix.O_NONBLOCK, 0)
 	if err != nil {
 		return err
 	}
-	to, err := os.OpenFile(x.Journal, os.O_WRONLY, 0)
+	writer, err := os.OpenFile(x.Journal, os.O_WRONLY, 0)
 	if err != nil {
-		from.Close()
+		reader.Close()
 		return err
 	}
-	c.pipes = append(c.pipes, to)
-	c.reads.Go(func() {
-		defer from.Close()
+	c.journalPipes = append(c.journalPipes, writer)
+	c.journalReaders.Go(func() {
+		defer reader.Close()
 		buf := make([]byte, 64<<10)
 		for {
-			n, err := from.Read(buf)
-			x.journal.Lock()
-			x.written.Write(buf[:n])
-			x.journal.Unlock()
+			n, err := reader.Read(buf)
+			x.journalMu.Lock()
+			x.journalData.Write(buf[:n])
+			x.journalMu.Unlock()
 			if err != nil {
 				return
 			}
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// Halt kills all processes and returns what they acted on, and when they did not
-// live. Load and fleet can still be asked.
+// Halt kills all processes and returns their journals and the times in which they did not run.
+// The records of load and fleet can still be read.
 func (c *Processes) Halt() invariants.Journals {
 	for _, x := range c.Nodes {
 		x.Kill()
@@ -236,22 +236,22 @@
 	for _, h := range c.Hosts {
 		h.Kill()
 	}
-	for _, p := range c.pipes {
+	for _, p := range c.journalPipes {
 		p.Close()
 	}
-	c.pipes = nil
-	c.reads.Wait()
+	c.journalPipes = nil
+	c.journalReaders.Wait()
 	var acts invariants.Journals
 	for _, x := range c.Nodes {
-		os.WriteFile(x.Journal+".jsonl", x.written.Bytes(), 0o600) // for who wants to look at it later
-		lines, damaged := invariants.ReadJournal(x.written.Bytes())
+		os.WriteFile(x.Journal+".jsonl", x.journalData.Bytes(), 0o600) // kept for later inspection
+		lines, damaged := invariants.ReadJournal(x.journalData.Bytes())
 		acts.Lines, acts.Damaged = append(acts.Lines, lines...), acts.Damaged+damaged
-		acts.Pauses = append(acts.Pauses, x.halts...)
+		acts.Pauses = append(acts.Pauses, x.pauses...)
 	}
 	return acts
 }
 
-// Close ends all of it, and the relay, also for other sites on it.
+// Close ends processes, load and fleet, and the relay, which other sites may share.
 func (c *Processes) Close() {
 	c.Halt()
 	c.Relay.Close()
@@ -263,22 +263,22 @@
 	}
 }
 
-// Index is the number of the instance of that name; -1: there is none.
+// Index returns the position in Nodes of the instance of that name, -1 if there is none.
 func (c *Processes) Index(name string) int {
 	return slices.IndexFunc(c.Nodes, func(x *Instance) bool { return x.Name == name })
 }
 
-// History is what clients and workers saw, for an audit. Who asked an instance
-// that was killed or stood still meanwhile is owed nothing in time: without an
-// answer it is taken to have left, with a late one to have been that patient.
+// History returns what clients and workers recorded, for an audit. The audit must not count requests to an instance
+// that was killed or frozen meanwhile: one without an answer counts as disconnected by the client, and
+// for one with a late answer the client's timeout is extended to that answer.
 func (c *Processes) History(rules invariants.Limits, classes []invariants.Class) *invariants.History {
 	h := &invariants.History{Limits: rules, Classes: classes, Workers: c.Fleet.Workers(), Attempts: c.Fleet.Attempts()}
 	for _, a := range c.Load.Answers() {
-		r := a.audited(c.Fleet.Clock)
+		r := a.auditRequest(c.Fleet.Clock)
 		x := c.Nodes[a.Entry]
 		x.mu.Lock()
-		from, to := SteadyAt(a.At), SteadyAt(a.At.Add(a.Took))
-		if slices.ContainsFunc(x.halts, func(h invariants.Pause) bool { return h.Sent <= to && from <= h.To }) {
+		from, to := MonotonicAt(a.At), MonotonicAt(a.At.Add(a.Took))
+		if slices.ContainsFunc(x.pauses, func(h invariants.Pause) bool { return h.Sent <= to && from <= h.To }) {
 			if r.ClientTimeout = max(r.ClientTimeout, a.Took.Seconds()); a.Status == 0 {
 				r.DisconnectedAt = c.Fleet.Clock(a.At.Add(a.Took))
 			}
@@ -289,14 +289,14 @@
 	return h
 }
 
-// Peering is the part of the operator's file that has an instance join the others,
-// by way of the first two.
+// Peering returns the blocks admin and peers of the operator's file, with which an instance joins
+// the cluster through its first two instances. The period is in seconds.
 func (x *Instance) Peering(c *Processes, period float64) string {
 	return fmt.Sprintf("admin {\n  listen = %q\n}\npeers {\n  listen = %q\n  advertise = %q\n  join = [%q, %q]\n  cluster = \"lab\"\n  period = \"%gs\"\n}\n",
-		x.Admin, x.Peers, x.Door, c.Nodes[0].Door, c.Nodes[1].Door, period)
+		x.Admin, x.GossipListen, x.GossipAddr, c.Nodes[0].GossipAddr, c.Nodes[1].GossipAddr, period)
 }
 
-// Write writes the operator's file, in one step.
+// Write replaces the operator's file atomically.
 func (x *Instance) Write(file string) error {
 	if err := os.WriteFile(x.File+".new", []byte(file), 0o600); err != nil {
 		return err
@@ -304,7 +304,7 @@
 	return os.Rename(x.File+".new", x.File)
 }
 
-// Reload has the process read its files again, if it lives.
+// Reload makes the process, if it runs, read its files again.
 func (x *Instance) Reload() error { return x.signal(syscall.SIGHUP) }
 
 func (x *Instance) signal(s syscall.Signal) error {
@@ -316,81 +316,81 @@
 	return x.cmd.Process.Signal(s)
 }
 
-// Start starts the process, if it does not live, and waits until it serves.
+// Start starts the process, if it does not run, and waits until it serves.
 func (x *Instance) Start() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cmd != nil {
 		return nil
 	}
-	if n := len(x.halts); n > 0 && x.halts[n-1].Killed {
-		x.halts[n-1].To = Steady()
+	if n := len(x.pauses); n > 0 && x.pauses[n-1].Killed {
+		x.pauses[n-1].To = MonotonicNow()
 	}
-	x.life++
+	x.generation++
 	return x.Dispatcher.Start()
 }
 
 // Kill ends the process at once, by SIGKILL.
-func (x *Instance) Kill() { x.end(x.Dispatcher.Kill) }
+func (x *Instance) Kill() { x.terminate(x.Dispatcher.Kill) }
 
-// Stop ends it in good order and returns how long that took.
+// Stop ends the process by SIGTERM and returns how long that took.
 func (x *Instance) Stop() (took time.Duration) {
-	x.end(func() { took = x.Dispatcher.Stop() })
+	x.terminate(func() { took = x.Dispatcher.Stop() })
 	return took
 }
 
-func (x *Instance) end(how func()) {
+func (x *Instance) terminate(do func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cmd == nil {
 		return
 	}
-	sent := Steady()
-	how()
-	x.wake()
-	x.halts = append(x.halts, invariants.Pause{Name: x.Name, Sent: sent, From: Steady(), To: invariants.Forever, Killed: true})
+	sent := MonotonicNow()
+	do()
+	x.endFreeze()
+	x.pauses = append(x.pauses, invariants.Pause{Name: x.Name, Sent: sent, From: MonotonicNow(), To: invariants.Forever, Killed: true})
 }
 
-// wake notes that the process stands still no more. The lock is held.
-func (x *Instance) wake() {
-	if x.stopped != 0 {
-		x.halts[len(x.halts)-1].To = Steady()
-		x.stopped = 0
+// endFreeze records that the process is no longer frozen. The caller holds mu.
+func (x *Instance) endFreeze() {
+	if x.frozenGeneration != 0 {
+		x.pauses[len(x.pauses)-1].To = MonotonicNow()
+		x.frozenGeneration = 0
 	}
 }
 
-// Freeze stops the process by SIGSTOP, and returns when it stands still; thaw has
-// that life go on, if it lives yet.
+// Freeze stops the process by SIGSTOP and returns when all its threads are stopped. thaw resumes it,
+// unless it has been ended or restarted since.
 func (x *Instance) Freeze() (thaw func(), err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.cmd == nil || x.stopped != 0 {
+	if x.cmd == nil || x.frozenGeneration != 0 {
 		return func() {}, nil
 	}
-	pid, sent := x.cmd.Process.Pid, Steady()
+	pid, sent := x.cmd.Process.Pid, MonotonicNow()
 	if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(2 * time.Second); !still(pid); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(2 * time.Second); !allThreadsStopped(pid); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			return nil, fmt.Errorf("%s does not stop", x.Name)
+			return nil, fmt.Errorf("%s did not stop within 2 s of SIGSTOP", x.Name)
 		}
 	}
-	life := x.life
-	x.stopped = life
-	x.halts = append(x.halts, invariants.Pause{Name: x.Name, Sent: sent, From: Steady(), To: invariants.Forever})
+	life := x.generation
+	x.frozenGeneration = life
+	x.pauses = append(x.pauses, invariants.Pause{Name: x.Name, Sent: sent, From: MonotonicNow(), To: invariants.Forever})
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.stopped == life {
-			x.wake()
-			syscall.Kill(pid, syscall.SIGCONT) // not reaped yet: it is of this life
+		if x.frozenGeneration == life {
+			x.endFreeze()
+			syscall.Kill(pid, syscall.SIGCONT) // the process is not reaped yet, so the pid is still its own
 		}
 	}, nil
 }
 
-// still says that each thread of a process is stopped.
-func still(pid int) bool {
+// allThreadsStopped reports whether each thread of a process is stopped.
+func allThreadsStopped(pid int) bool {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, t := range threads {
 		raw, err := os.ReadFile(t)
@@ -402,11 +402,11 @@
 	return len(threads) > 0
 }
 
-// Wipe throws the state of a process away that does not live.
+// Wipe removes the state of an instance whose process does not run.
 func (x *Instance) Wipe() error { return os.RemoveAll(x.Dir) }
 
-// files are the state's, the longest first.
-func (x *Instance) files() (list []string, longest int64) {
+// stateFiles returns the files of the state, the longest first, and the length of the longest in bytes.
+func (x *Instance) stateFiles() (list []string, longest int64) {
 	sizes := map[string]int64{}
 	filepath.Walk(x.Dir, func(path string, f os.FileInfo, err error) error {
 		if err == nil && f.Mode().IsRegular() {
@@ -419,12 +419,12 @@
 	return list, longest
 }
 
-// Tear spoils the end of the longest file of the state as a write that was not
-// finished does: its last bytes that are not zero are cut off, or others.
+// Tear damages the end of the state's longest file as an unfinished write does: up to 512 of
+// the last bytes before trailing zeros are cut off or overwritten.
 func (x *Instance) Tear(rng *rand.Rand) error {
-	list, _ := x.files()
+	list, _ := x.stateFiles()
 	if len(list) == 0 {
-		return fmt.Errorf("%s has no file to tear in %s", x.Name, x.Dir)
+		return fmt.Errorf("%s has no state file to tear in %s", x.Name, x.Dir)
 	}
 	raw, err := os.ReadFile(list[0])
 	if err != nil {
@@ -441,39 +441,38 @@
 	return os.WriteFile(list[0], raw, 0o600)
 }
 
-// Fill has the system refuse the process every byte beyond the end of the longest
-// file of its state (EFBIG), as a full disk does, until it is lifted or the life ends.
-// What still fits into a file's present length is written: that needs a file
-// system of its own to refuse, and rights to mount it.
+// Fill makes the kernel refuse each write beyond the length of the state's longest file (EFBIG), similar to a
+// full disk, until lift is called or the process ends. Writes within that length still succeed: refusing
+// them would need a separate file system and the right to mount it.
 func (x *Instance) Fill() (lift func(), err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cmd == nil {
 		return func() {}, nil
 	}
-	var was unix.Rlimit
-	pid, life := x.cmd.Process.Pid, x.life
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &was); err != nil {
+	var old unix.Rlimit
+	pid, life := x.cmd.Process.Pid, x.generation
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &old); err != nil {
 		return nil, err
 	}
-	_, longest := x.files()
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(longest), Max: was.Max}, nil); err != nil {
+	_, longest := x.stateFiles()
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(longest), Max: old.Max}, nil); err != nil {
 		return nil, err
 	}
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.life == life && x.cmd != nil {
-			unix.Prlimit(pid, unix.RLIMIT_FSIZE, &was, nil) // it may have ended
+		if x.generation == life && x.cmd != nil {
+			unix.Prlimit(pid, unix.RLIMIT_FSIZE, &old, nil) // fails if the process has ended, which does not matter
 		}
 	}, nil
 }
 
-// Until waits for what is to become true; it is an error if that takes longer.
+// Until polls a condition every 20 ms until it holds. It returns an error if that takes longer than within.
 func Until(within time.Duration, what string, ok func() bool) error {
 	for end := time.Now().Add(within); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("not within %v: %s", within, what)
+			return fmt.Errorf("timed out after %v waiting for: %s", within, what)
 		}
 	}
 	return nil
--- a/internal/lab/experiments/processes_test.go
+++ b/internal/lab/experiments/processes_test.go
@@ -28,8 +28,8 @@
 	err  error
 }
 
-// TestMain lets the test binary stand in for a process that writes to its state, and for one of hollow instances,
-// and removes the program if a test has had it built.
+// TestMain lets the test binary also act as a hollow process and as a process that writes to its state,
+// and removes the executable of bellstream if a test has built it.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == HollowCommand {
 		if err := ServeHollow(); err != nil {
@@ -67,8 +67,8 @@
 	return built.path
 }
 
-// seen is what instance i sees of the others.
-func seen(x *Instance) map[string]peer {
+// peersSeenBy returns the peers that an instance lists, by name, and the instance itself with its incarnation.
+func peersSeenBy(x *Instance) map[string]peer {
 	var s struct {
 		Incarnation uint64
 		Peers       []peer
@@ -91,17 +91,17 @@
 	Incarnation uint64
 }
 
-// fresh says that it was heard within so long.
-func (p peer) fresh(s float64) bool { return p.Name != "" && p.Age >= 0 && p.Age < s }
+// heardWithin reports whether the peer was heard of less than s seconds ago.
+func (p peer) heardWithin(s float64) bool { return p.Name != "" && p.Age >= 0 && p.Age < s }
 
-// Kill, stop and one-way cut are really caused, and heal: by what the processes
-// themselves see of each other, and by what clients and workers saw.
+// Checks that kill, stop and a one-way cut really take effect and end, by what the processes list of each other
+// and by the records of clients and workers.
 func TestFaultsAreCaused(t *testing.T) {
 	const seed = 20260750
 	t.Logf("seed %d", seed)
 	dir := t.TempDir()
 	c, err := Site{N: 3, Workers: 4, Slots: 4, Mean: 20 * time.Millisecond, Link: Link{Loss: 0.02, Jitter: 5 * time.Millisecond},
-		Lanes: `{"name":"job","aim":1,"hard_limit":2,"value":1,"semantics":"unsafe"}`, Parties: `{"name":"t","quota_per_s":100}`,
+		ClassesJSON: `{"name":"job","aim":1,"hard_limit":2,"value":1,"semantics":"unsafe"}`, TenantsJSON: `{"name":"t","quota_per_s":100}`,
 		File: func(c *Processes, x *Instance) string {
 			return x.Peering(c, 0.1) + "counts {\n  staleness = \"3s\"\n  floor = 0.02\n  loss = 0.1\n}\n"
 		}}.Start(Params{Seed: seed, Program: program(t), Out: dir})
@@ -112,7 +112,7 @@
 	p := &Player{Processes: c, Bound: 30 * time.Second, Log: t.Logf, Conditions: map[string]func() bool{"joined": func() bool {
 		for _, x := range c.Nodes {
 			for _, y := range c.Nodes {
-				if p := seen(x)[y.Name]; x != y && (!p.Present || !p.fresh(1)) {
+				if p := peersSeenBy(x)[y.Name]; x != y && (!p.Present || !p.heardWithin(1)) {
 					return false
 				}
 			}
@@ -125,13 +125,13 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	strike := func(text string) (undo func()) {
+	applyFault := func(text string) (undo func()) {
 		t.Helper()
 		s, err := ParseSchedule(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		do, err := p.strike(s[0], rand.New(rand.NewPCG(seed, 0)))
+		do, err := p.apply(s[0], rand.New(rand.NewPCG(seed, 0)))
 		if err != nil {
 			t.Fatalf("seed %d, %s: %v", seed, text, err)
 		}
@@ -152,43 +152,43 @@
 	}
 	c.Load.Play(ctx, seed, streams)
 
-	heal := strike("after 0s when joined cut n2>*")
-	until("n2 is not heard, and hears", func() bool {
-		a, b, back := seen(n0)[n2.Name], seen(n1)[n2.Name], seen(n2)
-		return a.Age > 1.5 && b.Age > 1.5 && back[n0.Name].fresh(1) && back[n1.Name].fresh(1)
+	heal := applyFault("after 0s when joined cut n2>*")
+	until("n2 hears the others and is not heard", func() bool {
+		a, b, back := peersSeenBy(n0)[n2.Name], peersSeenBy(n1)[n2.Name], peersSeenBy(n2)
+		return a.Age > 1.5 && b.Age > 1.5 && back[n0.Name].heardWithin(1) && back[n1.Name].heardWithin(1)
 	})
-	until("n2 is taken to be away", func() bool { return !seen(n0)[n2.Name].Present && !seen(n1)[n2.Name].Present })
+	until("n2 is absent for the others", func() bool { return !peersSeenBy(n0)[n2.Name].Present && !peersSeenBy(n1)[n2.Name].Present })
 	heal()
 	until("they are joined again", joined)
 
-	thaw, pid := strike("after 0s stop n1"), n1.cmd.Process.Pid
+	thaw, pid := applyFault("after 0s stop n1"), n1.cmd.Process.Pid
 	quick := http.Client{Timeout: 200 * time.Millisecond}
 	if _, err := quick.Get("http://" + n1.Admin + "/peers"); err == nil {
-		t.Error("n1 stands still and answers")
+		t.Error("n1 answers although it is stopped")
 	}
-	until("n1 is not heard", func() bool { return seen(n0)[n1.Name].Age > 1.5 && seen(n2)[n1.Name].Age > 1.5 })
+	until("n1 is not heard", func() bool { return peersSeenBy(n0)[n1.Name].Age > 1.5 && peersSeenBy(n2)[n1.Name].Age > 1.5 })
 	thaw()
 	until("they are joined again", joined)
-	if n1.cmd.Process.Pid != pid || n1.life != 1 {
-		t.Error("n1 is another process after it was stopped")
+	if n1.cmd.Process.Pid != pid || n1.generation != 1 {
+		t.Error("n1 was restarted while it was stopped, want the same process")
 	}
 
-	before := seen(n0)[n0.Name].Incarnation
-	start := strike("after 0s kill n0")
+	before := peersSeenBy(n0)[n0.Name].Incarnation
+	start := applyFault("after 0s kill n0")
 	began := time.Now()
 	if _, err := quick.Get("http://" + n0.Admin + "/peers"); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("n0 is killed: %v", err)
+		t.Errorf("request to the killed n0: got error %v, want connection refused", err)
 	}
-	until("n0 is not heard", func() bool { return seen(n1)[n0.Name].Age > 1.5 })
+	until("n0 is not heard", func() bool { return peersSeenBy(n1)[n0.Name].Age > 1.5 })
 	ended := time.Now()
 	start()
 	until("they are joined again", joined)
-	if after := seen(n0)[n0.Name].Incarnation; after <= before {
-		t.Errorf("incarnation %d after %d", after, before)
+	if after := peersSeenBy(n0)[n0.Name].Incarnation; after <= before {
+		t.Errorf("incarnation after the restart: got %d, want above %d", after, before)
 	}
 
-	s := Menu{Steps: 5, Gap: 300 * time.Millisecond, Span: 2 * time.Second, Faults: []string{"kill", "stop", "cut", "delay", "slow", "lose", "repeat", "reorder", "reset"},
-		Names: []string{"n0", "n1", "n2"}}.Draw(seed)
+	s := ScheduleOptions{Steps: 5, Gap: 300 * time.Millisecond, Span: 2 * time.Second, Faults: []string{"kill", "stop", "cut", "delay", "slow", "lose", "repeat", "reorder", "reset"},
+		Names: []string{"n0", "n1", "n2"}}.Generate(seed)
 	if err := p.Play(context.Background(), s); err != nil {
 		t.Fatal(err)
 	}
@@ -197,28 +197,27 @@
 	}
 	stop()
 	c.Load.Wait()
-	away := Between(c.Load.Answers(), began, ended, 0)
+	ofKilled := Between(c.Load.Answers(), began, ended, 0)
 	others := Between(c.Load.Answers(), began, ended, 1, 2)
-	if Served(away) != 0 || Served(others) < 0.9 || len(others) < 20 {
-		t.Errorf("while n0 was away it served %.2f of %d, the others %.2f of %d", Served(away), len(away), Served(others), len(others))
+	if Served(ofKilled) != 0 || Served(others) < 0.9 || len(others) < 20 {
+		t.Errorf("while n0 was down: it served %.2f of %d jobs, want 0; the others served %.2f of %d, want at least 0.9 of 20", Served(ofKilled), len(ofKilled), Served(others), len(others))
 	}
 	acts := c.Halt()
 	if found := c.History(invariants.Limits{Grace: 0.016}, []invariants.Class{{Name: "job", Repeat: "unsafe"}}).Check(); len(found) > 0 {
 		t.Errorf("seed %d: %d rules broken, first %v, after\n%v", seed, len(found), found[0], s)
 	}
 	if len(acts.Pauses) < 5 || !acts.Pauses[0].Killed || acts.Pauses[0].To <= acts.Pauses[0].From {
-		t.Errorf("%+v", acts.Pauses)
+		t.Errorf("got pauses %+v, want at least 5, the first one a kill that ended", acts.Pauses)
 	}
 }
 
-// What an instance writes of what it acted on is taken in over its lives, and
-// ends with them.
+// Checks that the journal of an instance is read across restarts of its process.
 func TestJournalsAreTakenIn(t *testing.T) {
 	dir := t.TempDir()
 	x := &Instance{Dispatcher: &Dispatcher{Name: "n0"}, Journal: filepath.Join(dir, "n0.journal")}
 	c := &Processes{Nodes: []*Instance{x}, Relay: NewRelay(1, Link{})}
 	defer c.Relay.Close()
-	if err := c.listen(x); err != nil {
+	if err := c.collectJournal(x); err != nil {
 		t.Fatal(err)
 	}
 	for life := range 3 {
@@ -230,75 +229,74 @@
 		f.Close()
 	}
 	if acts := c.Halt(); len(acts.Lines) != 3 || acts.Lines[2].Incarnation != 3 || acts.Damaged != 0 {
-		t.Errorf("%+v", acts)
+		t.Errorf("got journals %+v, want 3 undamaged lines, the last of incarnation 3", acts)
 	}
 }
 
-// A full disk, a torn write and lost files strike the state alone.
+// Checks that the faults fill, tear and wipe affect only the state of an instance.
 func TestDiskFaults(t *testing.T) {
 	dir := t.TempDir()
 	x := &Instance{Dispatcher: &Dispatcher{Name: "n0"}, Dir: filepath.Join(dir, "n0")}
 	os.Mkdir(x.Dir, 0o700)
 	state, other := filepath.Join(x.Dir, "state"), filepath.Join(x.Dir, "short")
-	whole := append(bytes.Repeat([]byte("abc"), 1000), 0, 0, 0, 0)
-	os.WriteFile(state, whole, 0o600)
+	content := append(bytes.Repeat([]byte("abc"), 1000), 0, 0, 0, 0)
+	os.WriteFile(state, content, 0o600)
 	os.WriteFile(other, []byte("short"), 0o600)
 
 	x.cmd = exec.Command(os.Args[0])
 	x.cmd.Env = append(os.Environ(), "LAB_WRITER="+state)
-	said, _ := x.cmd.StdoutPipe()
+	output, _ := x.cmd.StdoutPipe()
 	if err := x.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	x.ended = make(chan error, 1)
 	defer x.Kill()
-	says := func(want string) {
+	waitForOutput := func(want string) {
 		t.Helper()
 		var line string
-		for range 400 { // those that were said before come first
-			if fmt.Fscanln(said, &line); line == want {
+		for range 400 { // earlier output comes first
+			if fmt.Fscanln(output, &line); line == want {
 				return
 			}
 		}
-		t.Fatalf("400 writes, none of which is %s to be refused", want)
+		t.Fatalf("400 writes, for none of them the process printed %s (whether it was refused)", want)
 	}
-	says("false")
+	waitForOutput("false")
 	lift, err := x.Fill()
 	if err != nil {
 		t.Fatal(err)
 	}
-	says("true")
+	waitForOutput("true")
 	lift()
-	says("false")
+	waitForOutput("false")
 	x.cmd.Process.Kill()
 	x.ended <- x.cmd.Wait()
 	x.Kill()
 
-	os.WriteFile(state, whole, 0o600)
+	os.WriteFile(state, content, 0o600)
 	cut, garbled := false, false
 	for seed := range uint64(20) {
-		os.WriteFile(state, whole, 0o600)
+		os.WriteFile(state, content, 0o600)
 		if err := x.Tear(rand.New(rand.NewPCG(seed, 0))); err != nil {
 			t.Fatal(err)
 		}
 		raw, _ := os.ReadFile(state)
-		cut = cut || len(raw) < len(whole) && bytes.HasPrefix(whole, raw)
-		garbled = garbled || len(raw) == len(whole) && !bytes.Equal(raw, whole) && bytes.Equal(raw[:2000], whole[:2000])
-		if bytes.Equal(raw, whole) {
-			t.Errorf("seed %d tears nothing", seed)
+		cut = cut || len(raw) < len(content) && bytes.HasPrefix(content, raw)
+		garbled = garbled || len(raw) == len(content) && !bytes.Equal(raw, content) && bytes.Equal(raw[:2000], content[:2000])
+		if bytes.Equal(raw, content) {
+			t.Errorf("seed %d: Tear changed nothing", seed)
 		}
 	}
 	if raw, _ := os.ReadFile(other); !cut || !garbled || string(raw) != "short" {
-		t.Errorf("cut off %v, garbled %v, the other file %q", cut, garbled, raw)
+		t.Errorf("got cut off %v, overwritten %v, want both; the other file: got %q, want unchanged", cut, garbled, raw)
 	}
 	if err := x.Wipe(); err != nil || x.Tear(rand.New(rand.NewPCG(1, 0))) == nil {
-		t.Errorf("files thrown away: %v", err)
+		t.Errorf("Wipe, then Tear: got error %v of Wipe, or no error of Tear without files", err)
 	}
 }
 
-// A stream over a cut link stands still in that direction alone, and goes on
-// with nothing lost; one that is made over a cut is made when the cut ends; a
-// reset is told.
+// Checks that a cut stalls a stream in its direction only and that the stream continues without loss after it, that a
+// stream opened during a cut is connected when the cut ends, and that a reset reaches the far end.
 func TestRelayStreams(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -307,7 +305,7 @@
 	defer l.Close()
 	r := NewRelay(1, Link{})
 	defer r.Close()
-	at, err := r.Door(2, 5, l.Addr().String())
+	at, err := r.Forward(2, 5, l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -324,50 +322,50 @@
 		near.SetDeadline(time.Now().Add(5 * time.Second))
 		return near, far
 	}
-	says := func(from, to net.Conn, text string) error {
+	send := func(from, to net.Conn, text string) error {
 		io.WriteString(from, text)
-		to.SetReadDeadline(time.Now().Add(150 * time.Millisecond)) // what must not come ends by it
+		to.SetReadDeadline(time.Now().Add(150 * time.Millisecond)) // ends the wait for text that must not arrive
 		got := make([]byte, len(text))
 		_, err := io.ReadFull(to, got)
 		if err == nil && string(got) != text {
-			return fmt.Errorf("%q", got)
+			return fmt.Errorf("got %q", got)
 		}
 		return err
 	}
 	near, far := pair()
-	if err := errors.Join(says(near, far, "a"), says(far, near, "b")); err != nil {
+	if err := errors.Join(send(near, far, "a"), send(far, near, "b")); err != nil {
 		t.Fatal(err)
 	}
-	lift := r.Lay(func(from, to int) bool { return from == 2 && to == 5 }, Link{Cut: true})
-	also := r.Lay(func(from, to int) bool { return from == 2 }, Link{Cut: true})
-	if err := says(near, far, "cut"); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("over a cut: %v", err)
+	lift := r.AddFault(func(from, to int) bool { return from == 2 && to == 5 }, Link{Cut: true})
+	liftSecond := r.AddFault(func(from, to int) bool { return from == 2 }, Link{Cut: true})
+	if err := send(near, far, "cut"); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("in the direction of the cut: got error %v, want deadline exceeded", err)
 	}
-	if err := says(far, near, "back"); err != nil {
-		t.Errorf("the other way: %v", err)
+	if err := send(far, near, "back"); err != nil {
+		t.Errorf("against the direction of the cut: got error %v", err)
 	}
 	lift()
-	if err := says(near, far, ""); err != nil || says(near, far, "!") == nil {
-		t.Error("one of two cuts is lifted: it passes")
+	if err := send(near, far, ""); err != nil || send(near, far, "!") == nil {
+		t.Error("one of two cuts is lifted: data passes, want it to be held")
 	}
-	asked, _ := net.Dial("tcp", at) // its other end comes when the cut has ended
-	gone, _ := net.Dial("tcp", at)
+	opened, _ := net.Dial("tcp", at) // accepted at the target when the cut has ended
+	closedEarly, _ := net.Dial("tcp", at)
 	open := func(n int) func() bool {
 		return func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.streams) == n }
 	}
-	if err := Until(5*time.Second, "the relay has them", open(3)); err != nil {
+	if err := Until(5*time.Second, "the relay to have 3 streams", open(3)); err != nil {
 		t.Fatal(err)
 	}
-	gone.Close() // before it was made: it never was
-	if err := Until(5*time.Second, "the relay has let one go", open(2)); err != nil {
+	closedEarly.Close() // closed before it is connected, so it never is
+	if err := Until(5*time.Second, "the relay to drop one stream", open(2)); err != nil {
 		t.Fatal(err)
 	}
-	also()
-	if got := make([]byte, 4); says(far, near, "x") != nil {
-		t.Error("after the cut: nothing")
+	liftSecond()
+	if got := make([]byte, 4); send(far, near, "x") != nil {
+		t.Error("after the cut: nothing arrives")
 	} else if far.SetReadDeadline(time.Now().Add(5 * time.Second)); true {
 		if _, err := io.ReadFull(far, got); string(got) != "cut!" {
-			t.Errorf("what stood still: %q, %v", got, err)
+			t.Errorf("data held by the cut: got %q, error %v, want \"cut!\"", got, err)
 		}
 	}
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
@@ -375,31 +373,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := says(asked, late, "late"); err != nil {
+	if err := send(opened, late, "late"); err != nil {
 		t.Error(err)
 	}
 	r.Reset(func(from, to int) bool { return from == 5 })
-	if err := says(near, far, "whole"); err != nil {
+	if err := send(near, far, "whole"); err != nil {
 		t.Error(err)
 	}
 	r.Reset(func(from, to int) bool { return from == 2 && to == 5 })
-	if err := says(far, near, "more"); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset: %v", err)
+	if err := send(far, near, "more"); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("after a reset: got error %v, want connection reset", err)
 	}
 }
 
-// A schedule is the same for the same seed and is read back from its text; what
-// is none is named by its line.
+// Checks that a schedule depends on its seed alone and can be parsed from its text, that link targets select the
+// right links, and that errors name line, condition, or seed and schedule.
 func TestSchedule(t *testing.T) {
-	m := Menu{Steps: 50, Gap: time.Second, Span: time.Second, Faults: []string{"kill", "cut", "reset"}, Names: []string{"n0", "leader"}, When: []string{"narrow"}}
-	one := m.Draw(7)
-	back, err := ParseSchedule("# a remark\n\n" + one.String())
-	if err != nil || back.String() != one.String() || len(one) != 50 || m.Draw(7).String() != one.String() || m.Draw(8).String() == one.String() {
-		t.Errorf("%v\n%v\n%v", err, one, back)
+	m := ScheduleOptions{Steps: 50, Gap: time.Second, Span: time.Second, Faults: []string{"kill", "cut", "reset"}, Names: []string{"n0", "leader"}, When: []string{"narrow"}}
+	generated := m.Generate(7)
+	parsed, err := ParseSchedule("# a remark\n\n" + generated.String())
+	if err != nil || parsed.String() != generated.String() || len(generated) != 50 || m.Generate(7).String() != generated.String() || m.Generate(8).String() == generated.String() {
+		t.Errorf("error %v; generated schedule:\n%v\nparsed:\n%v", err, generated, parsed)
 	}
 	for _, bad := range []string{"kill n0", "after 1 kill n0", "after 1s kill", "after -1s kill n0", "after 1s kill n0 for x"} {
 		if _, err := ParseSchedule("after 1s kill n0\n" + bad); err == nil || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: got error %v, want one that names line 2", bad, err)
 		}
 	}
 	c := &Processes{Relay: NewRelay(1, Link{}), seed: 99}
@@ -423,7 +421,7 @@
 			}
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("%s: %v, want %s", text, got, want)
+			t.Errorf("links of %s: got %v, want %s", text, got, want)
 		}
 	}
 	for _, bad := range []string{"cut n0", "cut *>*", "cut n0>n9", "explode n0", "kill n9", "kill nobody", "kill n0 when", "cut nobody>n0"} {
@@ -432,12 +430,12 @@
 			continue
 		}
 		if err := p.Play(context.Background(), s); err == nil || !strings.Contains(err.Error(), "seed 99") || !strings.Contains(err.Error(), s.String()) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: got error %v, want one that names seed and schedule", bad, err)
 		}
 	}
 	for _, when := range []string{"never", "unknown"} {
 		if err := p.Play(context.Background(), Schedule{{When: when, Do: "kill", To: "n0"}}); err == nil || !strings.Contains(err.Error(), when) {
-			t.Errorf("%s: %v", when, err)
+			t.Errorf("condition %s: got error %v, want one that names it", when, err)
 		}
 	}
 }
@@ -449,8 +447,8 @@
 		if err != nil {
 			return
 		}
-		if back, err := ParseSchedule(s.String()); err != nil || back.String() != s.String() {
-			t.Errorf("%q: %v\n%v", text, err, back)
+		if parsed, err := ParseSchedule(s.String()); err != nil || parsed.String() != s.String() {
+			t.Errorf("%q: parsed again: error %v, got\n%v", text, err, parsed)
 		}
 	})
 }
--- a/internal/lab/experiments/rebalance.go
+++ b/internal/lab/experiments/rebalance.go
@@ -21,13 +21,13 @@
 	Run:     runRebalance,
 }
 
-// The fleet does 400 jobs a second. Sixteen tenants ask for more than that through all six; one more asks, through
-// one of them alone, for a fifth more than it is promised.
+// The fleet can run 400 jobs per second. Sixteen tenants ask for more than that through all six instances; one more
+// tenant, lone, asks for a fifth more than its reservation through a single instance.
 const (
 	rebalanceN      = 6
 	rebalanceVoters = 3
 	rebalanceShards = 64
-	rebalanceLone   = 30.0 // jobs a second that the lone tenant is promised
+	rebalanceLone   = 30.0 // reservation of the lone tenant, in jobs per second
 	rebalanceCrowd  = 16
 )
 
@@ -41,9 +41,9 @@
 	}
 	return Site{N: rebalanceN, Workers: 20, Slots: 2, Mean: 100 * time.Millisecond, Link: Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond},
 		Sockets: sockets,
-		Lanes: `{"name":"job","aim":20,"aim_stretch":2,"hard_limit":60,"value":1,"semantics":"safe"},` +
+		ClassesJSON: `{"name":"job","aim":20,"aim_stretch":2,"hard_limit":60,"value":1,"semantics":"safe"},` +
 			`{"name":"once","aim":20,"aim_stretch":2,"hard_limit":60,"value":1,"semantics":"unsafe"}`,
-		Parties: strings.Join(parties, ","),
+		TenantsJSON: strings.Join(parties, ","),
 		File: func(c *Processes, x *Instance) string {
 			file := fmt.Sprintf("admin {\n  listen = %q\n}\n", x.Admin)
 			if !sharded {
@@ -52,40 +52,40 @@
 			var voters, lines, names []string
 			for i, y := range c.Nodes {
 				if i < rebalanceVoters {
-					voters = append(voters, fmt.Sprintf("%s = %q", y.Name, y.Way))
+					voters = append(voters, fmt.Sprintf("%s = %q", y.Name, y.AccordAddr))
 				}
-				lines = append(lines, fmt.Sprintf("%s = %q", y.Name, y.Line))
+				lines = append(lines, fmt.Sprintf("%s = %q", y.Name, y.JobsAddr))
 				names = append(names, fmt.Sprintf("%q", y.Name))
 			}
 			return file + fmt.Sprintf("accord {\n  cluster = \"lab\"\n  listen = %q\n  folder = %q\n  voters = { %s }\n  lease = \"%gs\"\n  period = \"%gs\"\n"+
 				"  delay = \"%gs\"\n  drift = %g\n  look = \"%gs\"\n  journal = %q\n}\nshards {\n  count = %d\n  listen = %q\n  instances = { %s }\n  tolerance = 0.1\n"+
 				"  at_once = 8\n}\nrules {\n  based_on = 0\n  instances = [%s]\n}\n",
-				x.Accord, x.Dir, strings.Join(voters, ", "), s.LeaseSeconds, s.RenewIntervalSeconds, s.NetworkDelaySeconds, s.ClockDrift, s.PollIntervalSeconds, x.Journal,
-				rebalanceShards, x.Jobs, strings.Join(lines, ", "), strings.Join(names, ", "))
+				x.AccordListen, x.Dir, strings.Join(voters, ", "), s.LeaseSeconds, s.RenewIntervalSeconds, s.NetworkDelaySeconds, s.ClockDrift, s.PollIntervalSeconds, x.Journal,
+				rebalanceShards, x.JobsListen, strings.Join(lines, ", "), strings.Join(names, ", "))
 		}}
 }
 
-// seats are the agreed seats, as the instance with the newest rules knows them: how many are taken, and
-// how often any was changed.
-func (c *Processes) seats() (taken, changes int) {
+// shardOwners returns, by the instance with the newest rules, how many shards have an owner and how
+// often owners have changed, over all shards.
+func (c *Processes) shardOwners() (owned, changes int) {
 	var newest uint64
 	for _, x := range c.Nodes {
-		s, ok := x.accord()
+		s, ok := x.accordStatus()
 		if !ok || !s.Leased || s.Table == nil || s.Stage != "in force" || s.Version < newest {
 			continue
 		}
-		newest, taken, changes = s.Version, 0, 0
+		newest, owned, changes = s.Version, 0, 0
 		for _, seat := range s.Table.ShardOwners {
 			if seat.Name != "" {
-				taken++
+				owned++
 			}
 			changes += int(seat.Epoch)
 		}
 	}
-	return taken, changes
+	return owned, changes
 }
 
-// rebalanceLoad are the streams: a crowd that asks for so much, and the lone tenant.
+// rebalanceLoad returns the load: the sixteen tenants with rate jobs per second in total, and the lone tenant.
 func rebalanceLoad(rate float64, patience time.Duration) (list []Stream) {
 	for i := range rebalanceN {
 		for t := range rebalanceCrowd {
@@ -99,8 +99,8 @@
 	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLone * 1.2, Even: true, Patience: patience})
 }
 
-// lone is the rate at which the fleet began jobs of the lone tenant, against its reservation.
-func (c *Processes) lone(from, to time.Time) float64 {
+// loneTenantShare returns the rate at which the fleet started jobs of the lone tenant, as a fraction of its reservation.
+func (c *Processes) loneTenantShare(from, to time.Time) float64 {
 	n := 0.0
 	for _, j := range c.Fleet.Jobs() {
 		if j.Tenant == "lone" && !j.Started.Before(from) && j.Started.Before(to) {
@@ -110,8 +110,8 @@
 	return n / to.Sub(from).Seconds() / rebalanceLone
 }
 
-// rate is how many jobs a second the fleet began.
-func (c *Processes) rate(from, to time.Time) float64 {
+// startRate returns how many jobs per second the fleet started.
+func (c *Processes) startRate(from, to time.Time) float64 {
 	n := 0.0
 	for _, j := range c.Fleet.Jobs() {
 		if !j.Started.Before(from) && j.Started.Before(to) {
@@ -121,38 +121,39 @@
 	return n / to.Sub(from).Seconds()
 }
 
-// turned is the part of pairs of one tenant's jobs, asked for a second apart or more, that began in the other order.
-func (c *Processes) turned(from, to time.Time) float64 {
-	asked := map[string]time.Time{}
+// reorderedShare returns, of the pairs of one tenant's jobs sent at least a second apart, the fraction that started in
+// the other order.
+func (c *Processes) reorderedShare(from, to time.Time) float64 {
+	sentAt := map[string]time.Time{}
 	for _, a := range c.Load.Answers() {
-		asked[a.ID] = a.At
+		sentAt[a.ID] = a.At
 	}
-	began := map[string][]time.Time{} // in the order in which they began
+	starts := map[string][]time.Time{} // when each job was sent, in the order of starts
 	jobs := c.Fleet.Jobs()
 	slices.SortFunc(jobs, func(a, b Job) int { return a.Started.Compare(b.Started) })
 	for _, j := range jobs {
-		if at, ok := asked[j.ID]; ok && !j.Started.Before(from) && j.Started.Before(to) && j.Tenant != "lone" {
-			began[j.Tenant] = append(began[j.Tenant], at)
+		if at, ok := sentAt[j.ID]; ok && !j.Started.Before(from) && j.Started.Before(to) && j.Tenant != "lone" {
+			starts[j.Tenant] = append(starts[j.Tenant], at)
 		}
 	}
-	pairs, wrong := 0.0, 0.0
-	for _, list := range began {
+	pairs, reordered := 0.0, 0.0
+	for _, list := range starts {
 		for i := range list {
 			for k := i + 1; k < min(len(list), i+200); k++ {
 				if d := list[k].Sub(list[i]); d >= time.Second || d <= -time.Second {
 					pairs++
 					if d < 0 {
-						wrong++
+						reordered++
 					}
 				}
 			}
 		}
 	}
-	return wrong / math.Max(pairs, 1)
+	return reordered / math.Max(pairs, 1)
 }
 
-// today measures the lone tenant's part where nothing is shared: each instance enforces a sixth.
-func rebalanceToday(p Params, span time.Duration) (lone, rate float64, err error) {
+// measureUnsharded measures the lone tenant's share without shards: each instance enforces a sixth of the reservation.
+func measureUnsharded(p Params, span time.Duration) (lone, rate float64, err error) {
 	q := p
 	q.Out += "/today"
 	if err := os.MkdirAll(q.Out, 0o755); err != nil {
@@ -170,7 +171,7 @@
 	from := time.Now()
 	time.Sleep(span)
 	to := time.Now()
-	return c.lone(from, to), c.rate(from, to), nil
+	return c.loneTenantShare(from, to), c.startRate(from, to), nil
 }
 
 func runRebalance(p Params) (*Result, error) {
@@ -178,13 +179,13 @@
 	if p.Quick {
 		moves, queued, span = 40, 1500, 8*time.Second
 	}
-	today, todayRate, err := rebalanceToday(p, span/2)
+	unsharded, unshardedRate, err := measureUnsharded(p, span/2)
 	if err != nil {
 		return nil, err
 	}
-	if p.Without == "shards" { // nothing moves, and the tenant has what it has today
+	if p.Without == "shards" { // without shards nothing moves, so the first measurement is all there is
 		r := &Result{Size: fmt.Sprintf("%d processes that share nothing", rebalanceN)}
-		r.AtLeast("a tenant that enters through one of six gets of its reservation", 0.95, today, "part")
+		r.AtLeast("a tenant that enters through one of six gets of its reservation", 0.95, unsharded, "part")
 		return r, nil
 	}
 	c, err := rebalanceSite(true, 6000).Start(p)
@@ -193,7 +194,7 @@
 	}
 	defer c.Close()
 	r := &Result{Size: fmt.Sprintf("%d processes, %d shards, %d jobs queued, %d changes of seats", rebalanceN, rebalanceShards, queued, moves)}
-	seated := func() bool { n, _ := c.seats(); return n == rebalanceShards }
+	seated := func() bool { n, _ := c.shardOwners(); return n == rebalanceShards }
 	if err := Until(20*time.Second, "every shard is seated", seated); err != nil {
 		return nil, err
 	}
@@ -205,36 +206,36 @@
 	calm := time.Now()
 	time.Sleep(span)
 	calmEnd := time.Now()
-	lone, order := c.lone(calm, calmEnd), c.turned(calm, calmEnd)
-	p.Log("calm: the lone tenant has %.3f of its reservation, %.4f of pairs turned", lone, order)
+	lone, order := c.loneTenantShare(calm, calmEnd), c.reorderedShare(calm, calmEnd)
+	p.Log("without faults: the lone tenant has %.3f of its reservation, %.4f of pairs out of order", lone, order)
 
-	// The queue grows while shards move under it.
-	_, before := c.seats()
-	done := func() int { _, n := c.seats(); return n - before }
+	// Jobs are queued while shards change owners.
+	_, before := c.shardOwners()
+	done := func() int { _, n := c.shardOwners(); return n - before }
 	player := &Player{Processes: c, Log: p.Log, Bound: 20 * time.Second, Conditions: map[string]func() bool{"seated": seated}}
 	names := make([]string, 0, rebalanceN)
 	for _, x := range c.Nodes {
 		names = append(names, x.Name)
 	}
-	menu := Menu{Steps: 3, Gap: 700 * time.Millisecond, Span: 3 * time.Second, Faults: []string{"kill", "kill", "stop", "cut", "delay", "reset"}, Names: names,
+	menu := ScheduleOptions{Steps: 3, Gap: 700 * time.Millisecond, Span: 3 * time.Second, Faults: []string{"kill", "kill", "stop", "cut", "delay", "reset"}, Names: names,
 		When: []string{"seated"}}
 	began, faults, most := time.Now(), 0, 0
 	for n := uint64(0); done() < moves && time.Since(began) < time.Duration(moves)*time.Second; n++ {
-		s := menu.Draw(p.Seed + n)
+		s := menu.Generate(p.Seed + n)
 		if err := player.Play(context.Background(), s); err != nil {
 			return nil, err
 		}
 		faults += len(s)
-		waits := 0
+		queuedNow := 0
 		for _, x := range c.Nodes {
 			var st struct{ Entries int }
 			if x.Ask("/shards", &st) == nil {
-				waits += st.Entries
+				queuedNow += st.Entries
 			}
 		}
-		most = max(most, waits)
-		if waits > queued { // enough: others are to be served as well
-			p.Log("%d jobs are at seats", waits)
+		most = max(most, queuedNow)
+		if queuedNow > queued { // a long queue is only logged
+			p.Log("%d jobs are queued at shard owners", queuedNow)
 		}
 	}
 	movesEnd := time.Now()
@@ -242,7 +243,7 @@
 	if err := Until(20*time.Second, "every shard is seated again", seated); err != nil {
 		return nil, err
 	}
-	orderMoved := c.turned(calmEnd, movesEnd)
+	orderMoved := c.reorderedShare(calmEnd, movesEnd)
 	stop()
 	c.Load.Wait()
 
@@ -275,12 +276,12 @@
 			p.Log("job %s ran %d times", a.ID, runs[a.ID])
 		}
 	}
-	sealed := c.sealed(acts)
-	at := func(q float64) float64 {
-		if len(sealed) == 0 {
+	ownerless := c.ownerlessTimes(acts)
+	quantile := func(q float64) float64 {
+		if len(ownerless) == 0 {
 			return 0
 		}
-		return sealed[min(int(q*float64(len(sealed))), len(sealed)-1)]
+		return ownerless[min(int(q*float64(len(ownerless))), len(ownerless)-1)]
 	}
 	r.AtLeast("changes of seats", float64(moves), float64(moved), "changes")
 	r.AtMost("jobs lost: no answer though holder and client lived", 0, float64(lost), "jobs")
@@ -289,12 +290,12 @@
 	r.AtMost("versions that went back at an instance", 0, float64(len(v.Regressions)), "times")
 	r.AtLeast("a tenant that enters through one of six gets of its reservation", 0.95, lone, "part")
 	r.AtMost("pairs of a tenant's jobs, a second apart, begun in the other order, beyond those without moves", 0.05, orderMoved-order, "part")
-	r.Note("today: the same tenant without shards", today, "part")
-	r.Note("jobs begun a second, today", todayRate, "jobs/s")
-	r.Note("jobs begun a second, calm", c.rate(calm, calmEnd), "jobs/s")
-	r.Note("jobs begun a second, under faults", c.rate(calmEnd, movesEnd), "jobs/s")
-	r.Note("a shard is nobody's in a change of seats, p50", at(0.5), "s")
-	r.Note("a shard is nobody's in a change of seats, p99", at(0.99), "s")
+	r.Note("today: the same tenant without shards", unsharded, "part")
+	r.Note("jobs begun a second, today", unshardedRate, "jobs/s")
+	r.Note("jobs begun a second, calm", c.startRate(calm, calmEnd), "jobs/s")
+	r.Note("jobs begun a second, under faults", c.startRate(calmEnd, movesEnd), "jobs/s")
+	r.Note("a shard is nobody's in a change of seats, p50", quantile(0.5), "s")
+	r.Note("a shard is nobody's in a change of seats, p99", quantile(0.99), "s")
 	r.Note("jobs at seats at one time, at most", float64(most), "jobs")
 	r.Note("faults played", float64(faults), "faults")
 	r.Note("jobs asked", float64(asked), "jobs")
@@ -302,8 +303,8 @@
 	return r, nil
 }
 
-// sealed are the times between one's last moment at a shard's seat and the next one's first, in seconds, ascending.
-func (c *Processes) sealed(acts invariants.Journals) (list []float64) {
+// ownerlessTimes returns how long shards had no owner when the owner changed, in seconds and ascending.
+func (c *Processes) ownerlessTimes(acts invariants.Journals) (list []float64) {
 	type span struct {
 		name     string
 		from, to int64
@@ -313,17 +314,17 @@
 	slices.SortStableFunc(lines, func(a, b invariants.JournalEntry) int { return cmp.Compare(a.At, b.At) })
 	last := map[string]invariants.JournalEntry{}
 	for _, l := range lines {
-		was := last[l.Name]
+		previous := last[l.Name]
 		last[l.Name] = l
 		for _, n := range l.Shards {
 			s := by[n]
-			if k := len(s) - 1; k >= 0 && s[k].name == l.Name && slices.Contains(was.Shards, n) {
+			if k := len(s) - 1; k >= 0 && s[k].name == l.Name && slices.Contains(previous.Shards, n) {
 				s[k].to = l.Until
 				continue
 			}
 			by[n] = append(s, span{l.Name, l.At, l.Until})
 		}
-		for _, n := range was.Shards { // it ends with the line that names it no more
+		for _, n := range previous.Shards { // ownership ends at the first line without the shard
 			if s := by[n]; !slices.Contains(l.Shards, n) && len(s) > 0 && s[len(s)-1].name == l.Name {
 				s[len(s)-1].to = min(s[len(s)-1].to, l.At)
 			}
--- a/internal/lab/experiments/relay.go
+++ b/internal/lab/experiments/relay.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// Figures of the relay.
+// Limits of the relay.
 const (
-	holdBack   = 100 * time.Millisecond // longer that a datagram takes which others are to overtake
-	pieceLen   = 16 << 10
-	piecesMost = 64 // of one side of a stream that are on their way; then it is read no further
+	reorderDelay    = 100 * time.Millisecond // extra delay of a datagram that later ones are to overtake
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64 // per direction of a stream; reading pauses while so many are queued
 )
 
-// Link is what becomes of what one instance sends to another. Streams keep
-// their order and lose nothing: they would repair that.
+// Link describes how one instance's traffic to another is impaired. Loss, Repeat and Reorder affect datagrams
+// only, since TCP would repair them.
 type Link struct {
-	Cut     bool          // datagrams are lost, streams stand still until it ends, new ones are not made; nobody is told
-	Delay   time.Duration // of all that passes
-	Jitter  time.Duration // at most, on top of that, drawn for each datagram and each piece of a stream
-	Rate    float64       // bytes a second of each stream; 0: no bound
-	Loss    float64       // part of the datagrams
-	Repeat  float64       // part of the datagrams that come twice
-	Reorder float64       // part of the datagrams that later ones overtake
+	Cut     bool          // datagrams are lost; streams, also new ones, stall until the cut ends, and no end gets an error
+	Delay   time.Duration // of each datagram and chunk
+	Jitter  time.Duration // upper bound of an additional delay, drawn for each datagram and chunk
+	Rate    float64       // bytes per second of each stream; 0: unlimited
+	Loss    float64       // fraction of the datagrams that are lost
+	Repeat  float64       // fraction of the datagrams that arrive twice
+	Reorder float64       // fraction of the datagrams that later ones overtake
 }
 
-// with joins two faults on one link: of each the worse.
+// with combines two links, taking the worse value of each field.
 func (l Link) with(m Link) Link {
 	rate := max(l.Rate, m.Rate)
 	if l.Rate > 0 && m.Rate > 0 {
@@ -39,53 +39,53 @@
 		Loss: max(l.Loss, m.Loss), Repeat: max(l.Repeat, m.Repeat), Reorder: max(l.Reorder, m.Reorder)}
 }
 
-// Relay stands between instances on loopback: each sends from an address of its
-// own and is reached through a door. What becomes of the nth datagram of a link
-// is a function of seed, link and n.
+// Relay forwards the traffic between instances on loopback and injects faults: each instance sends from its own
+// address and is reached through forwarders. How the nth datagram of a link is treated
+// depends on seed, link and n alone.
 type Relay struct {
-	seed  uint64
-	usual Link
+	seed        uint64
+	defaultLink Link
 
-	mu      sync.Mutex
-	laid    []*laid
-	changed chan struct{} // closed at each change of links
-	sent    map[[2]int]uint64
-	streams map[*stream]bool
-	doors   []*door
-	closed  bool
-	all     sync.WaitGroup
-	meter   trafficMeter
+	mu         sync.Mutex
+	faults     []*linkFault
+	changed    chan struct{} // closed at each change of faults
+	sent       map[[2]int]uint64
+	streams    map[*stream]bool
+	forwarders []*forwarder
+	closed     bool
+	goroutines sync.WaitGroup
+	meter      trafficMeter
 }
 
-type laid struct {
+type linkFault struct {
 	Link
-	over func(from, to int) bool
+	matches func(from, to int) bool
 }
 
-type door struct {
+type forwarder struct {
 	from, to int
-	serves   string // what listens there
+	traffic  string // kind of traffic, by which it is counted
 	target   string
 	udp      *net.UDPConn
 	out      *net.UDPConn
 	tcp      net.Listener
 }
 
-// NewRelay makes a relay with no doors, whose links usually do that.
+// NewRelay returns a relay without forwarders; without faults each link is as defaultLink.
 func NewRelay(seed uint64, usual Link) *Relay {
-	return &Relay{seed: seed, usual: usual, changed: make(chan struct{}), sent: map[[2]int]uint64{}, streams: map[*stream]bool{}}
+	return &Relay{seed: seed, defaultLink: usual, changed: make(chan struct{}), sent: map[[2]int]uint64{}, streams: map[*stream]bool{}}
 }
 
-// IP is the address from which instance i sends.
+// IP returns the loopback address from which instance i sends.
 func IP(i int) net.IP { return net.IPv4(127, 0, byte(1+(firstIP+i)>>8), byte(firstIP+i)) }
 
 // firstIP is the last byte of the address of instance 0.
 const firstIP = 10
 
-// Anyone is who comes through a door that tells senders apart by their address.
+// Anyone is the sender of a forwarder that identifies senders by their source address.
 const Anyone = -1
 
-func (d *door) sender(ip net.IP) int {
+func (d *forwarder) sender(ip net.IP) int {
 	if d.from != Anyone {
 		return d.from
 	}
@@ -93,19 +93,19 @@
 	return (int(at[2])-1)<<8 + int(at[3]) - firstIP
 }
 
-// Door opens a way from an instance, or Anyone, to another, which listens at
-// target, and returns where.
-func (r *Relay) Door(from, to int, target string) (string, error) {
-	return r.DoorTo("", from, to, target)
+// Forward opens a forwarder from one instance, or Anyone, to another, which listens at target, and returns
+// the address of the forwarder.
+func (r *Relay) Forward(from, to int, target string) (string, error) {
+	return r.ForwardTraffic("", from, to, target)
 }
 
-// DoorTo is a door to what serves one kind of traffic, by which it is counted.
-func (r *Relay) DoorTo(serves string, from, to int, target string) (string, error) {
-	l, u, err := listenBoth("127.0.0.1") // and keeps both: a child that is being forked may hold a closed port for a moment
+// ForwardTraffic is Forward for one kind of traffic, under which the relay counts it.
+func (r *Relay) ForwardTraffic(kind string, from, to int, target string) (string, error) {
+	l, u, err := listenBoth("127.0.0.1") // both stay open: a child that is being forked may hold a closed port for a moment
 	if err != nil {
 		return "", err
 	}
-	d := &door{from: from, to: to, serves: serves, target: target, tcp: l, udp: u.(*net.UDPConn)}
+	d := &forwarder{from: from, to: to, traffic: kind, target: target, tcp: l, udp: u.(*net.UDPConn)}
 	far, err := net.ResolveUDPAddr("udp", target)
 	if err == nil {
 		d.out, err = net.DialUDP("udp", nil, far)
@@ -116,19 +116,19 @@
 		return "", err
 	}
 	r.mu.Lock()
-	r.doors = append(r.doors, d)
+	r.forwarders = append(r.forwarders, d)
 	r.mu.Unlock()
-	r.all.Go(func() { r.datagrams(d) })
-	r.all.Go(func() { r.accept(d) })
+	r.goroutines.Go(func() { r.datagrams(d) })
+	r.goroutines.Go(func() { r.accept(d) })
 	return l.Addr().String(), nil
 }
 
-// Lay puts a fault on links until it is lifted. Several may lie on one link.
-func (r *Relay) Lay(over func(from, to int) bool, l Link) (lift func()) {
-	x := &laid{l, over}
-	r.change(func() { r.laid = append(r.laid, x) })
+// AddFault impairs the links that match over, until lift is called. Several faults may apply to one link.
+func (r *Relay) AddFault(over func(from, to int) bool, l Link) (lift func()) {
+	x := &linkFault{l, over}
+	r.change(func() { r.faults = append(r.faults, x) })
 	return func() {
-		r.change(func() { r.laid = slices.DeleteFunc(r.laid, func(y *laid) bool { return x == y }) })
+		r.change(func() { r.faults = slices.DeleteFunc(r.faults, func(y *linkFault) bool { return x == y }) })
 	}
 }
 
@@ -140,7 +140,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset breaks the open streams of the instances that opened them, so that both ends are told.
+// Reset aborts the open streams whose opener and target match over; both ends get a connection reset.
 func (r *Relay) Reset(over func(from, to int) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,11 +151,11 @@
 	}
 }
 
-// Close ends it.
+// Close closes all forwarders and streams and waits for the goroutines.
 func (r *Relay) Close() {
 	r.change(func() { r.closed = true })
 	r.mu.Lock()
-	for _, d := range r.doors {
+	for _, d := range r.forwarders {
 		d.tcp.Close()
 		d.udp.Close()
 		d.out.Close()
@@ -164,43 +164,43 @@
 		s.end(true)
 	}
 	r.mu.Unlock()
-	r.all.Wait()
+	r.goroutines.Wait()
 }
 
-// link is what holds between two now. The lock is held.
+// link returns the current state of a link. The caller holds mu.
 func (r *Relay) link(from, to int) Link {
-	l := r.usual
-	for _, x := range r.laid {
-		if x.over(from, to) {
+	l := r.defaultLink
+	for _, x := range r.faults {
+		if x.matches(from, to) {
 			l = l.with(x.Link)
 		}
 	}
 	return l
 }
 
-// fate draws what becomes of a datagram: when each copy of it arrives.
-func (r *Relay) fate(from, to int) (late []time.Duration) {
+// datagramDelays draws the delay of each copy of a datagram; none if the datagram is lost.
+func (r *Relay) datagramDelays(from, to int) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	way := [2]int{from, to}
-	r.sent[way]++
-	rng := rand.New(rand.NewPCG(r.seed^r.sent[way]<<16, uint64(from)<<32|uint64(to)))
+	key := [2]int{from, to}
+	r.sent[key]++
+	rng := rand.New(rand.NewPCG(r.seed^r.sent[key]<<16, uint64(from)<<32|uint64(to)))
 	l := r.link(from, to)
-	lost, twice, back := rng.Float64() < l.Loss, rng.Float64() < l.Repeat, rng.Float64() < l.Reorder
+	lost, repeated, reordered := rng.Float64() < l.Loss, rng.Float64() < l.Repeat, rng.Float64() < l.Reorder
 	if l.Cut || lost {
 		return nil
 	}
-	late = append(late, l.Delay+time.Duration(rng.Float64()*float64(l.Jitter)))
-	if back {
-		late[0] += holdBack
+	delays = append(delays, l.Delay+time.Duration(rng.Float64()*float64(l.Jitter)))
+	if reordered {
+		delays[0] += reorderDelay
 	}
-	if twice {
-		late = append(late, l.Delay+time.Duration(rng.Float64()*float64(l.Jitter)))
+	if repeated {
+		delays = append(delays, l.Delay+time.Duration(rng.Float64()*float64(l.Jitter)))
 	}
-	return late
+	return delays
 }
 
-func (r *Relay) datagrams(d *door) {
+func (r *Relay) datagrams(d *forwarder) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, src, err := d.udp.ReadFromUDP(buf)
@@ -208,7 +208,7 @@
 			return
 		}
 		from := d.sender(src.IP)
-		late := r.fate(from, d.to)
+		late := r.datagramDelays(from, d.to)
 		r.count(d, from, buf[:n], true, len(late) > 0)
 		if len(late) == 1 && late[0] == 0 {
 			d.out.Write(buf[:n])
@@ -221,47 +221,47 @@
 	}
 }
 
-func (r *Relay) accept(d *door) {
+func (r *Relay) accept(d *forwarder) {
 	for {
-		c, err := d.tcp.Accept()
+		conn, err := d.tcp.Accept()
 		if err != nil {
 			return
 		}
-		s := &stream{r: r, from: d.sender(c.RemoteAddr().(*net.TCPAddr).IP), to: d.to, serves: d.serves, near: c.(*net.TCPConn), done: make(chan struct{})}
+		s := &stream{r: r, from: d.sender(conn.RemoteAddr().(*net.TCPAddr).IP), to: d.to, traffic: d.traffic, near: conn.(*net.TCPConn), done: make(chan struct{})}
 		r.mu.Lock()
 		r.streams[s] = true
 		if r.closed {
 			s.end(true)
 		}
 		r.mu.Unlock()
-		r.all.Go(func() { s.carry(d.target) })
+		r.goroutines.Go(func() { s.run(d.target) })
 	}
 }
 
-// stream is a connection through a door.
+// stream is a TCP connection through a forwarder.
 type stream struct {
 	r        *Relay
 	from, to int
-	serves   string
+	traffic  string
 	near     *net.TCPConn
 	done     chan struct{}
 	once     sync.Once
 
-	mu    sync.Mutex
-	far   *net.TCPConn // nil: not made yet
-	waits bool         // for the end of a cut to be made: if who asked ends it first, it never was
-	ended bool
+	mu           sync.Mutex
+	far          *net.TCPConn // nil: not connected yet
+	awaitsCutEnd bool         // connecting waits for the end of a cut; if the opener closes first, no connection is made
+	ended        bool
 }
 
-// piece is a part of one side, or its end.
-type piece struct {
+// chunk is a part of one direction of a stream, or its end.
+type chunk struct {
 	data []byte
 	due  time.Time
 	end  bool
-	err  error // of the end: the side was reset
+	err  error // set if the direction ended by a reset
 }
 
-// end closes both ends, in good order or not.
+// end closes both connections, with a reset if abort is set.
 func (s *stream) end(abort bool) {
 	s.once.Do(func() {
 		close(s.done)
@@ -280,21 +280,21 @@
 	})
 }
 
-// carry plays a stream from its opening to its end.
-func (s *stream) carry(target string) {
+// run carries a stream from its opening to its end.
+func (s *stream) run(target string) {
 	defer func() {
 		s.end(false)
 		s.r.mu.Lock()
 		delete(s.r.streams, s)
 		s.r.mu.Unlock()
 	}()
-	there, back := make(chan piece, piecesMost), make(chan piece, piecesMost)
+	forth, back := make(chan chunk, maxQueuedChunks), make(chan chunk, maxQueuedChunks)
 	s.r.mu.Lock()
-	s.waits = s.r.link(s.from, s.to).Cut || s.r.link(s.to, s.from).Cut
+	s.awaitsCutEnd = s.r.link(s.from, s.to).Cut || s.r.link(s.to, s.from).Cut
 	s.r.mu.Unlock()
-	s.r.all.Go(func() { s.read(s.near, s.from, s.to, there) })
-	// A connection is made by a message each way.
-	if !s.pass(s.from, s.to, time.Time{}) || !s.pass(s.to, s.from, time.Time{}) {
+	s.r.goroutines.Go(func() { s.read(s.near, s.from, s.to, forth) })
+	// Connecting takes a message in each direction.
+	if !s.waitUntilDue(s.from, s.to, time.Time{}) || !s.waitUntilDue(s.to, s.from, time.Time{}) {
 		return
 	}
 	c, err := net.DialTimeout("tcp", target, time.Second)
@@ -303,41 +303,41 @@
 		return
 	}
 	s.mu.Lock()
-	s.far, s.waits = c.(*net.TCPConn), false
+	s.far, s.awaitsCutEnd = c.(*net.TCPConn), false
 	if s.ended {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.r.all.Go(func() { s.read(s.far, s.to, s.from, back) })
-	var ways sync.WaitGroup
-	ways.Go(func() { s.write(s.far, s.from, s.to, there) })
-	ways.Go(func() { s.write(s.near, s.to, s.from, back) })
-	ways.Wait()
+	s.r.goroutines.Go(func() { s.read(s.far, s.to, s.from, back) })
+	var directions sync.WaitGroup
+	directions.Go(func() { s.write(s.far, s.from, s.to, forth) })
+	directions.Go(func() { s.write(s.near, s.to, s.from, back) })
+	directions.Wait()
 }
 
-// read takes in one side until it ends.
-func (s *stream) read(in *net.TCPConn, from, to int, pieces chan<- piece) {
-	counted := side{r: s.r, serves: s.serves, from: from, to: to}
+// read reads one direction until it ends and queues its chunks.
+func (s *stream) read(in *net.TCPConn, from, to int, chunks chan<- chunk) {
+	counted := side{r: s.r, serves: s.traffic, from: from, to: to}
 	defer counted.end()
 	for {
-		buf := make([]byte, pieceLen)
+		buf := make([]byte, chunkSize)
 		n, err := in.Read(buf)
 		counted.read(buf[:n])
 		s.r.mu.Lock()
 		l := s.r.link(from, to)
 		s.r.mu.Unlock()
-		p := piece{data: buf[:n], due: time.Now().Add(l.Delay + time.Duration(rand.Float64()*float64(l.Jitter))), end: err != nil}
+		p := chunk{data: buf[:n], due: time.Now().Add(l.Delay + time.Duration(rand.Float64()*float64(l.Jitter))), end: err != nil}
 		if err != nil && !errors.Is(err, io.EOF) {
 			p.err = err
 		}
 		s.mu.Lock()
-		never := p.end && s.waits
+		abandoned := p.end && s.awaitsCutEnd
 		s.mu.Unlock()
-		if never {
+		if abandoned {
 			s.end(false)
 		}
 		select {
-		case pieces <- p:
+		case chunks <- p:
 		case <-s.done:
 			return
 		}
@@ -347,20 +347,20 @@
 	}
 }
 
-// write lets one side out as the link has it.
-func (s *stream) write(out *net.TCPConn, from, to int, pieces <-chan piece) {
-	var free time.Time
+// write sends the chunks of one direction when they are due and at the rate of the link.
+func (s *stream) write(out *net.TCPConn, from, to int, chunks <-chan chunk) {
+	var nextFree time.Time
 	for {
-		var p piece
+		var p chunk
 		select {
-		case p = <-pieces:
+		case p = <-chunks:
 		case <-s.done:
 			return
 		}
-		if p.due.Before(free) {
-			p.due = free
+		if p.due.Before(nextFree) {
+			p.due = nextFree
 		}
-		if !s.pass(from, to, p.due) {
+		if !s.waitUntilDue(from, to, p.due) {
 			return
 		}
 		if _, err := out.Write(p.data); err != nil || p.err != nil {
@@ -375,13 +375,13 @@
 		l := s.r.link(from, to)
 		s.r.mu.Unlock()
 		if l.Rate > 0 {
-			free = time.Now().Add(time.Duration(float64(len(p.data)) / l.Rate * float64(time.Second)))
+			nextFree = time.Now().Add(time.Duration(float64(len(p.data)) / l.Rate * float64(time.Second)))
 		}
 	}
 }
 
-// pass waits until a link is open and a time has come; false: the stream has ended.
-func (s *stream) pass(from, to int, due time.Time) bool {
+// waitUntilDue waits until a link is not cut and the time due has come. It returns false if the stream has ended.
+func (s *stream) waitUntilDue(from, to int, due time.Time) bool {
 	for {
 		s.r.mu.Lock()
 		cut, changed := s.r.link(from, to).Cut, s.r.changed
--- a/internal/lab/experiments/schedule.go
+++ b/internal/lab/experiments/schedule.go
@@ -17,18 +17,18 @@
 //
 //	after 1.5s [when CONDITION] FAULT TARGET [for 2s]
 //
-// Faults of links have as their target A>B, one direction, or A<>B, both; a side is
-// names joined by +, or * for all others. The others strike such a side. A name
-// is an instance's, or one that the player knows, as leader.
+// The target of a link fault is A>B for one direction or A<>B for both, where each side is a list of names joined
+// by +, or * for all other instances. The target of an instance fault is one such side. A name is that of
+// an instance, or one that the player resolves, such as leader.
 type Step struct {
-	After  time.Duration // since the step before it was played
-	When   string        // a condition that the player knows, awaited after that; empty: none
+	After  time.Duration // time since the previous step was played
+	When   string        // condition known to the player, awaited once After has passed; empty: none
 	Do, To string
-	For    time.Duration // until it is undone; 0: when the schedule ends
+	For    time.Duration // until the fault is undone; 0: at the end of the schedule
 }
 
-// Schedule is a list of faults. Each begins after the one before it has; they may
-// lie on top of each other.
+// Schedule is a list of faults. Each begins after the previous one has begun; they may
+// overlap.
 type Schedule []Step
 
 func (s Step) String() string {
@@ -52,7 +52,7 @@
 
 var stepForm = regexp.MustCompile(`^after (\S+)(?: when (\S+))? (\S+) (\S+?)(?: for (\S+))?$`)
 
-// ParseSchedule reads what String has written; lines with # and empty ones are left out.
+// ParseSchedule reads the output of String; empty lines and lines that begin with # are skipped.
 func ParseSchedule(text string) (s Schedule, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -61,54 +61,54 @@
 		}
 		m := stepForm.FindStringSubmatch(line)
 		if m == nil {
-			return nil, fmt.Errorf("line %d: %q is not: after 1s [when CONDITION] FAULT TARGET [for 1s]", i+1, line)
+			return nil, fmt.Errorf("line %d: invalid step %q, want: after 1s [when CONDITION] FAULT TARGET [for 1s]", i+1, line)
 		}
 		x := Step{When: m[2], Do: m[3], To: m[4]}
 		if x.After, err = time.ParseDuration(m[1]); err == nil && m[5] != "" {
 			x.For, err = time.ParseDuration(m[5])
 		}
 		if err != nil || x.After < 0 || x.For < 0 {
-			return nil, fmt.Errorf("line %d: %q has a time that is none (%v)", i+1, line, err)
+			return nil, fmt.Errorf("line %d: %q has an invalid or negative duration (%v)", i+1, line, err)
 		}
 		s = append(s, x)
 	}
 	return s, nil
 }
 
-// Menu is what a schedule is drawn from.
-type Menu struct {
+// ScheduleOptions are the parameters of a random schedule.
+type ScheduleOptions struct {
 	Steps  int
-	Gap    time.Duration // between two steps, in the mean
-	Span   time.Duration // of a fault, at most; a quarter of it at least
+	Gap    time.Duration // mean time between two steps
+	Span   time.Duration // longest duration of a fault; the shortest is a quarter of it
 	Faults []string
 	Names  []string // at least two
-	When   []string // conditions for half of the steps; none: by time alone
+	When   []string // conditions of which half of the steps get one; empty: steps depend on time alone
 }
 
-// Draw draws a schedule: the same one for the same seed and menu.
-func (m Menu) Draw(seed uint64) (s Schedule) {
+// Generate draws a schedule: the same one for the same seed and options.
+func (m ScheduleOptions) Generate(seed uint64) (s Schedule) {
 	rng := rand.New(rand.NewPCG(seed, 0x5c4ed))
 	for range m.Steps {
-		x := Step{After: time.Duration(2 * rng.Float64() * float64(m.Gap)).Round(time.Millisecond), Do: m.Faults[rng.IntN(len(m.Faults))],
+		step := Step{After: time.Duration(2 * rng.Float64() * float64(m.Gap)).Round(time.Millisecond), Do: m.Faults[rng.IntN(len(m.Faults))],
 			For: time.Duration((0.25 + 0.75*rng.Float64()) * float64(m.Span)).Round(time.Millisecond)}
 		if len(m.When) > 0 && rng.IntN(2) == 0 {
-			x.When = m.When[rng.IntN(len(m.When))]
+			step.When = m.When[rng.IntN(len(m.When))]
 		}
-		two := rng.Perm(len(m.Names))
-		a, b := m.Names[two[0]], m.Names[two[1]]
-		x.To = a
-		if _, ok := linkFaults[x.Do]; ok || x.Do == "reset" {
-			x.To = []string{a + ">" + b, a + "<>" + b, a + ">*", "*>" + a, a + "<>*", a + "+" + b + "<>*"}[rng.IntN(6)]
+		picks := rng.Perm(len(m.Names))
+		a, b := m.Names[picks[0]], m.Names[picks[1]]
+		step.To = a
+		if _, ok := linkFaults[step.Do]; ok || step.Do == "reset" {
+			step.To = []string{a + ">" + b, a + "<>" + b, a + ">*", "*>" + a, a + "<>*", a + "+" + b + "<>*"}[rng.IntN(6)]
 		}
-		if x.Do == "reset" || x.Do == "reload" { // they are of a moment
-			x.For = 0
+		if step.Do == "reset" || step.Do == "reload" { // these take no time, so there is nothing to undo
+			step.For = 0
 		}
-		s = append(s, x)
+		s = append(s, step)
 	}
 	return s
 }
 
-// linkFaults are faults of links.
+// linkFaults maps the names of link faults to what they do.
 var linkFaults = map[string]Link{
 	"cut":     {Cut: true},
 	"delay":   {Delay: 200 * time.Millisecond, Jitter: 200 * time.Millisecond},
@@ -118,7 +118,7 @@
 	"reorder": {Reorder: 0.5},
 }
 
-// nodeFaults are faults of an instance; each returns what undoes it.
+// nodeFaults maps the names of instance faults to functions that cause them and return a function that undoes them.
 var nodeFaults = map[string]func(x *Instance, rng *rand.Rand) (func() error, error){
 	"kill": func(x *Instance, _ *rand.Rand) (func() error, error) {
 		x.Kill()
@@ -149,24 +149,24 @@
 type Player struct {
 	*Processes
 	Conditions map[string]func() bool
-	Names      map[string]func() string // who is meant when a step is played; empty: nobody yet
-	Bound      time.Duration            // of the wait for a condition, or for whom a name means; 0: 10 s
+	Names      map[string]func() string // resolve to an instance's name when a step is played; empty: no instance yet
+	Bound      time.Duration            // longest wait for a condition or for a name to resolve; 0: 10 s
 	Log        func(format string, args ...any)
 }
 
-// Play plays a schedule to its end and undoes what is not undone by then. An error
+// Play plays a schedule to its end and undoes the faults that are still in effect. An error
 // names seed, step and schedule.
 func (p *Player) Play(ctx context.Context, s Schedule) error {
 	var (
-		all   sync.WaitGroup
-		mu    sync.Mutex
-		wrong []error
+		all  sync.WaitGroup
+		mu   sync.Mutex
+		errs []error
 	)
 	fail := func(i int, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			wrong = append(wrong, fmt.Errorf("step %d, %v: %w", i+1, s[i], err))
+			errs = append(errs, fmt.Errorf("step %d, %v: %w", i+1, s[i], err))
 		}
 	}
 	ended := make(chan struct{})
@@ -178,7 +178,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		undo, err := p.strike(x, rand.New(rand.NewPCG(p.seed, uint64(i))))
+		undo, err := p.apply(x, rand.New(rand.NewPCG(p.seed, uint64(i))))
 		if err != nil {
 			fail(i, err)
 			break
@@ -187,16 +187,16 @@
 			p.Log("%v", x)
 		}
 		all.Go(func() {
-			var over <-chan time.Time
+			var expired <-chan time.Time
 			if x.For > 0 {
-				over = time.After(x.For)
+				expired = time.After(x.For)
 			}
 			select {
-			case <-over:
+			case <-expired:
 			case <-ctx.Done():
 			case <-ended:
-				if x.For > 0 { // it has its time
-					<-over
+				if x.For > 0 { // it lasts as long as the step says, beyond the last step too
+					<-expired
 				}
 			}
 			fail(i, undo())
@@ -204,14 +204,14 @@
 	}
 	close(ended)
 	all.Wait()
-	if len(wrong) > 0 {
-		return fmt.Errorf("seed %d: %w\nthe schedule:\n%v", p.seed, errors.Join(wrong...), s)
+	if len(errs) > 0 {
+		return fmt.Errorf("seed %d: %w\nthe schedule:\n%v", p.seed, errors.Join(errs...), s)
 	}
 	return nil
 }
 
-// strike waits for what a step names, and plays its fault.
-func (p *Player) strike(x Step, rng *rand.Rand) (undo func() error, err error) {
+// apply waits for the condition of a step and causes its fault; undo ends the fault.
+func (p *Player) apply(x Step, rng *rand.Rand) (undo func() error, err error) {
 	bound := p.Bound
 	if bound == 0 {
 		bound = 10 * time.Second
@@ -219,27 +219,27 @@
 	if x.When != "" {
 		ok := p.Conditions[x.When]
 		if ok == nil {
-			return nil, fmt.Errorf("condition %q is none of %v", x.When, slices.Sorted(maps.Keys(p.Conditions)))
+			return nil, fmt.Errorf("unknown condition %q, want one of %v", x.When, slices.Sorted(maps.Keys(p.Conditions)))
 		}
 		if err := Until(bound, x.When, ok); err != nil {
 			return nil, err
 		}
 	}
 	if l, ok := linkFaults[x.Do]; ok || x.Do == "reset" {
-		over, err := p.links(x.To, bound)
+		matches, err := p.links(x.To, bound)
 		if err != nil {
 			return nil, err
 		}
 		if x.Do == "reset" {
-			p.Relay.Reset(over)
+			p.Relay.Reset(matches)
 			return func() error { return nil }, nil
 		}
-		lift := p.Relay.Lay(over, l)
+		lift := p.Relay.AddFault(matches, l)
 		return func() error { lift(); return nil }, nil
 	}
 	do := nodeFaults[x.Do]
 	if do == nil {
-		return nil, fmt.Errorf("fault %q is none of %v or %v", x.Do, slices.Sorted(maps.Keys(nodeFaults)), slices.Sorted(maps.Keys(linkFaults)))
+		return nil, fmt.Errorf("unknown fault %q, want one of %v or %v", x.Do, slices.Sorted(maps.Keys(nodeFaults)), slices.Sorted(maps.Keys(linkFaults)))
 	}
 	side, err := p.side(x.To, bound)
 	if err != nil {
@@ -255,38 +255,38 @@
 	}
 	return func() error {
 		var all sync.WaitGroup
-		wrong := make([]error, len(undos))
+		errs := make([]error, len(undos))
 		for i, undo := range undos { // each may wait for a process to serve
-			all.Go(func() { wrong[i] = undo() })
+			all.Go(func() { errs[i] = undo() })
 		}
 		all.Wait()
-		return errors.Join(wrong...)
+		return errors.Join(errs...)
 	}, nil
 }
 
-// side finds the instances that names joined by + mean; all, and true, for *.
+// side returns the indexes of the instances whose names are joined by + in text.
 func (p *Player) side(text string, bound time.Duration) (list []int, err error) {
 	for _, name := range strings.Split(text, "+") {
-		if who := p.Names[name]; who != nil {
-			if err := Until(bound, name+" is somebody", func() bool { name = who(); return name != "" }); err != nil {
+		if resolve := p.Names[name]; resolve != nil {
+			if err := Until(bound, name+" to name an instance", func() bool { name = resolve(); return name != "" }); err != nil {
 				return nil, err
 			}
 		}
 		i := p.Index(name)
 		if i < 0 {
-			return nil, fmt.Errorf("%q is no instance", name)
+			return nil, fmt.Errorf("unknown instance %q", name)
 		}
 		list = append(list, i)
 	}
 	return list, nil
 }
 
-// links finds the links that A>B or A<>B means.
+// links returns a function that reports whether the link target A>B or A<>B includes a link.
 func (p *Player) links(text string, bound time.Duration) (func(from, to int) bool, error) {
 	left, right, ok := strings.Cut(text, ">")
 	left, both := strings.CutSuffix(left, "<")
 	if !ok || left == "*" && right == "*" {
-		return nil, fmt.Errorf("%q is not A>B or A<>B", text)
+		return nil, fmt.Errorf("invalid link target %q, want A>B or A<>B", text)
 	}
 	var sides [2][]int
 	for k, t := range []string{left, right} {
--- a/internal/lab/experiments/silent.go
+++ b/internal/lab/experiments/silent.go
@@ -21,47 +21,48 @@
 	Run:     runSilent,
 }
 
-// What is claimed: the worth kept while they are silent, against a run in which
-// discovery says at once who will be; and how soon they get nothing new but a
-// trial now and then.
+// Bounds of the claims: the value earned while workers are silent, relative to a run in which discovery announces
+// the silent workers at once; and the time after which silent workers get no new jobs except
+// occasional trials.
 const (
 	silentWorth  = 0.93
 	silentSettle = 2 * time.Second
-	silentTrials = 1.0 // jobs a second for a silent worker, after that
+	silentTrials = 1.0 // jobs per second for a silent worker, after silentSettle
 	silentAim    = 600 * time.Millisecond
 	silentValue  = 5.0
 )
 
-// silentRun is one pass.
+// silentRun holds the records of one run.
 type silentRun struct {
-	answers    []Answer
-	tries      []invariants.Attempt
-	found      []invariants.Violation
-	silent     map[string]bool
-	start      time.Time
-	begin, end time.Time // of the silence
-	clock      func(time.Time) float64
+	answers                  []Answer
+	attempts                 []invariants.Attempt
+	violations               []invariants.Violation
+	silent                   map[string]bool
+	start                    time.Time
+	silenceStart, silenceEnd time.Time // while the workers are silent
+	clock                    func(time.Time) float64
 }
 
 func silentClasses() []invariants.Class {
 	return []invariants.Class{{Name: "read", Repeat: "safe"}, {Name: "write", Repeat: "unsafe"}, {Name: "assign", Repeat: "keyed", Scope: "all", Window: 5}}
 }
 
-// playSilent plays the load while some are silent; knows: discovery says so at once.
-func playSilent(p Params, name string, workers, silent int, span time.Duration, knows, learns bool) (*silentRun, error) {
+// playSilent runs the load while some workers are silent. If announced is set, discovery reports them as leaving at
+// once; if adaptive is not set, a plain round-robin proxy takes the dispatcher's place.
+func playSilent(p Params, name string, workers, silent int, span time.Duration, announced, adaptive bool) (*silentRun, error) {
 	const slots, mean = 4, 150 * time.Millisecond
 	fleet, err := NewFleet(p.Seed, workers, slots, mean)
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Close()
-	tool, err := fleet.Behind(p.Seed, nil)
+	tool, err := fleet.InsertFaultProxy(p.Seed, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer tool.Close()
 	addr := ""
-	if !learns {
+	if !adaptive {
 		plain, err := newPlain(fleet)
 		if err != nil {
 			return nil, err
@@ -69,7 +70,7 @@
 		defer plain.close()
 		addr = plain.addr
 	} else {
-		d, err := alone(p, fleet, name, `{"name":"read","aim":0.6,"hard_limit":3,"value":5,"semantics":"safe"},
+		d, err := startSingleDispatcher(p, fleet, name, `{"name":"read","aim":0.6,"hard_limit":3,"value":5,"semantics":"safe"},
  {"name":"write","aim":0.6,"hard_limit":3,"value":5,"semantics":"unsafe"},
  {"name":"assign","aim":0.6,"hard_limit":3,"value":5,"semantics":"keyed","dedup_scope":"all","repeat_window":5}`, "")
 		if err != nil {
@@ -94,33 +95,33 @@
 		rule.Endpoints = append(rule.Endpoints, w.name)
 		r.silent[w.name] = true
 	}
-	tell := func(health string) {
+	setHealth := func(health string) {
 		for i, w := range fleet.workers {
-			if knows && r.silent[w.name] {
-				fleet.Tell(i, health)
+			if announced && r.silent[w.name] {
+				fleet.SetHealth(i, health)
 			}
 		}
 	}
-	tell("leaving")
-	r.begin = time.Now()
+	setHealth("leaving")
+	r.silenceStart = time.Now()
 	if _, err := tool.Inject(rule); err != nil {
 		return nil, err
 	}
 	time.Sleep(span / 2)
-	r.end = time.Now()
-	tell("active")
+	r.silenceEnd = time.Now()
+	setHealth("active")
 	load.Wait()
-	r.answers, r.tries = load.Answers(), fleet.Attempts()
-	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 2}, Classes: silentClasses(), Workers: fleet.Workers(), Attempts: r.tries, EndpointChanges: fleet.Told()}
+	r.answers, r.attempts = load.Answers(), fleet.Attempts()
+	h := invariants.History{Limits: invariants.Limits{Grace: 0.016, DrainGrace: 2}, Classes: silentClasses(), Workers: fleet.Workers(), Attempts: r.attempts, EndpointChanges: fleet.EndpointChanges()}
 	for _, a := range r.answers {
-		h.Requests = append(h.Requests, a.audited(fleet.Clock))
+		h.Requests = append(h.Requests, a.auditRequest(fleet.Clock))
 	}
-	r.found = h.Check()
+	r.violations = h.Check()
 	return r, nil
 }
 
-// audited is an answer as the audit takes it.
-func (a Answer) audited(clock func(time.Time) float64) invariants.Request {
+// auditRequest converts an answer to the audit's form.
+func (a Answer) auditRequest(clock func(time.Time) float64) invariants.Request {
 	r := invariants.Request{ID: a.ID, Class: a.Class, Dispatcher: fmt.Sprint(a.Entry), SentAt: clock(a.At), ClientTimeout: a.Patience.Seconds(), Never: a.Never}
 	if a.Status > 0 {
 		r.Answers = []invariants.Answer{{At: clock(a.At.Add(a.Took)), Status: a.Status, Body: a.Body}}
@@ -128,43 +129,44 @@
 	return r
 }
 
-// worth is what answers in time were worth, of those that came while they were silent.
-func (r *silentRun) worth() (worth, whole float64) {
+// earned returns the value of the jobs that arrived during the silence and were answered in time, and the value of all
+// that arrived then.
+func (r *silentRun) earned() (inTime, all float64) {
 	for _, a := range r.answers {
-		if a.At.Before(r.begin) || a.At.After(r.end) {
+		if a.At.Before(r.silenceStart) || a.At.After(r.silenceEnd) {
 			continue
 		}
-		whole += silentValue
+		all += silentValue
 		if a.Status == 200 && a.Took <= silentAim {
-			worth += silentValue
+			inTime += silentValue
 		}
 	}
-	return worth, whole
+	return inTime, all
 }
 
 func (r *silentRun) since(t time.Time) float64 { return t.Sub(r.start).Seconds() }
 
-// curve is the part of each second's worth that was earned.
+// curve returns, for each second, the fraction of the arrived jobs that were answered in time.
 func (r *silentRun) curve(name string) report.Line {
-	earned, came := map[int]float64{}, map[int]float64{}
+	inTime, arrived := map[int]float64{}, map[int]float64{}
 	last := 0
 	for _, a := range r.answers {
 		s := int(max(0, r.since(a.At)))
-		came[s]++
+		arrived[s]++
 		if last = max(last, s); a.Status == 200 && a.Took <= silentAim {
-			earned[s]++
+			inTime[s]++
 		}
 	}
 	l := report.Line{Name: name}
 	for s := range last {
-		if came[s] > 0 {
-			l.X, l.Y = append(l.X, float64(s)), append(l.Y, earned[s]/came[s])
+		if arrived[s] > 0 {
+			l.X, l.Y = append(l.X, float64(s)), append(l.Y, inTime[s]/arrived[s])
 		}
 	}
 	return l
 }
 
-// latencies is the part of each class's answers that had come after a time.
+// latencies returns the cumulative distribution of each class's latencies.
 func latencies(answers []Answer) report.Plot {
 	p := report.Plot{Title: "Answers that have come after so long, by class", XLabel: "ms", YLabel: "part", LogX: true}
 	by := map[string][]float64{}
@@ -186,16 +188,16 @@
 	return p
 }
 
-// trials is how often a silent worker got a job once the others had had time to
-// notice, a second; settled is when the last of them had none in a whole second.
-func (r *silentRun) trials() (rate, settled float64) {
-	from, to := r.clock(r.begin), r.clock(r.end)
+// silentWorkerRate returns how many jobs per second a silent worker got once silentSettle had passed. settled is the
+// first second of the silence by which each silent worker has had a second without a job; infinite if one never had.
+func (r *silentRun) silentWorkerRate() (rate, settled float64) {
+	from, to := r.clock(r.silenceStart), r.clock(r.silenceEnd)
 	per := map[string][]int{}
 	for w := range r.silent {
 		per[w] = make([]int, int(to-from)+1)
 	}
 	n := 0.0
-	for _, a := range r.tries {
+	for _, a := range r.attempts {
 		if list := per[a.Worker]; list != nil && a.First >= from && a.First < to {
 			list[int(a.First-from)]++
 			if a.First > from+silentSettle.Seconds() {
@@ -227,40 +229,40 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Log("the ideal: discovery says it at once")
+	p.Log("ideal run: discovery announces the silent workers at once")
 	ideal, err := playSilent(p, "ideal", workers, silent, span, true, true)
 	if err != nil {
 		return nil, err
 	}
 	r := &Result{Size: fmt.Sprintf("%d workers of 4 slots, %d of them silent for %v, load 60%%, one dispatcher", workers, silent, span/2)}
-	worth, whole := run.worth()
-	best, bestWhole := ideal.worth()
-	trials, settled := run.trials()
+	worth, whole := run.earned()
+	best, bestWhole := ideal.earned()
+	trials, settled := run.silentWorkerRate()
 	r.AtLeast("worth kept while they are silent, against an ideal that is told", silentWorth, worth/whole/(best/bestWhole), "part")
 	r.AtMost("jobs a second that a silent worker gets once 2 s have passed", silentTrials, trials, "jobs/s")
-	r.AtMost("rules broken, by the records of clients and workers", 0, float64(len(run.found)), "findings")
+	r.AtMost("rules broken, by the records of clients and workers", 0, float64(len(run.violations)), "findings")
 	r.AtLeast("jobs that came while they were silent (so that the rest means something)", 500, whole/silentValue, "jobs")
 	r.Note("first second in which no silent worker got a job, from the silence on", settled, "s")
 	r.Note("worth kept, of all that came", worth/whole, "part")
 	r.Note("the ideal's", best/bestWhole, "part")
-	r.Note("rules broken in the ideal's run", float64(len(ideal.found)), "findings")
+	r.Note("rules broken in the ideal's run", float64(len(ideal.violations)), "findings")
 	curves := report.Plot{Title: "Worth of the jobs that came, in each second", XLabel: "s", YLabel: "part",
-		Bands: []report.Band{{Name: "silence", From: run.since(run.begin), To: run.since(run.end)}},
+		Bands: []report.Band{{Name: "silence", From: run.since(run.silenceStart), To: run.since(run.silenceEnd)}},
 		Lines: []report.Line{run.curve("one that learns"), ideal.curve("one that is told")}}
 	if !p.Quick {
-		p.Log("for comparison: each job to the next worker, nothing learned")
+		p.Log("for comparison: round robin, which learns nothing")
 		plain, err := playSilent(p, "plain", workers, silent, span, false, false)
 		if err != nil {
 			return nil, err
 		}
-		n, of := plain.worth()
-		rate, _ := plain.trials()
+		n, of := plain.earned()
+		rate, _ := plain.silentWorkerRate()
 		r.Note("worth kept where each job goes to the next worker", n/of, "part")
 		r.Note("jobs a second that a silent worker gets there", rate, "jobs/s")
 		curves.Lines = append(curves.Lines, plain.curve("each job to the next worker"))
 	}
 	r.Plots = append(r.Plots, curves, latencies(run.answers))
-	for i, f := range append(run.found, ideal.found...) {
+	for i, f := range append(run.violations, ideal.violations...) {
 		if i < 20 {
 			p.Log("%v", f)
 		}
@@ -269,7 +271,7 @@
 	return r, nil
 }
 
-// statuses counts answers by status.
+// statuses returns the number of answers by status, as text.
 func statuses(list []Answer) string {
 	n := map[int]int{}
 	for _, a := range list {
--- a/internal/lab/experiments/waiting.go
+++ b/internal/lab/experiments/waiting.go
@@ -45,7 +45,7 @@
 	if p.Without != "waiting" {
 		file += "waiting {\n  grace = \"2s\"\n}\n"
 	}
-	d, err := alone(p, fleet, "n0", `{"name":"job","aim":2,"aim_stretch":2,"hard_limit":20,"value":1,"late_worth":0.5,"semantics":"unsafe"}`, file)
+	d, err := startSingleDispatcher(p, fleet, "n0", `{"name":"job","aim":2,"aim_stretch":2,"hard_limit":20,"value":1,"late_worth":0.5,"semantics":"unsafe"}`, file)
 	if err != nil {
 		return nil, err
 	}
