--- a/internal/lab/experiments/agreed.go
+++ b/internal/lab/experiments/agreed.go
@@ -240,8 +240,8 @@
 	}
 	inMinority := func(i int) bool { return i >= 3 && i != 4 } // n3, n5, n6: one voter of five
 	heal := c.Relay.AddFault(func(x, y int) bool { return inMinority(x) != inMinority(y) }, Link{Cut: true})
-	lapse := time.Duration((agreedLeases.Bounds().ConflictSeconds + 0.5) * float64(time.Second))
-	time.Sleep(lapse)
+	expiry := time.Duration((agreedLeases.Bounds().ConflictSeconds + 0.5) * float64(time.Second))
+	time.Sleep(expiry)
 	from := time.Now()
 	for n := range 2 { // the majority agrees on new versions, so the minority's version is outdated
 		next := [2]int{1 + (a.values[0]+7*n+5)%60, a.values[1]}
--- a/internal/lab/experiments/agreed_test.go
+++ b/internal/lab/experiments/agreed_test.go
@@ -27,15 +27,15 @@
 const waitTimeout = 40 * time.Second
 
 // startTrial starts a trial with version 1 in force at all instances and clients at each instance.
-func startTrial(t *testing.T, seed uint64, n, voters int, set lease.Settings, other ...func(*Site)) *trial {
+func startTrial(t *testing.T, seed uint64, n, voters int, settings lease.Settings, changes ...func(*Site)) *trial {
 	if testing.Short() {
 		t.Skip("starts real processes")
 	}
 	t.Parallel()
 	t.Logf("seed %d", seed)
-	x := &trial{T: t, settings: set, agreement: &agreement{site: agreedSite(n, voters, set, true), rng: rand.New(rand.NewPCG(seed, 0xca5e)), exclusive: map[uint64]bool{}}}
+	x := &trial{T: t, settings: settings, agreement: &agreement{site: agreedSite(n, voters, settings, true), rng: rand.New(rand.NewPCG(seed, 0xca5e)), exclusive: map[uint64]bool{}}}
 	x.site.Workers, x.site.Mean = 8, 40*time.Millisecond
-	for _, f := range other {
+	for _, f := range changes {
 		f(&x.site)
 	}
 	start := x.site
@@ -69,9 +69,9 @@
 	}
 	for _, i := range x.Nodes {
 		i.mu.Lock()
-		lives := i.cmd != nil && i.frozenGeneration == 0
+		runs := i.cmd != nil && i.frozenGeneration == 0
 		i.mu.Unlock()
-		if !lives {
+		if !runs {
 			x.Logf("%s is not running", i.Name)
 			continue
 		}
@@ -110,13 +110,13 @@
 		x.Fatal(err)
 	}
 	x.Log(s[0])
-	do, err := x.player.apply(s[0], rand.New(rand.NewPCG(x.seed, 0)))
+	undoFault, err := x.player.apply(s[0], rand.New(rand.NewPCG(x.seed, 0)))
 	if err != nil {
 		x.Fatalf("%s: %v", text, err)
 	}
 	return func() {
 		x.Helper()
-		if err := do(); err != nil {
+		if err := undoFault(); err != nil {
 			x.Fatalf("undo of %s: %v", text, err)
 		}
 	}
@@ -169,7 +169,7 @@
 
 // Guards against a leader that was stopped for longer than all leases: when it resumes, it still takes itself for
 // the leader and has requests in its buffers. It must neither grant leases on the old version nor act on it.
-func TestStoppedLeaderWakes(t *testing.T) {
+func TestStoppedLeaderResumes(t *testing.T) {
 	x := startTrial(t, 2101, 5, 3, agreedLeases)
 	lead := x.leader(x.Nodes...)
 	x.player.Names = map[string]func() string{"leader": func() string { return lead.Name }}
@@ -191,7 +191,7 @@
 
 // Guards against a follower that was stopped with queued jobs: when it resumes, it must not act on the old
 // version, must still send the queued jobs, and must not run a job twice that is not safe to repeat.
-func TestStoppedHolderWakes(t *testing.T) {
+func TestStoppedFollowerResumes(t *testing.T) {
 	x := startTrial(t, 2102, 4, 3, agreedLeases)
 	holder := x.Nodes[3]
 	ctx, stop := context.WithCancel(context.Background())
@@ -300,17 +300,17 @@
 	n := x.Nodes
 	version, exclusive := uint64(1), []uint64{}
 	for k, step := range []struct{ fresh, old int }{{3, 0}, {4, 1}} {
-		fresh, stays := n[step.fresh], n[step.old+1:step.fresh]
+		fresh, remaining := n[step.fresh], n[step.old+1:step.fresh]
 		start := x.applyFault("after 0s wipe " + fresh.Name)
-		fresh.Write(fresh.accordConfig(append(slices.Clone(stays), fresh), x.settings, true))
+		fresh.Write(fresh.accordConfig(append(slices.Clone(remaining), fresh), x.settings, true))
 		start()
-		for _, voters := range [][]*Instance{append([]*Instance{n[step.old]}, append(slices.Clone(stays), fresh)...), append(slices.Clone(stays), fresh)} {
+		for _, voters := range [][]*Instance{append([]*Instance{n[step.old]}, append(slices.Clone(remaining), fresh)...), append(slices.Clone(remaining), fresh)} {
 			x.proposeRules(n[2], version, 30+20*k, 1, voterBlocks(voters...))
 			version++
 			x.waitForVersion(version, x.Nodes...)
 			x.waitForVoters(voters...)
 		}
-		x.proposeRules(n[2], version, 50+20*k, 1, voterBlocks(append(slices.Clone(stays), fresh)...))
+		x.proposeRules(n[2], version, 50+20*k, 1, voterBlocks(append(slices.Clone(remaining), fresh)...))
 		version++
 		exclusive = append(exclusive, version)
 		x.waitForVersion(version, x.Nodes...)
@@ -325,10 +325,10 @@
 		if tries == 20 {
 			t.Fatal("after 20 elections n4 has not become leader")
 		}
-		was, thaw := lead, x.applyFault("after 0s stop "+lead.Name)
-		lead = x.leader(x.others(was)...)
+		previous, thaw := lead, x.applyFault("after 0s stop "+lead.Name)
+		lead = x.leader(x.others(previous)...)
 		thaw()
-		x.until(was.Name+" to follow the new leader", func() bool { s, _ := was.accordStatus(); return s.Voter != nil && !s.Voter.IsLeader })
+		x.until(previous.Name+" to follow the new leader", func() bool { s, _ := previous.accordStatus(); return s.Voter != nil && !s.Voter.IsLeader })
 	}
 	x.proposeRules(n[2], version, 70, 4, voterBlocks(n[2:]...))
 	version++
--- a/internal/lab/experiments/clustersreal.go
+++ b/internal/lab/experiments/clustersreal.go
@@ -174,7 +174,7 @@
 	x.placedAt = to
 	for _, side := range x.rng.Perm(2) {
 		c := x.sites[side]
-		placed := func(base *uint64) bool {
+		isPlaced := func(base *uint64) bool {
 			for _, i := range c.Nodes {
 				s, ok := i.accordStatus()
 				if !ok || s.Table == nil || s.Stage != "in force" {
@@ -187,9 +187,9 @@
 			}
 			return false
 		}
-		for end := time.Now().Add(30 * time.Second); ; x.rewrites++ {
+		for deadline := time.Now().Add(30 * time.Second); ; x.rewrites++ {
 			var base uint64
-			if err := Until(10*time.Second, "a version in force", func() bool { return placed(&base) || base > 0 }); err != nil {
+			if err := Until(10*time.Second, "a version in force", func() bool { return isPlaced(&base) || base > 0 }); err != nil {
 				return err
 			}
 			for _, i := range c.Nodes {
@@ -200,10 +200,10 @@
 					return err
 				}
 			}
-			err := Until(5*time.Second, "services are placed in the "+crossNames[to]+" by the rules of the "+crossNames[side], func() bool { return placed(&base) })
+			err := Until(5*time.Second, "services are placed in the "+crossNames[to]+" by the rules of the "+crossNames[side], func() bool { return isPlaced(&base) })
 			if err == nil {
 				break
-			} else if time.Now().After(end) {
+			} else if time.Now().After(deadline) {
 				return err
 			}
 		}
@@ -236,8 +236,8 @@
 	reach := func(part float64) func() bool {
 		return func() bool { v, _ := x.usable(to, "a"); return v >= part*crossServices["a"] }
 	}
-	if early := 0.2 * x.rng.Float64(); Until(20*time.Second, "a step", reach(early)) != nil ||
-		Until(10*time.Second, "one more is out", func() bool { return x.inTransit(from, "a") }) != nil {
+	if firstShare := 0.2 * x.rng.Float64(); Until(20*time.Second, "a step", reach(firstShare)) != nil ||
+		Until(10*time.Second, "another step in transit", func() bool { return x.inTransit(from, "a") }) != nil {
 		return false, nil
 	}
 	// Cut the link during a step for longer than all leases last, and freeze an instance of the destination as long.
@@ -257,7 +257,7 @@
 	reconnect := x.all.Relay.AddFault(func(a, b int) bool { return a == isolated.Index || b == isolated.Index }, Link{Cut: true})
 	v, numbers := x.usable(to, "a")
 	x.p.Log("%s: %s is cut off, a has %g of %g in the %s", time.Since(began).Round(time.Millisecond), isolated.Name, v, crossServices["a"], crossNames[to])
-	moveErr := Until(15*time.Second, "more has gone", func() bool {
+	moveErr := Until(15*time.Second, "two more steps", func() bool {
 		now, n := x.usable(to, "a")
 		return n >= numbers+2 || now == crossServices["a"]
 	})
@@ -277,7 +277,7 @@
 			return false, err
 		}
 	}
-	if Until(40*time.Second, "all is over there", x.settled) != nil {
+	if Until(40*time.Second, "all services to have moved", x.settled) != nil {
 		return false, nil
 	}
 	x.durations = append(x.durations, time.Since(began).Seconds())
@@ -305,7 +305,7 @@
 		defer c.Close()
 		x.all.Nodes = append(x.all.Nodes, c.Nodes...)
 	}
-	if err := Until(20*time.Second, "reservations are entered in the east", x.settled); err != nil {
+	if err := Until(20*time.Second, "reservations to be usable in the east", x.settled); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/lab/experiments/clustersreal_test.go
+++ b/internal/lab/experiments/clustersreal_test.go
@@ -9,7 +9,7 @@
 
 // Checks two sites on one relay: instances are numbered consecutively, so that links between the clusters can be
 // identified, and each instance's file, for both placements, names the other cluster's voters by their forwarders.
-func TestSites(t *testing.T) {
+func TestSitesOnOneRelay(t *testing.T) {
 	x := &migrationRun{p: Params{Seed: 7, Out: t.TempDir()}, rng: rand.New(rand.NewPCG(7, 0))}
 	relay := NewRelay(7, Link{})
 	defer relay.Close()
--- a/internal/lab/experiments/fleet.go
+++ b/internal/lab/experiments/fleet.go
@@ -19,7 +19,7 @@
 	"example.org/bellstream/internal/lab/invariants"
 )
 
-// Job is one job as a worker saw it.
+// Job is a worker's record of one job.
 type Job struct {
 	At         time.Time // when its request arrived
 	Started    time.Time // when it got a slot; zero: it did not start
@@ -178,11 +178,11 @@
 // InsertFaultProxy starts a fault proxy between dispatchers and workers. Discovery lists the address of the proxy's
 // endpoint for each worker from then on.
 func (f *Fleet) InsertFaultProxy(seed uint64, log func(faultproxy.Entry)) (*faultproxy.Proxy, error) {
-	var doors []fault.Endpoint
+	var endpoints []fault.Endpoint
 	for _, w := range f.workers {
-		doors = append(doors, fault.Endpoint{Name: w.name, Listen: "127.0.0.1:0", Target: w.addr, Network: "tcp"})
+		endpoints = append(endpoints, fault.Endpoint{Name: w.name, Listen: "127.0.0.1:0", Target: w.addr, Network: "tcp"})
 	}
-	p, err := faultproxy.Start(faultproxy.Options{Seed: seed, Endpoints: doors, Log: log})
+	p, err := faultproxy.Start(faultproxy.Options{Seed: seed, Endpoints: endpoints, Log: log})
 	if err != nil {
 		return nil, err
 	}
@@ -381,7 +381,7 @@
 		out.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	half := w.activeFault(faultHalf) != nil
+	abortAnswer := w.activeFault(faultHalf) != nil
 	events := make(chan emulator.Event, 4)
 	outcome := emulator.QueueFull
 	w.update(func(now float64) {
@@ -446,7 +446,7 @@
 		writeState("failed", fmt.Sprintf(`,"load":%s`, w.loadReport()))
 		return
 	}
-	if half {
+	if abortAnswer {
 		fmt.Fprintf(out, `{"id":%q,"from":%q,"sta`, id, w.name)
 		out.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler) // makes the server abort the connection
--- a/internal/lab/experiments/fleetfile.go
+++ b/internal/lab/experiments/fleetfile.go
@@ -63,12 +63,12 @@
 // Kinds of worker faults.
 const (
 	faultSilent = "silent" // takes jobs and answers nothing until the fault ends
-	faultErrors = "errors" // answers 500 at once
+	faultErrors = "errors" // answers with status 500 immediately
 	faultSlow   = "neighbour"
 	faultTail   = "heavy_tail"
 	faultLies   = "lying_reports"
 	faultHalf   = "half_answers" // aborts the connection within the last line
-	faultDeploy = "deploy"       // workers leave, restart cold and come back, one after the other
+	faultDeploy = "deploy"       // workers leave, restart cold and become active again, one after the other
 )
 
 var fleetFaults = []string{faultSilent, faultErrors, faultSlow, faultTail, faultLies, faultHalf, faultDeploy}
@@ -90,16 +90,16 @@
 		return nil, err
 	}
 	var errs []error
-	fail := func(block string, nth int, key, format string, args ...any) {
-		errs = append(errs, text.ErrorAt(block, nth, key, fmt.Errorf(format, args...)))
+	fail := func(block string, index int, key, format string, args ...any) {
+		errs = append(errs, text.ErrorAt(block, index, key, fmt.Errorf(format, args...)))
 	}
-	span := func(block string, nth int, key, text string, fallback time.Duration) time.Duration {
+	duration := func(block string, index int, key, text string, fallback time.Duration) time.Duration {
 		if text == "" {
 			return fallback
 		}
 		d, err := time.ParseDuration(text)
 		if err != nil || d < 0 {
-			fail(block, nth, key, "%q is no duration such as \"1.5s\"", text)
+			fail(block, index, key, "%q is no duration such as \"1.5s\"", text)
 		}
 		return d
 	}
@@ -108,10 +108,10 @@
 	} else if _, _, err := net.SplitHostPort(f.Discovery); err != nil {
 		fail("", 0, "discovery", "%v", err)
 	}
-	if f.mean = span("", 0, "mean", f.Mean, 150*time.Millisecond); f.mean == 0 {
+	if f.mean = duration("", 0, "mean", f.Mean, 150*time.Millisecond); f.mean == 0 {
 		fail("", 0, "mean", "%q is not above 0", f.Mean)
 	}
-	f.window = span("", 0, "repeat_window", f.Repeats, 0)
+	f.window = duration("", 0, "repeat_window", f.Repeats, 0)
 	names, count := map[string]bool{}, 0
 	for i, w := range f.Workers {
 		if w.Count == 0 {
@@ -120,8 +120,8 @@
 		if w.Slots == 0 {
 			w.Slots = 4
 		}
-		w.warm = span("worker", i, "warm_after", w.WarmAfter, 0)
-		w.lag = span("worker", i, "report_delay", w.Lag, 0)
+		w.warm = duration("worker", i, "warm_after", w.WarmAfter, 0)
+		w.lag = duration("worker", i, "report_delay", w.Lag, 0)
 		switch {
 		case w.Count < 0 || w.Count > 1000:
 			fail("worker", i, "count", "%d is not from 1 to 1000", w.Count)
@@ -150,9 +150,9 @@
 		fail("", 0, "worker", "there is none")
 	}
 	for i, x := range f.Faults {
-		x.at = span("fault", i, "at", x.At, 0)
-		x.end = x.at + span("fault", i, "for", x.For, 1000*time.Hour)
-		x.drain = span("fault", i, "drain", x.Drain, 2*time.Second)
+		x.at = duration("fault", i, "at", x.At, 0)
+		x.end = x.at + duration("fault", i, "for", x.For, 1000*time.Hour)
+		x.drain = duration("fault", i, "drain", x.Drain, 2*time.Second)
 		for _, w := range x.Workers {
 			if !names[w] {
 				fail("fault", i, "workers", "there is no worker %q", w)
--- a/internal/lab/experiments/fleetfile_test.go
+++ b/internal/lab/experiments/fleetfile_test.go
@@ -12,7 +12,7 @@
 	"example.org/bellstream/internal/lab/emulator"
 )
 
-func TestFleetMistakes(t *testing.T) {
+func TestParseFleetErrors(t *testing.T) {
 	const worker = "worker \"w\" {\n  count = 2\n}\n"
 	for text, want := range map[string]string{
 		"":                                                       "f:1: worker: there is none",
--- a/internal/lab/experiments/process.go
+++ b/internal/lab/experiments/process.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Dispatcher is one process of the real program.
+// Dispatcher is one bellstream process.
 type Dispatcher struct {
 	Name, Addr, Admin string
 	Config, File      string
@@ -73,23 +73,24 @@
 	return d, nil
 }
 
-// platform returns the platform's JSON configuration of dispatcher number me of n.
-func platform(name, addr string, fleet *Fleet, seed uint64, me, n int, limits, lanes, parties, rules string) string {
+// platform returns the platform's JSON configuration of dispatcher number me of n. limits, classes, tenants and rules
+// are parts of that JSON.
+func platform(name, addr string, fleet *Fleet, seed uint64, me, n int, limits, classes, tenants, rules string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{%s},
 "known":%s,"settings":{"me":%d,"balancers":%d,"zone":"z","membership_mode":"pushed","round":0.004,"lanes":[%s],"parties":[%s],
 "family_info":{"report_x0":"free slots","tells_start":true},"reporting":{"how":"pull","fields":["x0","waiting"]},"clients":{"marks_retry":true},
 "caps":{"cancelling":true,"probes":true,"retry_after":true,"max_retry_after":2,"dial_timeout":0.25,"keepalive":15,"max_attempts":3},
 "charges":{"probe":0.01},"rules":{"ask_every":10,"drain_grace":2,"grace_to_answer":0.016%s}}}`,
-		name, addr, fleet.Discovery(), seed, limits, fleet.List(), me, n, lanes, parties, rules)
+		name, addr, fleet.Discovery(), seed, limits, fleet.List(), me, n, classes, tenants, rules)
 }
 
-// startSingleDispatcher starts the only dispatcher of a fleet; lanes are the classes' JSON objects.
-func startSingleDispatcher(p Params, fleet *Fleet, name, lanes, file string) (*Dispatcher, error) {
+// startSingleDispatcher starts the only dispatcher of a fleet; classes holds the classes' JSON objects.
+func startSingleDispatcher(p Params, fleet *Fleet, name, classes, file string) (*Dispatcher, error) {
 	addr, err := freePort("127.0.0.1")
 	if err != nil {
 		return nil, err
 	}
-	config := platform(name, addr, fleet, p.Seed, 0, 1, `"cores":1,"memory_mb":512,"sockets":8192`, lanes, `{"name":"t","quota_per_s":100}`, "")
+	config := platform(name, addr, fleet, p.Seed, 0, 1, `"cores":1,"memory_mb":512,"sockets":8192`, classes, `{"name":"t","quota_per_s":100}`, "")
 	d, err := NewDispatcher(p.Program, p.Out, name, config, file)
 	if err != nil {
 		return nil, err
--- a/internal/lab/experiments/processes.go
+++ b/internal/lab/experiments/processes.go
@@ -158,8 +158,8 @@
 			x.hostIndex = s.Hollow(me)
 		}
 		var addr, admin string
-		for _, to := range []*string{&addr, &admin, &x.GossipListen, &x.AccordListen, &x.JobsListen} {
-			if *to, err = freePort(IP(i).String()); err != nil {
+		for _, address := range []*string{&addr, &admin, &x.GossipListen, &x.AccordListen, &x.JobsListen} {
+			if *address, err = freePort(IP(i).String()); err != nil {
 				return err
 			}
 		}
@@ -330,7 +330,7 @@
 	return x.Dispatcher.Start()
 }
 
-// Kill ends the process at once, by SIGKILL.
+// Kill ends the process by SIGKILL.
 func (x *Instance) Kill() { x.terminate(x.Dispatcher.Kill) }
 
 // Stop ends the process by SIGTERM and returns how long that took.
--- a/internal/lab/experiments/processes_test.go
+++ b/internal/lab/experiments/processes_test.go
@@ -131,13 +131,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		do, err := p.apply(s[0], rand.New(rand.NewPCG(seed, 0)))
+		undoFault, err := p.apply(s[0], rand.New(rand.NewPCG(seed, 0)))
 		if err != nil {
 			t.Fatalf("seed %d, %s: %v", seed, text, err)
 		}
 		return func() {
 			t.Helper()
-			if err := do(); err != nil {
+			if err := undoFault(); err != nil {
 				t.Fatalf("seed %d, end of %s: %v", seed, text, err)
 			}
 		}
@@ -162,8 +162,8 @@
 	until("they are joined again", joined)
 
 	thaw, pid := applyFault("after 0s stop n1"), n1.cmd.Process.Pid
-	quick := http.Client{Timeout: 200 * time.Millisecond}
-	if _, err := quick.Get("http://" + n1.Admin + "/peers"); err == nil {
+	client := http.Client{Timeout: 200 * time.Millisecond}
+	if _, err := client.Get("http://" + n1.Admin + "/peers"); err == nil {
 		t.Error("n1 answers although it is stopped")
 	}
 	until("n1 is not heard", func() bool { return peersSeenBy(n0)[n1.Name].Age > 1.5 && peersSeenBy(n2)[n1.Name].Age > 1.5 })
@@ -176,7 +176,7 @@
 	before := peersSeenBy(n0)[n0.Name].Incarnation
 	start := applyFault("after 0s kill n0")
 	began := time.Now()
-	if _, err := quick.Get("http://" + n0.Admin + "/peers"); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := client.Get("http://" + n0.Admin + "/peers"); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("request to the killed n0: got error %v, want connection refused", err)
 	}
 	until("n0 is not heard", func() bool { return peersSeenBy(n1)[n0.Name].Age > 1.5 })
@@ -212,7 +212,7 @@
 }
 
 // Checks that the journal of an instance is read across restarts of its process.
-func TestJournalsAreTakenIn(t *testing.T) {
+func TestJournalsAreReadAcrossRestarts(t *testing.T) {
 	dir := t.TempDir()
 	x := &Instance{Dispatcher: &Dispatcher{Name: "n0"}, Journal: filepath.Join(dir, "n0.journal")}
 	c := &Processes{Nodes: []*Instance{x}, Relay: NewRelay(1, Link{})}
--- a/internal/lab/experiments/rebalance.go
+++ b/internal/lab/experiments/rebalance.go
@@ -24,19 +24,19 @@
 // The fleet can run 400 jobs per second. Sixteen tenants ask for more than that through all six instances; one more
 // tenant, lone, asks for a fifth more than its reservation through a single instance.
 const (
-	rebalanceN      = 6
-	rebalanceVoters = 3
-	rebalanceShards = 64
-	rebalanceLone   = 30.0 // reservation of the lone tenant, in jobs per second
-	rebalanceCrowd  = 16
+	rebalanceN         = 6
+	rebalanceVoters    = 3
+	rebalanceShards    = 64
+	rebalanceLoneQuota = 30.0 // reservation of the lone tenant, in jobs per second
+	rebalanceTenants   = 16
 )
 
 var rebalanceLeases = lease.Settings{LeaseSeconds: 1.5, RenewIntervalSeconds: 0.25, NetworkDelaySeconds: 0.05, ClockDrift: 0.01, PollIntervalSeconds: 0.05}
 
 func rebalanceSite(sharded bool, sockets int) Site {
 	s := rebalanceLeases
-	parties := []string{fmt.Sprintf(`{"name":"lone","quota_per_s":%g}`, rebalanceLone)}
-	for i := range rebalanceCrowd {
+	parties := []string{fmt.Sprintf(`{"name":"lone","quota_per_s":%g}`, rebalanceLoneQuota)}
+	for i := range rebalanceTenants {
 		parties = append(parties, fmt.Sprintf(`{"name":"t%d","quota_per_s":10}`, i))
 	}
 	return Site{N: rebalanceN, Workers: 20, Slots: 2, Mean: 100 * time.Millisecond, Link: Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond},
@@ -88,15 +88,15 @@
 // rebalanceLoad returns the load: the sixteen tenants with rate jobs per second in total, and the lone tenant.
 func rebalanceLoad(rate float64, patience time.Duration) (list []Stream) {
 	for i := range rebalanceN {
-		for t := range rebalanceCrowd {
+		for t := range rebalanceTenants {
 			class := "job"
 			if t%4 == 0 {
 				class = "once"
 			}
-			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceCrowd, Patience: patience})
+			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceTenants, Patience: patience})
 		}
 	}
-	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLone * 1.2, Even: true, Patience: patience})
+	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLoneQuota * 1.2, Even: true, Patience: patience})
 }
 
 // loneTenantShare returns the rate at which the fleet started jobs of the lone tenant, as a fraction of its reservation.
@@ -107,7 +107,7 @@
 			n++
 		}
 	}
-	return n / to.Sub(from).Seconds() / rebalanceLone
+	return n / to.Sub(from).Seconds() / rebalanceLoneQuota
 }
 
 // startRate returns how many jobs per second the fleet started.
@@ -194,8 +194,8 @@
 	}
 	defer c.Close()
 	r := &Result{Size: fmt.Sprintf("%d processes, %d shards, %d jobs queued, %d changes of seats", rebalanceN, rebalanceShards, queued, moves)}
-	seated := func() bool { n, _ := c.shardOwners(); return n == rebalanceShards }
-	if err := Until(20*time.Second, "every shard is seated", seated); err != nil {
+	allOwned := func() bool { n, _ := c.shardOwners(); return n == rebalanceShards }
+	if err := Until(20*time.Second, "every shard to have an owner", allOwned); err != nil {
 		return nil, err
 	}
 	const patience = 45 * time.Second
@@ -203,24 +203,24 @@
 	defer stop()
 	c.Load.Play(ctx, p.Seed, rebalanceLoad(500, patience))
 	time.Sleep(3 * time.Second)
-	calm := time.Now()
+	calmStart := time.Now()
 	time.Sleep(span)
 	calmEnd := time.Now()
-	lone, order := c.loneTenantShare(calm, calmEnd), c.reorderedShare(calm, calmEnd)
+	lone, order := c.loneTenantShare(calmStart, calmEnd), c.reorderedShare(calmStart, calmEnd)
 	p.Log("without faults: the lone tenant has %.3f of its reservation, %.4f of pairs out of order", lone, order)
 
 	// Jobs are queued while shards change owners.
 	_, before := c.shardOwners()
-	done := func() int { _, n := c.shardOwners(); return n - before }
-	player := &Player{Processes: c, Log: p.Log, Bound: 20 * time.Second, Conditions: map[string]func() bool{"seated": seated}}
+	ownerChanges := func() int { _, n := c.shardOwners(); return n - before }
+	player := &Player{Processes: c, Log: p.Log, Bound: 20 * time.Second, Conditions: map[string]func() bool{"seated": allOwned}}
 	names := make([]string, 0, rebalanceN)
 	for _, x := range c.Nodes {
 		names = append(names, x.Name)
 	}
 	menu := ScheduleOptions{Steps: 3, Gap: 700 * time.Millisecond, Span: 3 * time.Second, Faults: []string{"kill", "kill", "stop", "cut", "delay", "reset"}, Names: names,
 		When: []string{"seated"}}
-	began, faults, most := time.Now(), 0, 0
-	for n := uint64(0); done() < moves && time.Since(began) < time.Duration(moves)*time.Second; n++ {
+	began, faults, mostQueued := time.Now(), 0, 0
+	for n := uint64(0); ownerChanges() < moves && time.Since(began) < time.Duration(moves)*time.Second; n++ {
 		s := menu.Generate(p.Seed + n)
 		if err := player.Play(context.Background(), s); err != nil {
 			return nil, err
@@ -233,14 +233,14 @@
 				queuedNow += st.Entries
 			}
 		}
-		most = max(most, queuedNow)
+		mostQueued = max(mostQueued, queuedNow)
 		if queuedNow > queued { // a long queue is only logged
 			p.Log("%d jobs are queued at shard owners", queuedNow)
 		}
 	}
 	movesEnd := time.Now()
-	moved := done()
-	if err := Until(20*time.Second, "every shard is seated again", seated); err != nil {
+	moved := ownerChanges()
+	if err := Until(20*time.Second, "every shard to have an owner again", allOwned); err != nil {
 		return nil, err
 	}
 	orderMoved := c.reorderedShare(calmEnd, movesEnd)
@@ -292,11 +292,11 @@
 	r.AtMost("pairs of a tenant's jobs, a second apart, begun in the other order, beyond those without moves", 0.05, orderMoved-order, "part")
 	r.Note("today: the same tenant without shards", unsharded, "part")
 	r.Note("jobs begun a second, today", unshardedRate, "jobs/s")
-	r.Note("jobs begun a second, calm", c.startRate(calm, calmEnd), "jobs/s")
+	r.Note("jobs begun a second, calm", c.startRate(calmStart, calmEnd), "jobs/s")
 	r.Note("jobs begun a second, under faults", c.startRate(calmEnd, movesEnd), "jobs/s")
 	r.Note("a shard is nobody's in a change of seats, p50", quantile(0.5), "s")
 	r.Note("a shard is nobody's in a change of seats, p99", quantile(0.99), "s")
-	r.Note("jobs at seats at one time, at most", float64(most), "jobs")
+	r.Note("jobs at seats at one time, at most", float64(mostQueued), "jobs")
 	r.Note("faults played", float64(faults), "faults")
 	r.Note("jobs asked", float64(asked), "jobs")
 	r.Note("jobs served", float64(served), "jobs")
@@ -309,7 +309,7 @@
 		name     string
 		from, to int64
 	}
-	by := map[int][]span{}
+	spansByShard := map[int][]span{}
 	lines := slices.Clone(acts.Lines)
 	slices.SortStableFunc(lines, func(a, b invariants.JournalEntry) int { return cmp.Compare(a.At, b.At) })
 	last := map[string]invariants.JournalEntry{}
@@ -317,20 +317,20 @@
 		previous := last[l.Name]
 		last[l.Name] = l
 		for _, n := range l.Shards {
-			s := by[n]
+			s := spansByShard[n]
 			if k := len(s) - 1; k >= 0 && s[k].name == l.Name && slices.Contains(previous.Shards, n) {
 				s[k].to = l.Until
 				continue
 			}
-			by[n] = append(s, span{l.Name, l.At, l.Until})
+			spansByShard[n] = append(s, span{l.Name, l.At, l.Until})
 		}
 		for _, n := range previous.Shards { // ownership ends at the first line without the shard
-			if s := by[n]; !slices.Contains(l.Shards, n) && len(s) > 0 && s[len(s)-1].name == l.Name {
+			if s := spansByShard[n]; !slices.Contains(l.Shards, n) && len(s) > 0 && s[len(s)-1].name == l.Name {
 				s[len(s)-1].to = min(s[len(s)-1].to, l.At)
 			}
 		}
 	}
-	for _, s := range by {
+	for _, s := range spansByShard {
 		for i := 1; i < len(s); i++ {
 			list = append(list, float64(max(0, s[i].from-s[i-1].to))/1e9)
 		}
--- a/internal/lab/experiments/relay.go
+++ b/internal/lab/experiments/relay.go
@@ -123,9 +123,10 @@
 	return l.Addr().String(), nil
 }
 
-// AddFault impairs the links that match over, until lift is called. Several faults may apply to one link.
-func (r *Relay) AddFault(over func(from, to int) bool, l Link) (lift func()) {
-	x := &linkFault{l, over}
+// AddFault impairs the links for which matches returns true, until lift is called. Several faults may apply to one
+// link.
+func (r *Relay) AddFault(matches func(from, to int) bool, l Link) (lift func()) {
+	x := &linkFault{l, matches}
 	r.change(func() { r.faults = append(r.faults, x) })
 	return func() {
 		r.change(func() { r.faults = slices.DeleteFunc(r.faults, func(y *linkFault) bool { return x == y }) })
@@ -140,12 +141,13 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset aborts the open streams whose opener and target match over; both ends get a connection reset.
-func (r *Relay) Reset(over func(from, to int) bool) {
+// Reset aborts the open streams for which matches returns true, given opener and target. Both ends get a connection
+// reset.
+func (r *Relay) Reset(matches func(from, to int) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s := range r.streams {
-		if over(s.from, s.to) {
+		if matches(s.from, s.to) {
 			s.end(true)
 		}
 	}
--- a/internal/lab/experiments/schedule.go
+++ b/internal/lab/experiments/schedule.go
@@ -145,7 +145,7 @@
 	},
 }
 
-// Player plays schedules on processes.
+// Player causes the faults of schedules on a cluster of processes.
 type Player struct {
 	*Processes
 	Conditions map[string]func() bool
@@ -298,13 +298,13 @@
 			return nil, err
 		}
 	}
-	in := func(k, i int) bool {
+	inSide := func(k, i int) bool {
 		if sides[k] == nil {
 			return !slices.Contains(sides[1-k], i)
 		}
 		return slices.Contains(sides[k], i)
 	}
 	return func(from, to int) bool {
-		return from != to && (in(0, from) && in(1, to) || both && in(0, to) && in(1, from))
+		return from != to && (inSide(0, from) && inSide(1, to) || both && inSide(0, to) && inSide(1, from))
 	}, nil
 }
--- a/internal/lab/experiments/silent.go
+++ b/internal/lab/experiments/silent.go
@@ -169,14 +169,14 @@
 // latencies returns the cumulative distribution of each class's latencies.
 func latencies(answers []Answer) report.Plot {
 	p := report.Plot{Title: "Answers that have come after so long, by class", XLabel: "ms", YLabel: "part", LogX: true}
-	by := map[string][]float64{}
+	byClass := map[string][]float64{}
 	for _, a := range answers {
 		if a.Status > 0 {
-			by[a.Class] = append(by[a.Class], max(a.Took.Seconds()*1000, 0.1))
+			byClass[a.Class] = append(byClass[a.Class], max(a.Took.Seconds()*1000, 0.1))
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(by)) {
-		list := by[class]
+	for _, class := range slices.Sorted(maps.Keys(byClass)) {
+		list := byClass[class]
 		slices.Sort(list)
 		l := report.Line{Name: class}
 		for i := range 101 {
@@ -255,9 +255,9 @@
 		if err != nil {
 			return nil, err
 		}
-		n, of := plain.earned()
+		earned, total := plain.earned()
 		rate, _ := plain.silentWorkerRate()
-		r.Note("worth kept where each job goes to the next worker", n/of, "part")
+		r.Note("worth kept where each job goes to the next worker", earned/total, "part")
 		r.Note("jobs a second that a silent worker gets there", rate, "jobs/s")
 		curves.Lines = append(curves.Lines, plain.curve("each job to the next worker"))
 	}
