--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// meanRunTime simulates until a time. More returns further events of each step, or is nil. Each dispatcher is kept at the
+// run simulates until a time. More returns further events of each step, or is nil. Each dispatcher is kept at the
 // given number of queued jobs.
 func (p *greedyDispatchers) run(until float64, waiting int, more func(i int, r *rig) []Event) {
 	for ; p.now() < until; p.step++ {
--- a/balance/slowstartsim_test.go
+++ b/balance/slowstartsim_test.go
@@ -68,7 +68,7 @@
 	id                      string
 }
 
-// meanRunTime simulates the fleet. It returns the highest overload ratio of a warming worker and the number of sends to warming
+// run simulates the fleet. It returns the highest overload ratio of a warming worker and the number of sends to warming
 // workers.
 func (f warmUpFleet) run(t *testing.T, seed uint64, ramp bool) (worst float64, sends int) {
 	s := newSlowStartSim(t, f, seed, ramp)
@@ -180,7 +180,7 @@
 	return s
 }
 
-// schedule schedules a call after a time, in a later step. Calls after the end of the run are dropped.
+// schedule adds a call after a time, in a later step. Calls after the end of the run are dropped.
 func (s *slowStartSim) after(wait float64, do func()) {
 	if i := s.step + max(1, int(math.Ceil(wait/simTick))); i < len(s.scheduled) {
 		s.scheduled[i] = append(s.scheduled[i], do)
