--- a/internal/lab/experiments/capacity.go
+++ b/internal/lab/experiments/capacity.go
@@ -25,7 +25,7 @@
 type CapacityPart struct {
 	Name, About string
 	Without     []string // what it can have switched off
-	Run         func(p CapacityParams) (*CapacityFound, error)
+	Run         func(p CapacityParams) (*CapacityResult, error)
 }
 
 // CapacityParams are what a part is run with.
@@ -37,19 +37,19 @@
 // Load is the work of a percentage: the same for all parts of one run.
 func (p CapacityParams) Load(percent int) *capacity.Load { return capacity.NewLoad(percent, p.Seed) }
 
-// CapacityFound is what a part measured. Claims are what the product states, and hold or break the run. Rows
+// CapacityResult is what a part measured. Claims are what the product states, and hold or break the run. Rows
 // are held against the target: one that breaks says what is not carried, and breaks nothing.
-type CapacityFound struct {
+type CapacityResult struct {
 	Result
 	Rows   []capacity.Row
 	Slopes []capacity.Slope
 }
 
-// Row keeps rows for the table.
-func (f *CapacityFound) Row(rows ...capacity.Row) { f.Rows = append(f.Rows, rows...) }
+// AddRows keeps rows for the table.
+func (f *CapacityResult) AddRows(rows ...capacity.Row) { f.Rows = append(f.Rows, rows...) }
 
-// Slope lays a line through points and keeps it.
-func (f *CapacityFound) Slope(what, by, unit string, how capacity.How, kind capacity.Kind, points []capacity.Point) error {
+// AddSlope lays a line through points and keeps it.
+func (f *CapacityResult) AddSlope(what, by, unit string, how capacity.How, kind capacity.Kind, points []capacity.Point) error {
 	s, err := capacity.Fit(what, by, unit, how, points)
 	if err != nil {
 		return fmt.Errorf("slope of %s: %w", what, err)
--- a/internal/lab/experiments/capacity_test.go
+++ b/internal/lab/experiments/capacity_test.go
@@ -22,11 +22,11 @@
 }
 
 func capacityPart(name string, without []string, row capacity.Row) CapacityPart {
-	return CapacityPart{Name: name, Without: without, Run: func(p CapacityParams) (*CapacityFound, error) {
-		f := &CapacityFound{}
+	return CapacityPart{Name: name, Without: without, Run: func(p CapacityParams) (*CapacityResult, error) {
+		f := &CapacityResult{}
 		f.AtMost("fine", 2, 1, "s")
 		f.Note("percentages", float64(len(p.Percents)), "")
-		f.Row(row)
+		f.AddRows(row)
 		return f, nil
 	}}
 }
@@ -81,12 +81,12 @@
 			t.Errorf("%+v is taken", row)
 		}
 	}
-	e := withParts(t, CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityFound, error) { return nil, errors.New("no") }})
+	e := withParts(t, CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityResult, error) { return nil, errors.New("no") }})
 	if _, err := e.Play(Params{}); err == nil || !strings.Contains(err.Error(), "x: no") {
 		t.Errorf("%v", err)
 	}
-	void := CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityFound, error) {
-		f := &CapacityFound{}
+	void := CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityResult, error) {
+		f := &CapacityResult{}
 		f.AtMost("fine", 2, 1, "s")
 		f.Void = "one died"
 		return f, nil
@@ -104,23 +104,23 @@
 }
 
 func exchangeBySeed(t *testing.T, homes int) {
-	play := func(seed uint64) exchangeFound {
-		x := &exchangeRun{seed: seed, n: 6, percent: 10, starts: 10, set: homedSettings(6, homes), rest: 2, load: 30, minute: 4, region: 4, one: 4, apart: 3}
+	play := func(seed uint64) exchangeResult {
+		x := &exchangeRun{seed: seed, n: 6, percent: 10, starts: 10, settings: ownerSettings(6, homes), rest: 2, load: 30, zoneLoss: 4, regionLoss: 4, instanceLoss: 4, partition: 3}
 		got := x.play()
-		if len(got.near)+len(got.far) == 0 || len(got.moves)+got.unmoved != 10 {
+		if len(got.nearDelays)+len(got.farDelays) == 0 || len(got.moveTimes)+got.unmoved != 10 {
 			t.Errorf("nothing was probed: %+v", got)
 		}
-		got.restBusy, got.loadBusy, got.heap, got.took = 0, 0, 0, 0 // the machine's
+		got.restCPU, got.loadCPU, got.heap, got.took = 0, 0, 0, 0 // the machine's
 		return got
 	}
 	a, b, c := play(5), play(5), play(6)
-	if a.loadSent != b.loadSent || a.second != b.second || a.minuteBoth != b.minuteBoth || quantile(a.far, 0.5) != quantile(b.far, 0.5) || a.zonePart != b.zonePart || a.regionPart != b.regionPart {
+	if a.loadSent != b.loadSent || a.worstSecond != b.worstSecond || a.zoneLossWorst != b.zoneLossWorst || quantile(a.farDelays, 0.5) != quantile(b.farDelays, 0.5) || a.zoneLossShare != b.zoneLossShare || a.regionLossShare != b.regionLossShare {
 		t.Errorf("one seed, two plays: %+v, %+v", a, b)
 	}
 	if a.loadSent == c.loadSent {
 		t.Error("two seeds, one play")
 	}
-	if a.loadSent <= 0 || math.Abs(a.loadGot/a.loadSent-1) > 0.02 || a.minuteSent <= 0 || a.second < a.loadSent+a.loadGot || a.over > 0 || a.double > 0 || a.onePart <= 0 || a.oneSent <= 0 || a.zonePart <= 0 || a.regionPart <= 0 || a.regionPart > 2 {
+	if a.loadSent <= 0 || math.Abs(a.loadReceived/a.loadSent-1) > 0.02 || a.zoneLossSent <= 0 || a.worstSecond < a.loadSent+a.loadReceived || a.overAllotted > 0 || a.overcounted > 0 || a.instanceLossShare <= 0 || a.instanceLossSent <= 0 || a.zoneLossShare <= 0 || a.regionLossShare <= 0 || a.regionLossShare > 2 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/lab/experiments/capacityhollow.go
+++ b/internal/lab/experiments/capacityhollow.go
@@ -26,61 +26,61 @@
 }
 
 // What hollow instances may differ in from real ones, and from virtual time.
-const hollowNear = 0.15
+const hollowTolerance = 0.15
 
-// alike is within how many seconds all count the same, once a zone is gone, a cut is over and work has ended. What
+// convergedAfter is within how many seconds all count the same, once a zone is gone, a cut is over and work has ended. What
 // an instance told a few before it was killed goes on by membership's push/pull alone: of those who know, twice as many
 // after each round of it, and two rounds more.
-func (h hollowCluster) alike() float64 {
-	return hollowPush * pushPullScale(h.n) * (math.Ceil(math.Log2(float64(h.n))) + 2)
+func (h hollowCluster) convergenceBound() float64 {
+	return pushPullInterval * pushPullScale(h.n) * (math.Ceil(math.Log2(float64(h.n))) + 2)
 }
 
-// hollowPush is the time between two exchanges of all that is known, with one other, in a small cluster, in s.
-const hollowPush = 5.0
+// pushPullInterval is the time between two exchanges of all that is known, with one other, in a small cluster, in s.
+const pushPullInterval = 5.0
 
 // hollowCluster is a cluster to be run: hollow instances, some real ones among them, and real ones beside it that are
 // in no cluster, so that what the others cost more can be told.
 type hollowCluster struct {
-	n, real, plain int
-	load           *capacity.Load
-	peers, accord  bool    // what the operator's file switches on
-	seats          int     // shards; 0: none. Hollow seats know no workers, so nothing may come in then
-	period         float64 // s of a round of the exchange; 0: the file's default
-	hosts          int     // processes that the hollow ones share
-	stand          bool    // in the places of the real ones stand hollow ones too, each alone in its process
-	apart          time.Duration
-	gone           int // zone whose other instances stand in a process of their own, which can be killed; -1: none
+	n, real, standalone int
+	load                *capacity.Load
+	peers, agreement    bool    // what the operator's file switches on
+	shards              int     // shards; 0: none. Hollow seats know no workers, so nothing may come in then
+	period              float64 // s of a round of the exchange; 0: the file's default
+	hosts               int     // processes that the hollow ones share
+	standIns            bool    // in the places of the real ones stand hollow ones too, each alone in its process
+	regionDelay         time.Duration
+	lostZone            int // zone whose other instances stand in a process of their own, which can be killed; -1: none
 }
 
 // hollowVoters vote: the first of those that have no twin.
 const hollowVoters = 5
 
-func (h hollowCluster) voter() int { return 2 * h.real }
+func (h hollowCluster) firstVoter() int { return 2 * h.real }
 
-// exchanged are the settings of the exchange: the file's defaults, but a staleness that the size needs.
-func (h hollowCluster) exchanged() quota.Settings {
-	s := homedSettings(h.n, operatorconfig.DefaultOwners)
+// quotaSettings are the settings of the exchange: the file's defaults, but a staleness that the size needs.
+func (h hollowCluster) quotaSettings() quota.Settings {
+	s := ownerSettings(h.n, operatorconfig.DefaultOwners)
 	if h.period > 0 {
 		s.Period, s.LeaseDuration = h.period, operatorconfig.DefaultStaleness.Seconds()
-		s = fitting(s)
+		s = withValidLease(s)
 	}
 	return s
 }
 
-// file is the operator's file of an instance.
-func (h hollowCluster) file(c *Processes, x *Instance) string {
+// operatorFile is the operator's file of an instance.
+func (h hollowCluster) operatorFile(c *Processes, x *Instance) string {
 	var b strings.Builder
 	if x.shares < 0 {
 		fmt.Fprintf(&b, "admin {\n  listen = %q\n}\n", x.Admin)
 	}
 	if h.peers {
-		s := h.exchanged()
+		s := h.quotaSettings()
 		fmt.Fprintf(&b, "peers {\n  listen = %q\n  advertise = %q\n  join = [%q, %q]\n  cluster = \"lab\"\n  period = \"%gs\"\n  region = \"r%d\"\n}\ncounts {\n  staleness = \"%gs\"\n  homes = %d\n}\n",
 			x.Peers, x.Door, c.Nodes[0].Door, c.Nodes[1].Door, s.Period, h.regions()(x.Index), s.LeaseDuration, s.Owners)
 	}
-	if h.accord {
+	if h.agreement {
 		var at []string
-		for _, v := range c.Nodes[h.voter():][:hollowVoters] {
+		for _, v := range c.Nodes[h.firstVoter():][:hollowVoters] {
 			at = append(at, fmt.Sprintf("%s = %q", v.Name, v.Way))
 		}
 		var lines, names []string
@@ -89,8 +89,8 @@
 		}
 		fmt.Fprintf(&b, "accord {\n  cluster = \"lab\"\n  listen = %q\n  folder = %q\n  voters = { %s }\n}\nrules {\n  based_on = 0\n  tenant %q {\n    weight = 1\n  }\n",
 			x.Accord, x.Dir, strings.Join(at, ", "), h.load.Teams[0].Name)
-		if h.seats > 0 {
-			fmt.Fprintf(&b, "  instances = [%s]\n}\nshards {\n  count = %d\n  listen = %q\n  instances = { %s }\n", strings.Join(names, ", "), h.seats, x.Jobs, strings.Join(lines, ", "))
+		if h.shards > 0 {
+			fmt.Fprintf(&b, "  instances = [%s]\n}\nshards {\n  count = %d\n  listen = %q\n  instances = { %s }\n", strings.Join(names, ", "), h.shards, x.Jobs, strings.Join(lines, ", "))
 		}
 		b.WriteString("}\n")
 	}
@@ -106,23 +106,23 @@
 	zones := h.load.Place(h.n)
 	one := Site{N: h.n, Workers: 8, Slots: 4, Mean: 100 * time.Millisecond,
 		Lanes:   `{"name":"job","aim":0.6,"aim_stretch":2,"hard_limit":3,"value":1,"semantics":"safe"}`,
-		Parties: strings.Join(parties, ","), File: h.file,
+		Parties: strings.Join(parties, ","), File: h.operatorFile,
 		Hollow: func(i int) int {
 			switch {
-			case i < h.real && !h.stand:
+			case i < h.real && !h.standIns:
 				return -1
 			case i < 2*h.real: // a process of its own
 				return h.hosts + 2 + i
-			case h.accord && i >= h.voter() && i < h.voter()+hollowVoters: // one for them
+			case h.agreement && i >= h.firstVoter() && i < h.firstVoter()+hollowVoters: // one for them
 				return h.hosts + 1
-			case zones[i] == h.gone:
+			case zones[i] == h.lostZone:
 				return h.hosts
 			}
 			return i % h.hosts
 		}}
 	list = append(list, one)
-	if h.plain > 0 {
-		one.N, one.Hollow = h.plain, nil
+	if h.standalone > 0 {
+		one.N, one.Hollow = h.standalone, nil
 		one.File = func(_ *Processes, x *Instance) string { return fmt.Sprintf("admin {\n  listen = %q\n}\n", x.Admin) }
 		list = append(list, one)
 	}
@@ -140,18 +140,18 @@
 	}
 }
 
-// start starts all of it and waits until the instances have met.
+// startTask starts all of it and waits until the instances have met.
 func (h hollowCluster) start(p Params) (c *Processes, err error) {
 	sites, err := StartSites(p, h.sites()...)
 	if err != nil {
 		return nil, err
 	}
 	c = sites[0]
-	if h.apart > 0 {
+	if h.regionDelay > 0 {
 		region := h.regions()
-		c.Relay.Lay(func(a, b int) bool { return region(a) != region(b) }, Link{Delay: h.apart})
+		c.Relay.Lay(func(a, b int) bool { return region(a) != region(b) }, Link{Delay: h.regionDelay})
 	}
-	if err := Until(60*time.Second, "all have met", func() bool { return h.whole(c) }); err != nil {
+	if err := Until(60*time.Second, "all have met", func() bool { return h.connected(c) }); err != nil {
 		closeSites(sites)
 		return nil, err
 	}
@@ -162,24 +162,24 @@
 // and the voters among the hollow ones.
 func (h hollowCluster) groups(c *Processes) (g [5][]*Instance) {
 	if len(c.Sites) > 1 {
-		g[beside] = c.Sites[1].Nodes
+		g[groupStandalone] = c.Sites[1].Nodes
 	}
-	k := h.voter()
-	g[reals], g[twins] = c.Nodes[:h.real], c.Nodes[h.real:k]
-	if h.accord {
-		g[voting], k = c.Nodes[k:k+hollowVoters], k+hollowVoters
+	k := h.firstVoter()
+	g[groupReal], g[groupAlone] = c.Nodes[:h.real], c.Nodes[h.real:k]
+	if h.agreement {
+		g[groupVoters], k = c.Nodes[k:k+hollowVoters], k+hollowVoters
 	}
-	g[shared] = c.Nodes[k:]
+	g[groupShared] = c.Nodes[k:]
 	return g
 }
 
 // Groups of a hollowCluster.
 const (
-	reals = iota
-	twins
-	beside
-	shared
-	voting
+	groupReal = iota
+	groupAlone
+	groupStandalone
+	groupShared
+	groupVoters
 )
 
 func closeSites(list []*Processes) {
@@ -188,9 +188,9 @@
 	}
 }
 
-// whole says that all that live are joined, see all others that live, and have a lease.
-func (h hollowCluster) whole(c *Processes) bool {
-	states, err := c.States()
+// connected says that all that live are joined, see all others that live, and have a lease.
+func (h hollowCluster) connected(c *Processes) bool {
+	states, err := c.HollowStates()
 	if err != nil {
 		return false
 	}
@@ -198,7 +198,7 @@
 	for _, s := range states {
 		seats += s.OwnedShards
 	}
-	if h.seats > 0 && seats < h.seats {
+	if h.shards > 0 && seats < h.shards {
 		return false
 	}
 	for _, x := range c.Nodes {
@@ -207,7 +207,7 @@
 		}
 	}
 	for _, s := range states {
-		if h.peers && (!s.Joined || s.Peers < alive-1) || h.accord && (!s.Leased || s.Version < 1) {
+		if h.peers && (!s.Joined || s.Peers < alive-1) || h.agreement && (!s.Leased || s.Version < 1) {
 			return false
 		}
 	}
@@ -222,15 +222,15 @@
 		if h.peers && (x.Ask("/peers", &s) != nil || !s.Joined || len(s.Peers) < alive-1) {
 			return false
 		}
-		if a, ok := x.accord(); h.accord && (!ok || !a.Leased || a.Version < 1) {
+		if a, ok := x.accord(); h.agreement && (!ok || !a.Leased || a.Version < 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// enter is what enters at each instance, at a part of the peak. A twin has what its real one has, in place of its own.
-func (h hollowCluster) enter(part float64) map[int]hollow.Demand {
+// demand is what enters at each instance, at a part of the peak. A twin has what its real one has, in place of its own.
+func (h hollowCluster) demand(part float64) map[int]hollow.Demand {
 	by := map[int]hollow.Demand{}
 	for i := range h.n {
 		by[i] = hollow.Demand{}
@@ -246,11 +246,11 @@
 	return by
 }
 
-// play has it come in: at hollow instances by their generators, at real ones by clients, and at those beside the
+// startLoad has it come in: at hollow instances by their generators, at real ones by clients, and at those beside the
 // cluster as at the real ones. What it returns ends it.
-func (h hollowCluster) play(p Params, c *Processes, part float64) (stop func(), err error) {
-	by := h.enter(part)
-	if err := c.Demand(by); err != nil {
+func (h hollowCluster) startLoad(p Params, c *Processes, part float64) (stop func(), err error) {
+	by := h.demand(part)
+	if err := c.SetDemand(by); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -276,7 +276,7 @@
 		for i := range by {
 			by[i] = hollow.Demand{}
 		}
-		c.Demand(by)
+		c.SetDemand(by)
 		for _, site := range c.Sites {
 			site.Load.Wait()
 		}
@@ -284,23 +284,23 @@
 }
 
 // hollowTimes are how long each step of a play takes.
-type hollowTimes struct{ settle, rest, warm, load, gone, cut time.Duration }
-
-// hollowFound is what a play gave.
-type hollowFound struct {
-	rest, load, gone [5]Cost // by group
-	stand            [2]Cost // of the hollow ones in the real ones' places, in a cluster of their own, at rest and at the peak
-	whole            float64 // s until all live ones are one cluster again, after a cut
-	alike            float64 // s from the end of the work until all count the same; infinite: not within what is stated
-	apart            int     // teams of which those that know of them count otherwise, at the end
-	orphaned         int     // the same, of those that came in at the zone that went, where homes are hashed
-	late             float64 // part of the looks of hollow instances' generators that came too late, from rest to peak
-	parted           bool    // two regions have been cut off each other
-	took             time.Duration
+type hollowTimes struct{ settle, rest, warmUp, load, zoneLoss, partition time.Duration }
+
+// hollowResult is what a play gave.
+type hollowResult struct {
+	rest, load, zoneLoss [5]Cost // by group
+	standIns             [2]Cost // of the hollow ones in the real ones' places, in a cluster of their own, at rest and at the peak
+	connectedAfter       float64 // s until all live ones are one cluster again, after a cut
+	convergedAfter       float64 // s from the end of the work until all count the same; infinite: not within what is stated
+	disagreeing          int     // teams of which those that know of them count otherwise, at the end
+	orphaned             int     // the same, of those that came in at the zone that went, where homes are hashed
+	lateFraction         float64 // part of the looks of hollow instances' generators that came too late, from rest to peak
+	partitioned          bool    // two regions have been cut off each other
+	took                 time.Duration
 }
 
 // run plays it: at rest, at the peak, a zone's loss, a cut between two regions, and looks whether all count the same.
-func (h hollowCluster) run(p Params, t hollowTimes) (f hollowFound, err error) {
+func (h hollowCluster) run(p Params, t hollowTimes) (f hollowResult, err error) {
 	began := time.Now()
 	c, err := h.start(p)
 	if err != nil {
@@ -310,7 +310,7 @@
 	// What an instance costs depends on its name, by which it is some teams' home. So the same cluster is played beside
 	// it with hollow ones under the real ones' names.
 	stand, q := h, p
-	stand.stand, stand.plain = true, 0
+	stand.standIns, stand.standalone = true, 0
 	q.Out += "/stand"
 	if err := os.MkdirAll(q.Out, 0o755); err != nil {
 		return f, err
@@ -341,66 +341,66 @@
 	if err != nil {
 		return f, err
 	}
-	if err := look(t.rest, &f.rest, &f.stand[0]); err != nil {
+	if err := look(t.rest, &f.rest, &f.standIns[0]); err != nil {
 		return f, err
 	}
-	stop, err := h.play(p, c, 1)
+	stop, err := h.startLoad(p, c, 1)
 	if err != nil {
 		return f, err
 	}
 	defer func() { stop() }()
-	if _, err := stand.play(q, other, 1); err != nil { // its instances end with their processes
+	if _, err := stand.startLoad(q, other, 1); err != nil { // its instances end with their processes
 		return f, err
 	}
-	time.Sleep(t.warm)
-	if err := look(t.load, &f.load, &f.stand[1]); err != nil {
+	time.Sleep(t.warmUp)
+	if err := look(t.load, &f.load, &f.standIns[1]); err != nil {
 		return f, err
 	}
 	allLooks, allLate, err := lateness(c)
 	if err != nil {
 		return f, err
 	}
-	f.late = float64(allLate-late) / float64(max(allLooks-looks, 1))
-	if h.gone >= 0 {
+	f.lateFraction = float64(allLate-late) / float64(max(allLooks-looks, 1))
+	if h.lostZone >= 0 {
 		for _, x := range c.Hosts {
 			if x.Name == hostName(c, h.hosts) {
 				x.Kill()
 			}
 		}
-		if err := look(t.gone, &f.gone, &Cost{}); err != nil {
+		if err := look(t.zoneLoss, &f.zoneLoss, &Cost{}); err != nil {
 			return f, err
 		}
 	}
-	if f.parted = t.cut > 0; !f.parted {
+	if f.partitioned = t.partition > 0; !f.partitioned {
 		f.took = time.Since(began)
 		return f, nil
 	}
 	region := h.regions()
 	heal := c.Relay.Lay(func(a, b int) bool { return min(region(a), region(b)) == 0 && max(region(a), region(b)) == 1 }, Link{Cut: true})
-	time.Sleep(t.cut)
+	time.Sleep(t.partition)
 	heal()
 	stop()
 	stop = func() {}
 	ended := time.Now()
-	f.whole, f.alike = math.Inf(1), math.Inf(1)
-	for time.Since(ended).Seconds() < h.alike() && (math.IsInf(f.whole, 1) || f.apart > 0 || math.IsInf(f.alike, 1)) {
-		if math.IsInf(f.whole, 1) && h.whole(c) {
-			f.whole = time.Since(ended).Seconds()
+	f.connectedAfter, f.convergedAfter = math.Inf(1), math.Inf(1)
+	for time.Since(ended).Seconds() < h.convergenceBound() && (math.IsInf(f.connectedAfter, 1) || f.disagreeing > 0 || math.IsInf(f.convergedAfter, 1)) {
+		if math.IsInf(f.connectedAfter, 1) && h.connected(c) {
+			f.connectedAfter = time.Since(ended).Seconds()
 		}
-		if f.apart, f.orphaned, err = h.apartOf(c); err != nil {
+		if f.disagreeing, f.orphaned, err = h.countDisagreements(c); err != nil {
 			return f, err
 		}
-		if f.apart == 0 {
-			f.alike = time.Since(ended).Seconds()
+		if f.disagreeing == 0 {
+			f.convergedAfter = time.Since(ended).Seconds()
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	if f.apart+f.orphaned > 0 {
-		known, err := h.known(c)
+	if f.disagreeing+f.orphaned > 0 {
+		known, err := h.knownStarts(c)
 		if err != nil {
 			return f, err
 		}
-		for _, team := range apart(slices.Collect(maps.Values(known))) {
+		for _, team := range disagreeing(slices.Collect(maps.Values(known))) {
 			var said []string
 			for _, x := range c.Nodes {
 				if n, ok := known[x.Name][team]; ok {
@@ -420,7 +420,7 @@
 		if x.Pid() == 0 {
 			continue
 		}
-		a, err := x.Tell(hollow.Command{Report: true})
+		a, err := x.Execute(hollow.Command{Report: true})
 		if err != nil {
 			return 0, 0, err
 		}
@@ -429,13 +429,13 @@
 	return looks, late, nil
 }
 
-// hollowLate is the part of looks that may come late; with more the machine does not keep up, and what is measured
+// maxLateFraction is the part of looks that may come late; with more the machine does not keep up, and what is measured
 // is its want of processors.
-const hollowLate = 0.01
+const maxLateFraction = 0.01
 
-// known are the slots that were started of each team, as each instance that lives and knows of it says, by instance.
-func (h hollowCluster) known(c *Processes) (map[string]map[string]uint64, error) {
-	states, err := c.States()
+// knownStarts are the slots that were started of each team, as each instance that lives and knows of it says, by instance.
+func (h hollowCluster) knownStarts(c *Processes) (map[string]map[string]uint64, error) {
+	states, err := c.HollowStates()
 	if err != nil {
 		return nil, err
 	}
@@ -459,26 +459,26 @@
 	return known, nil
 }
 
-// apartOf is of how many teams those that know of them count otherwise: all instances, or a team's users and homes
+// countDisagreements is of how many teams those that know of them count otherwise: all instances, or a team's users and homes
 // where those are hashed. Homes tell each other nothing: what one that was killed had told to some of a team's homes is
 // not heard of by the others, so that teams which came in at the zone that went are counted apart there (orphaned).
-func (h hollowCluster) apartOf(c *Processes) (teams, orphaned int, err error) {
-	known, err := h.known(c)
+func (h hollowCluster) countDisagreements(c *Processes) (teams, orphaned int, err error) {
+	known, err := h.knownStarts(c)
 	if err != nil {
 		return 0, 0, err
 	}
 	gone := map[string]bool{}
-	if h.exchanged().Owners > 0 && h.gone >= 0 {
-		by := h.enter(1)
+	if h.quotaSettings().Owners > 0 && h.lostZone >= 0 {
+		by := h.demand(1)
 		for _, x := range c.Nodes {
-			if pid, _ := x.process(); pid == 0 {
+			if pid, _ := x.hostProcess(); pid == 0 {
 				for team := range by[x.Index] {
 					gone[team] = true
 				}
 			}
 		}
 	}
-	for _, team := range apart(slices.Collect(maps.Values(known))) {
+	for _, team := range disagreeing(slices.Collect(maps.Values(known))) {
 		if gone[team] {
 			orphaned++
 		} else {
@@ -488,8 +488,8 @@
 	return teams, orphaned, nil
 }
 
-// apart are the things of which those that know of them say otherwise.
-func apart(known []map[string]uint64) []string {
+// disagreeing are the things of which those that know of them say otherwise.
+func disagreeing(known []map[string]uint64) []string {
 	first, differ := map[string]uint64{}, map[string]bool{}
 	for _, m := range known {
 		for team, net := range m {
@@ -503,57 +503,57 @@
 	return slices.Sorted(maps.Keys(differ))
 }
 
-// differ is how far a figure is from another, as a part of that; no figure where there is none.
-func differ(a, b float64) float64 { return math.Abs(a-b) / math.Abs(b) }
+// relativeDifference is how far a figure is from another, as a part of that; no figure where there is none.
+func relativeDifference(a, b float64) float64 { return math.Abs(a-b) / math.Abs(b) }
 
-// differs is the same of bytes a second that may be none: what is less than a hundredth of the budget is as if it were that.
-func differs(a, b float64) float64 { return math.Abs(a-b) / max(b, capacity.Target.Bytes/100) }
+// byteDifference is the same of bytes a second that may be none: what is less than a hundredth of the budget is as if it were that.
+func byteDifference(a, b float64) float64 { return math.Abs(a-b) / max(b, capacity.Target.Bytes/100) }
 
-// exchange is what the exchange sent and received, in datagrams and in membership's streams.
-func (c Cost) exchange() (sent, received float64) {
-	for _, k := range []Kind{Exchanged, Known} {
+// exchangeBytes is what the exchange sent and received, in datagrams and in membership's streams.
+func (c Cost) exchangeBytes() (sent, received float64) {
+	for _, k := range []TrafficKind{TrafficExchange, TrafficPushPullUsage} {
 		sent, received = sent+c.By[k].Sent.Bytes, received+c.By[k].Received.Bytes
 	}
 	return sent, received
 }
 
-// of is what these kinds sent and received.
-func (c Cost) of(kinds ...Kind) (both float64) {
+// bytesOf is what these kinds sent and received.
+func (c Cost) bytesOf(kinds ...TrafficKind) (both float64) {
 	for _, k := range kinds {
 		both += c.By[k].Sent.Bytes + c.By[k].Received.Bytes
 	}
 	return both
 }
 
-func runCapacityHollow(p CapacityParams) (*CapacityFound, error) {
-	f := &CapacityFound{}
+func runCapacityHollow(p CapacityParams) (*CapacityResult, error) {
+	f := &CapacityResult{}
 	if p.Quick {
 		h := hollowAt(p, 24, 100)
 		h.period = 0.5
-		got, err := h.run(p.Params, hollowTimes{settle: 2 * time.Second, rest: 5 * time.Second, warm: 8 * time.Second, load: 7 * time.Second, gone: 4 * time.Second, cut: time.Second})
+		got, err := h.run(p.Params, hollowTimes{settle: 2 * time.Second, rest: 5 * time.Second, warmUp: 8 * time.Second, load: 7 * time.Second, zoneLoss: 4 * time.Second, partition: time.Second})
 		if err != nil {
 			return nil, err
 		}
-		h.claim(p, f, got)
-		h.played(p, f, got)
+		h.addClaims(p, f, got)
+		h.compareVirtualTime(p, f, got)
 		return f, nil
 	}
-	t := hollowTimes{settle: 4 * time.Second, rest: 8 * time.Second, warm: 6 * time.Second, load: 12 * time.Second, gone: 12 * time.Second}
-	var most hollowFound
+	t := hollowTimes{settle: 4 * time.Second, rest: 8 * time.Second, warmUp: 6 * time.Second, load: 12 * time.Second, zoneLoss: 12 * time.Second}
+	var most hollowResult
 	for _, percent := range p.Percents {
 		mine := t
 		if percent == 100 {
-			mine.rest, mine.load, mine.gone, mine.cut = 30*time.Second, 30*time.Second, time.Minute, 20*time.Second
+			mine.rest, mine.load, mine.zoneLoss, mine.partition = 30*time.Second, 30*time.Second, time.Minute, 20*time.Second
 		}
 		h := hollowAt(p, 44, percent)
 		got, err := h.run(p.Params, mine)
 		if err != nil {
 			return nil, fmt.Errorf("%d %%: %w", percent, err)
 		}
-		h.rows(f, got)
+		h.addRows(f, got)
 		if percent == 100 {
-			h.claim(p, f, got)
-			h.played(p, f, got)
+			h.addClaims(p, f, got)
+			h.compareVirtualTime(p, f, got)
 			most = got
 		}
 	}
@@ -562,18 +562,18 @@
 	}
 	// A cluster of 300 is played where half of the machine carries it.
 	const large = 300
-	cores := most.load[shared].CPU / 1000 * large
+	cores := most.load[groupShared].CPU / 1000 * large
 	f.Note("processors that 300 instances would take by what they take at 44", cores, "processors")
 	if cores > float64(runtime.NumCPU())/2 {
 		p.Log("300 are not played: they would take %.1f of %d processors", cores, runtime.NumCPU())
 		return f, nil
 	}
 	h := hollowAt(p, large, 100)
-	got, err := h.run(p.Params, hollowTimes{settle: 10 * time.Second, rest: 20 * time.Second, warm: 10 * time.Second, load: 20 * time.Second, gone: 30 * time.Second})
+	got, err := h.run(p.Params, hollowTimes{settle: 10 * time.Second, rest: 20 * time.Second, warmUp: 10 * time.Second, load: 20 * time.Second, zoneLoss: 30 * time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("300 instances: %w", err)
 	}
-	h.rows(f, got)
+	h.addRows(f, got)
 	return f, nil
 }
 
@@ -581,18 +581,18 @@
 const hollowShards = 128
 
 // hollowSizes has clusters of several sizes at rest, with all that the operator's file switches on.
-func hollowSizes(p CapacityParams, f *CapacityFound) error {
+func hollowSizes(p CapacityParams, f *CapacityResult) error {
 	lines := []struct {
 		what, unit string
 		kind       capacity.Kind
 		of         func(one, voter Cost) float64
 		points     []capacity.Point
 	}{
-		{what: "membership on sockets, sent and received", unit: "B/s", kind: capacity.Membership, of: func(one, _ Cost) float64 { return one.of(Probing, States) }},
-		{what: "counts and loans on sockets, sent and received at rest", unit: "B/s", kind: capacity.Counts, of: func(one, _ Cost) float64 { return one.of(Exchanged, Known) }},
-		{what: "agreement, sent and received, one that does not vote", unit: "B/s", kind: capacity.Agreement, of: func(one, _ Cost) float64 { return one.of(Agreeing) }},
-		{what: "agreement, sent and received, mean of five voters", unit: "B/s", kind: capacity.Agreement, of: func(_, voter Cost) float64 { return voter.of(Agreeing) }},
-		{what: "seats without jobs, sent and received", unit: "B/s", kind: capacity.Seats, of: func(one, _ Cost) float64 { return one.of(Seating) }},
+		{what: "membership on sockets, sent and received", unit: "B/s", kind: capacity.Membership, of: func(one, _ Cost) float64 { return one.bytesOf(TrafficMembership, TrafficPushPull) }},
+		{what: "counts and loans on sockets, sent and received at rest", unit: "B/s", kind: capacity.Counts, of: func(one, _ Cost) float64 { return one.bytesOf(TrafficExchange, TrafficPushPullUsage) }},
+		{what: "agreement, sent and received, one that does not vote", unit: "B/s", kind: capacity.Agreement, of: func(one, _ Cost) float64 { return one.bytesOf(TrafficAgreement) }},
+		{what: "agreement, sent and received, mean of five voters", unit: "B/s", kind: capacity.Agreement, of: func(_, voter Cost) float64 { return voter.bytesOf(TrafficAgreement) }},
+		{what: "seats without jobs, sent and received", unit: "B/s", kind: capacity.Seats, of: func(one, _ Cost) float64 { return one.bytesOf(TrafficShards) }},
 		{what: "all of it at rest, processor time, many in a process", unit: "ms/s", of: func(one, _ Cost) float64 { return one.CPU }},
 		{what: "all of it at rest, memory, many in a process", unit: "MB", of: func(one, _ Cost) float64 { return one.Memory / 1e6 }},
 		{what: "all of it at rest, descriptors", unit: "", of: func(one, _ Cost) float64 { return one.Descriptors }},
@@ -600,7 +600,7 @@
 	}
 	for _, n := range []int{8, 22, 44, 88} {
 		h := hollowAt(p, n, 100)
-		h.real, h.plain, h.gone, h.seats = 0, 0, -1, hollowShards
+		h.real, h.standalone, h.lostZone, h.shards = 0, 0, -1, hollowShards
 		q := p.Params
 		q.Out = fmt.Sprintf("%s/%d", p.Out, n)
 		if err := os.MkdirAll(q.Out, 0o755); err != nil {
@@ -612,7 +612,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		groups := h.groups(c)
-		got, err := c.Measure(10*time.Second, groups[shared], groups[voting])
+		got, err := c.Measure(10*time.Second, groups[groupShared], groups[groupVoters])
 		closeSites(c.Sites)
 		if err != nil {
 			return err
@@ -625,12 +625,12 @@
 		if n != 44 {
 			continue
 		}
-		r := capacity.AtMost(capacity.Bytes, 100, "seats without jobs, sent and received at 44 dispatchers", capacity.Target.Bytes, got[0].of(Seating), "B/s", capacity.OnSockets)
+		r := capacity.AtMost(capacity.Bytes, 100, "seats without jobs, sent and received at 44 dispatchers", capacity.Target.Bytes, got[0].bytesOf(TrafficShards), "B/s", capacity.OnSockets)
 		r.Kind = capacity.Seats
-		f.Row(r)
+		f.AddRows(r)
 	}
 	for _, x := range lines {
-		if err := f.Slope(x.what, capacity.ByDispatchers, x.unit, capacity.OnSockets, x.kind, x.points); err != nil {
+		if err := f.AddSlope(x.what, capacity.ByDispatchers, x.unit, capacity.OnSockets, x.kind, x.points); err != nil {
 			return err
 		}
 	}
@@ -639,44 +639,44 @@
 
 // hollowAt is a cluster of so many, two of them real, and two real ones beside it. The zone that goes is that of the last.
 func hollowAt(p CapacityParams, n, percent int) hollowCluster {
-	h := hollowCluster{n: n, real: 2, plain: 2, hosts: 1, peers: true, accord: true, apart: 20 * time.Millisecond, load: p.Load(percent)}
-	h.gone = h.load.Place(n)[n-1]
+	h := hollowCluster{n: n, real: 2, standalone: 2, hosts: 1, peers: true, agreement: true, regionDelay: 20 * time.Millisecond, load: p.Load(percent)}
+	h.lostZone = h.load.Place(n)[n-1]
 	return h
 }
 
-// claim says how near hollow instances are to real ones, and whether all came together again.
-func (h hollowCluster) claim(p CapacityParams, f *CapacityFound, got hollowFound) {
+// addClaims says how near hollow instances are to real ones, and whether all came together again.
+func (h hollowCluster) addClaims(p CapacityParams, f *CapacityResult, got hollowResult) {
 	at := fmt.Sprintf(", %d instances", h.n)
-	if got.late > hollowLate {
-		f.Void = fmt.Sprintf("%.1f %% of the looks of hollow instances came more than %v late: the machine was too busy", 100*got.late, hollow.LateThreshold)
+	if got.lateFraction > maxLateFraction {
+		f.Void = fmt.Sprintf("%.1f %% of the looks of hollow instances came more than %v late: the machine was too busy", 100*got.lateFraction, hollow.LateThreshold)
 	}
 	for k, when := range []string{"at rest", "at the peak"} {
-		f.Note("hollow, in the places of the real, "+when+": sent"+at, got.stand[k].Sent, "B/s")
-		f.Note("hollow, in the places of the real, "+when+": received"+at, got.stand[k].Received, "B/s")
-		f.Note("hollow, in the places of the real, "+when+": processor time"+at, got.stand[k].CPU, "ms/s")
+		f.Note("hollow, in the places of the real, "+when+": sent"+at, got.standIns[k].Sent, "B/s")
+		f.Note("hollow, in the places of the real, "+when+": received"+at, got.standIns[k].Received, "B/s")
+		f.Note("hollow, in the places of the real, "+when+": processor time"+at, got.standIns[k].CPU, "ms/s")
 	}
-	f.Note("looks of hollow instances that came late"+at, got.late, "part")
+	f.Note("looks of hollow instances that came late"+at, got.lateFraction, "part")
 	for k, x := range []struct {
 		when string
 		by   [5]Cost
 	}{{"at rest", got.rest}, {"at the peak", got.load}} {
-		f.AtMost("bytes of hollow instances differ from real ones', "+x.when+at, hollowNear, differ(held(got.stand[k], p.Quick), held(x.by[reals], p.Quick)), "part")
-		busy := differ(got.stand[k].CPU, x.by[reals].CPU-x.by[beside].CPU)
+		f.AtMost("bytes of hollow instances differ from real ones', "+x.when+at, hollowTolerance, relativeDifference(comparedBytes(got.standIns[k], p.Quick), comparedBytes(x.by[groupReal], p.Quick)), "part")
+		busy := relativeDifference(got.standIns[k].CPU, x.by[groupReal].CPU-x.by[groupStandalone].CPU)
 		// A few seconds beside others' work say little of some milliseconds.
 		if name := "processor time of hollow instances differs from what real ones' membership, exchange and agreement take, " + x.when + at; p.Quick {
 			f.Note(name, busy, "part")
 		} else {
-			f.AtMost(name, hollowNear, busy, "part")
+			f.AtMost(name, hollowTolerance, busy, "part")
 		}
 	}
-	f.AtMost("all that know of a team count the same of it, after a zone's loss and a cut, once work has ended, within"+at, h.alike(), min(got.alike, 1e6), "s")
-	f.Note("teams counted otherwise at the end"+at, float64(got.apart), "teams")
+	f.AtMost("all that know of a team count the same of it, after a zone's loss and a cut, once work has ended, within"+at, h.convergenceBound(), min(got.convergedAfter, 1e6), "s")
+	f.Note("teams counted otherwise at the end"+at, float64(got.disagreeing), "teams")
 	f.Note("teams counted otherwise at the end, for what only some homes heard from the zone that went"+at, float64(got.orphaned), "teams")
-	f.AtMost("all that live are one cluster then, within"+at, h.alike(), min(got.whole, 1e6), "s")
+	f.AtMost("all that live are one cluster then, within"+at, h.convergenceBound(), min(got.connectedAfter, 1e6), "s")
 	for _, x := range []struct {
 		when string
 		by   [5]Cost
-	}{{"at rest", got.rest}, {"at the peak", got.load}, {"a zone gone", got.gone}} {
+	}{{"at rest", got.rest}, {"at the peak", got.load}, {"a zone gone", got.zoneLoss}} {
 		for k, who := range []string{"real", "hollow, alone in its process", "real, in no cluster", "hollow, many in a process", "hollow voter"} {
 			c := x.by[k]
 			if c.Alive == 0 {
@@ -687,8 +687,8 @@
 			f.Note(fmt.Sprintf("%s, %s: processor time%s", who, x.when, at), c.CPU, "ms/s")
 			f.Note(fmt.Sprintf("%s, %s: memory%s", who, x.when, at), c.Memory/1e6, "MB")
 			f.Note(fmt.Sprintf("%s, %s: descriptors%s", who, x.when, at), c.Descriptors, "")
-			if k == shared || k == voting {
-				for _, kind := range []Kind{Probing, States, Exchanged, Known, Agreeing} {
+			if k == groupShared || k == groupVoters {
+				for _, kind := range []TrafficKind{TrafficMembership, TrafficPushPull, TrafficExchange, TrafficPushPullUsage, TrafficAgreement} {
 					f.Note(fmt.Sprintf("%s, %s: %s, sent%s", who, x.when, kind, at), c.By[kind].Sent.Bytes, "B/s")
 				}
 			}
@@ -697,19 +697,19 @@
 	f.Note("took", got.took.Seconds(), "s")
 }
 
-// held is what is compared of real and hollow instances: all that they sent and received; over a few seconds without
+// comparedBytes is what is compared of real and hollow instances: all that they sent and received; over a few seconds without
 // push/pull, of which one more or less, in some 5 s, is a third of an instance's bytes at rest.
-func held(c Cost, quick bool) float64 {
+func comparedBytes(c Cost, quick bool) float64 {
 	if quick {
-		return c.Both() - c.of(States, Known)
+		return c.Total() - c.bytesOf(TrafficPushPull, TrafficPushPullUsage)
 	}
-	return c.Both()
+	return c.Total()
 }
 
-// played says how near virtual time is to the same cluster on sockets.
-func (h hollowCluster) played(p CapacityParams, f *CapacityFound, got hollowFound) {
+// compareVirtualTime says how near virtual time is to the same cluster on sockets.
+func (h hollowCluster) compareVirtualTime(p CapacityParams, f *CapacityResult, got hollowResult) {
 	at := fmt.Sprintf(", %d instances", h.n)
-	v := &exchangeRun{seed: p.Seed, n: h.n, percent: h.load.Percent, starts: h.load.Percent, set: h.exchanged(), rest: 10, load: 20}
+	v := &exchangeRun{seed: p.Seed, n: h.n, percent: h.load.Percent, starts: h.load.Percent, settings: h.quotaSettings(), rest: 10, load: 20}
 	if p.Quick {
 		v.rest, v.load = 4, 8
 	}
@@ -717,33 +717,33 @@
 	for _, x := range []struct {
 		when       string
 		virtual, h float64
-	}{{"at rest", played.restSent, meanExchange(got.rest)}, {"at the peak", played.loadSent, meanExchange(got.load)}} {
-		f.AtMost("what counts and loans send in virtual time differs from hollow and real instances', "+x.when+at, hollowNear, differs(x.virtual, x.h), "part")
+	}{{"at rest", played.restSent, meanExchangeSent(got.rest)}, {"at the peak", played.loadSent, meanExchangeSent(got.load)}} {
+		f.AtMost("what counts and loans send in virtual time differs from hollow and real instances', "+x.when+at, hollowTolerance, byteDifference(x.virtual, x.h), "part")
 		f.Note("virtual time: counts and loans sent, "+x.when+at, x.virtual, "B/s")
 		f.Note("hollow and real: counts and loans sent, "+x.when+at, x.h, "B/s")
 	}
 }
 
-// meanExchange is what the exchange sends, in the mean of all instances of a cluster.
-func meanExchange(by [5]Cost) (sent float64) {
+// meanExchangeSent is what the exchange sends, in the mean of all instances of a cluster.
+func meanExchangeSent(by [5]Cost) (sent float64) {
 	n := 0
 	for k, c := range by {
-		if k == beside {
+		if k == groupStandalone {
 			continue
 		}
-		s, _ := c.exchange()
+		s, _ := c.exchangeBytes()
 		sent, n = sent+s*float64(c.Alive), n+c.Alive
 	}
 	return sent / float64(n)
 }
 
-// rows holds a play against the target.
-func (h hollowCluster) rows(f *CapacityFound, got hollowFound) {
+// addRows holds a play against the target.
+func (h hollowCluster) addRows(f *CapacityResult, got hollowResult) {
 	at, budget := fmt.Sprintf(" at %d dispatchers", h.n), capacity.Target
 	add := func(kind capacity.Kind, line, what string, bound, measured float64, unit string) *capacity.Row {
 		r := capacity.AtMost(line, h.load.Percent, what+at, bound, measured, unit, capacity.OnSockets)
 		r.Kind = kind
-		f.Row(r)
+		f.AddRows(r)
 		return &f.Rows[len(f.Rows)-1]
 	}
 	in := func(k capacity.Kind) capacity.Kind { // the budget is added up at two a zone
@@ -752,21 +752,21 @@
 		}
 		return k
 	}
-	c := got.load[shared]
-	add(in(capacity.Membership), capacity.Bytes, "membership, sent and received, mean of the peak", budget.Bytes, c.of(Probing, States), "B/s")
-	add(in(capacity.Agreement), capacity.Bytes, "agreement, sent and received, one that does not vote", budget.Bytes, c.of(Agreeing), "B/s")
-	add("", capacity.Bytes, "counts and loans on sockets, sent and received, mean of the peak", budget.Bytes, c.of(Exchanged, Known), "B/s")
-	add("", capacity.Bytes, "the same at rest", budget.Bytes, got.rest[shared].of(Exchanged, Known), "B/s")
+	c := got.load[groupShared]
+	add(in(capacity.Membership), capacity.Bytes, "membership, sent and received, mean of the peak", budget.Bytes, c.bytesOf(TrafficMembership, TrafficPushPull), "B/s")
+	add(in(capacity.Agreement), capacity.Bytes, "agreement, sent and received, one that does not vote", budget.Bytes, c.bytesOf(TrafficAgreement), "B/s")
+	add("", capacity.Bytes, "counts and loans on sockets, sent and received, mean of the peak", budget.Bytes, c.bytesOf(TrafficExchange, TrafficPushPullUsage), "B/s")
+	add("", capacity.Bytes, "the same at rest", budget.Bytes, got.rest[groupShared].bytesOf(TrafficExchange, TrafficPushPullUsage), "B/s")
 	add("", capacity.Bytes, "membership, counts and loans, and agreement, the worst second of any dispatcher that does not vote", budget.Bytes, c.Worst, "B/s").Shown = true
-	add("", capacity.Bytes, "agreement, sent and received, mean of the voters", budget.Bytes, got.load[voting].of(Agreeing), "B/s").Shown = true
-	add("", capacity.Core, "membership, counts and loans, and agreement with their sockets, mean of the peak", budget.Core, got.load[twins].CPU/10, "%")
-	add("", capacity.Core, "the same, a real process against one in no cluster", budget.Core, (got.load[reals].CPU-got.load[beside].CPU)/10, "%")
-	add("", capacity.Core, "the same, mean of the voters, which share a process", budget.Core, got.load[voting].CPU/10, "%").Shown = true
-	add("", capacity.Memory, "a whole process", budget.Memory, got.load[reals].Memory/1e6, "MB")
-	if got.gone[shared].Alive > 0 {
-		add("", capacity.ZoneLoss, "membership, counts and loans, and agreement, sent, mean while a zone is gone", exchangeMinute, got.gone[shared].Sent, "B/s")
-	}
-	if got.parted {
-		add("", capacity.Links, "all that know of a team count the same of it, after a zone's loss and two regions apart, once work has ended, within", h.alike(), min(got.alike, 1e6), "s")
+	add("", capacity.Bytes, "agreement, sent and received, mean of the voters", budget.Bytes, got.load[groupVoters].bytesOf(TrafficAgreement), "B/s").Shown = true
+	add("", capacity.Core, "membership, counts and loans, and agreement with their sockets, mean of the peak", budget.Core, got.load[groupAlone].CPU/10, "%")
+	add("", capacity.Core, "the same, a real process against one in no cluster", budget.Core, (got.load[groupReal].CPU-got.load[groupStandalone].CPU)/10, "%")
+	add("", capacity.Core, "the same, mean of the voters, which share a process", budget.Core, got.load[groupVoters].CPU/10, "%").Shown = true
+	add("", capacity.Memory, "a whole process", budget.Memory, got.load[groupReal].Memory/1e6, "MB")
+	if got.zoneLoss[groupShared].Alive > 0 {
+		add("", capacity.ZoneLoss, "membership, counts and loans, and agreement, sent, mean while a zone is gone", exchangeZoneLossSent, got.zoneLoss[groupShared].Sent, "B/s")
+	}
+	if got.partitioned {
+		add("", capacity.Links, "all that know of a team count the same of it, after a zone's loss and two regions apart, once work has ended, within", h.convergenceBound(), min(got.convergedAfter, 1e6), "s")
 	}
 }
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -24,8 +24,8 @@
 	Run:   runCapacityLists,
 }
 
-// meter passes a connection on and counts what it carries.
-type meter struct {
+// countingProxy passes a connection on and counts what it carries.
+type countingProxy struct {
 	net.Listener
 	target   string
 	out, in  atomic.Int64 // to the target, and back
@@ -34,17 +34,17 @@
 	sessions []net.Conn
 }
 
-func newMeter(target string) (*meter, error) {
+func newCountingProxy(target string) (*countingProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	m := &meter{Listener: l, target: target}
+	m := &countingProxy{Listener: l, target: target}
 	m.open.Go(m.serve)
 	return m, nil
 }
 
-func (m *meter) serve() {
+func (m *countingProxy) serve() {
 	for {
 		c, err := m.Accept()
 		if err != nil {
@@ -60,7 +60,7 @@
 		m.mu.Unlock()
 		pass := func(to, from net.Conn, n *atomic.Int64) {
 			defer to.Close()
-			io.Copy(io.MultiWriter(to, counter{n}), from)
+			io.Copy(io.MultiWriter(to, byteCounter{n}), from)
 		}
 		m.open.Go(func() { pass(t, c, &m.out) })
 		m.open.Go(func() { pass(c, t, &m.in) })
@@ -68,7 +68,7 @@
 }
 
 // Close ends what goes through.
-func (m *meter) Close() error {
+func (m *countingProxy) Close() error {
 	err := m.Listener.Close()
 	m.mu.Lock()
 	for _, c := range m.sessions {
@@ -79,16 +79,16 @@
 	return err
 }
 
-type counter struct{ n *atomic.Int64 }
+type byteCounter struct{ n *atomic.Int64 }
 
-func (c counter) Write(p []byte) (int, error) { c.n.Add(int64(len(p))); return len(p), nil }
+func (c byteCounter) Write(p []byte) (int, error) { c.n.Add(int64(len(p))); return len(p), nil }
 
 // listCost is what one list's reader sends, receives and works.
 type listCost struct {
-	whole  float64 // bytes of a whole list with its question
+	full   float64 // bytes of a whole list with its question
 	change float64 // bytes of a change of one worker
 	idle   float64 // bytes a second while nothing changes
-	read   float64 // ms to read a whole list and take it in
+	parse  float64 // ms to read a whole list and take it in
 	table  float64 // bytes of the table
 }
 
@@ -99,7 +99,7 @@
 		return c, err
 	}
 	defer f.Close()
-	m, err := newMeter(f.Discovery())
+	m, err := newCountingProxy(f.Discovery())
 	if err != nil {
 		return c, err
 	}
@@ -120,7 +120,7 @@
 		return c, err
 	}
 	bytes := func() float64 { return float64(m.in.Load() + m.out.Load()) }
-	c.whole = bytes()
+	c.full = bytes()
 	const told = 8
 	for i := range told {
 		f.Tell(i%workers, "leaving")
@@ -128,7 +128,7 @@
 			return c, err
 		}
 	}
-	c.change = (bytes() - c.whole) / told
+	c.change = (bytes() - c.full) / told
 	c.idle = 6.0 / 2 // a blank line as a chunk, every 2 s
 
 	// Again and again in one thread's time: the list's words alone.
@@ -147,7 +147,7 @@
 			return c, fmt.Errorf("a list of %d workers is empty", workers)
 		}
 	}
-	c.read = 1000 * (threadTime() - began) / float64(len(tables))
+	c.parse = 1000 * (threadTime() - began) / float64(len(tables))
 	c.table = (float64(heapInUse()) - float64(was)) / float64(len(tables))
 	runtime.KeepAlive(tables)
 	return c, nil
@@ -160,7 +160,7 @@
 		return 0, err
 	}
 	defer f.Close()
-	m, err := newMeter(f.workers[0].addr)
+	m, err := newCountingProxy(f.workers[0].addr)
 	if err != nil {
 		return 0, err
 	}
@@ -177,18 +177,18 @@
 	return float64(m.in.Load()+m.out.Load()) / asked, nil
 }
 
-// decided is what a dispatcher's decisions on jobs come to, at the peak.
-type decided struct {
-	probes float64 // a second
-	tries  float64 // attempts a task
-	busy   float64 // ms a second
-	heap   float64 // bytes
-	worth  float64 // tasks in time against one queue that sees all
+// decisionCost is what a dispatcher's decisions on jobs come to, at the peak.
+type decisionCost struct {
+	probes   float64 // a second
+	attempts float64 // attempts a task
+	cpu      float64 // ms a second
+	heap     float64 // bytes
+	inTime   float64 // tasks in time against one queue that sees all
 }
 
-// decisions plays the peak of a percentage against modelled workers, by the decisions themselves. Tasks' times
+// measureDecisions plays the peak of a percentage against modelled workers, by the decisions themselves. Tasks' times
 // are exponential there.
-func decisions(p CapacityParams, percent, n int, span float64) (d decided, err error) {
+func measureDecisions(p CapacityParams, percent, n int, span float64) (d decisionCost, err error) {
 	l := p.Load(percent)
 	slots := 0
 	for _, w := range l.Workers {
@@ -202,12 +202,12 @@
 	}
 	x := f.Run()
 	by := span * float64(n)
-	return decided{float64(x.HealthChecks) / by, float64(x.Attempts) / float64(x.Jobs), 1000 * x.CPU.Seconds() / by, float64(x.Heap) / float64(n),
+	return decisionCost{float64(x.HealthChecks) / by, float64(x.Attempts) / float64(x.Jobs), 1000 * x.CPU.Seconds() / by, float64(x.Heap) / float64(n),
 		float64(x.InTime) / float64(x.Ideal)}, nil
 }
 
-func runCapacityLists(p CapacityParams) (*CapacityFound, error) {
-	f := &CapacityFound{}
+func runCapacityLists(p CapacityParams) (*CapacityResult, error) {
+	f := &CapacityResult{}
 	repeats, span := 3, 100.0
 	if p.Quick {
 		repeats, span = 1, 30
@@ -227,15 +227,15 @@
 			if c, err = measureList(n); err != nil {
 				return nil, err
 			}
-			whole, change = append(whole, capacity.Point{X: float64(n), Y: c.whole}), append(change, capacity.Point{X: float64(n), Y: c.change})
-			read, table = append(read, capacity.Point{X: float64(n), Y: c.read}), append(table, capacity.Point{X: float64(n), Y: c.table})
+			whole, change = append(whole, capacity.Point{X: float64(n), Y: c.full}), append(change, capacity.Point{X: float64(n), Y: c.change})
+			read, table = append(read, capacity.Point{X: float64(n), Y: c.parse}), append(table, capacity.Point{X: float64(n), Y: c.table})
 		}
 		at[percent] = c
-		d, err := decisions(p, percent, dispatchers, span)
+		d, err := measureDecisions(p, percent, dispatchers, span)
 		if err != nil {
 			return nil, err
 		}
-		asks, busy = append(asks, capacity.Point{X: float64(n), Y: d.probes}), append(busy, capacity.Point{X: float64(n), Y: d.busy})
+		asks, busy = append(asks, capacity.Point{X: float64(n), Y: d.probes}), append(busy, capacity.Point{X: float64(n), Y: d.cpu})
 		changes := 0.0 // a day
 		for _, e := range l.Gone(dispatchers) {
 			if e.Machine >= n {
@@ -251,15 +251,15 @@
 		add := func(kind capacity.Kind, line, what string, bound, measured float64, unit string, how capacity.How) {
 			r := capacity.AtMost(line, percent, what, bound, measured, unit, how)
 			r.Kind = kind
-			f.Row(r)
+			f.AddRows(r)
 		}
 		day := c.idle + changes*c.change/capacity.Day
 		add(capacity.Lists, capacity.Bytes, "lists, mean of an ordinary day", capacity.Target.Bytes, day, "B/s", capacity.OnSockets)
-		add(capacity.Lists, capacity.Bytes, "lists, the second in which a whole one comes", capacity.Target.Bytes, c.whole, "B/s", capacity.OnSockets)
+		add(capacity.Lists, capacity.Bytes, "lists, the second in which a whole one comes", capacity.Target.Bytes, c.full, "B/s", capacity.OnSockets)
 		last := &f.Rows[len(f.Rows)-1]
 		last.When, last.Shown = capacity.Second, true
 		add(capacity.Lists, capacity.Bytes, "lists, the minute after the largest zone went: its workers one by one, and the whole list once more", capacity.Target.Bytes,
-			(c.whole+float64(zone)*c.change)/60+c.idle, "B/s", capacity.OnSockets)
+			(c.full+float64(zone)*c.change)/60+c.idle, "B/s", capacity.OnSockets)
 		f.Rows[len(f.Rows)-1].When = capacity.Minute
 		add(capacity.Probes, capacity.Bytes, "probes of workers at 44 dispatchers, mean of the peak", capacity.Target.Bytes, d.probes*probe, "B/s", capacity.VirtualTime)
 		for _, when := range []capacity.When{capacity.Second, capacity.Minute} { // asked by what jobs are worth, so no more than at the peak
@@ -267,18 +267,18 @@
 			last = &f.Rows[len(f.Rows)-1]
 			last.When, last.Shown = when, when == capacity.Second
 		}
-		add(capacity.Lists, capacity.Core, "lists, a whole one a minute", capacity.Target.Core, c.read/60/10, "%", capacity.OnSockets)
+		add(capacity.Lists, capacity.Core, "lists, a whole one a minute", capacity.Target.Core, c.parse/60/10, "%", capacity.OnSockets)
 		add(capacity.Lists, capacity.Memory, "lists, the table of workers", capacity.Target.Memory, c.table/1e6, "MB", capacity.OnSockets)
-		f.Row(shown(capacity.AtMost(capacity.Memory, percent, "decisions on jobs and workers at 44 dispatchers, heap", capacity.Target.Memory, d.heap/1e6, "MB", capacity.VirtualTime)))
+		f.AddRows(shownRow(capacity.AtMost(capacity.Memory, percent, "decisions on jobs and workers at 44 dispatchers, heap", capacity.Target.Memory, d.heap/1e6, "MB", capacity.VirtualTime)))
 		for _, line := range []string{capacity.Workers, capacity.Starts, capacity.Running} {
-			f.Row(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, d.worth, "part", capacity.VirtualTime))
+			f.AddRows(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, d.inTime, "part", capacity.VirtualTime))
 		}
-		f.Row(shown(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, d.busy/10, "%", capacity.VirtualTime)))
+		f.AddRows(shownRow(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, d.cpu/10, "%", capacity.VirtualTime)))
 		p.Log("%d workers: whole list %.0f B, change %.0f B, read %.3f ms, table %.0f B, %d changes a day; %.2f probes a second, %.2f attempts a job, %.2f ms/s",
-			n, c.whole, c.change, c.read, c.table, int(changes), d.probes, d.tries, d.busy)
+			n, c.full, c.change, c.parse, c.table, int(changes), d.probes, d.attempts, d.cpu)
 	}
 	full := at[100]
-	f.AtMost("a worker in a whole list", 200, full.whole/float64(capacity.Target.Workers), "B")
+	f.AtMost("a worker in a whole list", 200, full.full/float64(capacity.Target.Workers), "B")
 	f.AtMost("a change of one worker in the list", 400, full.change, "B")
 	f.AtMost("a probe and its answer", 400, probe, "B")
 	if len(p.Percents) < 4 {
@@ -297,15 +297,15 @@
 		{"probes of a dispatcher at the peak, 44 dispatchers", "a second", capacity.VirtualTime, capacity.Probes, asks},
 		{"decisions on jobs, 44 dispatchers", "ms/s", capacity.VirtualTime, "", busy},
 	} {
-		if err := f.Slope(x.what, capacity.ByWorkers, x.unit, x.how, x.kind, x.points); err != nil {
+		if err := f.AddSlope(x.what, capacity.ByWorkers, x.unit, x.how, x.kind, x.points); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-// shown is a row that is shown beside the others and not judged.
-func shown(r capacity.Row) capacity.Row {
+// shownRow is a row that is shown beside the others and not judged.
+func shownRow(r capacity.Row) capacity.Row {
 	r.Shown = true
 	return r
 }
--- a/internal/lab/experiments/capacitytasks.go
+++ b/internal/lab/experiments/capacitytasks.go
@@ -20,11 +20,11 @@
 
 // What is held against the target, and what the part claims.
 const (
-	tasksSoon    = 10.0   // s within which a task of the peak is to start; the target doesn't say
-	tasksPart99  = 0.99   // part of the tasks of the peak that do
-	tasksLoop    = 100.0  // % of a core: a dispatcher decides in one goroutine
-	tasksRequest = 3000.0 // us of decisions a request at the peak, at 44 dispatchers
-	tasksFull    = 1.05   // times what the fleet can do, that is asked for where it is to be full
+	tasksMaxWait       = 10.0   // s within which a task of the peak is to start; the target doesn't say
+	tasksSoonFraction  = 0.99   // part of the tasks of the peak that do
+	tasksMaxCPU        = 100.0  // % of a core: a dispatcher decides in one goroutine
+	tasksMaxRequestCPU = 3000.0 // us of decisions a request at the peak, at 44 dispatchers
+	tasksFullFactor    = 1.05   // times what the fleet can do, that is asked for where it is to be full
 )
 
 // gangParts are the parts of all starts that gangs of a size come to.
@@ -36,39 +36,39 @@
 // urgentPart is that of urgent tasks, of which there is at least one in two seconds.
 const urgentPart = 0.015
 
-// tasksPlay is one play.
-type tasksPlay struct {
+// taskRun is one play.
+type taskRun struct {
 	percent, n         int
 	full               bool    // more is asked for than the fleet can do
-	wait               float64 // longest wait that urgent tasks are promised; 0: none
-	own                bool    // urgent tasks are a team's of their own, that has twice their rate reserved
+	maxWait            float64 // longest wait that urgent tasks are promised; 0: none
+	ownTeam            bool    // urgent tasks are a team's of their own, that has twice their rate reserved
 	warm, window, tail float64
-	heap               bool // memory is measured: nothing else may be played meanwhile
-	r                  simulation.TaskResult
-	set                simulation.TaskSettings
+	measureMemory      bool // memory is measured: nothing else may be played meanwhile
+	result             simulation.TaskResult
+	settings           simulation.TaskSettings
 	memory             float64 // MB a dispatcher
 }
 
-func (x *tasksPlay) name() string {
+func (x *taskRun) name() string {
 	what := "at the peak"
 	if x.full {
 		what = "in a full fleet"
 	}
-	if x.wait > 0 {
-		what += fmt.Sprintf(", ageing of %g s", x.wait)
+	if x.maxWait > 0 {
+		what += fmt.Sprintf(", ageing of %g s", x.maxWait)
 	}
-	if x.own {
+	if x.ownTeam {
 		what += ", urgent tasks as a team of their own"
 	}
 	return fmt.Sprintf("%d %%, %d dispatchers, %s", x.percent, x.n, what)
 }
 
 // setting is what an operator sets for urgent work; empty: nothing.
-func (x *tasksPlay) setting() string {
+func (x *taskRun) setting() string {
 	switch {
-	case x.wait > 0:
-		return fmt.Sprintf("ageing max_wait = \"%gs\" for urgent classes", x.wait)
-	case x.own:
+	case x.maxWait > 0:
+		return fmt.Sprintf("ageing max_wait = \"%gs\" for urgent classes", x.maxWait)
+	case x.ownTeam:
 		return "urgent tasks as a team of their own, twice their rate reserved"
 	}
 	return ""
@@ -91,7 +91,7 @@
 	}
 	rate := l.Starts
 	if full {
-		rate = tasksFull * float64(slots) / s.MeanWork
+		rate = tasksFullFactor * float64(slots) / s.MeanWork
 	}
 	enters := l.Enters(s.Dispatchers)
 	for i, t := range l.Teams {
@@ -104,20 +104,20 @@
 	return s
 }
 
-func (x *tasksPlay) play(p CapacityParams) error {
+func (x *taskRun) run(p CapacityParams) error {
 	runtime.LockOSThread() // the clock is the thread's
 	defer runtime.UnlockOSThread()
-	x.set = taskSettings(p.Load(x.percent), p.Seed, x.n, x.full)
-	if x.own {
-		x.set.UrgentTeamReservation = 2 * x.set.UrgentRate
+	x.settings = taskSettings(p.Load(x.percent), p.Seed, x.n, x.full)
+	if x.ownTeam {
+		x.settings.UrgentTeamReservation = 2 * x.settings.UrgentRate
 	}
-	x.set.UrgentMaxWait, x.set.WarmUp, x.set.Window, x.set.Tail = x.wait, x.warm, x.window, x.tail
-	w, err := simulation.NewTasks(x.set)
+	x.settings.UrgentMaxWait, x.settings.WarmUp, x.settings.Window, x.settings.Tail = x.maxWait, x.warm, x.window, x.tail
+	w, err := simulation.NewTasks(x.settings)
 	if err != nil {
 		return err
 	}
-	x.r = w.Run()
-	if x.heap {
+	x.result = w.Run()
+	if x.measureMemory {
 		with := heapInUse()
 		w.Release()
 		if without := heapInUse(); with > without {
@@ -130,10 +130,10 @@
 
 // plays are those of a run: in the quick form the full fleet is played at the smallest size alone, since it
 // costs the most: all dispatchers have tasks that wait, and look at all workers in each step.
-func tasksPlays(p CapacityParams) (list []*tasksPlay) {
+func taskRuns(p CapacityParams) (list []*taskRun) {
 	for _, percent := range p.Percents {
-		peak := &tasksPlay{percent: percent, n: 44, warm: 12, window: 40, tail: 60, heap: true}
-		full := &tasksPlay{percent: percent, n: 44, full: true, warm: 12, window: 20, tail: 60}
+		peak := &taskRun{percent: percent, n: 44, warm: 12, window: 40, tail: 60, measureMemory: true}
+		full := &taskRun{percent: percent, n: 44, full: true, warm: 12, window: 20, tail: 60}
 		switch {
 		case percent > 100:
 			peak.window, peak.tail, full.window, full.tail = 12, 12, 6, 10
@@ -145,25 +145,25 @@
 			list = append(list, full)
 		}
 		if percent == 100 && !p.Quick {
-			list = append(list, &tasksPlay{percent: percent, n: 300, warm: 12, window: 20, tail: 15, heap: true},
-				&tasksPlay{percent: percent, n: 300, full: true, warm: 12, window: 15, tail: 15},
-				&tasksPlay{percent: percent, n: 44, full: true, wait: capacity.Target.Urgent, warm: 12, window: 15, tail: 15},
-				&tasksPlay{percent: percent, n: 44, full: true, own: true, warm: 12, window: 15, tail: 15})
+			list = append(list, &taskRun{percent: percent, n: 300, warm: 12, window: 20, tail: 15, measureMemory: true},
+				&taskRun{percent: percent, n: 300, full: true, warm: 12, window: 15, tail: 15},
+				&taskRun{percent: percent, n: 44, full: true, maxWait: capacity.Target.Urgent, warm: 12, window: 15, tail: 15},
+				&taskRun{percent: percent, n: 44, full: true, ownTeam: true, warm: 12, window: 15, tail: 15})
 		}
 	}
 	return list
 }
 
-func runCapacityTasks(p CapacityParams) (*CapacityFound, error) {
-	f, plays := &CapacityFound{}, tasksPlays(p)
-	again := &tasksPlay{percent: plays[0].percent, n: plays[0].n, warm: plays[0].warm, window: plays[0].window, tail: plays[0].tail}
-	side := []*tasksPlay{again} // may be played beside each other
+func runCapacityTasks(p CapacityParams) (*CapacityResult, error) {
+	f, plays := &CapacityResult{}, taskRuns(p)
+	again := &taskRun{percent: plays[0].percent, n: plays[0].n, warm: plays[0].warm, window: plays[0].window, tail: plays[0].tail}
+	side := []*taskRun{again} // may be played beside each other
 	for _, x := range plays {
-		if !x.heap {
+		if !x.measureMemory {
 			side = append(side, x)
 			continue
 		}
-		if err := x.play(p); err != nil {
+		if err := x.run(p); err != nil {
 			return nil, err
 		}
 	}
@@ -173,7 +173,7 @@
 	for i, x := range slices.Backward(side) { // the longest stand last
 		turns <- struct{}{}
 		all.Go(func() {
-			errs[i] = x.play(p)
+			errs[i] = x.run(p)
 			<-turns
 		})
 	}
@@ -185,26 +185,26 @@
 	}
 
 	same, lost, over, request := 0.0, 0, 0, 0.0
-	if again.r.Digest == plays[0].r.Digest {
+	if again.result.Digest == plays[0].result.Digest {
 		same = 1
 	}
 	for _, percent := range p.Percents {
-		if !slices.ContainsFunc(plays, func(x *tasksPlay) bool { return x.percent == percent && x.full }) {
-			f.Row(capacity.Row{Line: capacity.Gangs, Percent: percent, What: "gangs of 128 in a full fleet", Least: true, Bound: 1, Unit: "part", How: capacity.NotMeasured},
+		if !slices.ContainsFunc(plays, func(x *taskRun) bool { return x.percent == percent && x.full }) {
+			f.AddRows(capacity.Row{Line: capacity.Gangs, Percent: percent, What: "gangs of 128 in a full fleet", Least: true, Bound: 1, Unit: "part", How: capacity.NotMeasured},
 				capacity.Row{Line: capacity.Urgent, Percent: percent, What: "an urgent task's start in a full fleet", Bound: capacity.Target.Urgent, Unit: "s", How: capacity.NotMeasured})
 		}
 	}
 	for _, x := range plays {
-		lost, over = lost+x.r.Unanswered, max(over, x.r.MostRunning-x.r.Slots)
-		if each := x.request(); !x.full && x.n == 44 && x.percent <= 100 {
+		lost, over = lost+x.result.Unanswered, max(over, x.result.MostRunning-x.result.Slots)
+		if each := x.cpuPerRequest(); !x.full && x.n == 44 && x.percent <= 100 {
 			request = max(request, each)
 		}
-		x.found(p, f)
+		x.addResults(p, f)
 	}
 	f.AtLeast("the same seed gives the same run, byte for byte", 1, same, "runs")
 	f.AtMost("tasks that were taken and have no end", 0, float64(lost), "tasks")
 	f.AtMost("tasks that ran beyond the slots", 0, float64(over), "tasks")
-	f.AtMost("CPU of the decisions a request, at the peak, up to 100 %, 44 dispatchers", tasksRequest, request, "us")
+	f.AtMost("CPU of the decisions a request, at the peak, up to 100 %, 44 dispatchers", tasksMaxRequestCPU, request, "us")
 	if err := tasksSlopes(f, plays); err != nil {
 		return nil, err
 	}
@@ -212,58 +212,58 @@
 	return f, nil
 }
 
-// request is the processor time of the decisions, us a request.
-func (x *tasksPlay) request() float64 {
+// cpuPerRequest is the processor time of the decisions, us a request.
+func (x *taskRun) cpuPerRequest() float64 {
 	busy, jobs := 0.0, 0
-	for i := range x.r.CPUPerSecond {
-		busy, jobs = busy+x.r.CPUPerSecond[i], jobs+x.r.Jobs[i]
+	for i := range x.result.CPUPerSecond {
+		busy, jobs = busy+x.result.CPUPerSecond[i], jobs+x.result.Jobs[i]
 	}
 	return 1e6 * busy * x.window / float64(max(jobs, 1))
 }
 
-// found keeps what a play measured: rows against the target, and what stands beside them.
-func (x *tasksPlay) found(p CapacityParams, f *CapacityFound) {
+// result keeps what a play measured: rows against the target, and what stands beside them.
+func (x *taskRun) addResults(p CapacityParams, f *CapacityResult) {
 	name, at := x.name(), fmt.Sprintf("at %d dispatchers", x.n)
 	load := p.Load(x.percent)
-	row := func(r capacity.Row) { f.Row(r) }
+	row := func(r capacity.Row) { f.AddRows(r) }
 	shown := func(r capacity.Row) {
 		r.Shown = true
-		f.Row(r)
+		f.AddRows(r)
 	}
 	soon := func(avoidable []float64) float64 {
 		n := 0
 		for _, w := range avoidable {
-			if w <= tasksSoon {
+			if w <= tasksMaxWait {
 				n++
 			}
 		}
 		return float64(n) / float64(max(len(avoidable), 1))
 	}
 	mean := 0.0
-	for _, b := range x.r.CPUPerSecond {
+	for _, b := range x.result.CPUPerSecond {
 		mean += 100 * b / float64(x.n)
 	}
-	worst := 100 * slices.Max(x.r.CPUPerSecond)
+	worst := 100 * slices.Max(x.result.CPUPerSecond)
 	p.Log("tasks: %s: %d tasks, %d started, %d refused, %d failed; wait p50 %.2f p99 %.2f worst %.1f s; %.0f of %d slots ran, %.1f starts a second; %.0f us a request, a dispatcher %.2f %% of a core, the busiest %.2f; %.1f MB",
-		name, x.r.Arrived, x.r.Started, x.r.Rejected, x.r.Failed, quantile(x.r.Waits, 0.5), quantile(x.r.Waits, 0.99), quantile(x.r.Waits, 1), x.r.Running, x.r.Slots, x.r.Starts, x.request(), mean, worst, x.memory)
-	f.Note(name+": tasks that were refused", 100*float64(x.r.Rejected)/float64(max(x.r.Arrived, 1)), "%")
-	f.Note(name+": the part of a task's wait in which slots for all stood free, p99", quantile(x.r.Avoidable, 0.99), "s")
-	f.Note(name+": a task's wait, p99", quantile(x.r.Waits, 0.99), "s")
-	f.Note(name+": tasks running, mean", x.r.Running, "tasks")
-	f.Note(name+": CPU of the decisions a request", x.request(), "us")
-	f.Note(name+": probes a second and dispatcher", float64(x.r.HealthChecks)/x.window/float64(x.n), "probes")
+		name, x.result.Arrived, x.result.Started, x.result.Rejected, x.result.Failed, quantile(x.result.Waits, 0.5), quantile(x.result.Waits, 0.99), quantile(x.result.Waits, 1), x.result.Running, x.result.Slots, x.result.Starts, x.cpuPerRequest(), mean, worst, x.memory)
+	f.Note(name+": tasks that were refused", 100*float64(x.result.Rejected)/float64(max(x.result.Arrived, 1)), "%")
+	f.Note(name+": the part of a task's wait in which slots for all stood free, p99", quantile(x.result.Avoidable, 0.99), "s")
+	f.Note(name+": a task's wait, p99", quantile(x.result.Waits, 0.99), "s")
+	f.Note(name+": tasks running, mean", x.result.Running, "tasks")
+	f.Note(name+": CPU of the decisions a request", x.cpuPerRequest(), "us")
+	f.Note(name+": probes a second and dispatcher", float64(x.result.HealthChecks)/x.window/float64(x.n), "probes")
 	if x.setting() == "" {
 		if x.full {
 			if x.n == 44 {
-				row(capacity.AtLeast(capacity.Running, x.percent, "tasks running at one time in a full fleet", float64(load.Running), float64(x.r.MostRunning), "tasks", capacity.VirtualTime))
+				row(capacity.AtLeast(capacity.Running, x.percent, "tasks running at one time in a full fleet", float64(load.Running), float64(x.result.MostRunning), "tasks", capacity.VirtualTime))
 			}
 		} else {
-			row(capacity.AtLeast(capacity.Starts, x.percent, fmt.Sprintf("tasks of the peak that wait at most %g s while slots for all stand free, %s", tasksSoon, at), tasksPart99, soon(x.r.Avoidable), "part", capacity.VirtualTime))
-			row(capacity.AtLeast(capacity.Accelerators, x.percent, fmt.Sprintf("tasks for accelerators that wait at most %g s while slots for all stand free, %s", tasksSoon, at), tasksPart99, soon(x.r.AvoidableAccelerated), "part", capacity.VirtualTime))
+			row(capacity.AtLeast(capacity.Starts, x.percent, fmt.Sprintf("tasks of the peak that wait at most %g s while slots for all stand free, %s", tasksMaxWait, at), tasksSoonFraction, soon(x.result.Avoidable), "part", capacity.VirtualTime))
+			row(capacity.AtLeast(capacity.Accelerators, x.percent, fmt.Sprintf("tasks for accelerators that wait at most %g s while slots for all stand free, %s", tasksMaxWait, at), tasksSoonFraction, soon(x.result.AvoidableAccelerated), "part", capacity.VirtualTime))
 			row(capacity.AtMost(capacity.Memory, x.percent, "decisions: workers, teams and tasks in memory, "+at, capacity.Target.Memory, x.memory, "MB", capacity.VirtualTime))
 		}
 		what := "decisions of the busiest dispatcher, of a core, " + map[bool]string{true: "in a full fleet, ", false: "at the peak, "}[x.full] + at
-		row(capacity.AtMost(capacity.Workers, x.percent, what, tasksLoop, worst, "%", capacity.VirtualTime))
+		row(capacity.AtMost(capacity.Workers, x.percent, what, tasksMaxCPU, worst, "%", capacity.VirtualTime))
 	}
 	when := map[bool]string{true: "in a full fleet, ", false: "at the peak, "}[x.full] + at
 	x.gangRows(f, when, row, shown)
@@ -271,11 +271,11 @@
 }
 
 // gangRows are those of gangs, where nothing is promised. What is wanted of the largest is judged.
-func (x *tasksPlay) gangRows(f *CapacityFound, when string, row, shown func(capacity.Row)) {
+func (x *taskRun) gangRows(f *CapacityResult, when string, row, shown func(capacity.Row)) {
 	if x.setting() != "" {
 		return
 	}
-	for _, g := range x.r.Gangs {
+	for _, g := range x.result.Gangs {
 		if g.Arrived == 0 {
 			continue
 		}
@@ -301,11 +301,11 @@
 }
 
 // urgentRows are those of urgent tasks. One that did not start while it was looked at counts for so long.
-func (x *tasksPlay) urgentRows(f *CapacityFound, when string, row, shown func(capacity.Row)) {
-	if len(x.r.Urgent) == 0 {
+func (x *taskRun) urgentRows(f *CapacityResult, when string, row, shown func(capacity.Row)) {
+	if len(x.result.Urgent) == 0 {
 		return
 	}
-	starts, never := slices.Clone(x.r.Urgent), 0
+	starts, never := slices.Clone(x.result.Urgent), 0
 	for i, s := range starts {
 		if math.IsInf(s, 1) {
 			starts[i], never = x.tail, never+1
@@ -329,34 +329,34 @@
 	f.Note(x.name()+": urgent tasks", float64(len(starts)), "tasks")
 	f.Note(x.name()+": urgent tasks that started later than wanted", 100*float64(late)/float64(len(starts)), "%")
 	f.Note(x.name()+": urgent tasks that had not started at the end", float64(never), "tasks")
-	f.Note(x.name()+": 503s to urgent tasks, asked for again", float64(x.r.UrgentRejected), "answers")
+	f.Note(x.name()+": 503s to urgent tasks, asked for again", float64(x.result.UrgentRejected), "answers")
 }
 
 // tasksSlopes lays lines through the sizes, all figures growing together.
-func tasksSlopes(f *CapacityFound, plays []*tasksPlay) error {
+func tasksSlopes(f *CapacityResult, plays []*taskRun) error {
 	var busy, memory []capacity.Point
 	for _, x := range plays {
 		if x.full || x.n != 44 {
 			continue
 		}
 		mean := 0.0
-		for _, b := range x.r.CPUPerSecond {
+		for _, b := range x.result.CPUPerSecond {
 			mean += 1000 * b / float64(x.n)
 		}
-		starts, workers := capacity.Target.Scale(x.percent).Starts, float64(len(x.set.Workers))
+		starts, workers := capacity.Target.Scale(x.percent).Starts, float64(len(x.settings.Workers))
 		busy, memory = append(busy, capacity.Point{X: starts, Y: mean}), append(memory, capacity.Point{X: workers, Y: x.memory})
 	}
 	if len(busy) < 4 {
 		return nil
 	}
-	if err := f.Slope("decisions of a dispatcher at the peak, workers and teams growing along, 44 dispatchers", capacity.ByStarts, "ms/s", capacity.VirtualTime, "", busy); err != nil {
+	if err := f.AddSlope("decisions of a dispatcher at the peak, workers and teams growing along, 44 dispatchers", capacity.ByStarts, "ms/s", capacity.VirtualTime, "", busy); err != nil {
 		return err
 	}
-	return f.Slope("memory of a dispatcher's decisions at the peak, teams and tasks growing along, 44 dispatchers", capacity.ByWorkers, "MB", capacity.VirtualTime, "", memory)
+	return f.AddSlope("memory of a dispatcher's decisions at the peak, teams and tasks growing along, 44 dispatchers", capacity.ByWorkers, "MB", capacity.VirtualTime, "", memory)
 }
 
 // tasksPlots are how much of the urgent work and of the gangs has started by when.
-func tasksPlots(plays []*tasksPlay) []report.Plot {
+func tasksPlots(plays []*taskRun) []report.Plot {
 	urgent := report.Plot{Title: "Urgent tasks that have started", XLabel: "s", YLabel: "part"}
 	whole := report.Plot{Title: "Gangs of 128 whose tasks have all started", XLabel: "s", YLabel: "part"}
 	for _, x := range plays {
@@ -374,8 +374,8 @@
 		if x.percent != 100 {
 			continue
 		}
-		add(&urgent, x.r.Urgent, len(x.r.Urgent))
-		for _, g := range x.r.Gangs {
+		add(&urgent, x.result.Urgent, len(x.result.Urgent))
+		for _, g := range x.result.Gangs {
 			if g.Size == capacity.Target.Gang {
 				list := slices.Clone(g.CompleteAfter)
 				slices.Sort(list)
--- a/internal/lab/experiments/capacitytasks_test.go
+++ b/internal/lab/experiments/capacitytasks_test.go
@@ -25,7 +25,7 @@
 		}
 		want := capacity.Target.Starts
 		if full {
-			want = tasksFull * float64(slots) / capacity.MeanRun
+			want = tasksFullFactor * float64(slots) / capacity.MeanRun
 		}
 		gangs := 0.0
 		for _, g := range s.Gangs {
@@ -57,16 +57,16 @@
 		}
 	}
 	// An urgent task that does not start counts for as long as it was looked at: never for nothing.
-	x := &tasksPlay{percent: 10, n: 44, full: true, tail: 60}
-	x.r.Urgent = []float64{1, math.Inf(1)}
+	x := &taskRun{percent: 10, n: 44, full: true, tail: 60}
+	x.result.Urgent = []float64{1, math.Inf(1)}
 	var rows []capacity.Row
 	keep := func(r capacity.Row) { rows = append(rows, r) }
-	x.urgentRows(&CapacityFound{}, "", keep, keep)
+	x.urgentRows(&CapacityResult{}, "", keep, keep)
 	if last := rows[len(rows)-1]; last.Measured != 60 || last.Held {
 		t.Errorf("%+v", rows)
 	}
 	p.Percents = []int{100}
-	if plays := tasksPlays(p); len(plays) != 1 || plays[0].full {
+	if plays := taskRuns(p); len(plays) != 1 || plays[0].full {
 		t.Errorf("the quick form plays %d worlds at 100 %%", len(plays))
 	}
 }
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -21,12 +21,12 @@
 	Run:     runCapacityVersions,
 }
 
-// versionsFew is the size that virtual time and sockets both play; versionsMost that of the sums.
+// versionsSocketSize is the size that virtual time and sockets both play; versionsSize that of the sums.
 const (
-	versionsFew   = 22
-	versionsMost  = 44 + versionsVoters
-	versionsApart = 0.02 // s, one way, from region to region, where nothing else is said
-	versionsClose = 0.15 // part by which virtual time may differ from sockets
+	versionsSocketSize  = 22
+	versionsSize        = 44 + versionsVoters
+	versionsRegionDelay = 0.02 // s, one way, from region to region, where nothing else is said
+	versionsTolerance   = 0.15 // part by which virtual time may differ from sockets
 )
 
 // versionsRegions are the figures of deploy/regions.hcl, by the delay between regions in ms.
@@ -49,24 +49,24 @@
 
 type versionsStudy struct {
 	CapacityParams
-	f     *CapacityFound
-	close bool
-	lost  int        // wishes at once that never were in force
-	late  [2]float64 // of what was stated, the most that a change alone took: loose, exclusive
-	never int        // clusters that did not come to a first version by settings that check takes
+	result         *CapacityResult
+	close          bool
+	neverInForce   int        // wishes at once that never were in force
+	latest         [2]float64 // of what was stated, the most that a change alone took: loose, exclusive
+	noFirstVersion int        // clusters that did not come to a first version by settings that check takes
 }
 
 func (s *versionsStudy) run(seed uint64, percent, n int, apart float64, set lease.Settings) *versionsRun {
-	x := &versionsRun{seed: seed, close: s.close, n: n, apart: apart, set: set, seats: askSeats, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
+	x := &versionsRun{seed: seed, close: s.close, n: n, apart: apart, set: set, seats: revokePollSeconds, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
 	if s.Quick {
 		x.rest, x.plays = 5, 2
 	}
 	return x
 }
 
-// stated is what the figures promise for a change, from its asking on: the way to the leader and its quorum
+// statedBound is what the figures promise for a change, from its asking on: the way to the leader and its quorum
 // comes before what Bounds counts from.
-func stated(s lease.Settings, exclusive bool) float64 {
+func statedBound(s lease.Settings, exclusive bool) float64 {
 	b := s.Bounds()
 	if exclusive {
 		return 4*s.NetworkDelaySeconds + 2*b.AdvanceSeconds + b.PropagationSeconds
@@ -74,22 +74,22 @@
 	return 4*s.NetworkDelaySeconds + b.PropagationSeconds
 }
 
-// play plays a run, and holds it against what is stated.
+// startLoad plays a run, and holds it against what is stated.
 func (s *versionsStudy) play(x *versionsRun) *versionsFound {
 	began := time.Now()
 	if err := x.set.Validate(); err != nil || !x.play() {
-		s.never++
+		s.noFirstVersion++
 		s.Log("versions: %d instances, %g s apart, %+v: no first version (%v)", x.n, x.apart, x.set, err)
 		return &x.found
 	}
 	f := &x.found
 	for k := range f.alone {
 		for _, took := range f.alone[k] {
-			s.late[k] = max(s.late[k], took/stated(x.set, k == 1))
+			s.latest[k] = max(s.latest[k], took/statedBound(x.set, k == 1))
 		}
 		for _, took := range f.many[k] {
 			if took >= atOnceMost {
-				s.lost++
+				s.neverInForce++
 			}
 		}
 	}
@@ -98,9 +98,9 @@
 	return f
 }
 
-// inTime is the part of a day's changes that is in force everywhere in time, by how long each of those alone and
+// fractionInTime is the part of a day's changes that is in force everywhere in time, by how long each of those alone and
 // each of those at once took.
-func inTime(alone, many []float64) float64 {
+func fractionInTime(alone, many []float64) float64 {
 	part := func(list []float64) float64 {
 		n := 0
 		for _, x := range list {
@@ -113,8 +113,8 @@
 	return (1-capacity.Together)*part(alone) + capacity.Together*part(many)
 }
 
-// rows holds a play against the target.
-func (s *versionsStudy) rows(x *versionsRun, f *versionsFound) {
+// addRows holds a play against the target.
+func (s *versionsStudy) addRows(x *versionsRun, f *versionsFound) {
 	if len(f.alone[1]) == 0 || len(f.many[1]) == 0 {
 		return
 	}
@@ -122,22 +122,22 @@
 	at := fmt.Sprintf(" at %d dispatchers", x.n-versionsVoters)
 	add := func(r capacity.Row) *capacity.Row {
 		r.Setting = settingName(x.set)
-		s.f.Row(r)
-		return &s.f.Rows[len(s.f.Rows)-1]
+		s.result.AddRows(r)
+		return &s.result.Rows[len(s.result.Rows)-1]
 	}
-	shown := x.apart != versionsApart // the target names no delay
+	shown := x.apart != versionsRegionDelay // the target names no delay
 	for k, kind := range []string{"loose", "exclusive"} {
 		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+way+at, capacity.Target.InForce, slices.Max(f.alone[k]), "s", capacity.VirtualTime)).Shown = shown
 		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+way+at, capacity.Target.InForce, slices.Max(f.many[k]), "s", capacity.VirtualTime)).Shown = shown
 	}
 	add(capacity.AtLeast(capacity.Changes, x.load.Percent, "changes of a day that are in force everywhere within 4 s, all exclusive, a tenth of them ten at once"+way+at, 1,
-		inTime(f.alone[1], f.many[1]), "part", capacity.VirtualTime)).Shown = shown
+		fractionInTime(f.alone[1], f.many[1]), "part", capacity.VirtualTime)).Shown = shown
 	if shown {
 		return
 	}
 	// The sum is that of a dispatcher, at two a zone; voters stand on machines set aside.
 	kind := func(k capacity.Kind) capacity.Kind {
-		if x.n != versionsMost || x.set != lease.DefaultSettings {
+		if x.n != versionsSize || x.set != lease.DefaultSettings {
 			return ""
 		}
 		return k
@@ -191,7 +191,7 @@
 	var worst, link, lapse, linked float64
 	whole := true
 	play := func(seed uint64, strike func(x *versionsRun)) (l versionsLoss) {
-		x := s.run(seed, 10, versionsMost, float64(apart)/1000, set)
+		x := s.run(seed, 10, versionsSize, float64(apart)/1000, set)
 		l, ok := x.lose(func() { strike(x) })
 		whole = whole && ok
 		return l
@@ -226,27 +226,27 @@
 		}
 	}
 	way := fmt.Sprintf(", %d ms between regions", apart)
-	s.f.AtMost("an exclusive version that is asked for as a region goes"+way, most, worst, "s")
-	s.f.AtLeast("all that live have leases after each region's loss and each link's stop"+way, 1, map[bool]float64{true: 1}[whole], "(1: yes)")
+	s.result.AtMost("an exclusive version that is asked for as a region goes"+way, most, worst, "s")
+	s.result.AtLeast("all that live have leases after each region's loss and each link's stop"+way, 1, map[bool]float64{true: 1}[whole], "(1: yes)")
 	if apart == 20 {
-		s.f.AtMost("nobody that lives is without a lease for longer than one lasts, a region gone"+way, set.LeaseSeconds, lapse, "s")
-		s.f.AtMost("without a lease, a link between two regions stopped"+way, 0, linked, "s")
+		s.result.AtMost("nobody that lives is without a lease for longer than one lasts, a region gone"+way, set.LeaseSeconds, lapse, "s")
+		s.result.AtMost("without a lease, a link between two regions stopped"+way, 0, linked, "s")
 	}
-	s.f.Note("an exclusive version that is asked for as a link stops"+way, link, "s")
-	s.f.Note("without a lease, at most, a region gone"+way, lapse, "s")
-	s.f.Note("without a lease, at most, a link stopped"+way, linked, "s")
+	s.result.Note("an exclusive version that is asked for as a link stops"+way, link, "s")
+	s.result.Note("without a lease, at most, a region gone"+way, lapse, "s")
+	s.result.Note("without a lease, at most, a link stopped"+way, linked, "s")
 	row := func(line, what string, bound, v float64, shown bool) {
 		r := capacity.AtMost(line, 100, what+way+" at 44 dispatchers", bound, v, "s", capacity.VirtualTime)
 		r.Shown, r.Setting = shown, settingName(set)
-		s.f.Row(r)
+		s.result.AddRows(r)
 	}
 	row(capacity.ZoneLoss, "an exclusive change that is asked for as a whole region goes", capacity.Target.InForce, worst, true)
 	row(capacity.Links, "an exclusive change that is asked for as two regions lose each other", capacity.Target.InForce, link, apart != 20)
 	row(capacity.Links, "an instance is without a lease while two regions have lost each other", 0, linked, apart != 20)
 }
 
-func runCapacityVersions(p CapacityParams) (*CapacityFound, error) {
-	s := &versionsStudy{CapacityParams: p, f: &CapacityFound{}, close: p.Without == "voters-apart"}
+func runCapacityVersions(p CapacityParams) (*CapacityResult, error) {
+	s := &versionsStudy{CapacityParams: p, result: &CapacityResult{}, close: p.Without == "voters-apart"}
 	seeds := []uint64{p.Seed, p.Seed + 1, p.Seed + 2}
 	if p.Quick {
 		seeds = seeds[:1]
@@ -255,13 +255,13 @@
 	if !s.close {
 		for _, percent := range p.Percents {
 			for _, seed := range seeds {
-				x := s.run(seed, percent, versionsMost, versionsApart, lease.DefaultSettings)
-				s.rows(x, s.play(x))
+				x := s.run(seed, percent, versionsSize, versionsRegionDelay, lease.DefaultSettings)
+				s.addRows(x, s.play(x))
 				if p.Quick || seed != p.Seed {
 					continue // it differs by little from seed to seed
 				}
-				x = s.run(seed, percent, versionsMost, versionsApart, versionsFast)
-				s.rows(x, s.play(x))
+				x = s.run(seed, percent, versionsSize, versionsRegionDelay, versionsFast)
+				s.addRows(x, s.play(x))
 			}
 		}
 		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // what check takes for long links gives leases
@@ -270,30 +270,30 @@
 		if !p.Quick {
 			s.losses(80, seeds)
 			s.losses(150, seeds)
-			if err := s.sweep(seeds[:2]); err != nil {
+			if err := s.measureGrowth(seeds[:2]); err != nil {
 				return nil, err
 			}
-			if err := s.sockets(); err != nil {
+			if err := s.compareSockets(); err != nil {
 				return nil, err
 			}
 		}
-		if err := s.seating(); err != nil {
+		if err := s.measureShardMoves(); err != nil {
 			return nil, err
 		}
-		f := s.f
-		f.AtMost("clusters that came to no first version by figures that check takes", 0, float64(s.never), "clusters")
-		f.AtMost("changes asked for at once that were not in force 120 s later", 0, float64(s.lost), "changes")
-		f.AtMost("a loose change alone, against what its figures state", 1, s.late[0], "times")
-		f.AtMost("an exclusive change alone, against what its figures state", 1, s.late[1], "times")
+		f := s.result
+		f.AtMost("clusters that came to no first version by figures that check takes", 0, float64(s.noFirstVersion), "clusters")
+		f.AtMost("changes asked for at once that were not in force 120 s later", 0, float64(s.neverInForce), "changes")
+		f.AtMost("a loose change alone, against what its figures state", 1, s.latest[0], "times")
+		f.AtMost("an exclusive change alone, against what its figures state", 1, s.latest[1], "times")
 	}
-	return s.f, nil
+	return s.result, nil
 }
 
-// askSeats is how often an instance asks which shards it is to give away, in seconds: service's own figure.
-const askSeats = 1.0
+// revokePollSeconds is how often an instance asks which shards it is to give away, in seconds: service's own figure.
+const revokePollSeconds = 1.0
 
-// sweep lays lines through what costs grow with.
-func (s *versionsStudy) sweep(seeds []uint64) error {
+// measureGrowth lays lines through what costs grow with.
+func (s *versionsStudy) measureGrowth(seeds []uint64) error {
 	type point struct {
 		x float64
 		f *versionsFound
@@ -324,7 +324,7 @@
 					list = append(list, capacity.Point{X: p.x, Y: l.of(p.f)})
 				}
 			}
-			if err := s.f.Slope(l.what, by, l.unit, capacity.VirtualTime, l.kind, list); err != nil {
+			if err := s.result.AddSlope(l.what, by, l.unit, capacity.VirtualTime, l.kind, list); err != nil {
 				return err
 			}
 		}
@@ -336,18 +336,18 @@
 			if n == 300 && k > 0 {
 				continue
 			}
-			x := s.run(seed, 100, n+versionsVoters, versionsApart, lease.DefaultSettings)
+			x := s.run(seed, 100, n+versionsVoters, versionsRegionDelay, lease.DefaultSettings)
 			f := s.play(x)
 			sizes = append(sizes, point{float64(n), f})
 			if n == 300 {
-				s.rows(x, f)
+				s.addRows(x, f)
 			}
 			if n == 44 {
-				tables, ways = append(tables, point{float64(capacity.Target.Teams), f}), append(ways, point{1000 * versionsApart, f})
+				tables, ways = append(tables, point{float64(capacity.Target.Teams), f}), append(ways, point{1000 * versionsRegionDelay, f})
 			}
 		}
 		for _, n := range []int{41, 100, 205, 820} {
-			x := s.run(seed, 100, versionsMost, versionsApart, lease.DefaultSettings)
+			x := s.run(seed, 100, versionsSize, versionsRegionDelay, lease.DefaultSettings)
 			x.teams = n
 			tables = append(tables, point{float64(n), s.play(x)})
 		}
@@ -356,13 +356,13 @@
 			if !named {
 				set = lease.DefaultSettings
 			}
-			x := s.run(seed, 100, versionsMost, float64(ms)/1000, set)
+			x := s.run(seed, 100, versionsSize, float64(ms)/1000, set)
 			f := s.play(x)
 			ways = append(ways, point{float64(ms), f})
-			s.rows(x, f)
+			s.addRows(x, f)
 		}
 		for _, n := range []int{1, 2, 3, 5, 10} {
-			x := s.run(seed, 100, versionsMost, versionsApart, lease.DefaultSettings)
+			x := s.run(seed, 100, versionsSize, versionsRegionDelay, lease.DefaultSettings)
 			x.teams, x.many = 41, n
 			rest = append(rest, point{float64(n), s.play(x)})
 		}
@@ -390,7 +390,7 @@
 		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.many[1]))
 	}
 	plot.Lines = append(plot.Lines, line)
-	s.f.Plots = append(s.f.Plots, plot)
+	s.result.Plots = append(s.result.Plots, plot)
 	return nil
 }
 
@@ -402,12 +402,12 @@
 	return sum / math.Max(1, float64(len(list)))
 }
 
-// sockets plays the same cluster on sockets and in virtual time, and holds them against each other.
-func (s *versionsStudy) sockets() error {
+// compareSockets plays the same cluster on sockets and in virtual time, and holds them against each other.
+func (s *versionsStudy) compareSockets() error {
 	load, set := s.Load(100), lease.DefaultSettings
-	at := regionOf(load, versionsFew)
-	way := time.Duration(versionsApart * float64(time.Second))
-	c, err := startMembers(s.Params, versionsFew, versionsVoters, set, func(i, k int) time.Duration {
+	at := regionOf(load, versionsSocketSize)
+	way := time.Duration(versionsRegionDelay * float64(time.Second))
+	c, err := startMembers(s.Params, versionsSocketSize, versionsVoters, set, func(i, k int) time.Duration {
 		if at[i] == at[k] {
 			return 0
 		}
@@ -423,9 +423,9 @@
 	}
 	time.Sleep(5 * time.Second)
 	sum := func() (bytes float64) { // an instance's, sent and received
-		for i := range versionsFew {
+		for i := range versionsSocketSize {
 			for _, t := range c.relay.Traffic()[i] {
-				bytes += (t.Sent.Bytes + t.Received.Bytes) / versionsFew
+				bytes += (t.Sent.Bytes + t.Received.Bytes) / versionsSocketSize
 			}
 		}
 		return bytes
@@ -433,12 +433,12 @@
 	const span, plays = 10.0, 6
 	was, busy := sum(), processTime()
 	time.Sleep(time.Duration(span * float64(time.Second)))
-	rest, used := (sum()-was)/span, (processTime()-busy)/span/versionsFew
+	rest, used := (sum()-was)/span, (processTime()-busy)/span/versionsSocketSize
 	var took [2][]float64
 	var extra float64
 	for n := range 2 * plays {
 		from, b := time.Now(), sum()
-		c.all[(5*n)%versionsFew].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
+		c.all[(5*n)%versionsSocketSize].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
 		if !c.reached(uint64(n+2), 20*time.Second) {
 			return fmt.Errorf("version %d is not in force on sockets after 20 s", n+2)
 		}
@@ -448,11 +448,11 @@
 			extra += (sum() - b - rest*time.Since(from).Seconds()) / plays
 		}
 	}
-	x := s.run(s.Seed, 100, versionsFew, versionsApart, set)
+	x := s.run(s.Seed, 100, versionsSocketSize, versionsRegionDelay, set)
 	x.plays, x.seats = plays, 0
 	f := s.play(x)
 	sent, bytes := 0.0, 0.0
-	for i := range versionsFew {
+	for i := range versionsSocketSize {
 		r := roleDispatcher
 		switch {
 		case i == 0:
@@ -460,30 +460,30 @@
 		case i < versionsVoters:
 			r = roleVoter
 		}
-		sent += (total(f.sent[r]) + total(f.got[r])) / versionsFew
-		bytes += f.extra[1][r] / versionsFew
+		sent += (total(f.sent[r]) + total(f.got[r])) / versionsSocketSize
+		bytes += f.extra[1][r] / versionsSocketSize
 	}
 	apart := func(name string, virtual, real float64) {
-		s.f.AtMost(fmt.Sprintf("%s, %d instances, virtual time against sockets, apart by", name, versionsFew), versionsClose, math.Abs(virtual/real-1), "part")
-		s.f.Note(name+" on sockets", real, "")
-		s.f.Note(name+" in virtual time", virtual, "")
+		s.result.AtMost(fmt.Sprintf("%s, %d instances, virtual time against sockets, apart by", name, versionsSocketSize), versionsTolerance, math.Abs(virtual/real-1), "part")
+		s.result.Note(name+" on sockets", real, "")
+		s.result.Note(name+" in virtual time", virtual, "")
 	}
 	apart("bytes at rest", sent, rest)
 	apart("bytes for an exclusive change", bytes, extra)
 	apart("an exclusive change alone, mean", mean(f.alone[1]), mean(took[1]))
 	apart("a loose change alone, mean", mean(f.alone[0]), mean(took[0]))
-	s.f.Note("processor at rest on sockets, with the relay's, an instance", 1000*used, "ms/s")
-	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsFew), capacity.Target.Core, 100*used, "%", capacity.OnSockets)
+	s.result.Note("processor at rest on sockets, with the relay's, an instance", 1000*used, "ms/s")
+	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsSocketSize), capacity.Target.Core, 100*used, "%", capacity.OnSockets)
 	r.Shown = true
-	s.f.Row(r)
+	s.result.AddRows(r)
 	return nil
 }
 
-// seating plays seats of shards that go and come back, as twelve machines set aside have them, by the drill: the
+// measureShardMoves plays seats of shards that go and come back, as twelve machines set aside have them, by the drill: the
 // package's own code, with delays, rates and the steps of the agreement as a model.
-func (s *versionsStudy) seating() error {
+func (s *versionsStudy) measureShardMoves() error {
 	m := drill.DefaultModel
-	m.Delay, m.Lease = versionsApart, lease.DefaultSettings.LeaseSeconds
+	m.Delay, m.Lease = versionsRegionDelay, lease.DefaultSettings.LeaseSeconds
 	m.AgreementStep = lease.DefaultSettings.Bounds().AdvanceSeconds / 1.5 // measured: an exclusive change takes three of these
 	type size struct{ seats, shards, entries int }
 	usual := size{12, 128, 2000}
@@ -507,23 +507,23 @@
 		}
 	}
 	all := float64(load.Figures.Workers + dispatchers + aside)
-	s.f.Note("voters that go on an ordinary day, expected", (load.Failures+load.Restarts)*versionsVoters/all, "machines")
-	s.f.Note("leaders that go on an ordinary day, expected", (load.Failures+load.Restarts)/all, "machines")
-	s.f.Note("seats that go on the day that was drawn", float64(gone), "machines")
+	s.result.Note("voters that go on an ordinary day, expected", (load.Failures+load.Restarts)*versionsVoters/all, "machines")
+	s.result.Note("leaders that go on an ordinary day, expected", (load.Failures+load.Restarts)/all, "machines")
+	s.result.Note("seats that go on the day that was drawn", float64(gone), "machines")
 	expected := (load.Failures + load.Restarts) * float64(usual.seats) / all
-	s.f.Note("seats that go on an ordinary day, expected", expected, "machines")
-	s.f.Note("shards seated anew for one, without a copy", float64(lost.Assignments), "shards")
-	s.f.Note("shards nobody's for, one seat gone", lost.OwnedAfter, "s")
-	s.f.Note("shards moved as it comes back, with a copy", float64(back.Transfers), "shards")
-	s.f.Note("a shard sealed as it moves, the longest", back.SealedFor[2], "s")
-	s.f.Note("written by an instance for both", lost.MeanBytes+back.MeanBytes, "B")
-	s.f.Note("shards nobody's, shard-seconds of a day, expected", expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(back.Transfers)*back.SealedFor[0]), "shard-seconds")
+	s.result.Note("seats that go on an ordinary day, expected", expected, "machines")
+	s.result.Note("shards seated anew for one, without a copy", float64(lost.Assignments), "shards")
+	s.result.Note("shards nobody's for, one seat gone", lost.OwnedAfter, "s")
+	s.result.Note("shards moved as it comes back, with a copy", float64(back.Transfers), "shards")
+	s.result.Note("a shard sealed as it moves, the longest", back.SealedFor[2], "s")
+	s.result.Note("written by an instance for both", lost.MeanBytes+back.MeanBytes, "B")
+	s.result.Note("shards nobody's, shard-seconds of a day, expected", expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(back.Transfers)*back.SealedFor[0]), "shard-seconds")
 	row := capacity.AtMost(capacity.Restarts, 100, "part of the shard-time of a day in which a shard is nobody's or sealed", 0.001,
 		expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(back.Transfers)*back.SealedFor[0])/capacity.Day/float64(usual.shards), "part", capacity.VirtualTime)
 	row.Shown = true // the target names no bound
-	s.f.Row(row)
-	s.f.AtMost("jobs of living holders that no seat knows after it", 0, float64(lost.LostJobs+back.LostJobs), "jobs")
-	s.f.AtMost("shards that change seats beyond the fewest", 0, float64(lost.Assignments+lost.Transfers-lost.MinimumChanges+back.Transfers-back.MinimumChanges), "shards")
+	s.result.AddRows(row)
+	s.result.AtMost("jobs of living holders that no seat knows after it", 0, float64(lost.LostJobs+back.LostJobs), "jobs")
+	s.result.AtMost("shards that change seats beyond the fewest", 0, float64(lost.Assignments+lost.Transfers-lost.MinimumChanges+back.Transfers-back.MinimumChanges), "shards")
 	if s.Quick {
 		return nil
 	}
@@ -551,7 +551,7 @@
 			}
 		}
 		for _, what := range sortedNames(lines) {
-			if err := s.f.Slope(what, a.by, "", capacity.VirtualTime, capacity.Seats, lines[what]); err != nil {
+			if err := s.result.AddSlope(what, a.by, "", capacity.VirtualTime, capacity.Seats, lines[what]); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/experiments/capacityversions_test.go
+++ b/internal/lab/experiments/capacityversions_test.go
@@ -37,7 +37,7 @@
 
 // Five voters stand in five regions, dispatchers in all six.
 func TestVersionsStandApart(t *testing.T) {
-	at := regionOf(capacity.NewLoad(100, 1), versionsMost)
+	at := regionOf(capacity.NewLoad(100, 1), versionsSize)
 	if !slices.Equal(at[:versionsVoters], []int{0, 1, 2, 3, 4}) {
 		t.Errorf("voters stand in %v", at[:versionsVoters])
 	}
@@ -49,13 +49,13 @@
 }
 
 func TestVersionsInTime(t *testing.T) {
-	if got := inTime([]float64{2, 3}, []float64{2, 5, 8, 9}); got < 0.92 || got > 0.93 { // 0.9 + 0.1/4
+	if got := fractionInTime([]float64{2, 3}, []float64{2, 5, 8, 9}); got < 0.92 || got > 0.93 { // 0.9 + 0.1/4
 		t.Errorf("%v in time", got)
 	}
-	if got := inTime([]float64{2, 5}, []float64{5}); got != 0.45 {
+	if got := fractionInTime([]float64{2, 5}, []float64{5}); got != 0.45 {
 		t.Errorf("%v in time", got)
 	}
-	if loose, exclusive := stated(lease.DefaultSettings, false), stated(lease.DefaultSettings, true); loose != 1.4 || exclusive < 4.19 || exclusive > 4.21 {
+	if loose, exclusive := statedBound(lease.DefaultSettings, false), statedBound(lease.DefaultSettings, true); loose != 1.4 || exclusive < 4.19 || exclusive > 4.21 {
 		t.Errorf("stated %v and %v", loose, exclusive)
 	}
 }
@@ -64,14 +64,14 @@
 // of its loss break.
 func TestVersionsNeedVotersApart(t *testing.T) {
 	for _, close := range []bool{false, true} {
-		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}}, f: &CapacityFound{}, close: close}
+		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}}, result: &CapacityResult{}, close: close}
 		s.losses(20, []uint64{3})
-		s.f.judge("versions", 3)
-		if s.f.Held == close {
-			t.Errorf("voters in one region %v: claims held %v: %+v", close, s.f.Held, s.f.Claims)
+		s.result.judge("versions", 3)
+		if s.result.Held == close {
+			t.Errorf("voters in one region %v: claims held %v: %+v", close, s.result.Held, s.result.Claims)
 		}
-		if !close && len(s.f.Claims) != 4 {
-			t.Errorf("%d claims", len(s.f.Claims))
+		if !close && len(s.result.Claims) != 4 {
+			t.Errorf("%d claims", len(s.result.Claims))
 		}
 	}
 }
@@ -79,8 +79,8 @@
 // The same seed gives the same figures, but for processor time and memory.
 func TestVersionsAreSeeded(t *testing.T) {
 	play := func() *versionsFound {
-		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 5, Quick: true, Log: t.Logf}}, f: &CapacityFound{}}
-		return s.play(s.run(5, 10, 12, versionsApart, lease.DefaultSettings))
+		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 5, Quick: true, Log: t.Logf}}, result: &CapacityResult{}}
+		return s.play(s.run(5, 10, 12, versionsRegionDelay, lease.DefaultSettings))
 	}
 	one, two := play(), play()
 	if len(one.many[1]) != capacity.AtOnce || !slices.Equal(one.alone[1], two.alone[1]) || !slices.Equal(one.many[1], two.many[1]) || one.extra[1][roleDispatcher] != two.extra[1][roleDispatcher] {
--- a/internal/lab/experiments/hollow.go
+++ b/internal/lab/experiments/hollow.go
@@ -36,18 +36,18 @@
 	Nodes []*Instance // in its own order
 	Name  string
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	pipe io.ReadCloser
-	out  *json.Decoder
-	most time.Duration // that an answer is waited for
-	dead bool
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	in      io.WriteCloser
+	pipe    io.ReadCloser
+	out     *json.Decoder
+	timeout time.Duration // that an answer is waited for
+	dead    bool
 }
 
 // startHollow starts a process of hollow instances and waits until all of them run.
 func startHollow(p Params, name string, seed uint64, nodes []*Instance) (*HollowHost, error) {
-	h := &HollowHost{Name: name, Nodes: nodes, most: hollowMost}
+	h := &HollowHost{Name: name, Nodes: nodes, timeout: hollowTimeout}
 	spec := hollow.Spec{Seed: seed, Over: 1}
 	for _, x := range nodes {
 		spec.Instances = append(spec.Instances, hollow.Files{Config: x.Config, File: x.File})
@@ -75,39 +75,39 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := h.start(spec); err != nil {
+	if err := h.sendSpec(spec); err != nil {
 		h.Kill()
 		return nil, fmt.Errorf("%s: %w: see %s", name, err, log.Name())
 	}
 	return h, nil
 }
 
-func (h *HollowHost) start(spec hollow.Spec) error {
+func (h *HollowHost) sendSpec(spec hollow.Spec) error {
 	if err := json.NewEncoder(h.in).Encode(spec); err != nil {
 		return err
 	}
-	_, err := h.answer()
+	_, err := h.readResponse()
 	return err
 }
 
-// hollowMost is how long a process of hollow instances may take to answer. A start of 22 takes some 2 s, a report
+// hollowTimeout is how long a process of hollow instances may take to answer. A start of 22 takes some 2 s, a report
 // milliseconds; one that hangs must not hold up an experiment for ever.
-const hollowMost = 60 * time.Second
+const hollowTimeout = 60 * time.Second
 
-func (h *HollowHost) answer() (a hollow.Response, err error) {
+func (h *HollowHost) readResponse() (a hollow.Response, err error) {
 	if p, ok := h.pipe.(interface{ SetReadDeadline(time.Time) error }); ok {
-		p.SetReadDeadline(time.Now().Add(h.most))
+		p.SetReadDeadline(time.Now().Add(h.timeout))
 	}
 	if err = h.out.Decode(&a); errors.Is(err, os.ErrDeadlineExceeded) {
-		err = fmt.Errorf("no answer within %v", h.most)
+		err = fmt.Errorf("no answer within %v", h.timeout)
 	} else if err == nil && a.Error != "" {
 		err = fmt.Errorf("%s", a.Error)
 	}
 	return a, err
 }
 
-// Tell gives an order and waits until it is carried out.
-func (h *HollowHost) Tell(o hollow.Command) (a hollow.Response, err error) {
+// Execute gives an order and waits until it is carried out.
+func (h *HollowHost) Execute(o hollow.Command) (a hollow.Response, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dead {
@@ -116,7 +116,7 @@
 	if err = json.NewEncoder(h.in).Encode(o); err != nil {
 		return a, err
 	}
-	return h.answer()
+	return h.readResponse()
 }
 
 // Pid is the process's; 0: it lives no more.
@@ -152,9 +152,9 @@
 	return x.cmd.Process.Pid
 }
 
-// Worked is the processor time of a process's threads until now, in seconds. Those of threads that have ended
+// ProcessCPUSeconds is the processor time of a process's threads until now, in seconds. Those of threads that have ended
 // are missing; the runtime keeps its own.
-func Worked(pid int) (seconds float64) {
+func ProcessCPUSeconds(pid int) (seconds float64) {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, t := range threads {
 		raw, err := os.ReadFile(t)
@@ -170,24 +170,24 @@
 
 // Cost is what an instance of a group cost, on the average over a span.
 type Cost struct {
-	By             map[Kind]Traffic // a second
-	Sent, Received float64          // bytes a second of all kinds
-	Worst          float64          // bytes, sent and received, in the worst second of any of them
-	CPU            float64          // ms a second; of a process that several share, in equal parts
-	Memory         float64          // bytes resident, as CPU
-	Descriptors    float64          // as CPU
-	Goroutines     float64          // the same, of hollow ones
-	Heap           float64          // bytes, the same
-	Alive          int              // instances at the end of the span
+	By             map[TrafficKind]Traffic // a second
+	Sent, Received float64                 // bytes a second of all kinds
+	Worst          float64                 // bytes, sent and received, in the worst second of any of them
+	CPU            float64                 // ms a second; of a process that several share, in equal parts
+	Memory         float64                 // bytes resident, as CPU
+	Descriptors    float64                 // as CPU
+	Goroutines     float64                 // the same, of hollow ones
+	Heap           float64                 // bytes, the same
+	Alive          int                     // instances at the end of the span
 }
 
-// Both is what it sent and received a second.
-func (c Cost) Both() float64 { return c.Sent + c.Received }
+// Total is what it sent and received a second.
+func (c Cost) Total() float64 { return c.Sent + c.Received }
 
-// add adds an instance's part of what passed between two looks at the relay's meter.
-func (c *Cost) add(was, now map[Kind]Traffic, part float64) {
+// addTraffic adds an instance's part of what passed between two looks at the relay's meter.
+func (c *Cost) addTraffic(was, now map[TrafficKind]Traffic, part float64) {
 	if c.By == nil {
-		c.By = map[Kind]Traffic{}
+		c.By = map[TrafficKind]Traffic{}
 	}
 	for k, t := range now {
 		b, s := was[k], c.By[k]
@@ -201,16 +201,16 @@
 	}
 }
 
-// sum is that of all kinds, sent and received.
-func sum(by map[Kind]Traffic) (bytes float64) {
+// totalBytes is that of all kinds, sent and received.
+func totalBytes(by map[TrafficKind]Traffic) (bytes float64) {
 	for _, t := range by {
 		bytes += t.Sent.Bytes + t.Received.Bytes
 	}
 	return bytes
 }
 
-// process is that of an instance, and how many instances share it; 0: none.
-func (x *Instance) process() (pid, many int) {
+// hostProcess is that of an instance, and how many instances share it; 0: none.
+func (x *Instance) hostProcess() (pid, many int) {
 	if x.host != nil {
 		return x.host.Pid(), len(x.host.Nodes)
 	}
@@ -225,8 +225,8 @@
 		for _, g := range groups {
 			s := 0.0
 			for _, x := range g {
-				if pid, many := x.process(); pid > 0 {
-					s += Worked(pid) / float64(many)
+				if pid, many := x.hostProcess(); pid > 0 {
+					s += ProcessCPUSeconds(pid) / float64(many)
 				}
 			}
 			by = append(by, s)
@@ -240,7 +240,7 @@
 		now := c.Relay.Traffic()
 		for k, g := range groups {
 			for _, x := range g {
-				list[k].Worst = max(list[k].Worst, sum(now[x.Index])-sum(last[x.Index]))
+				list[k].Worst = max(list[k].Worst, totalBytes(now[x.Index])-totalBytes(last[x.Index]))
 			}
 		}
 		last = now
@@ -250,18 +250,18 @@
 	for k, g := range groups {
 		o := &list[k]
 		for _, x := range g {
-			if pid, _ := x.process(); pid > 0 {
+			if pid, _ := x.hostProcess(); pid > 0 {
 				o.Alive++
 			}
 		}
 		part := 1 / float64(max(o.Alive, 1))
 		o.CPU = 1000 * (until[k] - worked[k]) / took * part
 		for _, x := range g {
-			pid, many := x.process()
+			pid, many := x.hostProcess()
 			if pid == 0 {
 				continue
 			}
-			o.add(was[x.Index], last[x.Index], part/took)
+			o.addTraffic(was[x.Index], last[x.Index], part/took)
 			mine := part / float64(many)
 			mem, fds := hollow.ProcessUsage(pid)
 			o.Memory, o.Descriptors = o.Memory+float64(mem)*mine, o.Descriptors+float64(fds)*mine
@@ -270,7 +270,7 @@
 			}
 			u, known := usage[x.host]
 			if !known {
-				a, err := x.host.Tell(hollow.Command{Report: true})
+				a, err := x.host.Execute(hollow.Command{Report: true})
 				if err != nil {
 					return nil, err
 				}
@@ -283,14 +283,14 @@
 	return list, nil
 }
 
-// States are those of all hollow instances that live, by name.
-func (c *Processes) States() (map[string]hollow.State, error) {
+// HollowStates are those of all hollow instances that live, by name.
+func (c *Processes) HollowStates() (map[string]hollow.State, error) {
 	all := map[string]hollow.State{}
 	for _, h := range c.Hosts {
 		if h.Pid() == 0 {
 			continue
 		}
-		a, err := h.Tell(hollow.Command{Report: true})
+		a, err := h.Execute(hollow.Command{Report: true})
 		if err != nil {
 			return nil, err
 		}
@@ -301,8 +301,8 @@
 	return all, nil
 }
 
-// Demand has so much enter at each hollow instance, by its index; what is missing stays.
-func (c *Processes) Demand(by map[int]hollow.Demand) error {
+// SetDemand has so much enter at each hollow instance, by its index; what is missing stays.
+func (c *Processes) SetDemand(by map[int]hollow.Demand) error {
 	for _, h := range c.Hosts {
 		if h.Pid() == 0 {
 			continue
@@ -311,7 +311,7 @@
 		for _, x := range h.Nodes {
 			o.Demand = append(o.Demand, by[x.Index])
 		}
-		if _, err := h.Tell(o); err != nil {
+		if _, err := h.Execute(o); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/experiments/hollow_test.go
+++ b/internal/lab/experiments/hollow_test.go
@@ -22,8 +22,8 @@
 // Hollow instances and a real one are one cluster: they see each other, count what came in at each, and go when
 // their process is killed. Nothing is left when it is closed.
 func TestHollowBesideReal(t *testing.T) {
-	h := hollowCluster{n: 9, real: 1, hosts: 1, gone: -1, peers: true, accord: true, load: capacity.NewLoad(10, 3)}
-	h.gone = h.load.Place(9)[8]
+	h := hollowCluster{n: 9, real: 1, hosts: 1, lostZone: -1, peers: true, agreement: true, load: capacity.NewLoad(10, 3)}
+	h.lostZone = h.load.Place(9)[8]
 	p := Params{Seed: 3, Out: t.TempDir(), Program: program(t), Log: t.Logf}
 	c, err := h.start(p)
 	if err != nil {
@@ -33,12 +33,12 @@
 	if len(c.Hosts) != 4 || len(c.Hosts[0].Nodes) != 1 || len(c.Hosts[1].Nodes) != 1 || len(c.Hosts[2].Nodes) != 5 || len(c.Hosts[3].Nodes) != 1 || c.Nodes[0].Pid() == 0 || c.Nodes[1].Pid() != 0 {
 		t.Fatalf("%d processes of hollow instances", len(c.Hosts))
 	}
-	stop, err := h.play(p, c, 1)
+	stop, err := h.startLoad(p, c, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := Until(20*time.Second, "starts at hollow instances and at the real one", func() bool {
-		states, err := c.States()
+		states, err := c.HollowStates()
 		return err == nil && states["n1"].Starts > 5 && len(c.Fleet.Jobs()) > 5
 	}); err != nil {
 		t.Fatal(err)
@@ -48,14 +48,14 @@
 	g := h.groups(c)
 	var m []Cost
 	if err := Until(20*time.Second, "bytes of each kind at each instance", func() bool {
-		if m, err = c.Measure(time.Second, g[reals], g[twins], g[voting]); err != nil {
+		if m, err = c.Measure(time.Second, g[groupReal], g[groupAlone], g[groupVoters]); err != nil {
 			t.Fatal(err)
 		}
 		for _, x := range m {
-			if x.Sent <= 0 || x.Received <= 0 || x.Worst < x.Sent || x.CPU <= 0 || x.Memory <= 0 || x.Descriptors <= 0 || x.By[Other].Sent.Bytes > 0 {
+			if x.Sent <= 0 || x.Received <= 0 || x.Worst < x.Sent || x.CPU <= 0 || x.Memory <= 0 || x.Descriptors <= 0 || x.By[TrafficOther].Sent.Bytes > 0 {
 				t.Fatalf("%+v", x)
 			}
-			if x.By[Exchanged].Sent.Bytes <= 0 || x.By[Probing].Sent.Bytes <= 0 || x.By[Agreeing].Sent.Bytes <= 0 {
+			if x.By[TrafficExchange].Sent.Bytes <= 0 || x.By[TrafficMembership].Sent.Bytes <= 0 || x.By[TrafficAgreement].Sent.Bytes <= 0 {
 				return false
 			}
 		}
@@ -67,7 +67,7 @@
 	// Where reservations have homes nobody else is told of a team: all that know of one count the same of it, its homes
 	// and the instance that serves it among them, and over all teams that is what was started.
 	if err := Until(20*time.Second, "all that know of a team count all of it", func() bool {
-		states, err := c.States()
+		states, err := c.HollowStates()
 		if err != nil {
 			return false
 		}
@@ -78,12 +78,12 @@
 		for _, s := range states {
 			want += s.Starts
 		}
-		known, err := h.known(c)
+		known, err := h.knownStarts(c)
 		if err != nil {
 			return false
 		}
 		all := slices.Collect(maps.Values(known))
-		if len(all) != h.n || len(apart(all)) > 0 {
+		if len(all) != h.n || len(disagreeing(all)) > 0 {
 			return false
 		}
 		know, count := map[string]int{}, map[string]uint64{}
@@ -105,7 +105,7 @@
 	last := c.Hosts[1]
 	last.Kill()
 	last.Kill()
-	if _, err := last.Tell(hollow.Command{}); err == nil || last.Pid() != 0 {
+	if _, err := last.Execute(hollow.Command{}); err == nil || last.Pid() != 0 {
 		t.Error("it was killed and answers")
 	}
 	if err := Until(30*time.Second, "the others see that it is gone", func() bool {
@@ -146,8 +146,8 @@
 		t.Fatal(err)
 	}
 	defer orders.Close()
-	h := &HollowHost{Name: "hollow-1", in: in, pipe: answers, out: json.NewDecoder(answers), most: 20 * time.Millisecond}
-	if _, err := h.Tell(hollow.Command{Report: true}); err == nil || !strings.Contains(err.Error(), "no answer within 20ms") {
+	h := &HollowHost{Name: "hollow-1", in: in, pipe: answers, out: json.NewDecoder(answers), timeout: 20 * time.Millisecond}
+	if _, err := h.Execute(hollow.Command{Report: true}); err == nil || !strings.Contains(err.Error(), "no answer within 20ms") {
 		t.Errorf("%v from a process that says nothing", err)
 	}
 }
@@ -189,7 +189,7 @@
 
 // startForTest starts two hollow instances, says where their process is, and stays.
 func startForTest(at string) {
-	h := hollowCluster{n: 2, hosts: 1, gone: -1, peers: true, load: capacity.NewLoad(10, 3)}
+	h := hollowCluster{n: 2, hosts: 1, lostZone: -1, peers: true, load: capacity.NewLoad(10, 3)}
 	c, err := h.start(Params{Seed: 3, Out: filepath.Dir(at), Program: os.Getenv("LAB_PROGRAM"), Log: func(string, ...any) {}})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -204,26 +204,26 @@
 func TestHollowClaims(t *testing.T) {
 	h := hollowCluster{n: 24, real: 2, load: capacity.NewLoad(10, 3)}
 	cost := func(bytes, cpu float64) Cost { return Cost{Sent: bytes, Received: bytes, CPU: cpu, Alive: 2} }
-	same := [5]Cost{reals: cost(1000, 12), twins: cost(1000, 10), beside: cost(0, 2), shared: cost(1000, 5), voting: cost(2000, 9)}
+	same := [5]Cost{groupReal: cost(1000, 12), groupAlone: cost(1000, 10), groupStandalone: cost(0, 2), groupShared: cost(1000, 5), groupVoters: cost(2000, 9)}
 	for name, c := range map[string]struct {
-		change func(f *hollowFound)
+		change func(f *hollowResult)
 		broken int
 	}{
-		"alike":                 {func(*hollowFound) {}, 0},
-		"more bytes at rest":    {func(f *hollowFound) { f.stand[0].Sent *= 1.4 }, 1},
-		"fewer bytes at peak":   {func(f *hollowFound) { f.stand[1].Received *= 0.6 }, 1},
-		"less work":             {func(f *hollowFound) { f.stand[1].CPU = 8 }, 1},
-		"more work at rest":     {func(f *hollowFound) { f.stand[0].CPU = 12 }, 1},
-		"no processor time":     {func(f *hollowFound) { f.stand[0].CPU, f.rest[reals].CPU = 0, 2 }, 1},
-		"nothing measured":      {func(f *hollowFound) { f.stand[0], f.rest[reals] = Cost{}, Cost{} }, 2},
-		"never alike":           {func(f *hollowFound) { f.alike = math.Inf(1) }, 1},
-		"never whole":           {func(f *hollowFound) { f.whole = math.Inf(1) }, 1},
-		"less work in no claim": {func(f *hollowFound) { f.gone[twins].CPU = 0 }, 0},
+		"alike":                 {func(*hollowResult) {}, 0},
+		"more bytes at rest":    {func(f *hollowResult) { f.standIns[0].Sent *= 1.4 }, 1},
+		"fewer bytes at peak":   {func(f *hollowResult) { f.standIns[1].Received *= 0.6 }, 1},
+		"less work":             {func(f *hollowResult) { f.standIns[1].CPU = 8 }, 1},
+		"more work at rest":     {func(f *hollowResult) { f.standIns[0].CPU = 12 }, 1},
+		"no processor time":     {func(f *hollowResult) { f.standIns[0].CPU, f.rest[groupReal].CPU = 0, 2 }, 1},
+		"nothing measured":      {func(f *hollowResult) { f.standIns[0], f.rest[groupReal] = Cost{}, Cost{} }, 2},
+		"never alike":           {func(f *hollowResult) { f.convergedAfter = math.Inf(1) }, 1},
+		"never whole":           {func(f *hollowResult) { f.connectedAfter = math.Inf(1) }, 1},
+		"less work in no claim": {func(f *hollowResult) { f.zoneLoss[groupAlone].CPU = 0 }, 0},
 	} {
-		got := hollowFound{rest: same, load: same, gone: same, stand: [2]Cost{same[twins], same[twins]}, whole: 1, alike: 1}
+		got := hollowResult{rest: same, load: same, zoneLoss: same, standIns: [2]Cost{same[groupAlone], same[groupAlone]}, connectedAfter: 1, convergedAfter: 1}
 		c.change(&got)
-		f, broken := &CapacityFound{}, 0
-		h.claim(CapacityParams{}, f, got)
+		f, broken := &CapacityResult{}, 0
+		h.addClaims(CapacityParams{}, f, got)
 		for _, x := range f.Claims {
 			if !x.Held {
 				broken++
@@ -238,9 +238,9 @@
 // What a machine gives that does not keep up shows nothing.
 func TestHollowVoid(t *testing.T) {
 	h := hollowCluster{n: 24, real: 2, load: capacity.NewLoad(10, 3)}
-	for late, void := range map[float64]bool{0: false, hollowLate: false, 2 * hollowLate: true} {
-		f := &CapacityFound{}
-		if h.claim(CapacityParams{}, f, hollowFound{late: late}); f.Void != "" != void {
+	for late, void := range map[float64]bool{0: false, maxLateFraction: false, 2 * maxLateFraction: true} {
+		f := &CapacityResult{}
+		if h.addClaims(CapacityParams{}, f, hollowResult{lateFraction: late}); f.Void != "" != void {
 			t.Errorf("%v late: %q", late, f.Void)
 		}
 	}
@@ -249,14 +249,14 @@
 // Rows name the kinds of the budget once each, and break where the budget is passed.
 func TestHollowRows(t *testing.T) {
 	h := hollowCluster{n: 46, real: 2, load: capacity.NewLoad(10, 3)}
-	by := func(k Kind, bytes float64) map[Kind]Traffic {
-		return map[Kind]Traffic{k: {Sent: Amount{Bytes: bytes}, Received: Amount{Bytes: bytes}}}
+	by := func(k TrafficKind, bytes float64) map[TrafficKind]Traffic {
+		return map[TrafficKind]Traffic{k: {Sent: Amount{Bytes: bytes}, Received: Amount{Bytes: bytes}}}
 	}
-	got := hollowFound{parted: true, alike: 1}
-	got.load[shared] = Cost{By: by(Exchanged, 3000), Alive: 1}
-	got.gone[shared] = Cost{Sent: 2000, Alive: 1}
-	f := &CapacityFound{}
-	h.rows(f, got)
+	got := hollowResult{partitioned: true, convergedAfter: 1}
+	got.load[groupShared] = Cost{By: by(TrafficExchange, 3000), Alive: 1}
+	got.zoneLoss[groupShared] = Cost{Sent: 2000, Alive: 1}
+	f := &CapacityResult{}
+	h.addRows(f, got)
 	kinds, names := map[capacity.Kind]int{}, map[string]bool{}
 	for _, r := range f.Rows {
 		kinds[r.Kind]++
@@ -271,8 +271,8 @@
 	if kinds[capacity.Membership] != 1 || kinds[capacity.Agreement] != 1 || kinds[capacity.Counts] != 0 {
 		t.Errorf("%v", kinds)
 	}
-	h.n, f = 300, &CapacityFound{}
-	h.rows(f, got)
+	h.n, f = 300, &CapacityResult{}
+	h.addRows(f, got)
 	for _, r := range f.Rows {
 		if r.Kind != "" {
 			t.Errorf("the budget's sum has a part of 300 dispatchers: %+v", r)
@@ -294,7 +294,7 @@
 		"not heard of yet":     {[]map[string]uint64{know(1, 1), know(0, 1)}, 1},
 		"not of its knowledge": {[]map[string]uint64{know(1, 1), {"a": 1}, {}}, 0},
 	} {
-		if got := len(apart(c.known)); got != c.want {
+		if got := len(disagreeing(c.known)); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
--- a/internal/lab/experiments/meter.go
+++ b/internal/lab/experiments/meter.go
@@ -11,19 +11,19 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// Kind is a kind of traffic between instances, as the relay tells it by the door and by the bytes. Bytes are those
+// TrafficKind is a kind of traffic between instances, as the relay tells it by the door and by the bytes. Bytes are those
 // of datagrams and streams; IP, UDP and TCP's own headers and acknowledgements are not among them.
-type Kind string
+type TrafficKind string
 
 // Kinds. What is packed together is divided by length, with what packs it.
 const (
-	Probing   Kind = "membership"            // datagrams: probes, acknowledgements, gossip of who comes and goes; streams of probes
-	Exchanged Kind = "counts and loans"      // datagrams of the exchange
-	States    Kind = "membership, push/pull" // streams: who is there, as one tells another now and then
-	Known     Kind = "counts, push/pull"     // what the exchange tells in these streams
-	Agreeing  Kind = "agreement"             // questions for leases, raft
-	Seating   Kind = "seats"
-	Other     Kind = "other"
+	TrafficMembership    TrafficKind = "membership"            // datagrams: probes, acknowledgements, gossip of who comes and goes; streams of probes
+	TrafficExchange      TrafficKind = "counts and loans"      // datagrams of the exchange
+	TrafficPushPull      TrafficKind = "membership, push/pull" // streams: who is there, as one tells another now and then
+	TrafficPushPullUsage TrafficKind = "counts, push/pull"     // what the exchange tells in these streams
+	TrafficAgreement     TrafficKind = "agreement"             // questions for leases, raft
+	TrafficShards        TrafficKind = "seats"
+	TrafficOther         TrafficKind = "other"
 )
 
 // Doors by what listens behind them.
@@ -42,19 +42,19 @@
 // trafficMeter counts what passes a relay.
 type trafficMeter struct {
 	mu sync.Mutex
-	by map[int]map[Kind]Traffic // instance
+	by map[int]map[TrafficKind]Traffic // instance
 }
 
-// add counts what one has sent to another, and whether it came there: a lost datagram is sent and not received.
-func (m *trafficMeter) add(from, to int, k Kind, a Amount, sent, received bool) {
+// addTraffic counts what one has sent to another, and whether it came there: a lost datagram is sent and not received.
+func (m *trafficMeter) add(from, to int, k TrafficKind, a Amount, sent, received bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.by == nil {
-		m.by = map[int]map[Kind]Traffic{}
+		m.by = map[int]map[TrafficKind]Traffic{}
 	}
 	for _, i := range []int{from, to} {
 		if m.by[i] == nil {
-			m.by[i] = map[Kind]Traffic{}
+			m.by[i] = map[TrafficKind]Traffic{}
 		}
 	}
 	if sent {
@@ -70,10 +70,10 @@
 }
 
 // Traffic is what each instance has sent and received by way of this relay until now, by kind.
-func (r *Relay) Traffic() map[int]map[Kind]Traffic {
+func (r *Relay) Traffic() map[int]map[TrafficKind]Traffic {
 	r.meter.mu.Lock()
 	defer r.meter.mu.Unlock()
-	all := map[int]map[Kind]Traffic{}
+	all := map[int]map[TrafficKind]Traffic{}
 	for i, t := range r.meter.by {
 		all[i] = maps.Clone(t)
 	}
@@ -82,54 +82,54 @@
 
 // count counts a datagram by its kinds.
 func (r *Relay) count(d *door, from int, raw []byte, sent, received bool) {
-	for k, n := range kindsOf(d.serves, raw) {
+	for k, n := range bytesByKind(d.serves, raw) {
 		r.meter.add(from, d.to, k, Amount{n, n / float64(len(raw))}, sent, received)
 	}
 }
 
-// kindsOf divides a datagram's bytes by kind.
-func kindsOf(serves string, raw []byte) map[Kind]float64 {
-	by := map[Kind]float64{}
+// bytesByKind divides a datagram's bytes by kind.
+func bytesByKind(serves string, raw []byte) map[TrafficKind]float64 {
+	by := map[TrafficKind]float64{}
 	switch serves {
 	case peersDoor:
-		if !divide(raw, float64(len(raw)), by) {
-			by = map[Kind]float64{Other: float64(len(raw))}
+		if !addByKind(raw, float64(len(raw)), by) {
+			by = map[TrafficKind]float64{TrafficOther: float64(len(raw))}
 		}
 	default:
-		by[Other] = float64(len(raw))
+		by[TrafficOther] = float64(len(raw))
 	}
 	return by
 }
 
 // What memberlist writes in front of a message: its format, version 5. Numbers are those of its wire.
 const (
-	pushPullMsg = 6
-	compoundMsg = 7
-	userMsg     = 8
-	compressMsg = 9
-	crcMsg      = 12
-	labelMsg    = 244
-	labelHead   = 2
-	crcHead     = 5
+	pushPullMsg    = 6
+	compoundMsg    = 7
+	userMsg        = 8
+	compressMsg    = 9
+	crcMsg         = 12
+	labelMsg       = 244
+	labelHeaderLen = 2
+	crcHeaderLen   = 5
 )
 
-// divide puts so many bytes to the kinds of a message, by the length of what it is made of; false: it can't be
+// addByKind puts so many bytes to the kinds of a message, by the length of what it is made of; false: it can't be
 // read, as where it is encrypted.
-func divide(raw []byte, size float64, by map[Kind]float64) bool {
+func addByKind(raw []byte, size float64, by map[TrafficKind]float64) bool {
 	if len(raw) == 0 {
 		return false
 	}
 	switch raw[0] {
 	case labelMsg:
-		if len(raw) < labelHead || len(raw) < labelHead+int(raw[1]) {
+		if len(raw) < labelHeaderLen || len(raw) < labelHeaderLen+int(raw[1]) {
 			return false
 		}
-		return divide(raw[labelHead+int(raw[1]):], size, by)
+		return addByKind(raw[labelHeaderLen+int(raw[1]):], size, by)
 	case crcMsg:
-		return len(raw) >= crcHead && divide(raw[crcHead:], size, by)
+		return len(raw) >= crcHeaderLen && addByKind(raw[crcHeaderLen:], size, by)
 	case compressMsg:
-		inner, err := unpacked(raw[1:])
-		return err == nil && divide(inner, size, by)
+		inner, err := decompress(raw[1:])
+		return err == nil && addByKind(inner, size, by)
 	case compoundMsg:
 		if len(raw) < 2 || len(raw) < 2+2*int(raw[1]) || raw[1] == 0 {
 			return false
@@ -138,7 +138,7 @@
 		all := float64(len(parts))
 		for ; len(lengths) > 0; lengths = lengths[2:] {
 			n := int(binary.BigEndian.Uint16(lengths))
-			if n > len(parts) || !divide(parts[:n], size*float64(n)/all, by) {
+			if n > len(parts) || !addByKind(parts[:n], size*float64(n)/all, by) {
 				return false
 			}
 			parts = parts[n:]
@@ -150,24 +150,24 @@
 			return false
 		}
 		known := size * float64(head.UserStateLen) / float64(len(raw))
-		by[Known] += known
-		by[States] += size - known
+		by[TrafficPushPullUsage] += known
+		by[TrafficPushPull] += size - known
 		return true
 	case userMsg:
-		by[Exchanged] += size
+		by[TrafficExchange] += size
 		return true
 	}
 	if raw[0] > crcMsg+1 { // none that there is
 		return false
 	}
-	by[Probing] += size
+	by[TrafficMembership] += size
 	return true
 }
 
-// unpackedMost is what a compressed message may be long.
-const unpackedMost = 64 << 20
+// maxDecompressedLen is what a compressed message may be long.
+const maxDecompressedLen = 64 << 20
 
-func unpacked(raw []byte) ([]byte, error) {
+func decompress(raw []byte) ([]byte, error) {
 	var c struct {
 		Algo uint8
 		Buf  []byte
@@ -177,52 +177,52 @@
 	}
 	in := lzw.NewReader(bytes.NewReader(c.Buf), lzw.LSB, 8)
 	defer in.Close()
-	return io.ReadAll(io.LimitReader(in, unpackedMost))
+	return io.ReadAll(io.LimitReader(in, maxDecompressedLen))
 }
 
-// side is one direction of a stream, as it is counted. Streams of membership tell their kind by all that they
+// streamMeter is one direction of a stream, as it is counted. Streams of membership tell their kind by all that they
 // carried, so they are counted when that side ends.
-type side struct {
-	r        *Relay
+type streamMeter struct {
+	relay    *Relay
 	serves   string
 	from, to int
-	kept     []byte
+	buffered []byte
 	reads    float64
 }
 
-// keptMost is what of a stream of membership is kept until it ends; what is longer is taken for push/pull.
-const keptMost = 32 << 20
+// maxBufferedLen is what of a stream of membership is kept until it ends; what is longer is taken for push/pull.
+const maxBufferedLen = 32 << 20
 
-func (s *side) read(data []byte) {
+func (s *streamMeter) read(data []byte) {
 	if len(data) == 0 {
 		return
 	}
-	kind := map[string]Kind{accordDoor: Agreeing, seatsDoor: Seating}[s.serves]
+	kind := map[string]TrafficKind{accordDoor: TrafficAgreement, seatsDoor: TrafficShards}[s.serves]
 	switch {
-	case s.serves == peersDoor && len(s.kept) < keptMost:
-		s.kept, s.reads = append(s.kept, data...), s.reads+1
+	case s.serves == peersDoor && len(s.buffered) < maxBufferedLen:
+		s.buffered, s.reads = append(s.buffered, data...), s.reads+1
 	case s.serves == peersDoor:
-		kind = States
+		kind = TrafficPushPull
 	case kind == "":
-		kind = Other
+		kind = TrafficOther
 	}
 	if kind != "" {
-		s.r.meter.add(s.from, s.to, kind, Amount{float64(len(data)), 1}, true, true)
+		s.relay.meter.add(s.from, s.to, kind, Amount{float64(len(data)), 1}, true, true)
 	}
 }
 
-// end counts what was kept.
-func (s *side) end() {
-	if len(s.kept) == 0 {
+// flush counts what was kept.
+func (s *streamMeter) flush() {
+	if len(s.buffered) == 0 {
 		return
 	}
-	all := float64(len(s.kept))
-	by := map[Kind]float64{}
-	if !divide(s.kept, all, by) {
-		by = map[Kind]float64{States: all} // cut off on the way, or encrypted
+	all := float64(len(s.buffered))
+	by := map[TrafficKind]float64{}
+	if !addByKind(s.buffered, all, by) {
+		by = map[TrafficKind]float64{TrafficPushPull: all} // cut off on the way, or encrypted
 	}
 	for k, n := range by {
-		s.r.meter.add(s.from, s.to, k, Amount{n, s.reads * n / all}, true, true)
+		s.relay.meter.add(s.from, s.to, k, Amount{n, s.reads * n / all}, true, true)
 	}
-	s.kept = nil
+	s.buffered = nil
 }
--- a/internal/lab/experiments/meter_test.go
+++ b/internal/lab/experiments/meter_test.go
@@ -59,25 +59,25 @@
 	push = append(append(push, head...), make([]byte, 99-len(head))...) // of 100 bytes 50 are the exchange's
 	for name, c := range map[string]struct {
 		raw  []byte
-		want map[Kind]float64 // parts
+		want map[TrafficKind]float64 // parts
 	}{
-		"a probe":                  {ping, map[Kind]float64{Probing: 1}},
-		"of the exchange":          {user, map[Kind]float64{Exchanged: 1}},
-		"labelled":                 {label(user), map[Kind]float64{Exchanged: 1}},
-		"checked, labelled":        {label(crc(ping)), map[Kind]float64{Probing: 1}},
-		"two":                      {compound(ping, user), map[Kind]float64{Probing: 0.25, Exchanged: 0.75}},
-		"two, packed and labelled": {label(crc(packed(t, compound(user, ping)))), map[Kind]float64{Probing: 0.25, Exchanged: 0.75}},
-		"two in two":               {compound(compound(ping, ping), user), map[Kind]float64{Probing: 204.0 / 506, Exchanged: 302.0 / 506}},
-		"push/pull":                {packed(t, push), map[Kind]float64{Known: 0.5, States: 0.5}},
-		"unknown":                  {[]byte{200, 1, 2}, map[Kind]float64{Other: 1}},
-		"a label that ends":        {[]byte{labelMsg, 9, 1}, map[Kind]float64{Other: 1}},
-		"a compound that ends":     {compound(ping, user)[:20], map[Kind]float64{Other: 1}},
-		"a compound of nothing":    {[]byte{compoundMsg, 0}, map[Kind]float64{Other: 1}},
-		"packed badly":             {[]byte{compressMsg, 1, 2, 3}, map[Kind]float64{Other: 1}},
-		"push/pull with no head":   {[]byte{pushPullMsg}, map[Kind]float64{Other: 1}},
-		"only a checksum":          {[]byte{crcMsg, 1}, map[Kind]float64{Other: 1}},
+		"a probe":                  {ping, map[TrafficKind]float64{TrafficMembership: 1}},
+		"of the exchange":          {user, map[TrafficKind]float64{TrafficExchange: 1}},
+		"labelled":                 {label(user), map[TrafficKind]float64{TrafficExchange: 1}},
+		"checked, labelled":        {label(crc(ping)), map[TrafficKind]float64{TrafficMembership: 1}},
+		"two":                      {compound(ping, user), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
+		"two, packed and labelled": {label(crc(packed(t, compound(user, ping)))), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
+		"two in two":               {compound(compound(ping, ping), user), map[TrafficKind]float64{TrafficMembership: 204.0 / 506, TrafficExchange: 302.0 / 506}},
+		"push/pull":                {packed(t, push), map[TrafficKind]float64{TrafficPushPullUsage: 0.5, TrafficPushPull: 0.5}},
+		"unknown":                  {[]byte{200, 1, 2}, map[TrafficKind]float64{TrafficOther: 1}},
+		"a label that ends":        {[]byte{labelMsg, 9, 1}, map[TrafficKind]float64{TrafficOther: 1}},
+		"a compound that ends":     {compound(ping, user)[:20], map[TrafficKind]float64{TrafficOther: 1}},
+		"a compound of nothing":    {[]byte{compoundMsg, 0}, map[TrafficKind]float64{TrafficOther: 1}},
+		"packed badly":             {[]byte{compressMsg, 1, 2, 3}, map[TrafficKind]float64{TrafficOther: 1}},
+		"push/pull with no head":   {[]byte{pushPullMsg}, map[TrafficKind]float64{TrafficOther: 1}},
+		"only a checksum":          {[]byte{crcMsg, 1}, map[TrafficKind]float64{TrafficOther: 1}},
 	} {
-		got, sum := kindsOf(peersDoor, c.raw), 0.0
+		got, sum := bytesByKind(peersDoor, c.raw), 0.0
 		for k, n := range got {
 			if sum += n; math.Abs(n/float64(len(c.raw))-c.want[k]) > 0.01 {
 				t.Errorf("%s: %v of %d bytes", name, got, len(c.raw))
@@ -87,7 +87,7 @@
 			t.Errorf("%s: %v of %d bytes, want %v", name, got, len(c.raw), c.want)
 		}
 	}
-	if got := kindsOf("", ping); !maps.Equal(got, map[Kind]float64{Other: 100}) {
+	if got := bytesByKind("", ping); !maps.Equal(got, map[TrafficKind]float64{TrafficOther: 100}) {
 		t.Errorf("at a door of no kind: %v", got)
 	}
 }
@@ -132,18 +132,18 @@
 	if err := Until(10*time.Second, "both counts agree", func() bool {
 		now := relay.Traffic()
 		for i, n := range list {
-			s, x, y := n.Status(), now[i][Exchanged], now[1-i][Exchanged]
+			s, x, y := n.Status(), now[i][TrafficExchange], now[1-i][TrafficExchange]
 			sent, got := x.Sent.Messages, y.Received.Messages
 			if math.Abs(sent-float64(s.Sent)) > 2 || math.Abs(sent-got) > 2 || x.Sent.Bytes < 0.95*float64(s.SentBytes) || x.Sent.Bytes > 1.6*float64(s.SentBytes) {
 				t.Logf("%d: %+v, %d messages of %d bytes sent", i, x, s.Sent, s.SentBytes)
 				return false
 			}
-			for _, k := range []Kind{Probing, States, Known} {
+			for _, k := range []TrafficKind{TrafficMembership, TrafficPushPull, TrafficPushPullUsage} {
 				if now[i][k].Sent.Bytes == 0 || now[i][k].Received.Bytes == 0 {
 					return false
 				}
 			}
-			if now[i][Other].Sent.Bytes > 0 || now[i][Agreeing].Sent.Bytes > 0 {
+			if now[i][TrafficOther].Sent.Bytes > 0 || now[i][TrafficAgreement].Sent.Bytes > 0 {
 				t.Fatalf("%+v", now[i])
 			}
 		}
--- a/internal/lab/experiments/relay.go
+++ b/internal/lab/experiments/relay.go
@@ -317,8 +317,8 @@
 
 // read takes in one side until it ends.
 func (s *stream) read(in *net.TCPConn, from, to int, pieces chan<- piece) {
-	counted := side{r: s.r, serves: s.serves, from: from, to: to}
-	defer counted.end()
+	counted := streamMeter{relay: s.r, serves: s.serves, from: from, to: to}
+	defer counted.flush()
 	for {
 		buf := make([]byte, pieceLen)
 		n, err := in.Read(buf)
