--- a/internal/lab/experiments/capacity.go
+++ b/internal/lab/experiments/capacity.go
@@ -21,34 +21,36 @@
 	Run:     runCapacity,
 }
 
-// CapacityPart measures one mechanism, or several that can't be told apart, at each percentage of the target.
+// CapacityPart measures one mechanism, or several that cannot be measured separately, at each percentage of the
+// target.
 type CapacityPart struct {
 	Name, About string
-	Without     []string // what it can have switched off
+	Without     []string // mechanisms that can be switched off
 	Run         func(p CapacityParams) (*CapacityResult, error)
 }
 
-// CapacityParams are what a part is run with.
+// CapacityParams are the parameters of a part's run.
 type CapacityParams struct {
 	Params
-	Percents []int // of the target, at which it is to measure, ascending; 100 is always among them
+	Percents []int // percentages of the target to measure at, ascending; 100 is always included
 }
 
-// Load is the work of a percentage: the same for all parts of one run.
+// Load returns the workload at a percentage of the target. It is the same for all parts of one run.
 func (p CapacityParams) Load(percent int) *capacity.Load { return capacity.NewLoad(percent, p.Seed) }
 
-// CapacityResult is what a part measured. Claims are what the product states, and hold or break the run. Rows
-// are held against the target: one that breaks says what is not carried, and breaks nothing.
+// CapacityResult is what a part measured. Claims are the product's stated bounds; one broken claim fails the run.
+// Rows are compared with the target: a row that breaks its bound says that the target is not reached, and does not
+// fail the run.
 type CapacityResult struct {
 	Result
 	Rows   []capacity.Row
 	Slopes []capacity.Slope
 }
 
-// AddRows keeps rows for the table.
+// AddRows appends rows to the table.
 func (f *CapacityResult) AddRows(rows ...capacity.Row) { f.Rows = append(f.Rows, rows...) }
 
-// AddSlope lays a line through points and keeps it.
+// AddSlope fits a line through points and keeps it. It returns an error if the line cannot be fitted.
 func (f *CapacityResult) AddSlope(what, by, unit string, how capacity.How, kind capacity.Kind, points []capacity.Point) error {
 	s, err := capacity.Fit(what, by, unit, how, points)
 	if err != nil {
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// capacityParts are played in this order. Each stands in a file of its own.
+// capacityParts run in this order. Each is declared in a file of its own.
 var capacityParts = []CapacityPart{
 	exchangePart,
 
@@ -75,15 +77,15 @@
 }
 
 func capacityNames() (names []string) {
-	for _, x := range capacityParts {
-		names = append(names, x.Name)
+	for _, part := range capacityParts {
+		names = append(names, part.Name)
 	}
 	return names
 }
 
 func capacityWithout() (list []string) {
-	for _, x := range capacityParts {
-		list = append(list, x.Without...)
+	for _, part := range capacityParts {
+		list = append(list, part.Without...)
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
@@ -97,43 +99,43 @@
 	r := &Result{Size: fmt.Sprintf("%v %% of the target (%d workers, %d teams, %g starts a second)", percents,
 		capacity.Target.Workers, capacity.Target.Teams, capacity.Target.Starts)}
 	load := machineLoad()
-	for _, x := range capacityParts {
-		if only := p.only(); only != nil && !slices.Contains(only, x.Name) || p.Without != "" && !slices.Contains(x.Without, p.Without) {
+	for _, part := range capacityParts {
+		if only := p.only(); only != nil && !slices.Contains(only, part.Name) || p.Without != "" && !slices.Contains(part.Without, p.Without) {
 			continue
 		}
-		q := CapacityParams{Params: p, Percents: percents}
-		q.Out = fmt.Sprintf("%s/%s", p.Out, x.Name)
-		if err := os.MkdirAll(q.Out, 0o755); err != nil {
+		partParams := CapacityParams{Params: p, Percents: percents}
+		partParams.Out = fmt.Sprintf("%s/%s", p.Out, part.Name)
+		if err := os.MkdirAll(partParams.Out, 0o755); err != nil {
 			return nil, err
 		}
 		began := time.Now()
-		found, err := x.Run(q)
+		found, err := part.Run(partParams)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", x.Name, err)
+			return nil, fmt.Errorf("%s: %w", part.Name, err)
 		}
-		p.Log("part %s took %.1f s", x.Name, time.Since(began).Seconds())
+		p.Log("part %s took %.1f s", part.Name, time.Since(began).Seconds())
 		if r.Void == "" && found.Void != "" {
-			r.Void = x.Name + ": " + found.Void
+			r.Void = part.Name + ": " + found.Void
 		}
 		for _, c := range found.Claims {
-			c.Name = x.Name + ": " + c.Name
+			c.Name = part.Name + ": " + c.Name
 			r.Claims = append(r.Claims, c)
 		}
 		for _, b := range found.Beside {
-			b.Name = x.Name + ": " + b.Name
+			b.Name = part.Name + ": " + b.Name
 			r.Beside = append(r.Beside, b)
 		}
-		for _, w := range found.Rows {
-			if math.IsNaN(w.Measured) || math.IsInf(w.Measured, 0) || !slices.ContainsFunc(capacity.Target.Lines(), func(l capacity.Line) bool { return l.Key == w.Line }) {
-				return nil, fmt.Errorf("%s: %+v is no row of the target's", x.Name, w)
+		for _, row := range found.Rows {
+			if math.IsNaN(row.Measured) || math.IsInf(row.Measured, 0) || !slices.ContainsFunc(capacity.Target.Lines(), func(l capacity.Line) bool { return l.Key == row.Line }) {
+				return nil, fmt.Errorf("%s: row %+v has no finite value or no line of the target", part.Name, row)
 			}
 		}
 		r.Rows, r.Slopes, r.Plots = append(r.Rows, found.Rows...), append(r.Slopes, found.Slopes...), append(r.Plots, found.Plots...)
 	}
 	r.Command = fmt.Sprintf("bellstream-lab run capacity --seed %d", p.Seed)
-	for _, x := range []struct{ flag, value string }{{"--only", p.Only}, {"--without", p.Without}} {
-		if x.value != "" {
-			r.Command += " " + x.flag + " " + x.value
+	for _, part := range []struct{ flag, value string }{{"--only", p.Only}, {"--without", p.Without}} {
+		if part.value != "" {
+			r.Command += " " + part.flag + " " + part.value
 		}
 	}
 	if p.Quick {
@@ -144,25 +146,26 @@
 	return r, nil
 }
 
-// build names what was built, as far as the program knows: the commit, and whether files differed from it.
+// build returns the commit that the program was built from, and whether files differed from it; "unknown" if the
+// build information is missing.
 func build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	commit, more := "unknown", ""
+	commit, suffix := "unknown", ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision" && len(s.Value) >= 7:
 			commit = s.Value[:7]
 		case s.Key == "vcs.modified" && s.Value == "true":
-			more = " and changes"
+			suffix = " and changes"
 		}
 	}
-	return commit + more
+	return commit + suffix
 }
 
-// machineLoad is how many threads wanted to run, over the last minute.
+// machineLoad returns the machine's load average over the last minute, or "unknown".
 func machineLoad() string {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/lab/experiments/capacity_test.go
+++ b/internal/lab/experiments/capacity_test.go
@@ -12,11 +12,11 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// withParts plays the experiment with parts of a test's own.
+// withParts returns the experiment with the given parts; the original ones are restored when the test ends.
 func withParts(t *testing.T, parts ...CapacityPart) *Experiment {
 	t.Helper()
-	was := capacityParts
-	t.Cleanup(func() { capacityParts = was })
+	original := capacityParts
+	t.Cleanup(func() { capacityParts = original })
 	capacityParts = parts
 	return &Experiment{Name: "capacity", Without: capacityWithout(), Parts: capacityNames(), Run: runCapacity}
 }
@@ -31,59 +31,59 @@
 	}}
 }
 
-// Each part's findings stand under its name; a row that breaks breaks no claim.
+// Each part's claims and notes are listed under its name, and a row that breaks its bound does not break a claim.
 func TestCapacityParts(t *testing.T) {
 	broken := capacity.AtMost(capacity.Bytes, 100, "bytes", 5000, 9000, "B/s", capacity.VirtualTime)
 	e := withParts(t, capacityPart("one", []string{"a"}, broken), capacityPart("two", nil, broken))
 	r, err := e.Play(Params{Seed: 5})
 	if err != nil || !r.Held || len(r.Claims) != 2 || r.Claims[1].Name != "two: fine" || len(r.Rows) != 2 || r.Machine == "" || r.Beside[0].Value != 5 {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("got %+v, error %v, want two claims held and two rows", r, err)
 	}
 	var text, raw strings.Builder
 	if err := r.Print(&text, false); err != nil || !strings.Contains(text.String(), "9,000 !") || !strings.Contains(text.String(), "not carried") {
-		t.Errorf("%s, %v", text.String(), err)
+		t.Errorf("printed text lacks the broken row: %s, error %v", text.String(), err)
 	}
 	var back Result
 	if err := r.Print(&raw, true); err != nil || json.Unmarshal([]byte(raw.String()), &back) != nil || len(back.Rows) != 2 || back.Rows[0] != broken {
-		t.Errorf("%s, %v", raw.String(), err)
+		t.Errorf("JSON does not read back with both rows: %s, error %v", raw.String(), err)
 	}
 	if page := r.Page(); len(page.Tables) != 2 {
-		t.Errorf("%+v", page.Tables)
+		t.Errorf("got tables %+v, want 2", page.Tables)
 	}
 	if r, err := e.Play(Params{Only: "two", Quick: true}); err != nil || len(r.Claims) != 1 || r.Claims[0].Name != "two: fine" || r.Beside[0].Value != 2 {
-		t.Errorf("two alone: %+v, %v", r, err)
+		t.Errorf("part two alone: got %+v, error %v", r, err)
 	}
 	if r, err := e.Play(Params{Only: "two,one"}); err != nil || len(r.Claims) != 2 {
-		t.Errorf("both by name: %+v, %v", r, err)
+		t.Errorf("both parts by name: got %+v, error %v", r, err)
 	}
 	if _, err := e.Play(Params{Only: "two,three"}); err == nil {
-		t.Error("one of two parts is none, and both were played")
+		t.Error("an unknown part among the names was accepted")
 	}
 	if r, err := e.Play(Params{Without: "a"}); err != nil || len(r.Claims) != 1 || r.Claims[0].Name != "one: fine" {
-		t.Errorf("without a: %+v, %v", r, err)
+		t.Errorf("without a: got %+v, error %v", r, err)
 	}
 	if _, err := e.Play(Params{Only: "three"}); err == nil {
-		t.Error("a part that is none was played")
+		t.Error("an unknown part was accepted")
 	}
 	if r, err := e.Play(Params{Only: "two", Without: "a"}); err != nil || r.Held {
-		t.Errorf("a part without what it does not have: %+v, %v", r, err)
+		t.Errorf("a part without a mechanism that it does not have: got %+v, error %v", r, err)
 	}
 }
 
-// A row that is no figure, or of no line of the target's, is an error, and so is a part that fails.
-func TestCapacityRefuses(t *testing.T) {
+// A row whose value is not finite, or whose line the target does not have, is an error; so is a part that fails.
+func TestCapacityRejectsBadRows(t *testing.T) {
 	for _, row := range []capacity.Row{
 		capacity.AtMost("no such line", 100, "x", 1, 1, "s", capacity.VirtualTime),
 		capacity.AtMost(capacity.Bytes, 100, "x", 1, math.NaN(), "s", capacity.VirtualTime),
 		capacity.AtMost(capacity.Bytes, 100, "x", 1, math.Inf(1), "s", capacity.VirtualTime),
 	} {
 		if _, err := withParts(t, capacityPart("one", nil, row)).Play(Params{}); err == nil {
-			t.Errorf("%+v is taken", row)
+			t.Errorf("row %+v was accepted", row)
 		}
 	}
 	e := withParts(t, CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityResult, error) { return nil, errors.New("no") }})
 	if _, err := e.Play(Params{}); err == nil || !strings.Contains(err.Error(), "x: no") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want \"x: no\"", err)
 	}
 	void := CapacityPart{Name: "x", Run: func(CapacityParams) (*CapacityResult, error) {
 		f := &CapacityResult{}
@@ -92,35 +92,36 @@
 		return f, nil
 	}}
 	if r, err := withParts(t, void).Play(Params{}); err != nil || r.Held || r.Void != "x: one died" {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("void part: got %+v, error %v", r, err)
 	}
 }
 
-// The same seed plays the same; what is counted at the receivers is what was sent, less what is lost or under way.
+// The same seed gives the same run, and the bytes received equal the bytes sent, except for lost messages and
+// messages in flight.
 func TestCapacityExchangeBySeed(t *testing.T) {
-	for _, homes := range []int{0, operatorconfig.DefaultOwners} {
-		t.Run(fmt.Sprintf("%d homes", homes), func(t *testing.T) { exchangeBySeed(t, homes) })
+	for _, owners := range []int{0, operatorconfig.DefaultOwners} {
+		t.Run(fmt.Sprintf("%d homes", owners), func(t *testing.T) { exchangeBySeed(t, owners) })
 	}
 }
 
-func exchangeBySeed(t *testing.T, homes int) {
-	play := func(seed uint64) exchangeResult {
-		x := &exchangeRun{seed: seed, n: 6, percent: 10, starts: 10, settings: ownerSettings(6, homes), rest: 2, load: 30, zoneLoss: 4, regionLoss: 4, instanceLoss: 4, partition: 3}
-		got := x.play()
-		if len(got.nearDelays)+len(got.farDelays) == 0 || len(got.moveTimes)+got.unmoved != 10 {
-			t.Errorf("nothing was probed: %+v", got)
+func exchangeBySeed(t *testing.T, owners int) {
+	runSeed := func(seed uint64) exchangeResult {
+		run := &exchangeRun{seed: seed, n: 6, percent: 10, starts: 10, settings: ownerSettings(6, owners), rest: 2, load: 30, zoneLoss: 4, regionLoss: 4, instanceLoss: 4, partition: 3}
+		result := run.play()
+		if len(result.nearDelays)+len(result.farDelays) == 0 || len(result.moveTimes)+result.unmoved != 10 {
+			t.Errorf("no update delays or not all moves were measured: %+v", result)
 		}
-		got.restCPU, got.loadCPU, got.heap, got.took = 0, 0, 0, 0 // the machine's
-		return got
+		result.restCPU, result.loadCPU, result.heap, result.took = 0, 0, 0, 0 // these depend on the machine
+		return result
 	}
-	a, b, c := play(5), play(5), play(6)
-	if a.loadSent != b.loadSent || a.worstSecond != b.worstSecond || a.zoneLossWorst != b.zoneLossWorst || quantile(a.farDelays, 0.5) != quantile(b.farDelays, 0.5) || a.zoneLossShare != b.zoneLossShare || a.regionLossShare != b.regionLossShare {
-		t.Errorf("one seed, two plays: %+v, %+v", a, b)
+	first, repeated, otherSeed := runSeed(5), runSeed(5), runSeed(6)
+	if first.loadSent != repeated.loadSent || first.worstSecond != repeated.worstSecond || first.zoneLossWorst != repeated.zoneLossWorst || quantile(first.farDelays, 0.5) != quantile(repeated.farDelays, 0.5) || first.zoneLossShare != repeated.zoneLossShare || first.regionLossShare != repeated.regionLossShare {
+		t.Errorf("the same seed gave different results: %+v, %+v", first, repeated)
 	}
-	if a.loadSent == c.loadSent {
-		t.Error("two seeds, one play")
+	if first.loadSent == otherSeed.loadSent {
+		t.Error("different seeds gave the same result")
 	}
-	if a.loadSent <= 0 || math.Abs(a.loadReceived/a.loadSent-1) > 0.02 || a.zoneLossSent <= 0 || a.worstSecond < a.loadSent+a.loadReceived || a.overAllotted > 0 || a.overcounted > 0 || a.instanceLossShare <= 0 || a.instanceLossSent <= 0 || a.zoneLossShare <= 0 || a.regionLossShare <= 0 || a.regionLossShare > 2 {
-		t.Errorf("%+v", a)
+	if first.loadSent <= 0 || math.Abs(first.loadReceived/first.loadSent-1) > 0.02 || first.zoneLossSent <= 0 || first.worstSecond < first.loadSent+first.loadReceived || first.overAllotted > 0 || first.overcounted > 0 || first.instanceLossShare <= 0 || first.instanceLossSent <= 0 || first.zoneLossShare <= 0 || first.regionLossShare <= 0 || first.regionLossShare > 2 {
+		t.Errorf("results out of bounds: %+v", first)
 	}
 }
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -24,11 +24,11 @@
 	Run:   runCapacityLists,
 }
 
-// countingProxy passes a connection on and counts what it carries.
+// countingProxy forwards TCP connections and counts the bytes that they carry.
 type countingProxy struct {
 	net.Listener
 	target   string
-	out, in  atomic.Int64 // to the target, and back
+	out, in  atomic.Int64 // bytes to the target, and back
 	open     sync.WaitGroup
 	mu       sync.Mutex
 	sessions []net.Conn
@@ -46,28 +46,28 @@
 
 func (m *countingProxy) serve() {
 	for {
-		c, err := m.Accept()
+		client, err := m.Accept()
 		if err != nil {
 			return
 		}
-		t, err := net.Dial("tcp", m.target)
+		upstream, err := net.Dial("tcp", m.target)
 		if err != nil {
-			c.Close()
+			client.Close()
 			continue
 		}
 		m.mu.Lock()
-		m.sessions = append(m.sessions, c, t)
+		m.sessions = append(m.sessions, client, upstream)
 		m.mu.Unlock()
-		pass := func(to, from net.Conn, n *atomic.Int64) {
+		forward := func(to, from net.Conn, count *atomic.Int64) {
 			defer to.Close()
-			io.Copy(io.MultiWriter(to, byteCounter{n}), from)
+			io.Copy(io.MultiWriter(to, byteCounter{count}), from)
 		}
-		m.open.Go(func() { pass(t, c, &m.out) })
-		m.open.Go(func() { pass(c, t, &m.in) })
+		m.open.Go(func() { forward(upstream, client, &m.out) })
+		m.open.Go(func() { forward(client, upstream, &m.in) })
 	}
 }
 
-// Close ends what goes through.
+// Close closes the listener and all connections, and waits until they have ended.
 func (m *countingProxy) Close() error {
 	err := m.Listener.Close()
 	m.mu.Lock()
@@ -83,127 +83,127 @@
 
 func (c byteCounter) Write(p []byte) (int, error) { c.n.Add(int64(len(p))); return len(p), nil }
 
-// listCost is what one list's reader sends, receives and works.
+// listCost is what reading the workers' list costs one client.
 type listCost struct {
-	full   float64 // bytes of a whole list with its question
+	full   float64 // bytes of a full list with its request
 	change float64 // bytes of a change of one worker
-	idle   float64 // bytes a second while nothing changes
-	parse  float64 // ms to read a whole list and take it in
+	idle   float64 // bytes per second while nothing changes
+	parse  float64 // ms of CPU time to parse and apply a full list
 	table  float64 // bytes of the table
 }
 
-// measureList reads the list of a fleet of so many workers through the product's own watch.
-func measureList(workers int) (c listCost, err error) {
-	f, err := NewFleet(1, workers, 6, time.Second)
+// measureList reads the list of a fleet of the given number of workers through endpoints.Watch.
+func measureList(workers int) (cost listCost, err error) {
+	fleet, err := NewFleet(1, workers, 6, time.Second)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	defer f.Close()
-	m, err := newCountingProxy(f.Discovery())
+	defer fleet.Close()
+	proxy, err := newCountingProxy(fleet.Discovery())
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	defer m.Close()
+	defer proxy.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	heard := make(chan int, 16)
-	go endpoints.Watch(ctx, m.Addr().String(), 0, func(u *endpoints.Update) { heard <- len(u.Endpoints) })
+	updates := make(chan int, 16)
+	go endpoints.Watch(ctx, proxy.Addr().String(), 0, func(u *endpoints.Update) { updates <- len(u.Endpoints) })
 	next := func() error {
 		select {
-		case <-heard:
+		case <-updates:
 			return nil
 		case <-time.After(10 * time.Second):
-			return fmt.Errorf("a list of %d workers did not come", workers)
+			return fmt.Errorf("no list of %d workers within 10 s", workers)
 		}
 	}
 	if err := next(); err != nil {
-		return c, err
+		return cost, err
 	}
-	bytes := func() float64 { return float64(m.in.Load() + m.out.Load()) }
-	c.full = bytes()
-	const told = 8
-	for i := range told {
-		f.Tell(i%workers, "leaving")
+	bytes := func() float64 { return float64(proxy.in.Load() + proxy.out.Load()) }
+	cost.full = bytes()
+	const changes = 8
+	for i := range changes {
+		fleet.Tell(i%workers, "leaving")
 		if err := next(); err != nil {
-			return c, err
+			return cost, err
 		}
 	}
-	c.change = (bytes() - c.full) / told
-	c.idle = 6.0 / 2 // a blank line as a chunk, every 2 s
+	cost.change = (bytes() - cost.full) / changes
+	cost.idle = 6.0 / 2 // an empty line as a chunk, every 2 s
 
-	// Again and again in one thread's time: the list's words alone.
-	raw := []byte(f.List())
+	// CPU time of one thread over repeated parses, without the network.
+	raw := []byte(fleet.List())
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	tables := make([]*endpoints.Table, 20)
-	was, began := heapInUse(), threadTime()
+	heapBefore, began := heapInUse(), threadTime()
 	for i := range tables {
 		u, err := endpoints.Parse(raw)
 		if err != nil {
-			return c, err
+			return cost, err
 		}
 		tables[i] = endpoints.NewTable()
 		if tables[i].Apply(u, 0); tables[i].Len() == 0 {
-			return c, fmt.Errorf("a list of %d workers is empty", workers)
+			return cost, fmt.Errorf("a list of %d workers is empty", workers)
 		}
 	}
-	c.parse = 1000 * (threadTime() - began) / float64(len(tables))
-	c.table = (float64(heapInUse()) - float64(was)) / float64(len(tables))
+	cost.parse = 1000 * (threadTime() - began) / float64(len(tables))
+	cost.table = (float64(heapInUse()) - float64(heapBefore)) / float64(len(tables))
 	runtime.KeepAlive(tables)
-	return c, nil
+	return cost, nil
 }
 
-// measureProbe asks a worker for its report through the product's own pool.
+// measureProbe checks a worker's health through upstream.Pool and returns the mean bytes of a probe with its answer.
 func measureProbe() (bytes float64, err error) {
-	f, err := NewFleet(1, 1, 6, time.Second)
+	fleet, err := NewFleet(1, 1, 6, time.Second)
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
-	m, err := newCountingProxy(f.workers[0].addr)
+	defer fleet.Close()
+	proxy, err := newCountingProxy(fleet.workers[0].addr)
 	if err != nil {
 		return 0, err
 	}
-	defer m.Close()
-	p := &upstream.Pool{MaxConns: 8, DialTimeout: time.Second, IdleTimeout: time.Minute, Now: time.Now}
-	const asked = 20
-	for range asked {
+	defer proxy.Close()
+	pool := &upstream.Pool{MaxConns: 8, DialTimeout: time.Second, IdleTimeout: time.Minute, Now: time.Now}
+	const probes = 20
+	for range probes {
 		done := make(chan upstream.AttemptEvent, 1)
-		p.HealthCheck(m.Addr().String(), []string{balance.FieldFreeSlots, balance.FieldQueueLength}, func(n upstream.AttemptEvent) { done <- n })
-		if n := <-done; n.Outcome != balance.Served {
-			return 0, fmt.Errorf("a probe ended as %s", n.Outcome)
+		pool.HealthCheck(proxy.Addr().String(), []string{balance.FieldFreeSlots, balance.FieldQueueLength}, func(event upstream.AttemptEvent) { done <- event })
+		if event := <-done; event.Outcome != balance.Served {
+			return 0, fmt.Errorf("worker probe ended with outcome %s", event.Outcome)
 		}
 	}
-	return float64(m.in.Load()+m.out.Load()) / asked, nil
+	return float64(proxy.in.Load()+proxy.out.Load()) / probes, nil
 }
 
-// decisionCost is what a dispatcher's decisions on jobs come to, at the peak.
+// decisionCost is what decisions on jobs cost a dispatcher at the peak.
 type decisionCost struct {
-	probes   float64 // a second
-	attempts float64 // attempts a task
-	cpu      float64 // ms a second
+	probes   float64 // per second
+	attempts float64 // attempts per task
+	cpu      float64 // ms per second
 	heap     float64 // bytes
-	inTime   float64 // tasks in time against one queue that sees all
+	inTime   float64 // tasks in time, as a fraction of those that one queue with full knowledge achieves
 }
 
-// measureDecisions plays the peak of a percentage against modelled workers, by the decisions themselves. Tasks' times
-// are exponential there.
-func measureDecisions(p CapacityParams, percent, n int, span float64) (d decisionCost, err error) {
-	l := p.Load(percent)
+// measureDecisions simulates the peak at a percentage of the target with the real decision code and modelled workers.
+// Tasks' run times are exponentially distributed.
+func measureDecisions(p CapacityParams, percent, n int, span float64) (cost decisionCost, err error) {
+	load := p.Load(percent)
 	slots := 0
-	for _, w := range l.Workers {
+	for _, w := range load.Workers {
 		slots += w.Slots
 	}
-	mean := float64(slots) / float64(len(l.Workers))
-	f, err := simulation.NewFleet(simulation.FleetSettings{Seed: p.Seed, Workers: len(l.Workers), Slots: float64(int(mean)), Dispatchers: n, MeanWork: capacity.MeanRun,
-		Load: l.Starts * capacity.MeanRun / float64(len(l.Workers)*int(mean)), LatencyObjective: 2 * capacity.MeanRun, Timeout: 10 * capacity.MeanRun, Tick: 0.02, Span: span, KeepAlive: 15})
+	mean := float64(slots) / float64(len(load.Workers))
+	fleet, err := simulation.NewFleet(simulation.FleetSettings{Seed: p.Seed, Workers: len(load.Workers), Slots: float64(int(mean)), Dispatchers: n, MeanWork: capacity.MeanRun,
+		Load: load.Starts * capacity.MeanRun / float64(len(load.Workers)*int(mean)), LatencyObjective: 2 * capacity.MeanRun, Timeout: 10 * capacity.MeanRun, Tick: 0.02, Span: span, KeepAlive: 15})
 	if err != nil {
-		return d, err
+		return cost, err
 	}
-	x := f.Run()
-	by := span * float64(n)
-	return decisionCost{float64(x.HealthChecks) / by, float64(x.Attempts) / float64(x.Jobs), 1000 * x.CPU.Seconds() / by, float64(x.Heap) / float64(n),
-		float64(x.InTime) / float64(x.Ideal)}, nil
+	result := fleet.Run()
+	dispatcherSeconds := span * float64(n)
+	return decisionCost{float64(result.HealthChecks) / dispatcherSeconds, float64(result.Attempts) / float64(result.Jobs), 1000 * result.CPU.Seconds() / dispatcherSeconds, float64(result.Heap) / float64(n),
+		float64(result.InTime) / float64(result.Ideal)}, nil
 }
 
 func runCapacityLists(p CapacityParams) (*CapacityResult, error) {
@@ -218,28 +218,28 @@
 	}
 	f.Note("a probe and its answer", probe, "B")
 	const dispatchers = 44
-	var whole, change, read, table, asks, busy []capacity.Point
-	at := map[int]listCost{}
+	var fullLists, change, parseTimes, table, probeRates, cpu []capacity.Point
+	byPercent := map[int]listCost{}
 	for _, percent := range p.Percents {
-		l := p.Load(percent)
-		n, c := len(l.Workers), listCost{}
+		load := p.Load(percent)
+		n, cost := len(load.Workers), listCost{}
 		for range repeats {
-			if c, err = measureList(n); err != nil {
+			if cost, err = measureList(n); err != nil {
 				return nil, err
 			}
-			whole, change = append(whole, capacity.Point{X: float64(n), Y: c.full}), append(change, capacity.Point{X: float64(n), Y: c.change})
-			read, table = append(read, capacity.Point{X: float64(n), Y: c.parse}), append(table, capacity.Point{X: float64(n), Y: c.table})
+			fullLists, change = append(fullLists, capacity.Point{X: float64(n), Y: cost.full}), append(change, capacity.Point{X: float64(n), Y: cost.change})
+			parseTimes, table = append(parseTimes, capacity.Point{X: float64(n), Y: cost.parse}), append(table, capacity.Point{X: float64(n), Y: cost.table})
 		}
-		at[percent] = c
-		d, err := measureDecisions(p, percent, dispatchers, span)
+		byPercent[percent] = cost
+		decisions, err := measureDecisions(p, percent, dispatchers, span)
 		if err != nil {
 			return nil, err
 		}
-		asks, busy = append(asks, capacity.Point{X: float64(n), Y: d.probes}), append(busy, capacity.Point{X: float64(n), Y: d.cpu})
-		changes := 0.0 // a day
-		for _, e := range l.Gone(dispatchers) {
+		probeRates, cpu = append(probeRates, capacity.Point{X: float64(n), Y: decisions.probes}), append(cpu, capacity.Point{X: float64(n), Y: decisions.cpu})
+		changes := 0.0 // per day
+		for _, e := range load.Gone(dispatchers) {
 			if e.Machine >= n {
-				continue // a dispatcher is in no list of workers
+				continue // dispatchers are not in the workers' list
 			}
 			if e.Restart {
 				changes += capacity.ListChangesOfRestart
@@ -247,39 +247,39 @@
 				changes += capacity.ListChangesOfFailure
 			}
 		}
-		zone := slices.MaxFunc(l.Zones, func(a, b capacity.Zone) int { return a.Workers - b.Workers }).Workers
+		zone := slices.MaxFunc(load.Zones, func(a, b capacity.Zone) int { return a.Workers - b.Workers }).Workers
 		add := func(kind capacity.Kind, line, what string, bound, measured float64, unit string, how capacity.How) {
 			r := capacity.AtMost(line, percent, what, bound, measured, unit, how)
 			r.Kind = kind
 			f.AddRows(r)
 		}
-		day := c.idle + changes*c.change/capacity.Day
+		day := cost.idle + changes*cost.change/capacity.Day
 		add(capacity.Lists, capacity.Bytes, "lists, mean of an ordinary day", capacity.Target.Bytes, day, "B/s", capacity.OnSockets)
-		add(capacity.Lists, capacity.Bytes, "lists, the second in which a whole one comes", capacity.Target.Bytes, c.full, "B/s", capacity.OnSockets)
+		add(capacity.Lists, capacity.Bytes, "lists, the second in which a whole one comes", capacity.Target.Bytes, cost.full, "B/s", capacity.OnSockets)
 		last := &f.Rows[len(f.Rows)-1]
 		last.When, last.Shown = capacity.Second, true
 		add(capacity.Lists, capacity.Bytes, "lists, the minute after the largest zone went: its workers one by one, and the whole list once more", capacity.Target.Bytes,
-			(c.full+float64(zone)*c.change)/60+c.idle, "B/s", capacity.OnSockets)
+			(cost.full+float64(zone)*cost.change)/60+cost.idle, "B/s", capacity.OnSockets)
 		f.Rows[len(f.Rows)-1].When = capacity.Minute
-		add(capacity.Probes, capacity.Bytes, "probes of workers at 44 dispatchers, mean of the peak", capacity.Target.Bytes, d.probes*probe, "B/s", capacity.VirtualTime)
-		for _, when := range []capacity.When{capacity.Second, capacity.Minute} { // asked by what jobs are worth, so no more than at the peak
-			add(capacity.Probes, capacity.Bytes, "probes of workers at 44 dispatchers, "+string(when), capacity.Target.Bytes, d.probes*probe, "B/s", capacity.VirtualTime)
+		add(capacity.Probes, capacity.Bytes, "probes of workers at 44 dispatchers, mean of the peak", capacity.Target.Bytes, decisions.probes*probe, "B/s", capacity.VirtualTime)
+		for _, when := range []capacity.When{capacity.Second, capacity.Minute} { // probes depend on the jobs, so there are no more than at the peak
+			add(capacity.Probes, capacity.Bytes, "probes of workers at 44 dispatchers, "+string(when), capacity.Target.Bytes, decisions.probes*probe, "B/s", capacity.VirtualTime)
 			last = &f.Rows[len(f.Rows)-1]
 			last.When, last.Shown = when, when == capacity.Second
 		}
-		add(capacity.Lists, capacity.Core, "lists, a whole one a minute", capacity.Target.Core, c.parse/60/10, "%", capacity.OnSockets)
-		add(capacity.Lists, capacity.Memory, "lists, the table of workers", capacity.Target.Memory, c.table/1e6, "MB", capacity.OnSockets)
-		f.AddRows(shownRow(capacity.AtMost(capacity.Memory, percent, "decisions on jobs and workers at 44 dispatchers, heap", capacity.Target.Memory, d.heap/1e6, "MB", capacity.VirtualTime)))
+		add(capacity.Lists, capacity.Core, "lists, a whole one a minute", capacity.Target.Core, cost.parse/60/10, "%", capacity.OnSockets)
+		add(capacity.Lists, capacity.Memory, "lists, the table of workers", capacity.Target.Memory, cost.table/1e6, "MB", capacity.OnSockets)
+		f.AddRows(shownRow(capacity.AtMost(capacity.Memory, percent, "decisions on jobs and workers at 44 dispatchers, heap", capacity.Target.Memory, decisions.heap/1e6, "MB", capacity.VirtualTime)))
 		for _, line := range []string{capacity.Workers, capacity.Starts, capacity.Running} {
-			f.AddRows(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, d.inTime, "part", capacity.VirtualTime))
+			f.AddRows(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, decisions.inTime, "part", capacity.VirtualTime))
 		}
-		f.AddRows(shownRow(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, d.cpu/10, "%", capacity.VirtualTime)))
+		f.AddRows(shownRow(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, decisions.cpu/10, "%", capacity.VirtualTime)))
 		p.Log("%d workers: whole list %.0f B, change %.0f B, read %.3f ms, table %.0f B, %d changes a day; %.2f probes a second, %.2f attempts a job, %.2f ms/s",
-			n, c.full, c.change, c.parse, c.table, int(changes), d.probes, d.attempts, d.cpu)
+			n, cost.full, cost.change, cost.parse, cost.table, int(changes), decisions.probes, decisions.attempts, decisions.cpu)
 	}
-	full := at[100]
-	f.AtMost("a worker in a whole list", 200, full.full/float64(capacity.Target.Workers), "B")
-	f.AtMost("a change of one worker in the list", 400, full.change, "B")
+	target := byPercent[100]
+	f.AtMost("a worker in a whole list", 200, target.full/float64(capacity.Target.Workers), "B")
+	f.AtMost("a change of one worker in the list", 400, target.change, "B")
 	f.AtMost("a probe and its answer", 400, probe, "B")
 	if len(p.Percents) < 4 {
 		return f, nil
@@ -290,12 +290,12 @@
 		kind       capacity.Kind
 		points     []capacity.Point
 	}{
-		{"a whole list", "B", capacity.OnSockets, capacity.Lists, whole},
+		{"a whole list", "B", capacity.OnSockets, capacity.Lists, fullLists},
 		{"a change of one worker in the list", "B", capacity.OnSockets, capacity.Lists, change},
-		{"a whole list, read and taken in", "ms", capacity.OnSockets, capacity.Lists, read},
+		{"a whole list, read and taken in", "ms", capacity.OnSockets, capacity.Lists, parseTimes},
 		{"the table of workers", "B", capacity.OnSockets, capacity.Lists, table},
-		{"probes of a dispatcher at the peak, 44 dispatchers", "a second", capacity.VirtualTime, capacity.Probes, asks},
-		{"decisions on jobs, 44 dispatchers", "ms/s", capacity.VirtualTime, "", busy},
+		{"probes of a dispatcher at the peak, 44 dispatchers", "a second", capacity.VirtualTime, capacity.Probes, probeRates},
+		{"decisions on jobs, 44 dispatchers", "ms/s", capacity.VirtualTime, "", cpu},
 	} {
 		if err := f.AddSlope(x.what, capacity.ByWorkers, x.unit, x.how, x.kind, x.points); err != nil {
 			return nil, err
@@ -304,7 +304,7 @@
 	return f, nil
 }
 
-// shownRow is a row that is shown beside the others and not judged.
+// shownRow marks a row as shown only, not judged.
 func shownRow(r capacity.Row) capacity.Row {
 	r.Shown = true
 	return r
--- a/internal/lab/experiments/capacitytasks_test.go
+++ b/internal/lab/experiments/capacitytasks_test.go
@@ -8,7 +8,7 @@
 	"example.org/bellstream/internal/lab/capacity"
 )
 
-// The worlds are the load's: as much is asked for as it says, in a full fleet more than the fleet can do.
+// The settings match the load: teams ask for the load's rate, and in a full fleet for more than the fleet can run.
 func TestCapacityTasksLoad(t *testing.T) {
 	l := capacity.NewLoad(100, 3)
 	for _, full := range []bool{false, true} {
@@ -17,7 +17,7 @@
 		for _, x := range s.Teams {
 			rate, quota = rate+x.Rate, quota+x.Quota
 			if len(x.Enters) == 0 || slices.Max(x.Enters) >= 44 {
-				t.Errorf("%+v", x)
+				t.Errorf("team has no entry, or an entry that is no dispatcher: %+v", x)
 			}
 		}
 		for _, w := range s.Workers {
@@ -32,12 +32,13 @@
 			gangs += g.Rate * float64(g.Size)
 		}
 		if math.Abs(rate/want-1) > 1e-6 || quota < capacity.Target.Starts || slots < capacity.Target.Running || gangs+s.UrgentRate > rate/2 || s.InitialTasks > slots {
-			t.Errorf("full %v: %.1f starts a second, reserved %.1f, %d slots, %.1f in gangs, %d at first", full, rate, quota, slots, gangs, s.InitialTasks)
+			t.Errorf("full fleet %v: got %.1f starts a second, %.1f reserved, %d slots, %.1f starts a second in gangs, %d initial tasks", full, rate, quota, slots, gangs, s.InitialTasks)
 		}
 	}
 }
 
-// The part claims what holds at any load, and has rows for what is wanted; what was not played is said so.
+// The part's claims hold at any load, and it has a row for each line of the target that it covers. What was not
+// played is reported as not measured.
 func TestCapacityTasks(t *testing.T) {
 	p := CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}, Percents: []int{10}}
 	f, err := runCapacityTasks(p)
@@ -46,27 +47,27 @@
 	}
 	for _, c := range f.Claims {
 		if !c.Held {
-			t.Errorf("%+v", c)
+			t.Errorf("claim is broken: %+v", c)
 		}
 	}
 	for _, line := range []string{capacity.Workers, capacity.Accelerators, capacity.Starts, capacity.Running, capacity.Gangs, capacity.Urgent, capacity.Memory} {
 		if !slices.ContainsFunc(f.Rows, func(r capacity.Row) bool {
 			return r.Line == line && r.Percent == 10 && !r.Shown && r.How == capacity.VirtualTime
 		}) {
-			t.Errorf("no figure for %s", line)
+			t.Errorf("no row in virtual time for %s", line)
 		}
 	}
-	// An urgent task that does not start counts for as long as it was looked at: never for nothing.
+	// An urgent task that did not start counts with the whole observed time, never as zero.
 	x := &taskRun{percent: 10, n: 44, full: true, tail: 60}
 	x.result.Urgent = []float64{1, math.Inf(1)}
 	var rows []capacity.Row
 	keep := func(r capacity.Row) { rows = append(rows, r) }
 	x.urgentRows(&CapacityResult{}, "", keep, keep)
 	if last := rows[len(rows)-1]; last.Measured != 60 || last.Held {
-		t.Errorf("%+v", rows)
+		t.Errorf("got rows %+v, want the last one broken with 60 s", rows)
 	}
 	p.Percents = []int{100}
-	if plays := taskRuns(p); len(plays) != 1 || plays[0].full {
-		t.Errorf("the quick form plays %d worlds at 100 %%", len(plays))
+	if runs := taskRuns(p); len(runs) != 1 || runs[0].full {
+		t.Errorf("the quick form has %d runs at 100 %%, want one at the peak", len(runs))
 	}
 }
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -21,25 +21,26 @@
 	Run:     runCapacityVersions,
 }
 
-// versionsSocketSize is the size that virtual time and sockets both play; versionsSize that of the sums.
+// versionsSocketSize is the cluster size that runs both in virtual time and on sockets; versionsSize is the size at
+// which the budget is summed.
 const (
 	versionsSocketSize  = 22
 	versionsSize        = 44 + versionsVoters
-	versionsRegionDelay = 0.02 // s, one way, from region to region, where nothing else is said
-	versionsTolerance   = 0.15 // part by which virtual time may differ from sockets
+	versionsRegionDelay = 0.02 // s, one way, between regions, unless stated otherwise
+	versionsTolerance   = 0.15 // fraction by which virtual time may differ from sockets
 )
 
-// versionsRegions are the figures of deploy/regions.hcl, by the delay between regions in ms.
+// versionsRegions are the lease settings of deploy/regions.hcl, by the delay between regions in ms.
 var versionsRegions = map[int]lease.Settings{
 	20:  {LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.04, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
 	80:  {LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.1, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
 	150: {LeaseSeconds: 3.6, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.17, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
 }
 
-// versionsFast are the shortest figures that check takes for 20 ms between regions with room for a period of 0.1 s.
+// versionsFast are the shortest valid settings for 20 ms between regions that have room for a period of 0.1 s.
 var versionsFast = lease.Settings{LeaseSeconds: 0.8, RenewIntervalSeconds: 0.1, NetworkDelaySeconds: 0.04, ClockDrift: 0.01, PollIntervalSeconds: 0.05}
 
-// settingName names figures that are not the defaults.
+// settingName describes settings that are not the defaults; empty for the defaults.
 func settingName(s lease.Settings) string {
 	if s == lease.DefaultSettings {
 		return ""
@@ -51,21 +52,21 @@
 	CapacityParams
 	result         *CapacityResult
 	close          bool
-	neverInForce   int        // wishes at once that never were in force
-	latest         [2]float64 // of what was stated, the most that a change alone took: loose, exclusive
-	noFirstVersion int        // clusters that did not come to a first version by settings that check takes
+	neverInForce   int        // concurrent changes that never came into force
+	latest         [2]float64 // longest time of a change made alone, as a fraction of the stated bound: loose, exclusive
+	noFirstVersion int        // clusters with valid settings that reached no first version
 }
 
-func (s *versionsStudy) run(seed uint64, percent, n int, apart float64, set lease.Settings) *versionsRun {
-	x := &versionsRun{seed: seed, close: s.close, n: n, apart: apart, set: set, seats: revokePollSeconds, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
+func (s *versionsStudy) run(seed uint64, percent, n int, delay float64, settings lease.Settings) *versionsRun {
+	x := &versionsRun{seed: seed, close: s.close, n: n, apart: delay, set: settings, seats: revokePollSeconds, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
 	if s.Quick {
 		x.rest, x.plays = 5, 2
 	}
 	return x
 }
 
-// statedBound is what the figures promise for a change, from its asking on: the way to the leader and its quorum
-// comes before what Bounds counts from.
+// statedBound returns the time in seconds within which a change must be in force, counted from its proposal. It
+// includes the way to the leader and its quorum, which Bounds does not count.
 func statedBound(s lease.Settings, exclusive bool) float64 {
 	b := s.Bounds()
 	if exclusive {
@@ -74,12 +75,12 @@
 	return 4*s.NetworkDelaySeconds + b.PropagationSeconds
 }
 
-// startLoad plays a run, and holds it against what is stated.
+// play executes a run and compares its changes with the stated bounds.
 func (s *versionsStudy) play(x *versionsRun) *versionsFound {
 	began := time.Now()
 	if err := x.set.Validate(); err != nil || !x.play() {
 		s.noFirstVersion++
-		s.Log("versions: %d instances, %g s apart, %+v: no first version (%v)", x.n, x.apart, x.set, err)
+		s.Log("versions: %d instances, %g s between regions, %+v: no first version (%v)", x.n, x.apart, x.set, err)
 		return &x.found
 	}
 	f := &x.found
@@ -93,15 +94,15 @@
 			}
 		}
 	}
-	s.Log("versions: %d %%, %d instances, %g ms apart, %s: loose %.2f, exclusive %.2f, at once %.1f and %.1f s; %.1f s to play", x.load.Percent, x.n, 1000*x.apart,
+	s.Log("versions: %d %%, %d instances, %g ms between regions, %s: loose %.2f, exclusive %.2f, concurrent %.1f and %.1f s; the run took %.1f s", x.load.Percent, x.n, 1000*x.apart,
 		settingName(x.set), f.alone[0], f.alone[1], f.many[0], f.many[1], time.Since(began).Seconds())
 	return f
 }
 
-// fractionInTime is the part of a day's changes that is in force everywhere in time, by how long each of those alone and
-// each of those at once took.
+// fractionInTime returns the fraction of a day's changes that are in force everywhere in time, given the times of
+// changes made alone and of concurrent changes.
 func fractionInTime(alone, many []float64) float64 {
-	part := func(list []float64) float64 {
+	fraction := func(list []float64) float64 {
 		n := 0
 		for _, x := range list {
 			if x <= capacity.Target.InForce {
@@ -110,100 +111,101 @@
 		}
 		return float64(n) / float64(len(list))
 	}
-	return (1-capacity.Together)*part(alone) + capacity.Together*part(many)
+	return (1-capacity.Together)*fraction(alone) + capacity.Together*fraction(many)
 }
 
-// addRows holds a play against the target.
+// addRows compares a run with the target.
 func (s *versionsStudy) addRows(x *versionsRun, f *versionsFound) {
 	if len(f.alone[1]) == 0 || len(f.many[1]) == 0 {
 		return
 	}
-	way := fmt.Sprintf(", %g ms between regions", 1000*x.apart)
-	at := fmt.Sprintf(" at %d dispatchers", x.n-versionsVoters)
+	delaySuffix := fmt.Sprintf(", %g ms between regions", 1000*x.apart)
+	suffix := fmt.Sprintf(" at %d dispatchers", x.n-versionsVoters)
 	add := func(r capacity.Row) *capacity.Row {
 		r.Setting = settingName(x.set)
 		s.result.AddRows(r)
 		return &s.result.Rows[len(s.result.Rows)-1]
 	}
-	shown := x.apart != versionsRegionDelay // the target names no delay
+	shown := x.apart != versionsRegionDelay // the target names no delay, so only versionsRegionDelay is judged
 	for k, kind := range []string{"loose", "exclusive"} {
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+way+at, capacity.Target.InForce, slices.Max(f.alone[k]), "s", capacity.VirtualTime)).Shown = shown
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+way+at, capacity.Target.InForce, slices.Max(f.many[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.alone[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.many[k]), "s", capacity.VirtualTime)).Shown = shown
 	}
-	add(capacity.AtLeast(capacity.Changes, x.load.Percent, "changes of a day that are in force everywhere within 4 s, all exclusive, a tenth of them ten at once"+way+at, 1,
+	add(capacity.AtLeast(capacity.Changes, x.load.Percent, "changes of a day that are in force everywhere within 4 s, all exclusive, a tenth of them ten at once"+delaySuffix+suffix, 1,
 		fractionInTime(f.alone[1], f.many[1]), "part", capacity.VirtualTime)).Shown = shown
 	if shown {
 		return
 	}
-	// The sum is that of a dispatcher, at two a zone; voters stand on machines set aside.
+	// The budget's sum is for a dispatcher, at two per zone; voters run on machines of their own.
 	kind := func(k capacity.Kind) capacity.Kind {
 		if x.n != versionsSize || x.set != lease.DefaultSettings {
 			return ""
 		}
 		return k
 	}
-	peak := float64(x.load.Changes) / capacity.Day * 2 / (1 + capacity.Night) // changes a second at noon
-	d, bytes, core, memory := roleDispatcher, capacity.Target.Bytes, capacity.Target.Core, capacity.Target.Memory
+	peak := float64(x.load.Changes) / capacity.Day * 2 / (1 + capacity.Night) // changes per second at noon
+	role, bytes, core, memory := roleDispatcher, capacity.Target.Bytes, capacity.Target.Core, capacity.Target.Memory
 	whens := []capacity.When{capacity.Mean, capacity.Second, capacity.Minute}
 	if x.set != lease.DefaultSettings {
 		whens = whens[:1]
 	}
 	for _, w := range whens {
-		said := map[capacity.When]string{capacity.Mean: ", mean of the peak", capacity.Second: ", the worst second", capacity.Minute: ", the minute after a zone went"}[w]
-		one := func(k capacity.Kind, what string, v float64) {
-			r := add(capacity.AtMost(capacity.Bytes, x.load.Percent, what+said+at, bytes, v, "B/s", capacity.VirtualTime))
+		period := map[capacity.When]string{capacity.Mean: ", mean of the peak", capacity.Second: ", the worst second", capacity.Minute: ", the minute after a zone went"}[w]
+		addBytes := func(k capacity.Kind, what string, v float64) {
+			r := add(capacity.AtMost(capacity.Bytes, x.load.Percent, what+period+suffix, bytes, v, "B/s", capacity.VirtualTime))
 			r.Kind, r.When, r.Shown = kind(k), w, w == capacity.Second
 		}
-		leases, seats := f.leases(d), f.seats(d)
+		leases, seats := f.leases(role), f.seats(role)
 		if w == capacity.Minute {
 			leases, seats = f.minute[0], f.minute[1]
 		}
-		one(capacity.Agreement, "leases and pings, sent and received", leases)
-		one(capacity.Seats, "which shards to give away, asked once a second, sent and received", seats)
-		v := peak * f.extra[1][d]
+		addBytes(capacity.Agreement, "leases and pings, sent and received", leases)
+		addBytes(capacity.Seats, "which shards to give away, asked once a second, sent and received", seats)
+		v := peak * f.extra[1][role]
 		if w == capacity.Second {
 			v = f.worst
 		}
-		one(capacity.Versions, "versions, all exclusive, sent and received", v)
+		addBytes(capacity.Versions, "versions, all exclusive, sent and received", v)
 	}
 	if x.set != lease.DefaultSettings {
 		return
 	}
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+at, core, f.busy[d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+at, core, peak*f.cost[1][d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
-	add(capacity.AtMost(capacity.Memory, x.load.Percent, "rules, the last 64 versions of them, heap"+at, memory,
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+suffix, core, f.busy[role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+suffix, core, peak*f.cost[1][role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
+	add(capacity.AtMost(capacity.Memory, x.load.Percent, "rules, the last 64 versions of them, heap"+suffix, memory,
 		(f.heap+lease.MaxHistoryLength*tableHeap(x.load.Teams))/1e6, "MB", capacity.VirtualTime)).Kind = kind(capacity.Versions)
-	for _, r := range []string{roleLeader, roleVoter} { // not dispatchers: shown
-		row := add(capacity.AtMost(capacity.Bytes, x.load.Percent, r+", leases and versions, sent and received, mean of the peak"+at, bytes,
+	for _, r := range []string{roleLeader, roleVoter} { // not dispatchers, so only shown
+		row := add(capacity.AtMost(capacity.Bytes, x.load.Percent, r+", leases and versions, sent and received, mean of the peak"+suffix, bytes,
 			total(f.sent[r])+total(f.got[r])+peak*f.extra[1][r], "B/s", capacity.VirtualTime))
 		row.Shown = true
-		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+at, core, (f.busy[r]+peak*f.cost[1][r])/10, "%", capacity.VirtualTime))
+		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+suffix, core, (f.busy[r]+peak*f.cost[1][r])/10, "%", capacity.VirtualTime))
 		row.Shown = true
 	}
 }
 
-// losses plays what goes, at a small table: each region, and links between regions.
-func (s *versionsStudy) losses(apart int, seeds []uint64) {
-	set := versionsRegions[apart]
-	b := set.Bounds()
-	// An election takes up to 2 s, each step waits for what was granted before; then news of the last.
-	most := 2 + b.AdvanceAfterElectionSeconds + b.AdvanceSeconds + b.PropagationSeconds + 4*set.NetworkDelaySeconds
-	var worst, link, lapse, linked float64
-	whole := true
-	play := func(seed uint64, strike func(x *versionsRun)) (l versionsLoss) {
-		x := s.run(seed, 10, versionsSize, float64(apart)/1000, set)
-		l, ok := x.lose(func() { strike(x) })
-		whole = whole && ok
-		return l
-	}
-	regions, links := []int{-1, 5}, [][2]int{{-1, 1}} // -1: the leader's
+// losses runs failures with a small rules table: the loss of each region, and of links between regions.
+func (s *versionsStudy) losses(delayMS int, seeds []uint64) {
+	set := versionsRegions[delayMS]
+	bounds := set.Bounds()
+	// An election takes up to 2 s, each step waits until what was granted before has expired, and then the last
+	// step's result must reach all instances.
+	maxDelay := 2 + bounds.AdvanceAfterElectionSeconds + bounds.AdvanceSeconds + bounds.PropagationSeconds + 4*set.NetworkDelaySeconds
+	var worst, link, regionLapse, linkLapse float64
+	allLeased := true
+	play := func(seed uint64, fail func(x *versionsRun)) (loss versionsLoss) {
+		x := s.run(seed, 10, versionsSize, float64(delayMS)/1000, set)
+		loss, ok := x.lose(func() { fail(x) })
+		allLeased = allLeased && ok
+		return loss
+	}
+	regions, links := []int{-1, 5}, [][2]int{{-1, 1}} // -1: the region of the leader
 	if !s.Quick {
 		regions, links = []int{-1, 0, 1, 2, 3, 4, 5}, [][2]int{{-1, 0}, {-1, 1}, {-1, 2}, {-1, 3}, {-1, 4}, {-1, 5}, {0, 5}, {1, 2}, {3, 4}}
 	}
 	if s.close {
 		regions = []int{-1}
 	}
-	of := func(x *versionsRun, r int) int {
+	region := func(x *versionsRun, r int) int {
 		if r < 0 {
 			return x.at[x.leader()]
 		}
@@ -211,38 +213,38 @@
 	}
 	for _, seed := range seeds {
 		for _, r := range regions {
-			l := play(seed, func(x *versionsRun) { x.region(of(x, r)) })
-			worst, lapse = max(worst, l.took), max(lapse, l.lapse)
+			loss := play(seed, func(x *versionsRun) { x.region(region(x, r)) })
+			worst, regionLapse = max(worst, loss.took), max(regionLapse, loss.lapse)
 		}
 		for _, pair := range links {
-			l := play(seed, func(x *versionsRun) {
-				p, q := of(x, pair[0]), of(x, pair[1])
+			loss := play(seed, func(x *versionsRun) {
+				p, q := region(x, pair[0]), region(x, pair[1])
 				if p == q {
 					q = (p + 1) % versionsVoters
 				}
 				x.a.SetPartition(func(i, k int) bool { return x.at[i] == p && x.at[k] == q || x.at[i] == q && x.at[k] == p })
 			})
-			link, linked = max(link, l.took), max(linked, l.lapse)
+			link, linkLapse = max(link, loss.took), max(linkLapse, loss.lapse)
 		}
 	}
-	way := fmt.Sprintf(", %d ms between regions", apart)
-	s.result.AtMost("an exclusive version that is asked for as a region goes"+way, most, worst, "s")
-	s.result.AtLeast("all that live have leases after each region's loss and each link's stop"+way, 1, map[bool]float64{true: 1}[whole], "(1: yes)")
-	if apart == 20 {
-		s.result.AtMost("nobody that lives is without a lease for longer than one lasts, a region gone"+way, set.LeaseSeconds, lapse, "s")
-		s.result.AtMost("without a lease, a link between two regions stopped"+way, 0, linked, "s")
+	suffix := fmt.Sprintf(", %d ms between regions", delayMS)
+	s.result.AtMost("an exclusive version that is asked for as a region goes"+suffix, maxDelay, worst, "s")
+	s.result.AtLeast("all that live have leases after each region's loss and each link's stop"+suffix, 1, map[bool]float64{true: 1}[allLeased], "(1: yes)")
+	if delayMS == 20 {
+		s.result.AtMost("nobody that lives is without a lease for longer than one lasts, a region gone"+suffix, set.LeaseSeconds, regionLapse, "s")
+		s.result.AtMost("without a lease, a link between two regions stopped"+suffix, 0, linkLapse, "s")
 	}
-	s.result.Note("an exclusive version that is asked for as a link stops"+way, link, "s")
-	s.result.Note("without a lease, at most, a region gone"+way, lapse, "s")
-	s.result.Note("without a lease, at most, a link stopped"+way, linked, "s")
+	s.result.Note("an exclusive version that is asked for as a link stops"+suffix, link, "s")
+	s.result.Note("without a lease, at most, a region gone"+suffix, regionLapse, "s")
+	s.result.Note("without a lease, at most, a link stopped"+suffix, linkLapse, "s")
 	row := func(line, what string, bound, v float64, shown bool) {
-		r := capacity.AtMost(line, 100, what+way+" at 44 dispatchers", bound, v, "s", capacity.VirtualTime)
+		r := capacity.AtMost(line, 100, what+suffix+" at 44 dispatchers", bound, v, "s", capacity.VirtualTime)
 		r.Shown, r.Setting = shown, settingName(set)
 		s.result.AddRows(r)
 	}
 	row(capacity.ZoneLoss, "an exclusive change that is asked for as a whole region goes", capacity.Target.InForce, worst, true)
-	row(capacity.Links, "an exclusive change that is asked for as two regions lose each other", capacity.Target.InForce, link, apart != 20)
-	row(capacity.Links, "an instance is without a lease while two regions have lost each other", 0, linked, apart != 20)
+	row(capacity.Links, "an exclusive change that is asked for as two regions lose each other", capacity.Target.InForce, link, delayMS != 20)
+	row(capacity.Links, "an instance is without a lease while two regions have lost each other", 0, linkLapse, delayMS != 20)
 }
 
 func runCapacityVersions(p CapacityParams) (*CapacityResult, error) {
@@ -258,13 +260,13 @@
 				x := s.run(seed, percent, versionsSize, versionsRegionDelay, lease.DefaultSettings)
 				s.addRows(x, s.play(x))
 				if p.Quick || seed != p.Seed {
-					continue // it differs by little from seed to seed
+					continue // results differ little between seeds
 				}
 				x = s.run(seed, percent, versionsSize, versionsRegionDelay, versionsFast)
 				s.addRows(x, s.play(x))
 			}
 		}
-		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // what check takes for long links gives leases
+		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // settings that are valid for long links must give leases
 		x.many = 0
 		s.play(x)
 		if !p.Quick {
@@ -289,10 +291,12 @@
 	return s.result, nil
 }
 
-// revokePollSeconds is how often an instance asks which shards it is to give away, in seconds: service's own figure.
+// revokePollSeconds is the interval in seconds at which an instance asks which shards to give away, as in package
+// service.
 const revokePollSeconds = 1.0
 
-// measureGrowth lays lines through what costs grow with.
+// measureGrowth fits lines through costs by number of dispatchers, size of the table, delay between regions and
+// number of concurrent changes.
 func (s *versionsStudy) measureGrowth(seeds []uint64) error {
 	type point struct {
 		x float64
@@ -317,20 +321,20 @@
 		{"an exclusive change, the leader, processor without sockets", "ms", capacity.Versions, func(f *versionsFound) float64 { return f.cost[1][roleLeader] }},
 	}
 	slopes := func(by string, points []point) error {
-		for _, l := range lines {
+		for _, series := range lines {
 			var list []capacity.Point
 			for _, p := range points {
 				if len(p.f.many[1]) > 0 {
-					list = append(list, capacity.Point{X: p.x, Y: l.of(p.f)})
+					list = append(list, capacity.Point{X: p.x, Y: series.of(p.f)})
 				}
 			}
-			if err := s.result.AddSlope(l.what, by, l.unit, capacity.VirtualTime, l.kind, list); err != nil {
+			if err := s.result.AddSlope(series.what, by, series.unit, capacity.VirtualTime, series.kind, list); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	var sizes, tables, ways, rest []point
+	var sizes, tables, delays, batches []point
 	for k, seed := range seeds {
 		for _, n := range []int{2, 17, 44, 100, 300} {
 			if n == 300 && k > 0 {
@@ -343,7 +347,7 @@
 				s.addRows(x, f)
 			}
 			if n == 44 {
-				tables, ways = append(tables, point{float64(capacity.Target.Teams), f}), append(ways, point{1000 * versionsRegionDelay, f})
+				tables, delays = append(tables, point{float64(capacity.Target.Teams), f}), append(delays, point{1000 * versionsRegionDelay, f})
 			}
 		}
 		for _, n := range []int{41, 100, 205, 820} {
@@ -358,16 +362,16 @@
 			}
 			x := s.run(seed, 100, versionsSize, float64(ms)/1000, set)
 			f := s.play(x)
-			ways = append(ways, point{float64(ms), f})
+			delays = append(delays, point{float64(ms), f})
 			s.addRows(x, f)
 		}
 		for _, n := range []int{1, 2, 3, 5, 10} {
 			x := s.run(seed, 100, versionsSize, versionsRegionDelay, lease.DefaultSettings)
 			x.teams, x.many = 41, n
-			rest = append(rest, point{float64(n), s.play(x)})
+			batches = append(batches, point{float64(n), s.play(x)})
 		}
 	}
-	slices.SortFunc(ways, func(a, b point) int { return int(a.x - b.x) })
+	slices.SortFunc(delays, func(a, b point) int { return int(a.x - b.x) })
 	if err := slopes(capacity.ByDispatchers, sizes); err != nil {
 		return err
 	}
@@ -375,18 +379,18 @@
 		return err
 	}
 	lines = lines[:3]
-	if err := slopes("ms one way between regions", ways); err != nil {
+	if err := slopes("ms one way between regions", delays); err != nil {
 		return err
 	}
 	lines = lines[2:]
 	lines[0].what = "exclusive changes at once, the last in force everywhere"
-	if err := slopes("changes at once", rest); err != nil {
+	if err := slopes("changes at once", batches); err != nil {
 		return err
 	}
 	var plot report.Plot
 	plot.Title, plot.XLabel, plot.YLabel = "Exclusive changes asked for at once: the last is in force everywhere", "changes", "s"
 	line := report.Line{Name: "virtual time, 49 instances"}
-	for _, p := range rest {
+	for _, p := range batches {
 		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.many[1]))
 	}
 	plot.Lines = append(plot.Lines, line)
@@ -402,56 +406,56 @@
 	return sum / math.Max(1, float64(len(list)))
 }
 
-// compareSockets plays the same cluster on sockets and in virtual time, and holds them against each other.
+// compareSockets runs the same cluster on sockets and in virtual time, and claims that their figures are close.
 func (s *versionsStudy) compareSockets() error {
 	load, set := s.Load(100), lease.DefaultSettings
-	at := regionOf(load, versionsSocketSize)
-	way := time.Duration(versionsRegionDelay * float64(time.Second))
-	c, err := startMembers(s.Params, versionsSocketSize, versionsVoters, set, func(i, k int) time.Duration {
-		if at[i] == at[k] {
+	regions := regionOf(load, versionsSocketSize)
+	regionDelay := time.Duration(versionsRegionDelay * float64(time.Second))
+	members, err := startMembers(s.Params, versionsSocketSize, versionsVoters, set, func(i, k int) time.Duration {
+		if regions[i] == regions[k] {
 			return 0
 		}
-		return way
+		return regionDelay
 	})
 	if err != nil {
 		return err
 	}
-	defer c.close()
-	c.all[0].Propose(teamsTable(load.Teams))
-	if !c.reached(1, 30*time.Second) {
+	defer members.close()
+	members.all[0].Propose(teamsTable(load.Teams))
+	if !members.reached(1, 30*time.Second) {
 		return fmt.Errorf("no first version on sockets in 30 s")
 	}
 	time.Sleep(5 * time.Second)
-	sum := func() (bytes float64) { // an instance's, sent and received
+	meanBytes := func() (bytes float64) { // sent and received, mean of an instance
 		for i := range versionsSocketSize {
-			for _, t := range c.relay.Traffic()[i] {
+			for _, t := range members.relay.Traffic()[i] {
 				bytes += (t.Sent.Bytes + t.Received.Bytes) / versionsSocketSize
 			}
 		}
 		return bytes
 	}
 	const span, plays = 10.0, 6
-	was, busy := sum(), processTime()
+	startBytes, startCPU := meanBytes(), processTime()
 	time.Sleep(time.Duration(span * float64(time.Second)))
-	rest, used := (sum()-was)/span, (processTime()-busy)/span/versionsSocketSize
-	var took [2][]float64
-	var extra float64
+	restBytes, cpu := (meanBytes()-startBytes)/span, (processTime()-startCPU)/span/versionsSocketSize
+	var delays [2][]float64
+	var changeBytes float64
 	for n := range 2 * plays {
-		from, b := time.Now(), sum()
-		c.all[(5*n)%versionsSocketSize].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
-		if !c.reached(uint64(n+2), 20*time.Second) {
+		from, b := time.Now(), meanBytes()
+		members.all[(5*n)%versionsSocketSize].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
+		if !members.reached(uint64(n+2), 20*time.Second) {
 			return fmt.Errorf("version %d is not in force on sockets after 20 s", n+2)
 		}
-		took[n%2] = append(took[n%2], time.Since(from).Seconds())
+		delays[n%2] = append(delays[n%2], time.Since(from).Seconds())
 		time.Sleep(2 * time.Second)
 		if n%2 == 1 {
-			extra += (sum() - b - rest*time.Since(from).Seconds()) / plays
+			changeBytes += (meanBytes() - b - restBytes*time.Since(from).Seconds()) / plays
 		}
 	}
 	x := s.run(s.Seed, 100, versionsSocketSize, versionsRegionDelay, set)
 	x.plays, x.seats = plays, 0
 	f := s.play(x)
-	sent, bytes := 0.0, 0.0
+	virtualRest, virtualChange := 0.0, 0.0
 	for i := range versionsSocketSize {
 		r := roleDispatcher
 		switch {
@@ -460,70 +464,70 @@
 		case i < versionsVoters:
 			r = roleVoter
 		}
-		sent += (total(f.sent[r]) + total(f.got[r])) / versionsSocketSize
-		bytes += f.extra[1][r] / versionsSocketSize
+		virtualRest += (total(f.sent[r]) + total(f.got[r])) / versionsSocketSize
+		virtualChange += f.extra[1][r] / versionsSocketSize
 	}
-	apart := func(name string, virtual, real float64) {
+	compare := func(name string, virtual, real float64) {
 		s.result.AtMost(fmt.Sprintf("%s, %d instances, virtual time against sockets, apart by", name, versionsSocketSize), versionsTolerance, math.Abs(virtual/real-1), "part")
 		s.result.Note(name+" on sockets", real, "")
 		s.result.Note(name+" in virtual time", virtual, "")
 	}
-	apart("bytes at rest", sent, rest)
-	apart("bytes for an exclusive change", bytes, extra)
-	apart("an exclusive change alone, mean", mean(f.alone[1]), mean(took[1]))
-	apart("a loose change alone, mean", mean(f.alone[0]), mean(took[0]))
-	s.result.Note("processor at rest on sockets, with the relay's, an instance", 1000*used, "ms/s")
-	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsSocketSize), capacity.Target.Core, 100*used, "%", capacity.OnSockets)
+	compare("bytes at rest", virtualRest, restBytes)
+	compare("bytes for an exclusive change", virtualChange, changeBytes)
+	compare("an exclusive change alone, mean", mean(f.alone[1]), mean(delays[1]))
+	compare("a loose change alone, mean", mean(f.alone[0]), mean(delays[0]))
+	s.result.Note("processor at rest on sockets, with the relay's, an instance", 1000*cpu, "ms/s")
+	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsSocketSize), capacity.Target.Core, 100*cpu, "%", capacity.OnSockets)
 	r.Shown = true
 	s.result.AddRows(r)
 	return nil
 }
 
-// measureShardMoves plays seats of shards that go and come back, as twelve machines set aside have them, by the drill: the
-// package's own code, with delays, rates and the steps of the agreement as a model.
+// measureShardMoves simulates the loss and return of shard owners, usually twelve on machines of their own. It uses
+// package drill, which runs the shard code with modelled delays, rates and agreement steps.
 func (s *versionsStudy) measureShardMoves() error {
-	m := drill.DefaultModel
-	m.Delay, m.Lease = versionsRegionDelay, lease.DefaultSettings.LeaseSeconds
-	m.AgreementStep = lease.DefaultSettings.Bounds().AdvanceSeconds / 1.5 // measured: an exclusive change takes three of these
+	model := drill.DefaultModel
+	model.Delay, model.Lease = versionsRegionDelay, lease.DefaultSettings.LeaseSeconds
+	model.AgreementStep = lease.DefaultSettings.Bounds().AdvanceSeconds / 1.5 // measured: an exclusive change takes three of these steps
 	type size struct{ seats, shards, entries int }
-	usual := size{12, 128, 2000}
-	play := func(z size) (lost, back drill.Result, err error) {
-		if lost, err = m.Simulate(z.seats, z.shards, z.entries, 1); err == nil {
-			back, err = m.Grow(z.seats-1, z.seats, z.shards, z.entries)
+	usualSize := size{12, 128, 2000}
+	play := func(shape size) (lost, regained drill.Result, err error) {
+		if lost, err = model.Simulate(shape.seats, shape.shards, shape.entries, 1); err == nil {
+			regained, err = model.Grow(shape.seats-1, shape.seats, shape.shards, shape.entries)
 		}
-		return lost, back, err
+		return lost, regained, err
 	}
-	lost, back, err := play(usual)
+	lost, regained, err := play(usualSize)
 	if err != nil {
 		return err
 	}
-	// Machines go alike: so many of a day's are seats.
+	// All machines fail at the same rate, so the expected number of lost owners follows from their number.
 	load := s.Load(100)
 	const dispatchers, aside = 44, 17
-	gone := 0
+	lostSeats := 0
 	for _, e := range load.Gone(dispatchers + aside) {
 		if e.Machine >= load.Figures.Workers+dispatchers+versionsVoters {
-			gone++
+			lostSeats++
 		}
 	}
 	all := float64(load.Figures.Workers + dispatchers + aside)
 	s.result.Note("voters that go on an ordinary day, expected", (load.Failures+load.Restarts)*versionsVoters/all, "machines")
 	s.result.Note("leaders that go on an ordinary day, expected", (load.Failures+load.Restarts)/all, "machines")
-	s.result.Note("seats that go on the day that was drawn", float64(gone), "machines")
-	expected := (load.Failures + load.Restarts) * float64(usual.seats) / all
+	s.result.Note("seats that go on the day that was drawn", float64(lostSeats), "machines")
+	expected := (load.Failures + load.Restarts) * float64(usualSize.seats) / all
 	s.result.Note("seats that go on an ordinary day, expected", expected, "machines")
 	s.result.Note("shards seated anew for one, without a copy", float64(lost.Assignments), "shards")
 	s.result.Note("shards nobody's for, one seat gone", lost.OwnedAfter, "s")
-	s.result.Note("shards moved as it comes back, with a copy", float64(back.Transfers), "shards")
-	s.result.Note("a shard sealed as it moves, the longest", back.SealedFor[2], "s")
-	s.result.Note("written by an instance for both", lost.MeanBytes+back.MeanBytes, "B")
-	s.result.Note("shards nobody's, shard-seconds of a day, expected", expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(back.Transfers)*back.SealedFor[0]), "shard-seconds")
+	s.result.Note("shards moved as it comes back, with a copy", float64(regained.Transfers), "shards")
+	s.result.Note("a shard sealed as it moves, the longest", regained.SealedFor[2], "s")
+	s.result.Note("written by an instance for both", lost.MeanBytes+regained.MeanBytes, "B")
+	s.result.Note("shards nobody's, shard-seconds of a day, expected", expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(regained.Transfers)*regained.SealedFor[0]), "shard-seconds")
 	row := capacity.AtMost(capacity.Restarts, 100, "part of the shard-time of a day in which a shard is nobody's or sealed", 0.001,
-		expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(back.Transfers)*back.SealedFor[0])/capacity.Day/float64(usual.shards), "part", capacity.VirtualTime)
-	row.Shown = true // the target names no bound
+		expected*(float64(lost.Assignments)*lost.OwnedAfter+float64(regained.Transfers)*regained.SealedFor[0])/capacity.Day/float64(usualSize.shards), "part", capacity.VirtualTime)
+	row.Shown = true // the target names no bound, so the row is only shown
 	s.result.AddRows(row)
-	s.result.AtMost("jobs of living holders that no seat knows after it", 0, float64(lost.LostJobs+back.LostJobs), "jobs")
-	s.result.AtMost("shards that change seats beyond the fewest", 0, float64(lost.Assignments+lost.Transfers-lost.MinimumChanges+back.Transfers-back.MinimumChanges), "shards")
+	s.result.AtMost("jobs of living holders that no seat knows after it", 0, float64(lost.LostJobs+regained.LostJobs), "jobs")
+	s.result.AtMost("shards that change seats beyond the fewest", 0, float64(lost.Assignments+lost.Transfers-lost.MinimumChanges+regained.Transfers-regained.MinimumChanges), "shards")
 	if s.Quick {
 		return nil
 	}
@@ -532,26 +536,26 @@
 		sizes []size
 		x     func(size) float64
 	}{
-		{"jobs queued", []size{{12, 128, 500}, {12, 128, 2000}, {12, 128, 8000}, {12, 128, 32000}}, func(z size) float64 { return float64(z.entries) }},
-		{"seats, ten shards each", []size{{6, 60, 2000}, {12, 120, 2000}, {24, 240, 2000}, {48, 480, 2000}}, func(z size) float64 { return float64(z.seats) }},
+		{"jobs queued", []size{{12, 128, 500}, {12, 128, 2000}, {12, 128, 8000}, {12, 128, 32000}}, func(shape size) float64 { return float64(shape.entries) }},
+		{"seats, ten shards each", []size{{6, 60, 2000}, {12, 120, 2000}, {24, 240, 2000}, {48, 480, 2000}}, func(shape size) float64 { return float64(shape.seats) }},
 	}
-	for _, a := range axes {
+	for _, axis := range axes {
 		lines := map[string][]capacity.Point{}
-		for _, z := range a.sizes {
-			lost, back, err := play(z)
+		for _, shape := range axis.sizes {
+			lost, regained, err := play(shape)
 			if err != nil {
 				return err
 			}
-			for what, y := range map[string]float64{
+			for what, value := range map[string]float64{
 				"a seat gone: shards seated anew": float64(lost.Assignments), "a seat gone: jobs told": float64(lost.Records),
 				"a seat gone: written by an instance, B": lost.MeanBytes, "a seat gone: until its shards are seated, s": lost.OwnedAfter, "a seat gone: until all is known, s": lost.KnownAfter,
-				"a seat back: shards moved": float64(back.Transfers), "a seat back: written by an instance, B": back.MeanBytes, "a seat back: until all are moved, s": back.OwnedAfter,
+				"a seat back: shards moved": float64(regained.Transfers), "a seat back: written by an instance, B": regained.MeanBytes, "a seat back: until all are moved, s": regained.OwnedAfter,
 			} {
-				lines[what] = append(lines[what], capacity.Point{X: a.x(z), Y: y})
+				lines[what] = append(lines[what], capacity.Point{X: axis.x(shape), Y: value})
 			}
 		}
 		for _, what := range sortedNames(lines) {
-			if err := s.result.AddSlope(what, a.by, "", capacity.VirtualTime, capacity.Seats, lines[what]); err != nil {
+			if err := s.result.AddSlope(what, axis.by, "", capacity.VirtualTime, capacity.Seats, lines[what]); err != nil {
 				return err
 			}
 		}
@@ -567,7 +571,7 @@
 	return list
 }
 
-// processTime is the processor time of this process, in seconds.
+// processTime returns the CPU time of this process, in seconds.
 func processTime() float64 {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &t) != nil {
--- a/internal/lab/experiments/capacityversions_test.go
+++ b/internal/lab/experiments/capacityversions_test.go
@@ -11,8 +11,9 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// What is played for each length of links is what the operator's file for six regions names, and check takes it.
-func TestVersionsPlayTheFile(t *testing.T) {
+// The lease settings for each delay between regions are those in the operator's file for six regions, and they are
+// valid.
+func TestLeaseSettingsMatchTheFile(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/regions.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -22,12 +23,12 @@
 		t.Fatal(err)
 	}
 	if s, err := f.LeaseSettings(); err != nil || s != versionsRegions[80] {
-		t.Errorf("the file has %+v, %v", s, err)
+		t.Errorf("got %+v from the file, error %v", s, err)
 	}
 	for ms, line := range map[int]string{20: `lease = "3s"   period = "500ms" delay = "40ms"`, 150: `lease = "3.6s" period = "500ms" delay = "170ms"`} {
 		s := versionsRegions[ms]
 		if err := s.Validate(); err != nil || !strings.Contains(string(raw), line) {
-			t.Errorf("%d ms: %+v, %v", ms, s, err)
+			t.Errorf("%d ms: settings %+v are invalid or not in the file: %v", ms, s, err)
 		}
 	}
 	if err := versionsFast.Validate(); err != nil {
@@ -35,48 +36,48 @@
 	}
 }
 
-// Five voters stand in five regions, dispatchers in all six.
-func TestVersionsStandApart(t *testing.T) {
+// Five voters are in five regions, dispatchers in all six.
+func TestVotersInDifferentRegions(t *testing.T) {
 	at := regionOf(capacity.NewLoad(100, 1), versionsSize)
 	if !slices.Equal(at[:versionsVoters], []int{0, 1, 2, 3, 4}) {
-		t.Errorf("voters stand in %v", at[:versionsVoters])
+		t.Errorf("got voters in regions %v, want one in each of the first five", at[:versionsVoters])
 	}
 	for r := range capacity.Target.Regions {
 		if !slices.Contains(at[versionsVoters:], r) {
-			t.Errorf("no dispatcher stands in region %d", r)
+			t.Errorf("no dispatcher is in region %d", r)
 		}
 	}
 }
 
 func TestVersionsInTime(t *testing.T) {
 	if got := fractionInTime([]float64{2, 3}, []float64{2, 5, 8, 9}); got < 0.92 || got > 0.93 { // 0.9 + 0.1/4
-		t.Errorf("%v in time", got)
+		t.Errorf("got fraction %v in time, want 0.925", got)
 	}
 	if got := fractionInTime([]float64{2, 5}, []float64{5}); got != 0.45 {
-		t.Errorf("%v in time", got)
+		t.Errorf("got fraction %v in time, want 0.45", got)
 	}
 	if loose, exclusive := statedBound(lease.DefaultSettings, false), statedBound(lease.DefaultSettings, true); loose != 1.4 || exclusive < 4.19 || exclusive > 4.21 {
-		t.Errorf("stated %v and %v", loose, exclusive)
+		t.Errorf("got bounds %v and %v s, want 1.4 and 4.2 s", loose, exclusive)
 	}
 }
 
-// A region's loss and a link's stop leave all that live with leases; with all voters in one region the claims
-// of its loss break.
-func TestVersionsNeedVotersApart(t *testing.T) {
+// After the loss of a region or of a link between regions all live instances get leases again; with all voters in one
+// region the claims about that region's loss break.
+func TestVersionsNeedVotersInDifferentRegions(t *testing.T) {
 	for _, close := range []bool{false, true} {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}}, result: &CapacityResult{}, close: close}
 		s.losses(20, []uint64{3})
 		s.result.judge("versions", 3)
 		if s.result.Held == close {
-			t.Errorf("voters in one region %v: claims held %v: %+v", close, s.result.Held, s.result.Claims)
+			t.Errorf("all voters in one region: %v, but claims held: %v: %+v", close, s.result.Held, s.result.Claims)
 		}
 		if !close && len(s.result.Claims) != 4 {
-			t.Errorf("%d claims", len(s.result.Claims))
+			t.Errorf("got %d claims, want 4", len(s.result.Claims))
 		}
 	}
 }
 
-// The same seed gives the same figures, but for processor time and memory.
+// The same seed gives the same figures, except for CPU time and memory.
 func TestVersionsAreSeeded(t *testing.T) {
 	play := func() *versionsFound {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 5, Quick: true, Log: t.Logf}}, result: &CapacityResult{}}
@@ -84,6 +85,6 @@
 	}
 	one, two := play(), play()
 	if len(one.many[1]) != capacity.AtOnce || !slices.Equal(one.alone[1], two.alone[1]) || !slices.Equal(one.many[1], two.many[1]) || one.extra[1][roleDispatcher] != two.extra[1][roleDispatcher] {
-		t.Errorf("%+v\n%+v", one, two)
+		t.Errorf("the same seed gave different results:\n%+v\n%+v", one, two)
 	}
 }
--- a/internal/lab/experiments/hollow.go
+++ b/internal/lab/experiments/hollow.go
@@ -19,10 +19,11 @@
 	"example.org/bellstream/internal/logging"
 )
 
-// HollowCommand is the word by which the laboratory's own program is started as a host of hollow instances.
+// HollowCommand is the command-line argument that starts the laboratory's program as a host of hollow instances.
 const HollowCommand = "hollow"
 
-// ServeHollow is that program: what it is told comes by the standard input, and its log goes to the standard error.
+// ServeHollow runs a host of hollow instances: it reads commands from standard input, writes responses to standard
+// output and logs to standard error.
 func ServeHollow() error {
 	log, err := logging.New(os.Stderr, "warn", "")
 	if err != nil {
@@ -31,9 +32,9 @@
 	return hollow.Serve(os.Stdin, os.Stdout, log)
 }
 
-// HollowHost is a process of hollow instances.
+// HollowHost is a process that runs hollow instances.
 type HollowHost struct {
-	Nodes []*Instance // in its own order
+	Nodes []*Instance // in the order of the process
 	Name  string
 
 	mu      sync.Mutex
@@ -41,16 +42,16 @@
 	in      io.WriteCloser
 	pipe    io.ReadCloser
 	out     *json.Decoder
-	timeout time.Duration // that an answer is waited for
+	timeout time.Duration // longest wait for a response
 	dead    bool
 }
 
 // startHollow starts a process of hollow instances and waits until all of them run.
 func startHollow(p Params, name string, seed uint64, nodes []*Instance) (*HollowHost, error) {
-	h := &HollowHost{Name: name, Nodes: nodes, timeout: hollowTimeout}
+	host := &HollowHost{Name: name, Nodes: nodes, timeout: hollowTimeout}
 	spec := hollow.Spec{Seed: seed, Over: 1}
-	for _, x := range nodes {
-		spec.Instances = append(spec.Instances, hollow.Files{Config: x.Config, File: x.File})
+	for _, node := range nodes {
+		spec.Instances = append(spec.Instances, hollow.Files{Config: node.Config, File: node.File})
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -61,25 +62,25 @@
 		return nil, err
 	}
 	defer log.Close()
-	h.cmd = exec.Command(self, HollowCommand)
-	h.cmd.Stderr = log
-	// It must not outlive the laboratory, however that ends.
-	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if h.in, err = h.cmd.StdinPipe(); err != nil {
+	host.cmd = exec.Command(self, HollowCommand)
+	host.cmd.Stderr = log
+	// The process must not outlive the laboratory, however the laboratory ends.
+	host.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if host.in, err = host.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	if h.pipe, err = h.cmd.StdoutPipe(); err != nil {
+	if host.pipe, err = host.cmd.StdoutPipe(); err != nil {
 		return nil, err
 	}
-	h.out = json.NewDecoder(h.pipe)
-	if err := h.cmd.Start(); err != nil {
+	host.out = json.NewDecoder(host.pipe)
+	if err := host.cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := h.sendSpec(spec); err != nil {
-		h.Kill()
+	if err := host.sendSpec(spec); err != nil {
+		host.Kill()
 		return nil, fmt.Errorf("%s: %w: see %s", name, err, log.Name())
 	}
-	return h, nil
+	return host, nil
 }
 
 func (h *HollowHost) sendSpec(spec hollow.Spec) error {
@@ -90,36 +91,37 @@
 	return err
 }
 
-// hollowTimeout is how long a process of hollow instances may take to answer. A start of 22 takes some 2 s, a report
-// milliseconds; one that hangs must not hold up an experiment for ever.
+// hollowTimeout is how long a process of hollow instances may take to respond. A start of 22 instances takes some 2
+// s, a report milliseconds; a process that hangs must not block an experiment forever.
 const hollowTimeout = 60 * time.Second
 
-func (h *HollowHost) readResponse() (a hollow.Response, err error) {
-	if p, ok := h.pipe.(interface{ SetReadDeadline(time.Time) error }); ok {
-		p.SetReadDeadline(time.Now().Add(h.timeout))
+func (h *HollowHost) readResponse() (response hollow.Response, err error) {
+	if deadliner, ok := h.pipe.(interface{ SetReadDeadline(time.Time) error }); ok {
+		deadliner.SetReadDeadline(time.Now().Add(h.timeout))
 	}
-	if err = h.out.Decode(&a); errors.Is(err, os.ErrDeadlineExceeded) {
+	if err = h.out.Decode(&response); errors.Is(err, os.ErrDeadlineExceeded) {
 		err = fmt.Errorf("no answer within %v", h.timeout)
-	} else if err == nil && a.Error != "" {
-		err = fmt.Errorf("%s", a.Error)
+	} else if err == nil && response.Error != "" {
+		err = fmt.Errorf("%s", response.Error)
 	}
-	return a, err
+	return response, err
 }
 
-// Execute gives an order and waits until it is carried out.
-func (h *HollowHost) Execute(o hollow.Command) (a hollow.Response, err error) {
+// Execute sends a command and waits for the response. It returns an error if the process has been killed, does not
+// respond in time or reports an error.
+func (h *HollowHost) Execute(command hollow.Command) (response hollow.Response, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.dead {
-		return a, fmt.Errorf("%s lives no more", h.Name)
+		return response, fmt.Errorf("%s has been killed", h.Name)
 	}
-	if err = json.NewEncoder(h.in).Encode(o); err != nil {
-		return a, err
+	if err = json.NewEncoder(h.in).Encode(command); err != nil {
+		return response, err
 	}
 	return h.readResponse()
 }
 
-// Pid is the process's; 0: it lives no more.
+// Pid returns the process ID, or 0 after Kill.
 func (h *HollowHost) Pid() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -129,7 +131,7 @@
 	return h.cmd.Process.Pid
 }
 
-// Kill ends it at once.
+// Kill kills the process and waits until it has exited. Later calls do nothing.
 func (h *HollowHost) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,7 +144,7 @@
 	h.cmd.Wait()
 }
 
-// Pid is the process's; 0: it does not live.
+// Pid returns the ID of the instance's process, or 0 if it has none.
 func (x *Instance) Pid() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -152,14 +154,14 @@
 	return x.cmd.Process.Pid
 }
 
-// ProcessCPUSeconds is the processor time of a process's threads until now, in seconds. Those of threads that have ended
-// are missing; the runtime keeps its own.
+// ProcessCPUSeconds returns the CPU time that a process's threads have used until now, in seconds. Threads that have
+// exited are not counted; the Go runtime keeps its threads.
 func ProcessCPUSeconds(pid int) (seconds float64) {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
-	for _, t := range threads {
-		raw, err := os.ReadFile(t)
+	for _, thread := range threads {
+		raw, err := os.ReadFile(thread)
 		if err != nil {
-			continue // it has just ended
+			continue // the thread has just exited
 		}
 		ran, _, _ := strings.Cut(string(raw), " ")
 		ns, _ := strconv.ParseInt(ran, 10, 64)
@@ -168,40 +170,40 @@
 	return seconds
 }
 
-// Cost is what an instance of a group cost, on the average over a span.
+// Cost is the average cost of an instance of a group over a time span.
 type Cost struct {
-	By             map[TrafficKind]Traffic // a second
-	Sent, Received float64                 // bytes a second of all kinds
-	Worst          float64                 // bytes, sent and received, in the worst second of any of them
-	CPU            float64                 // ms a second; of a process that several share, in equal parts
-	Memory         float64                 // bytes resident, as CPU
-	Descriptors    float64                 // as CPU
-	Goroutines     float64                 // the same, of hollow ones
-	Heap           float64                 // bytes, the same
+	By             map[TrafficKind]Traffic // per second
+	Sent, Received float64                 // bytes per second of all kinds
+	Worst          float64                 // bytes sent and received in the worst second of any instance of the group
+	CPU            float64                 // ms per second; of a process that several instances share, in equal parts
+	Memory         float64                 // bytes resident, divided like CPU
+	Descriptors    float64                 // divided like CPU
+	Goroutines     float64                 // divided like CPU; hollow instances only
+	Heap           float64                 // bytes, divided like CPU; hollow instances only
 	Alive          int                     // instances at the end of the span
 }
 
-// Total is what it sent and received a second.
+// Total returns the bytes sent and received per second.
 func (c Cost) Total() float64 { return c.Sent + c.Received }
 
-// addTraffic adds an instance's part of what passed between two looks at the relay's meter.
-func (c *Cost) addTraffic(was, now map[TrafficKind]Traffic, part float64) {
+// addTraffic adds the traffic of one instance between two readings of the relay's meter, times a weight.
+func (c *Cost) addTraffic(before, after map[TrafficKind]Traffic, weight float64) {
 	if c.By == nil {
 		c.By = map[TrafficKind]Traffic{}
 	}
-	for k, t := range now {
-		b, s := was[k], c.By[k]
-		s.Sent.Bytes += (t.Sent.Bytes - b.Sent.Bytes) * part
-		s.Sent.Messages += (t.Sent.Messages - b.Sent.Messages) * part
-		s.Received.Bytes += (t.Received.Bytes - b.Received.Bytes) * part
-		s.Received.Messages += (t.Received.Messages - b.Received.Messages) * part
-		c.By[k] = s
-		c.Sent += (t.Sent.Bytes - b.Sent.Bytes) * part
-		c.Received += (t.Received.Bytes - b.Received.Bytes) * part
+	for k, t := range after {
+		start, total := before[k], c.By[k]
+		total.Sent.Bytes += (t.Sent.Bytes - start.Sent.Bytes) * weight
+		total.Sent.Messages += (t.Sent.Messages - start.Sent.Messages) * weight
+		total.Received.Bytes += (t.Received.Bytes - start.Received.Bytes) * weight
+		total.Received.Messages += (t.Received.Messages - start.Received.Messages) * weight
+		c.By[k] = total
+		c.Sent += (t.Sent.Bytes - start.Sent.Bytes) * weight
+		c.Received += (t.Received.Bytes - start.Received.Bytes) * weight
 	}
 }
 
-// totalBytes is that of all kinds, sent and received.
+// totalBytes returns the bytes of all kinds, sent and received.
 func totalBytes(by map[TrafficKind]Traffic) (bytes float64) {
 	for _, t := range by {
 		bytes += t.Sent.Bytes + t.Received.Bytes
@@ -209,19 +211,21 @@
 	return bytes
 }
 
-// hostProcess is that of an instance, and how many instances share it; 0: none.
-func (x *Instance) hostProcess() (pid, many int) {
+// hostProcess returns the ID of the process that runs the instance, and how many instances share that process. The ID
+// is 0 if there is no such process.
+func (x *Instance) hostProcess() (pid, sharing int) {
 	if x.host != nil {
 		return x.host.Pid(), len(x.host.Nodes)
 	}
 	return x.Pid(), 1
 }
 
-// Measure looks on for a span and says what an instance of each group cost. Bytes are the relay's; CPU, memory
-// and descriptors the system's, of the process. Instances that have no process at the end count for nothing, but in Worst.
-func (c *Processes) Measure(span time.Duration, groups ...[]*Instance) (list []Cost, err error) {
-	list = make([]Cost, len(groups))
-	work := func() (by []float64) {
+// Measure observes the cluster for a time span and returns the average cost of an instance of each group. Bytes are
+// measured by the relay; CPU, memory and descriptors by the operating system for each process. Instances that have no
+// process at the end count only in Worst.
+func (c *Processes) Measure(span time.Duration, groups ...[]*Instance) (costs []Cost, err error) {
+	costs = make([]Cost, len(groups))
+	cpuByGroup := func() (by []float64) {
 		for _, g := range groups {
 			s := 0.0
 			for _, x := range g {
@@ -233,115 +237,116 @@
 		}
 		return by
 	}
-	began, was, worked := time.Now(), c.Relay.Traffic(), work()
-	last := was
+	began, startTraffic, startCPU := time.Now(), c.Relay.Traffic(), cpuByGroup()
+	lastTraffic := startTraffic
 	for time.Since(began) < span {
 		time.Sleep(min(time.Second, span-time.Since(began)))
-		now := c.Relay.Traffic()
+		traffic := c.Relay.Traffic()
 		for k, g := range groups {
 			for _, x := range g {
-				list[k].Worst = max(list[k].Worst, totalBytes(now[x.Index])-totalBytes(last[x.Index]))
+				costs[k].Worst = max(costs[k].Worst, totalBytes(traffic[x.Index])-totalBytes(lastTraffic[x.Index]))
 			}
 		}
-		last = now
+		lastTraffic = traffic
 	}
-	took, until := time.Since(began).Seconds(), work()
+	elapsed, endCPU := time.Since(began).Seconds(), cpuByGroup()
 	usage := map[*HollowHost]hollow.Usage{}
 	for k, g := range groups {
-		o := &list[k]
+		cost := &costs[k]
 		for _, x := range g {
 			if pid, _ := x.hostProcess(); pid > 0 {
-				o.Alive++
+				cost.Alive++
 			}
 		}
-		part := 1 / float64(max(o.Alive, 1))
-		o.CPU = 1000 * (until[k] - worked[k]) / took * part
+		weight := 1 / float64(max(cost.Alive, 1))
+		cost.CPU = 1000 * (endCPU[k] - startCPU[k]) / elapsed * weight
 		for _, x := range g {
 			pid, many := x.hostProcess()
 			if pid == 0 {
 				continue
 			}
-			o.addTraffic(was[x.Index], last[x.Index], part/took)
-			mine := part / float64(many)
-			mem, fds := hollow.ProcessUsage(pid)
-			o.Memory, o.Descriptors = o.Memory+float64(mem)*mine, o.Descriptors+float64(fds)*mine
+			cost.addTraffic(startTraffic[x.Index], lastTraffic[x.Index], weight/elapsed)
+			share := weight / float64(many)
+			memory, fds := hollow.ProcessUsage(pid)
+			cost.Memory, cost.Descriptors = cost.Memory+float64(memory)*share, cost.Descriptors+float64(fds)*share
 			if x.host == nil {
 				continue
 			}
-			u, known := usage[x.host]
+			report, known := usage[x.host]
 			if !known {
-				a, err := x.host.Execute(hollow.Command{Report: true})
+				response, err := x.host.Execute(hollow.Command{Report: true})
 				if err != nil {
 					return nil, err
 				}
-				u = a.Usage
-				usage[x.host] = u
+				report = response.Usage
+				usage[x.host] = report
 			}
-			o.Goroutines, o.Heap = o.Goroutines+float64(u.Goroutines)*mine, o.Heap+float64(u.Heap)*mine
+			cost.Goroutines, cost.Heap = cost.Goroutines+float64(report.Goroutines)*share, cost.Heap+float64(report.Heap)*share
 		}
 	}
-	return list, nil
+	return costs, nil
 }
 
-// HollowStates are those of all hollow instances that live, by name.
+// HollowStates returns the states of all hollow instances whose process is alive, by name.
 func (c *Processes) HollowStates() (map[string]hollow.State, error) {
 	all := map[string]hollow.State{}
-	for _, h := range c.Hosts {
-		if h.Pid() == 0 {
+	for _, host := range c.Hosts {
+		if host.Pid() == 0 {
 			continue
 		}
-		a, err := h.Execute(hollow.Command{Report: true})
+		response, err := host.Execute(hollow.Command{Report: true})
 		if err != nil {
 			return nil, err
 		}
-		for _, s := range a.All {
-			all[s.Name] = s
+		for _, state := range response.All {
+			all[state.Name] = state
 		}
 	}
 	return all, nil
 }
 
-// SetDemand has so much enter at each hollow instance, by its index; what is missing stays.
+// SetDemand sets the demand at each hollow instance, by the instance's index; an instance without an entry keeps its
+// demand.
 func (c *Processes) SetDemand(by map[int]hollow.Demand) error {
-	for _, h := range c.Hosts {
-		if h.Pid() == 0 {
+	for _, host := range c.Hosts {
+		if host.Pid() == 0 {
 			continue
 		}
-		o := hollow.Command{}
-		for _, x := range h.Nodes {
-			o.Demand = append(o.Demand, by[x.Index])
+		command := hollow.Command{}
+		for _, node := range host.Nodes {
+			command.Demand = append(command.Demand, by[node.Index])
 		}
-		if _, err := h.Execute(o); err != nil {
+		if _, err := host.Execute(command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// hostName is that of a site's process of hollow instances.
+// hostName returns the name of process k of a site's hollow instances.
 func hostName(c *Processes, k int) string { return fmt.Sprintf("hollow%d-%d", c.Nodes[0].Index, k) }
 
-// startHosts starts the processes of hollow instances that a site's have been given to.
+// startHosts starts the processes of hollow instances that the site's instances have been assigned to.
 func (c *Processes) startHosts(p Params) error {
-	by := map[int][]*Instance{}
+	byHost := map[int][]*Instance{}
 	last := -1
-	for _, x := range c.Nodes {
-		if x.shares >= 0 {
-			by[x.shares] = append(by[x.shares], x)
-			last = max(last, x.shares)
+	for _, node := range c.Nodes {
+		if node.shares >= 0 {
+			byHost[node.shares] = append(byHost[node.shares], node)
+			last = max(last, node.shares)
 		}
 	}
 	for k := 0; k <= last; k++ {
-		if len(by[k]) == 0 {
+		if len(byHost[k]) == 0 {
 			continue
 		}
-		h, err := startHollow(p, hostName(c, k), rand.New(rand.NewPCG(p.Seed, uint64(k))).Uint64(), by[k])
+		host, err := startHollow(p, hostName(c, k), rand.New(rand.NewPCG(p.Seed, uint64(k))).Uint64(), byHost[k])
 		if err != nil {
 			return err
 		}
-		c.Hosts = append(c.Hosts, h)
-		for _, x := range by[k] {
-			x.host = h
+		c.Hosts = append(c.Hosts, host)
+		for _, node := range byHost[k] {
+			node.host = host
 		}
 	}
 	return nil
--- a/internal/lab/experiments/hollow_test.go
+++ b/internal/lab/experiments/hollow_test.go
@@ -19,8 +19,8 @@
 	"example.org/bellstream/internal/operatorconfig"
 )
 
-// Hollow instances and a real one are one cluster: they see each other, count what came in at each, and go when
-// their process is killed. Nothing is left when it is closed.
+// Hollow instances and a real one form one cluster: they see each other, count the starts at every instance, and are
+// seen to leave when their process is killed. No process is left after the cluster is closed.
 func TestHollowBesideReal(t *testing.T) {
 	h := hollowCluster{n: 9, real: 1, hosts: 1, lostZone: -1, peers: true, agreement: true, load: capacity.NewLoad(10, 3)}
 	h.lostZone = h.load.Place(9)[8]
@@ -31,7 +31,7 @@
 	}
 	defer closeSites(c.Sites)
 	if len(c.Hosts) != 4 || len(c.Hosts[0].Nodes) != 1 || len(c.Hosts[1].Nodes) != 1 || len(c.Hosts[2].Nodes) != 5 || len(c.Hosts[3].Nodes) != 1 || c.Nodes[0].Pid() == 0 || c.Nodes[1].Pid() != 0 {
-		t.Fatalf("%d processes of hollow instances", len(c.Hosts))
+		t.Fatalf("hollow instances are distributed wrongly over %d processes", len(c.Hosts))
 	}
 	stop, err := h.startLoad(p, c, 1)
 	if err != nil {
@@ -43,17 +43,18 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	// Over homes an instance that starts nothing, and is no home of a team that is served, has nothing to say of counts: so
-	// the bytes are looked at while work is played, until one second shows all kinds at a real, a hollow and a voting one.
-	g := h.groups(c)
-	var m []Cost
+	// With hashed owners, an instance that starts nothing and owns no active team sends no counts. So the test
+	// measures while load runs, until one second shows all kinds of traffic at a real, a hollow and a voting
+	// instance.
+	groups := h.groups(c)
+	var costs []Cost
 	if err := Until(20*time.Second, "bytes of each kind at each instance", func() bool {
-		if m, err = c.Measure(time.Second, g[groupReal], g[groupAlone], g[groupVoters]); err != nil {
+		if costs, err = c.Measure(time.Second, groups[groupReal], groups[groupAlone], groups[groupVoters]); err != nil {
 			t.Fatal(err)
 		}
-		for _, x := range m {
+		for _, x := range costs {
 			if x.Sent <= 0 || x.Received <= 0 || x.Worst < x.Sent || x.CPU <= 0 || x.Memory <= 0 || x.Descriptors <= 0 || x.By[TrafficOther].Sent.Bytes > 0 {
-				t.Fatalf("%+v", x)
+				t.Fatalf("cost of an instance is incomplete or has unclassified bytes: %+v", x)
 			}
 			if x.By[TrafficExchange].Sent.Bytes <= 0 || x.By[TrafficMembership].Sent.Bytes <= 0 || x.By[TrafficAgreement].Sent.Bytes <= 0 {
 				return false
@@ -61,11 +62,11 @@
 		}
 		return true
 	}); err != nil {
-		t.Fatalf("%v: %+v", err, m)
+		t.Fatalf("not all kinds of traffic seen: %v: %+v", err, costs)
 	}
 	stop()
-	// Where reservations have homes nobody else is told of a team: all that know of one count the same of it, its homes
-	// and the instance that serves it among them, and over all teams that is what was started.
+	// With hashed owners, other instances are not told of a team: all instances that know of a team (its owners and
+	// the instances that serve it) report the same count, and the sum over all teams equals the number of starts.
 	if err := Until(20*time.Second, "all that know of a team count all of it", func() bool {
 		states, err := c.HollowStates()
 		if err != nil {
@@ -87,8 +88,8 @@
 			return false
 		}
 		know, count := map[string]int{}, map[string]uint64{}
-		for _, m := range all {
-			for team, net := range m {
+		for _, counts := range all {
+			for team, net := range counts {
 				know[team]++
 				count[team] = net
 			}
@@ -106,7 +107,7 @@
 	last.Kill()
 	last.Kill()
 	if _, err := last.Execute(hollow.Command{}); err == nil || last.Pid() != 0 {
-		t.Error("it was killed and answers")
+		t.Error("a killed process still responds or has a process ID")
 	}
 	if err := Until(30*time.Second, "the others see that it is gone", func() bool {
 		var s struct {
@@ -129,35 +130,35 @@
 	closeSites(c.Sites)
 	for _, pid := range pids {
 		if _, err := os.Stat("/proc/" + strconv.Itoa(pid)); err == nil {
-			t.Errorf("process %d is left", pid)
+			t.Errorf("process %d still exists after the cluster was closed", pid)
 		}
 	}
 }
 
-// A process that hangs holds nobody up for ever.
+// A host process that hangs must not block its caller forever.
 func TestHollowThatHangs(t *testing.T) {
-	answers, silent, err := os.Pipe()
+	responses, responsesEnd, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	orders, in, err := os.Pipe()
+	defer responsesEnd.Close()
+	commands, commandsEnd, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer orders.Close()
-	h := &HollowHost{Name: "hollow-1", in: in, pipe: answers, out: json.NewDecoder(answers), timeout: 20 * time.Millisecond}
+	defer commands.Close()
+	h := &HollowHost{Name: "hollow-1", in: commandsEnd, pipe: responses, out: json.NewDecoder(responses), timeout: 20 * time.Millisecond}
 	if _, err := h.Execute(hollow.Command{Report: true}); err == nil || !strings.Contains(err.Error(), "no answer within 20ms") {
-		t.Errorf("%v from a process that says nothing", err)
+		t.Errorf("got error %v from a process that does not respond, want a timeout", err)
 	}
 }
 
-// A process of hollow instances ends with the laboratory, also where that is killed.
+// A host process of hollow instances exits with the laboratory, also when the laboratory is killed.
 func TestHollowEndsWithItsParent(t *testing.T) {
 	dir := t.TempDir()
-	at := filepath.Join(dir, "pid")
+	pidFile := filepath.Join(dir, "pid")
 	parent := exec.Command(os.Args[0])
-	parent.Env = append(os.Environ(), "LAB_HOLLOW="+at, "LAB_PROGRAM="+program(t))
+	parent.Env = append(os.Environ(), "LAB_HOLLOW="+pidFile, "LAB_PROGRAM="+program(t))
 	if err := parent.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +166,7 @@
 	defer parent.Process.Kill()
 	var pid int
 	if err := Until(30*time.Second, "hollow instances", func() bool {
-		raw, err := os.ReadFile(at)
+		raw, err := os.ReadFile(pidFile)
 		if err != nil {
 			return false
 		}
@@ -179,7 +180,7 @@
 		return err == nil && strings.Contains(string(raw), HollowCommand)
 	}
 	if !alive() {
-		t.Fatalf("process %d is none of hollow instances", pid)
+		t.Fatalf("process %d does not run hollow instances", pid)
 	}
 	parent.Process.Kill()
 	if err := Until(10*time.Second, "it has ended too", func() bool { return !alive() }); err != nil {
@@ -187,20 +188,21 @@
 	}
 }
 
-// startForTest starts two hollow instances, says where their process is, and stays.
-func startForTest(at string) {
+// startForTest starts two hollow instances, writes the ID of their process to pidFile and blocks.
+func startForTest(pidFile string) {
 	h := hollowCluster{n: 2, hosts: 1, lostZone: -1, peers: true, load: capacity.NewLoad(10, 3)}
-	c, err := h.start(Params{Seed: 3, Out: filepath.Dir(at), Program: os.Getenv("LAB_PROGRAM"), Log: func(string, ...any) {}})
+	c, err := h.start(Params{Seed: 3, Out: filepath.Dir(pidFile), Program: os.Getenv("LAB_PROGRAM"), Log: func(string, ...any) {}})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	os.WriteFile(at+".new", []byte(strconv.Itoa(c.Hosts[0].Pid())), 0o600)
-	os.Rename(at+".new", at)
+	os.WriteFile(pidFile+".new", []byte(strconv.Itoa(c.Hosts[0].Pid())), 0o600)
+	os.Rename(pidFile+".new", pidFile)
 	select {}
 }
 
-// Claims fail where hollow instances are not as real ones, and where they do not come together again.
+// Claims fail when hollow instances differ from real ones, and when the cluster does not reconnect or agree on counts
+// again.
 func TestHollowClaims(t *testing.T) {
 	h := hollowCluster{n: 24, real: 2, load: capacity.NewLoad(10, 3)}
 	cost := func(bytes, cpu float64) Cost { return Cost{Sent: bytes, Received: bytes, CPU: cpu, Alive: 2} }
@@ -209,16 +211,16 @@
 		change func(f *hollowResult)
 		broken int
 	}{
-		"alike":                 {func(*hollowResult) {}, 0},
-		"more bytes at rest":    {func(f *hollowResult) { f.standIns[0].Sent *= 1.4 }, 1},
-		"fewer bytes at peak":   {func(f *hollowResult) { f.standIns[1].Received *= 0.6 }, 1},
-		"less work":             {func(f *hollowResult) { f.standIns[1].CPU = 8 }, 1},
-		"more work at rest":     {func(f *hollowResult) { f.standIns[0].CPU = 12 }, 1},
-		"no processor time":     {func(f *hollowResult) { f.standIns[0].CPU, f.rest[groupReal].CPU = 0, 2 }, 1},
-		"nothing measured":      {func(f *hollowResult) { f.standIns[0], f.rest[groupReal] = Cost{}, Cost{} }, 2},
-		"never alike":           {func(f *hollowResult) { f.convergedAfter = math.Inf(1) }, 1},
-		"never whole":           {func(f *hollowResult) { f.connectedAfter = math.Inf(1) }, 1},
-		"less work in no claim": {func(f *hollowResult) { f.zoneLoss[groupAlone].CPU = 0 }, 0},
+		"equal":                     {func(*hollowResult) {}, 0},
+		"more bytes at rest":        {func(f *hollowResult) { f.standIns[0].Sent *= 1.4 }, 1},
+		"fewer bytes at peak":       {func(f *hollowResult) { f.standIns[1].Received *= 0.6 }, 1},
+		"less CPU time":             {func(f *hollowResult) { f.standIns[1].CPU = 8 }, 1},
+		"more CPU time at rest":     {func(f *hollowResult) { f.standIns[0].CPU = 12 }, 1},
+		"no CPU time":               {func(f *hollowResult) { f.standIns[0].CPU, f.rest[groupReal].CPU = 0, 2 }, 1},
+		"nothing measured":          {func(f *hollowResult) { f.standIns[0], f.rest[groupReal] = Cost{}, Cost{} }, 2},
+		"counts never agree":        {func(f *hollowResult) { f.convergedAfter = math.Inf(1) }, 1},
+		"never connected":           {func(f *hollowResult) { f.connectedAfter = math.Inf(1) }, 1},
+		"less CPU time in no claim": {func(f *hollowResult) { f.zoneLoss[groupAlone].CPU = 0 }, 0},
 	} {
 		got := hollowResult{rest: same, load: same, zoneLoss: same, standIns: [2]Cost{same[groupAlone], same[groupAlone]}, connectedAfter: 1, convergedAfter: 1}
 		c.change(&got)
@@ -230,23 +232,23 @@
 			}
 		}
 		if broken != c.broken || len(f.Claims) != 6 {
-			t.Errorf("%s: %d claims broken of %d: %+v", name, broken, len(f.Claims), f.Claims)
+			t.Errorf("%s: got %d broken claims of %d: %+v", name, broken, len(f.Claims), f.Claims)
 		}
 	}
 }
 
-// What a machine gives that does not keep up shows nothing.
+// A run is void when the machine was too busy to keep up.
 func TestHollowVoid(t *testing.T) {
 	h := hollowCluster{n: 24, real: 2, load: capacity.NewLoad(10, 3)}
 	for late, void := range map[float64]bool{0: false, maxLateFraction: false, 2 * maxLateFraction: true} {
 		f := &CapacityResult{}
 		if h.addClaims(CapacityParams{}, f, hollowResult{lateFraction: late}); f.Void != "" != void {
-			t.Errorf("%v late: %q", late, f.Void)
+			t.Errorf("%v of the polls late: got void reason %q", late, f.Void)
 		}
 	}
 }
 
-// Rows name the kinds of the budget once each, and break where the budget is passed.
+// Rows name each kind of the budget once, and fail where the budget is exceeded.
 func TestHollowRows(t *testing.T) {
 	h := hollowCluster{n: 46, real: 2, load: capacity.NewLoad(10, 3)}
 	by := func(k TrafficKind, bytes float64) map[TrafficKind]Traffic {
@@ -261,41 +263,42 @@
 	for _, r := range f.Rows {
 		kinds[r.Kind]++
 		if names[r.Line+r.What] || r.Percent != 10 || r.How != capacity.OnSockets {
-			t.Errorf("%+v", r)
+			t.Errorf("row is repeated or has a wrong percentage or method: %+v", r)
 		}
 		names[r.Line+r.What] = true
 		if want := !strings.HasPrefix(r.What, "counts and loans on sockets"); r.Held != want {
-			t.Errorf("%+v", r)
+			t.Errorf("row has a wrong verdict: %+v", r)
 		}
 	}
 	if kinds[capacity.Membership] != 1 || kinds[capacity.Agreement] != 1 || kinds[capacity.Counts] != 0 {
-		t.Errorf("%v", kinds)
+		t.Errorf("got rows by kind %v, want one of membership and one of agreement", kinds)
 	}
 	h.n, f = 300, &CapacityResult{}
 	h.addRows(f, got)
 	for _, r := range f.Rows {
 		if r.Kind != "" {
-			t.Errorf("the budget's sum has a part of 300 dispatchers: %+v", r)
+			t.Errorf("a row of 300 dispatchers is part of the budget's sum: %+v", r)
 		}
 	}
 }
 
-// A team is apart where those that know of it count otherwise; who does not know of it does not matter.
-func TestApart(t *testing.T) {
-	know := func(a, b uint64) map[string]uint64 { return map[string]uint64{"a": a, "b": b} }
+// A team counts as disagreeing when the instances that know of it report different counts; instances that do not know
+// of it do not matter.
+func TestDisagreeing(t *testing.T) {
+	counts := func(a, b uint64) map[string]uint64 { return map[string]uint64{"a": a, "b": b} }
 	for name, c := range map[string]struct {
 		known []map[string]uint64
 		want  int
 	}{
-		"none":                 {nil, 0},
-		"alike":                {[]map[string]uint64{know(3, 4), know(3, 4)}, 0},
-		"one is behind":        {[]map[string]uint64{know(3, 4), know(3, 3), know(3, 4)}, 1},
-		"in both":              {[]map[string]uint64{know(1, 2), know(2, 1)}, 2},
-		"not heard of yet":     {[]map[string]uint64{know(1, 1), know(0, 1)}, 1},
-		"not of its knowledge": {[]map[string]uint64{know(1, 1), {"a": 1}, {}}, 0},
+		"none":             {nil, 0},
+		"equal":            {[]map[string]uint64{counts(3, 4), counts(3, 4)}, 0},
+		"one is behind":    {[]map[string]uint64{counts(3, 4), counts(3, 3), counts(3, 4)}, 1},
+		"in both":          {[]map[string]uint64{counts(1, 2), counts(2, 1)}, 2},
+		"not received yet": {[]map[string]uint64{counts(1, 1), counts(0, 1)}, 1},
+		"unknown to some":  {[]map[string]uint64{counts(1, 1), {"a": 1}, {}}, 0},
 	} {
 		if got := len(disagreeing(c.known)); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
+			t.Errorf("%s: got %d teams, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/lab/experiments/meter.go
+++ b/internal/lab/experiments/meter.go
@@ -11,42 +11,43 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// TrafficKind is a kind of traffic between instances, as the relay tells it by the door and by the bytes. Bytes are those
-// of datagrams and streams; IP, UDP and TCP's own headers and acknowledgements are not among them.
+// TrafficKind is a kind of traffic between instances, which the relay derives from the door and the bytes. Bytes are
+// those of datagrams and streams, without the headers and acknowledgements of IP, UDP and TCP.
 type TrafficKind string
 
-// Kinds. What is packed together is divided by length, with what packs it.
+// Kinds of traffic. Messages packed into one datagram are divided by length, each with its part of the packing's
+// bytes.
 const (
-	TrafficMembership    TrafficKind = "membership"            // datagrams: probes, acknowledgements, gossip of who comes and goes; streams of probes
-	TrafficExchange      TrafficKind = "counts and loans"      // datagrams of the exchange
-	TrafficPushPull      TrafficKind = "membership, push/pull" // streams: who is there, as one tells another now and then
-	TrafficPushPullUsage TrafficKind = "counts, push/pull"     // what the exchange tells in these streams
-	TrafficAgreement     TrafficKind = "agreement"             // questions for leases, raft
+	TrafficMembership    TrafficKind = "membership"            // datagrams: probes, acknowledgements, gossip of joins and leaves; streams of probes
+	TrafficExchange      TrafficKind = "counts and loans"      // datagrams of the quota exchange
+	TrafficPushPull      TrafficKind = "membership, push/pull" // streams: membership states, exchanged with one other instance at intervals
+	TrafficPushPullUsage TrafficKind = "counts, push/pull"     // the exchange's state in these streams
+	TrafficAgreement     TrafficKind = "agreement"             // lease requests, raft
 	TrafficShards        TrafficKind = "seats"
 	TrafficOther         TrafficKind = "other"
 )
 
-// Doors by what listens behind them.
+// Doors by the service behind them.
 const (
 	peersDoor  = "peers"
 	accordDoor = "accord"
 	seatsDoor  = "seats"
 )
 
-// Amount is what passed in one direction. A message is a datagram, or what one read of a stream gave.
+// Amount is the traffic in one direction. A message is a datagram, or the data of one read of a stream.
 type Amount struct{ Bytes, Messages float64 }
 
-// Traffic is what an instance sent and received.
+// Traffic is what one instance sent and received.
 type Traffic struct{ Sent, Received Amount }
 
-// trafficMeter counts what passes a relay.
+// trafficMeter counts the traffic that passes a relay.
 type trafficMeter struct {
 	mu sync.Mutex
-	by map[int]map[TrafficKind]Traffic // instance
+	by map[int]map[TrafficKind]Traffic // by instance
 }
 
-// addTraffic counts what one has sent to another, and whether it came there: a lost datagram is sent and not received.
-func (m *trafficMeter) add(from, to int, k TrafficKind, a Amount, sent, received bool) {
+// add counts traffic from one instance to another. A lost datagram is sent but not received.
+func (m *trafficMeter) add(from, to int, k TrafficKind, amount Amount, sent, received bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.by == nil {
@@ -59,17 +60,17 @@
 	}
 	if sent {
 		t := m.by[from][k]
-		t.Sent.Bytes, t.Sent.Messages = t.Sent.Bytes+a.Bytes, t.Sent.Messages+a.Messages
+		t.Sent.Bytes, t.Sent.Messages = t.Sent.Bytes+amount.Bytes, t.Sent.Messages+amount.Messages
 		m.by[from][k] = t
 	}
 	if received {
 		t := m.by[to][k]
-		t.Received.Bytes, t.Received.Messages = t.Received.Bytes+a.Bytes, t.Received.Messages+a.Messages
+		t.Received.Bytes, t.Received.Messages = t.Received.Bytes+amount.Bytes, t.Received.Messages+amount.Messages
 		m.by[to][k] = t
 	}
 }
 
-// Traffic is what each instance has sent and received by way of this relay until now, by kind.
+// Traffic returns what each instance has sent and received through this relay until now, by kind.
 func (r *Relay) Traffic() map[int]map[TrafficKind]Traffic {
 	r.meter.mu.Lock()
 	defer r.meter.mu.Unlock()
@@ -80,28 +81,28 @@
 	return all
 }
 
-// count counts a datagram by its kinds.
+// count adds a datagram to the meter, divided by kind.
 func (r *Relay) count(d *door, from int, raw []byte, sent, received bool) {
 	for k, n := range bytesByKind(d.serves, raw) {
 		r.meter.add(from, d.to, k, Amount{n, n / float64(len(raw))}, sent, received)
 	}
 }
 
-// bytesByKind divides a datagram's bytes by kind.
-func bytesByKind(serves string, raw []byte) map[TrafficKind]float64 {
-	by := map[TrafficKind]float64{}
-	switch serves {
+// bytesByKind divides the bytes of a datagram by kind.
+func bytesByKind(service string, raw []byte) map[TrafficKind]float64 {
+	byKind := map[TrafficKind]float64{}
+	switch service {
 	case peersDoor:
-		if !addByKind(raw, float64(len(raw)), by) {
-			by = map[TrafficKind]float64{TrafficOther: float64(len(raw))}
+		if !addByKind(raw, float64(len(raw)), byKind) {
+			byKind = map[TrafficKind]float64{TrafficOther: float64(len(raw))}
 		}
 	default:
-		by[TrafficOther] = float64(len(raw))
+		byKind[TrafficOther] = float64(len(raw))
 	}
-	return by
+	return byKind
 }
 
-// What memberlist writes in front of a message: its format, version 5. Numbers are those of its wire.
+// Message types and header lengths of memberlist's wire format, protocol version 5.
 const (
 	pushPullMsg    = 6
 	compoundMsg    = 7
@@ -113,9 +114,9 @@
 	crcHeaderLen   = 5
 )
 
-// addByKind puts so many bytes to the kinds of a message, by the length of what it is made of; false: it can't be
-// read, as where it is encrypted.
-func addByKind(raw []byte, size float64, by map[TrafficKind]float64) bool {
+// addByKind adds size bytes to the kinds of a message, in proportion to the lengths of its parts. It returns false if
+// the message cannot be read, for example because it is encrypted.
+func addByKind(raw []byte, size float64, byKind map[TrafficKind]float64) bool {
 	if len(raw) == 0 {
 		return false
 	}
@@ -124,21 +125,21 @@
 		if len(raw) < labelHeaderLen || len(raw) < labelHeaderLen+int(raw[1]) {
 			return false
 		}
-		return addByKind(raw[labelHeaderLen+int(raw[1]):], size, by)
+		return addByKind(raw[labelHeaderLen+int(raw[1]):], size, byKind)
 	case crcMsg:
-		return len(raw) >= crcHeaderLen && addByKind(raw[crcHeaderLen:], size, by)
+		return len(raw) >= crcHeaderLen && addByKind(raw[crcHeaderLen:], size, byKind)
 	case compressMsg:
 		inner, err := decompress(raw[1:])
-		return err == nil && addByKind(inner, size, by)
+		return err == nil && addByKind(inner, size, byKind)
 	case compoundMsg:
 		if len(raw) < 2 || len(raw) < 2+2*int(raw[1]) || raw[1] == 0 {
 			return false
 		}
 		lengths, parts := raw[2:2+2*int(raw[1])], raw[2+2*int(raw[1]):]
-		all := float64(len(parts))
+		total := float64(len(parts))
 		for ; len(lengths) > 0; lengths = lengths[2:] {
 			n := int(binary.BigEndian.Uint16(lengths))
-			if n > len(parts) || !addByKind(parts[:n], size*float64(n)/all, by) {
+			if n > len(parts) || !addByKind(parts[:n], size*float64(n)/total, byKind) {
 				return false
 			}
 			parts = parts[n:]
@@ -150,21 +151,21 @@
 			return false
 		}
 		known := size * float64(head.UserStateLen) / float64(len(raw))
-		by[TrafficPushPullUsage] += known
-		by[TrafficPushPull] += size - known
+		byKind[TrafficPushPullUsage] += known
+		byKind[TrafficPushPull] += size - known
 		return true
 	case userMsg:
-		by[TrafficExchange] += size
+		byKind[TrafficExchange] += size
 		return true
 	}
-	if raw[0] > crcMsg+1 { // none that there is
+	if raw[0] > crcMsg+1 { // not a message type of memberlist
 		return false
 	}
-	by[TrafficMembership] += size
+	byKind[TrafficMembership] += size
 	return true
 }
 
-// maxDecompressedLen is what a compressed message may be long.
+// maxDecompressedLen is the largest length of a decompressed message, in bytes; longer ones are truncated.
 const maxDecompressedLen = 64 << 20
 
 func decompress(raw []byte) ([]byte, error) {
@@ -180,8 +181,8 @@
 	return io.ReadAll(io.LimitReader(in, maxDecompressedLen))
 }
 
-// streamMeter is one direction of a stream, as it is counted. Streams of membership tell their kind by all that they
-// carried, so they are counted when that side ends.
+// streamMeter counts one direction of a stream. The kind of a membership stream depends on all of its data, so that
+// data is counted when the direction ends.
 type streamMeter struct {
 	relay    *Relay
 	serves   string
@@ -190,7 +191,8 @@
 	reads    float64
 }
 
-// maxBufferedLen is what of a stream of membership is kept until it ends; what is longer is taken for push/pull.
+// maxBufferedLen is how many bytes of a membership stream are kept until it ends; data beyond that is counted as
+// push/pull.
 const maxBufferedLen = 32 << 20
 
 func (s *streamMeter) read(data []byte) {
@@ -211,18 +213,18 @@
 	}
 }
 
-// flush counts what was kept.
+// flush counts the buffered data.
 func (s *streamMeter) flush() {
 	if len(s.buffered) == 0 {
 		return
 	}
-	all := float64(len(s.buffered))
-	by := map[TrafficKind]float64{}
-	if !addByKind(s.buffered, all, by) {
-		by = map[TrafficKind]float64{TrafficPushPull: all} // cut off on the way, or encrypted
+	total := float64(len(s.buffered))
+	byKind := map[TrafficKind]float64{}
+	if !addByKind(s.buffered, total, byKind) {
+		byKind = map[TrafficKind]float64{TrafficPushPull: total} // truncated, or encrypted
 	}
-	for k, n := range by {
-		s.relay.meter.add(s.from, s.to, k, Amount{n, s.reads * n / all}, true, true)
+	for k, n := range byKind {
+		s.relay.meter.add(s.from, s.to, k, Amount{n, s.reads * n / total}, true, true)
 	}
 	s.buffered = nil
 }
