--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -274,7 +274,7 @@
 			f.AddRows(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, decisions.inTime, "part", capacity.VirtualTime))
 		}
 		f.AddRows(shownRow(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, decisions.cpu/10, "%", capacity.VirtualTime)))
-		p.Log("%d workers: whole list %.0f B, change %.0f B, read %.3f ms, table %.0f B, %d changes a day; %.2f probes a second, %.2f attempts a job, %.2f ms/s",
+		p.Log("%d workers: full list %.0f B, change %.0f B, parsing %.3f ms, table %.0f B, %d changes a day; %.2f probes a second, %.2f attempts a job, %.2f ms/s",
 			n, cost.full, cost.change, cost.parse, cost.table, int(changes), decisions.probes, decisions.attempts, decisions.cpu)
 	}
 	target := byPercent[100]
--- a/internal/lab/experiments/hollow_test.go
+++ b/internal/lab/experiments/hollow_test.go
@@ -67,7 +67,7 @@
 	stop()
 	// With hashed owners, other instances are not told of a team: all instances that know of a team (its owners and
 	// the instances that serve it) report the same count, and the sum over all teams equals the number of starts.
-	if err := Until(20*time.Second, "all that know of a team count all of it", func() bool {
+	if err := Until(20*time.Second, "equal counts at all instances that know of a team", func() bool {
 		states, err := c.HollowStates()
 		if err != nil {
 			return false
@@ -109,7 +109,7 @@
 	if _, err := last.Execute(hollow.Command{}); err == nil || last.Pid() != 0 {
 		t.Error("a killed process still responds or has a process ID")
 	}
-	if err := Until(30*time.Second, "the others see that it is gone", func() bool {
+	if err := Until(30*time.Second, "the others see that the killed instance has left", func() bool {
 		var s struct {
 			Peers []struct{ Present bool }
 		}
@@ -165,7 +165,7 @@
 	defer parent.Wait()
 	defer parent.Process.Kill()
 	var pid int
-	if err := Until(30*time.Second, "hollow instances", func() bool {
+	if err := Until(30*time.Second, "start of the hollow instances", func() bool {
 		raw, err := os.ReadFile(pidFile)
 		if err != nil {
 			return false
@@ -183,7 +183,7 @@
 		t.Fatalf("process %d does not run hollow instances", pid)
 	}
 	parent.Process.Kill()
-	if err := Until(10*time.Second, "it has ended too", func() bool { return !alive() }); err != nil {
+	if err := Until(10*time.Second, "exit of the host process", func() bool { return !alive() }); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/lab/experiments/meter_test.go
+++ b/internal/lab/experiments/meter_test.go
@@ -118,7 +118,7 @@
 		defer n.Close()
 		nodes = append(nodes, n)
 	}
-	if err := Until(15*time.Second, "they have met and said something", func() bool {
+	if err := Until(15*time.Second, "both nodes have joined and sent 20 messages", func() bool {
 		for _, n := range nodes {
 			if status := n.Status(); !status.Joined || status.Sent < 20 {
 				return false
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	// The counts may differ by a message or two that are in flight while they are read.
-	if err := Until(10*time.Second, "both counts agree", func() bool {
+	if err := Until(10*time.Second, "equal counts at the relay and the nodes", func() bool {
 		traffic := relay.Traffic()
 		for i, n := range nodes {
 			status, sender, receiver := n.Status(), traffic[i][TrafficExchange], traffic[1-i][TrafficExchange]
