--- a/internal/lab/experiments/meter.go
+++ b/internal/lab/experiments/meter.go
@@ -11,134 +11,135 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// Kind is a kind of traffic between instances, as the relay tells it by the door and by the bytes. Bytes are those
-// of datagrams and streams; IP, UDP and TCP's own headers and acknowledgements are not among them.
-type Kind string
+// TrafficKind is a kind of traffic between instances, which the relay derives from the door and the bytes. Bytes are
+// those of datagrams and streams, without the headers and acknowledgements of IP, UDP and TCP.
+type TrafficKind string
 
-// Kinds. What is packed together is divided by length, with what packs it.
+// Kinds of traffic. Messages packed into one datagram are divided by length, each with its part of the packing's
+// bytes.
 const (
-	Probing   Kind = "membership"            // datagrams: probes, acknowledgements, gossip of who comes and goes; streams of probes
-	Exchanged Kind = "counts and loans"      // datagrams of the exchange
-	States    Kind = "membership, push/pull" // streams: who is there, as one tells another now and then
-	Known     Kind = "counts, push/pull"     // what the exchange tells in these streams
-	Agreeing  Kind = "agreement"             // questions for leases, raft
-	Seating   Kind = "seats"
-	Other     Kind = "other"
+	TrafficMembership    TrafficKind = "membership"            // datagrams: probes, acknowledgements, gossip of joins and leaves; streams of probes
+	TrafficExchange      TrafficKind = "counts and loans"      // datagrams of the quota exchange
+	TrafficPushPull      TrafficKind = "membership, push/pull" // streams: membership states, exchanged with one other instance at intervals
+	TrafficPushPullUsage TrafficKind = "counts, push/pull"     // the exchange's state in these streams
+	TrafficAgreement     TrafficKind = "agreement"             // lease requests, raft
+	TrafficShards        TrafficKind = "seats"
+	TrafficOther         TrafficKind = "other"
 )
 
-// Doors by what listens behind them.
+// Doors by the service behind them.
 const (
 	peersDoor  = "peers"
 	accordDoor = "accord"
 	seatsDoor  = "seats"
 )
 
-// Amount is what passed in one direction. A message is a datagram, or what one read of a stream gave.
+// Amount is the traffic in one direction. A message is a datagram, or the data of one read of a stream.
 type Amount struct{ Bytes, Messages float64 }
 
-// Traffic is what an instance sent and received.
+// Traffic is what one instance sent and received.
 type Traffic struct{ Sent, Received Amount }
 
-// trafficMeter counts what passes a relay.
+// trafficMeter counts the traffic that passes a relay.
 type trafficMeter struct {
 	mu sync.Mutex
-	by map[int]map[Kind]Traffic // instance
+	by map[int]map[TrafficKind]Traffic // by instance
 }
 
-// add counts what one has sent to another, and whether it came there: a lost datagram is sent and not received.
-func (m *trafficMeter) add(from, to int, k Kind, a Amount, sent, received bool) {
+// add counts traffic from one instance to another. A lost datagram is sent but not received.
+func (m *trafficMeter) add(from, to int, k TrafficKind, amount Amount, sent, received bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.by == nil {
-		m.by = map[int]map[Kind]Traffic{}
+		m.by = map[int]map[TrafficKind]Traffic{}
 	}
 	for _, i := range []int{from, to} {
 		if m.by[i] == nil {
-			m.by[i] = map[Kind]Traffic{}
+			m.by[i] = map[TrafficKind]Traffic{}
 		}
 	}
 	if sent {
 		t := m.by[from][k]
-		t.Sent.Bytes, t.Sent.Messages = t.Sent.Bytes+a.Bytes, t.Sent.Messages+a.Messages
+		t.Sent.Bytes, t.Sent.Messages = t.Sent.Bytes+amount.Bytes, t.Sent.Messages+amount.Messages
 		m.by[from][k] = t
 	}
 	if received {
 		t := m.by[to][k]
-		t.Received.Bytes, t.Received.Messages = t.Received.Bytes+a.Bytes, t.Received.Messages+a.Messages
+		t.Received.Bytes, t.Received.Messages = t.Received.Bytes+amount.Bytes, t.Received.Messages+amount.Messages
 		m.by[to][k] = t
 	}
 }
 
-// Traffic is what each instance has sent and received by way of this relay until now, by kind.
-func (r *Relay) Traffic() map[int]map[Kind]Traffic {
+// Traffic returns what each instance has sent and received through this relay until now, by kind.
+func (r *Relay) Traffic() map[int]map[TrafficKind]Traffic {
 	r.meter.mu.Lock()
 	defer r.meter.mu.Unlock()
-	all := map[int]map[Kind]Traffic{}
+	all := map[int]map[TrafficKind]Traffic{}
 	for i, t := range r.meter.by {
 		all[i] = maps.Clone(t)
 	}
 	return all
 }
 
-// count counts a datagram by its kinds.
+// count adds a datagram to the meter, divided by kind.
 func (r *Relay) count(d *forwarder, from int, raw []byte, sent, received bool) {
-	for k, n := range kindsOf(d.traffic, raw) {
+	for k, n := range bytesByKind(d.traffic, raw) {
 		r.meter.add(from, d.to, k, Amount{n, n / float64(len(raw))}, sent, received)
 	}
 }
 
-// kindsOf divides a datagram's bytes by kind.
-func kindsOf(serves string, raw []byte) map[Kind]float64 {
-	by := map[Kind]float64{}
-	switch serves {
+// bytesByKind divides the bytes of a datagram by kind.
+func bytesByKind(service string, raw []byte) map[TrafficKind]float64 {
+	byKind := map[TrafficKind]float64{}
+	switch service {
 	case peersDoor:
-		if !divide(raw, float64(len(raw)), by) {
-			by = map[Kind]float64{Other: float64(len(raw))}
+		if !addByKind(raw, float64(len(raw)), byKind) {
+			byKind = map[TrafficKind]float64{TrafficOther: float64(len(raw))}
 		}
 	default:
-		by[Other] = float64(len(raw))
+		byKind[TrafficOther] = float64(len(raw))
 	}
-	return by
+	return byKind
 }
 
-// What memberlist writes in front of a message: its format, version 5. Numbers are those of its wire.
+// Message types and header lengths of memberlist's wire format, protocol version 5.
 const (
-	pushPullMsg = 6
-	compoundMsg = 7
-	userMsg     = 8
-	compressMsg = 9
-	crcMsg      = 12
-	labelMsg    = 244
-	labelHead   = 2
-	crcHead     = 5
+	pushPullMsg    = 6
+	compoundMsg    = 7
+	userMsg        = 8
+	compressMsg    = 9
+	crcMsg         = 12
+	labelMsg       = 244
+	labelHeaderLen = 2
+	crcHeaderLen   = 5
 )
 
-// divide puts so many bytes to the kinds of a message, by the length of what it is made of; false: it can't be
-// read, as where it is encrypted.
-func divide(raw []byte, size float64, by map[Kind]float64) bool {
+// addByKind adds size bytes to the kinds of a message, in proportion to the lengths of its parts. It returns false if
+// the message cannot be read, for example because it is encrypted.
+func addByKind(raw []byte, size float64, byKind map[TrafficKind]float64) bool {
 	if len(raw) == 0 {
 		return false
 	}
 	switch raw[0] {
 	case labelMsg:
-		if len(raw) < labelHead || len(raw) < labelHead+int(raw[1]) {
+		if len(raw) < labelHeaderLen || len(raw) < labelHeaderLen+int(raw[1]) {
 			return false
 		}
-		return divide(raw[labelHead+int(raw[1]):], size, by)
+		return addByKind(raw[labelHeaderLen+int(raw[1]):], size, byKind)
 	case crcMsg:
-		return len(raw) >= crcHead && divide(raw[crcHead:], size, by)
+		return len(raw) >= crcHeaderLen && addByKind(raw[crcHeaderLen:], size, byKind)
 	case compressMsg:
-		inner, err := unpacked(raw[1:])
-		return err == nil && divide(inner, size, by)
+		inner, err := decompress(raw[1:])
+		return err == nil && addByKind(inner, size, byKind)
 	case compoundMsg:
 		if len(raw) < 2 || len(raw) < 2+2*int(raw[1]) || raw[1] == 0 {
 			return false
 		}
 		lengths, parts := raw[2:2+2*int(raw[1])], raw[2+2*int(raw[1]):]
-		all := float64(len(parts))
+		total := float64(len(parts))
 		for ; len(lengths) > 0; lengths = lengths[2:] {
 			n := int(binary.BigEndian.Uint16(lengths))
-			if n > len(parts) || !divide(parts[:n], size*float64(n)/all, by) {
+			if n > len(parts) || !addByKind(parts[:n], size*float64(n)/total, byKind) {
 				return false
 			}
 			parts = parts[n:]
@@ -150,24 +151,24 @@
 			return false
 		}
 		known := size * float64(head.UserStateLen) / float64(len(raw))
-		by[Known] += known
-		by[States] += size - known
+		byKind[TrafficPushPullUsage] += known
+		byKind[TrafficPushPull] += size - known
 		return true
 	case userMsg:
-		by[Exchanged] += size
+		byKind[TrafficExchange] += size
 		return true
 	}
-	if raw[0] > crcMsg+1 { // none that there is
+	if raw[0] > crcMsg+1 { // not a message type of memberlist
 		return false
 	}
-	by[Probing] += size
+	byKind[TrafficMembership] += size
 	return true
 }
 
-// unpackedMost is what a compressed message may be long.
-const unpackedMost = 64 << 20
+// maxDecompressedLen is the largest length of a decompressed message, in bytes; longer ones are truncated.
+const maxDecompressedLen = 64 << 20
 
-func unpacked(raw []byte) ([]byte, error) {
+func decompress(raw []byte) ([]byte, error) {
 	var c struct {
 		Algo uint8
 		Buf  []byte
@@ -177,52 +178,53 @@
 	}
 	in := lzw.NewReader(bytes.NewReader(c.Buf), lzw.LSB, 8)
 	defer in.Close()
-	return io.ReadAll(io.LimitReader(in, unpackedMost))
+	return io.ReadAll(io.LimitReader(in, maxDecompressedLen))
 }
 
-// side is one direction of a stream, as it is counted. Streams of membership tell their kind by all that they
-// carried, so they are counted when that side ends.
-type side struct {
-	r        *Relay
+// streamMeter counts one direction of a stream. The kind of a membership stream depends on all of its data, so that
+// data is counted when the direction ends.
+type streamMeter struct {
+	relay    *Relay
 	serves   string
 	from, to int
-	kept     []byte
+	buffered []byte
 	reads    float64
 }
 
-// keptMost is what of a stream of membership is kept until it ends; what is longer is taken for push/pull.
-const keptMost = 32 << 20
+// maxBufferedLen is how many bytes of a membership stream are kept until it ends; data beyond that is counted as
+// push/pull.
+const maxBufferedLen = 32 << 20
 
-func (s *side) read(data []byte) {
+func (s *streamMeter) read(data []byte) {
 	if len(data) == 0 {
 		return
 	}
-	kind := map[string]Kind{accordDoor: Agreeing, seatsDoor: Seating}[s.serves]
+	kind := map[string]TrafficKind{accordDoor: TrafficAgreement, seatsDoor: TrafficShards}[s.serves]
 	switch {
-	case s.serves == peersDoor && len(s.kept) < keptMost:
-		s.kept, s.reads = append(s.kept, data...), s.reads+1
+	case s.serves == peersDoor && len(s.buffered) < maxBufferedLen:
+		s.buffered, s.reads = append(s.buffered, data...), s.reads+1
 	case s.serves == peersDoor:
-		kind = States
+		kind = TrafficPushPull
 	case kind == "":
-		kind = Other
+		kind = TrafficOther
 	}
 	if kind != "" {
-		s.r.meter.add(s.from, s.to, kind, Amount{float64(len(data)), 1}, true, true)
+		s.relay.meter.add(s.from, s.to, kind, Amount{float64(len(data)), 1}, true, true)
 	}
 }
 
-// end counts what was kept.
-func (s *side) end() {
-	if len(s.kept) == 0 {
+// flush counts the buffered data.
+func (s *streamMeter) flush() {
+	if len(s.buffered) == 0 {
 		return
 	}
-	all := float64(len(s.kept))
-	by := map[Kind]float64{}
-	if !divide(s.kept, all, by) {
-		by = map[Kind]float64{States: all} // cut off on the way, or encrypted
+	total := float64(len(s.buffered))
+	byKind := map[TrafficKind]float64{}
+	if !addByKind(s.buffered, total, byKind) {
+		byKind = map[TrafficKind]float64{TrafficPushPull: total} // truncated, or encrypted
 	}
-	for k, n := range by {
-		s.r.meter.add(s.from, s.to, k, Amount{n, s.reads * n / all}, true, true)
+	for k, n := range byKind {
+		s.relay.meter.add(s.from, s.to, k, Amount{n, s.reads * n / total}, true, true)
 	}
-	s.kept = nil
+	s.buffered = nil
 }
--- a/internal/lab/experiments/relay.go
+++ b/internal/lab/experiments/relay.go
@@ -319,8 +319,8 @@
 
 // read reads one direction until it ends and queues its chunks.
 func (s *stream) read(in *net.TCPConn, from, to int, chunks chan<- chunk) {
-	counted := side{r: s.r, serves: s.traffic, from: from, to: to}
-	defer counted.end()
+	counted := streamMeter{relay: s.r, serves: s.traffic, from: from, to: to}
+	defer counted.flush()
 	for {
 		buf := make([]byte, chunkSize)
 		n, err := in.Read(buf)
