--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -75,7 +75,7 @@
 	return 4*s.NetworkDelaySeconds + b.PropagationSeconds
 }
 
-// update executes a run and compares its changes with the stated bounds.
+// play executes a run and compares its changes with the stated bounds.
 func (s *versionsStudy) play(x *versionsRun) *versionsFound {
 	began := time.Now()
 	if err := x.set.Validate(); err != nil || !x.play() {
