--- a/cmd/bellstream-lab/main.go
+++ b/cmd/bellstream-lab/main.go
@@ -198,7 +198,7 @@
 	if r.Name == "all" {
 		runAll(r, p)
 	}
-	onStop(func() { finish(r, e.Ended(r.Seed)) })
+	onStop(func() { finish(r, e.InterruptedResult(r.Seed)) })
 	if r.Seeds > 1 {
 		held, err := several(e, p, r.Seeds, os.Stdout)
 		drop()
--- a/internal/lab/experiments/ageing.go
+++ b/internal/lab/experiments/ageing.go
@@ -53,9 +53,9 @@
 	defer stop()
 	r := &ageingRun{began: time.Now()}
 	load.Play(ctx, p.Seed, []Stream{
-		{Tenant: "t", Class: "dear", Rate: 1.2 * 160, Patience: 3 * time.Second},
-		{Tenant: "t", Class: "cheap", Rate: 5, Patience: 9 * time.Second},
-		{Tenant: "t", Class: "wide", Slots: 4, Rate: 0.4, Patience: 9 * time.Second},
+		{Tenant: "t", Class: "dear", Rate: 1.2 * 160, ClientTimeout: 3 * time.Second},
+		{Tenant: "t", Class: "cheap", Rate: 5, ClientTimeout: 9 * time.Second},
+		{Tenant: "t", Class: "wide", Slots: 4, Rate: 0.4, ClientTimeout: 9 * time.Second},
 	})
 	load.Wait()
 	r.ended = r.began.Add(span)
--- a/internal/lab/experiments/agree.go
+++ b/internal/lab/experiments/agree.go
@@ -74,7 +74,7 @@
 		return nil, 0, err
 	}
 	defer d.Kill()
-	s, err := RunLoad(context.Background(), LoadOptions{Targets: []string{d.Addr}, Aim: time.Duration(aim * float64(time.Second)),
+	s, err := RunLoad(context.Background(), LoadOptions{Targets: []string{d.Addr}, LatencyObjective: time.Duration(aim * float64(time.Second)),
 		Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson, Span: span,
 			Classes: []loadgen.Class{{WeightedName: loadgen.WeightedName{Name: "job", Weight: 1}, ClientTimeout: patience}}, Tenants: []loadgen.WeightedName{{Name: "t", Weight: 1}}}})
 	if err != nil {
--- a/internal/lab/experiments/agreed.go
+++ b/internal/lab/experiments/agreed.go
@@ -176,7 +176,7 @@
 	for i := range agreedN {
 		for _, t := range []string{"a", "b"} {
 			for _, k := range []string{"job", "once"} {
-				streams = append(streams, Stream{Tenant: t, Class: k, Entry: i, Rate: agreedRate / 4, Patience: 2 * time.Second})
+				streams = append(streams, Stream{Tenant: t, Class: k, Entry: i, Rate: agreedRate / 4, ClientTimeout: 2 * time.Second})
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 	c.Load.Wait()
 
 	asked, served := 0, 0
-	for _, x := range Between(c.Load.Answers(), from, to, 3, 5, 6) {
+	for _, x := range AnswersBetween(c.Load.Answers(), from, to, 3, 5, 6) {
 		if asked++; x.Status == 200 {
 			served++
 		}
--- a/internal/lab/experiments/agreed_test.go
+++ b/internal/lab/experiments/agreed_test.go
@@ -53,7 +53,7 @@
 	var streams []Stream
 	for i := range n {
 		for _, class := range []string{"job", "once"} {
-			streams = append(streams, Stream{Tenant: "a", Class: class, Entry: i, Rate: 5, Patience: 2 * time.Second})
+			streams = append(streams, Stream{Tenant: "a", Class: class, Entry: i, Rate: 5, ClientTimeout: 2 * time.Second})
 		}
 	}
 	x.Load.Play(ctx, seed, streams)
@@ -196,7 +196,7 @@
 	held := x.Nodes[3]
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	x.Load.Play(ctx, 1, []Stream{{Tenant: "a", Class: "once", Entry: 3, Rate: 800, Patience: 10 * time.Second}})
+	x.Load.Play(ctx, 1, []Stream{{Tenant: "a", Class: "once", Entry: 3, Rate: 800, ClientTimeout: 10 * time.Second}})
 	x.until("jobs wait", func() bool { // more than all slots and the workers' queues take
 		var s struct{ Depths []struct{ Jobs int } }
 		n := 0
@@ -261,8 +261,8 @@
 		}
 	}
 	time.Sleep(2 * time.Second) // of patience
-	if list := Between(x.Load.Answers(), from, to, 2, 3); Served(list) < 0.95 || len(list) < 30 {
-		t.Errorf("without a majority %.3f of %d are served", Served(list), len(list))
+	if list := AnswersBetween(x.Load.Answers(), from, to, 2, 3); ServedFraction(list) < 0.95 || len(list) < 30 {
+		t.Errorf("without a majority %.3f of %d are served", ServedFraction(list), len(list))
 	}
 	back()
 	x.acts(2, x.Nodes...)
--- a/internal/lab/experiments/capacityhollow.go
+++ b/internal/lab/experiments/capacityhollow.go
@@ -266,7 +266,7 @@
 			}
 			slices.Sort(teams)
 			for _, t := range teams {
-				streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: by[i][t], Patience: 2 * time.Second})
+				streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: by[i][t], ClientTimeout: 2 * time.Second})
 			}
 		}
 		site.Load.Play(ctx, p.Seed, streams)
--- a/internal/lab/experiments/clustersreal.go
+++ b/internal/lab/experiments/clustersreal.go
@@ -314,7 +314,7 @@
 		for i := range crossN {
 			for name := range crossServices {
 				for _, class := range []string{"job", "once"} {
-					streams = append(streams, Stream{Tenant: name, Class: class, Entry: i, Rate: 5, Patience: 2 * time.Second})
+					streams = append(streams, Stream{Tenant: name, Class: class, Entry: i, Rate: 5, ClientTimeout: 2 * time.Second})
 				}
 			}
 		}
--- a/internal/lab/experiments/counts.go
+++ b/internal/lab/experiments/counts.go
@@ -65,12 +65,12 @@
 	var streams []Stream
 	for _, t := range countsTenants {
 		if t == countsLone {
-			streams = append(streams, Stream{Tenant: t, Class: "job", Rate: countsQuotas[t] * 1.2, Even: true, Patience: 2 * time.Second})
+			streams = append(streams, Stream{Tenant: t, Class: "job", Rate: countsQuotas[t] * 1.2, EvenlySpaced: true, ClientTimeout: 2 * time.Second})
 			continue
 		}
 		for i := range countsN {
 			rate := capacity * countsRates / float64(len(countsTenants)-1) / countsN
-			streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: rate, Patience: 2 * time.Second})
+			streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: rate, ClientTimeout: 2 * time.Second})
 		}
 	}
 	c.Load.Play(ctx, seed, streams)
--- a/internal/lab/experiments/golden_test.go
+++ b/internal/lab/experiments/golden_test.go
@@ -154,7 +154,7 @@
 		Claims:     []Claim{{Name: "a claim", Bound: 1.5, Measured: 1.25, Unit: "s", Held: true}, {}},
 		Held:       true,
 		Void:       "one died",
-		Beside:     []Beside{{Name: "beside", Value: 3.5, Unit: "jobs"}, {}},
+		Beside:     []ContextFigure{{Name: "beside", Value: 3.5, Unit: "jobs"}, {}},
 		Rows: []capacity.Row{{
 			Line:     "line",
 			Percent:  50,
--- a/internal/lab/experiments/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -27,8 +27,8 @@
 	Held     bool    `json:"held"`
 }
 
-// Beside is a figure that stands beside a claim: today's way, or an ideal.
-type Beside struct {
+// ContextFigure is a figure that stands beside a claim: today's way, or an ideal.
+type ContextFigure struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
@@ -36,13 +36,13 @@
 
 // Result is what an experiment found.
 type Result struct {
-	Experiment string   `json:"experiment"`
-	Seed       uint64   `json:"seed"`
-	Size       string   `json:"size"`
-	Claims     []Claim  `json:"claims"`
-	Held       bool     `json:"held"`
-	Void       string   `json:"void,omitempty"` // why it shows nothing
-	Beside     []Beside `json:"beside,omitempty"`
+	Experiment string          `json:"experiment"`
+	Seed       uint64          `json:"seed"`
+	Size       string          `json:"size"`
+	Claims     []Claim         `json:"claims"`
+	Held       bool            `json:"held"`
+	Void       string          `json:"void,omitempty"` // why it shows nothing
+	Beside     []ContextFigure `json:"beside,omitempty"`
 	// Rows and Slopes are of the experiment that is held against the target.
 	Rows    []capacity.Row   `json:"rows,omitempty"`
 	Slopes  []capacity.Slope `json:"slopes,omitempty"`
@@ -93,7 +93,7 @@
 
 // Note puts a figure beside the claims.
 func (r *Result) Note(name string, value float64, unit string) {
-	r.Beside = append(r.Beside, Beside{name, value, unit})
+	r.Beside = append(r.Beside, ContextFigure{name, value, unit})
 }
 
 // Params are what an experiment is run with.
@@ -198,8 +198,8 @@
 	}
 }
 
-// Ended is the result of an experiment that was ended by hand.
-func (e *Experiment) Ended(seed uint64) *Result {
+// InterruptedResult is the result of an experiment that was ended by hand.
+func (e *Experiment) InterruptedResult(seed uint64) *Result {
 	r := &Result{Void: "it was ended before its time"}
 	r.judge(e.Name, seed)
 	return r
--- a/internal/lab/experiments/lab_test.go
+++ b/internal/lab/experiments/lab_test.go
@@ -184,7 +184,7 @@
 	if !strings.Contains(b.String(), "VOID: process n0") {
 		t.Error(b.String())
 	}
-	if r := e.Ended(3); r.Held || r.Void == "" || r.Seed != 3 {
+	if r := e.InterruptedResult(3); r.Held || r.Void == "" || r.Seed != 3 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/lab/experiments/load.go
+++ b/internal/lab/experiments/load.go
@@ -18,28 +18,28 @@
 // Stream is an open-loop flow of jobs: they come at their own pace, however
 // slow the answers are.
 type Stream struct {
-	Tenant, Class string
-	Entry         int     // index of the dispatcher
-	Slots         int     // of each job; 0 means 1
-	Rate          float64 // a second
-	Even          bool    // evenly spaced; false: Poisson
-	Keyed         bool    // jobs carry an Idempotency-Key
-	Patience      time.Duration
+	Tenant, Class     string
+	Entry             int     // index of the dispatcher
+	Slots             int     // of each job; 0 means 1
+	Rate              float64 // a second
+	EvenlySpaced      bool    // evenly spaced; false: Poisson
+	HasIdempotencyKey bool    // jobs carry an Idempotency-Key
+	ClientTimeout     time.Duration
 }
 
 // Answer is what a client saw.
 type Answer struct {
-	At       time.Time // when it asked
-	Took     time.Duration
-	ID       string
-	Tenant   string
-	Class    string
-	Entry    int
-	Patience time.Duration
-	Status   int  // 0: no answer
-	Never    bool // the connection was never made
-	Body     string
-	After    time.Duration // what Retry-After said
+	At            time.Time // when it asked
+	Took          time.Duration
+	ID            string
+	Tenant        string
+	Class         string
+	Entry         int
+	ClientTimeout time.Duration
+	Status        int  // 0: no answer
+	DialFailed    bool // the connection was never made
+	Body          string
+	RetryAfter    time.Duration // what Retry-After said
 }
 
 // Load plays streams against dispatchers.
@@ -82,7 +82,7 @@
 		case <-t.C:
 		}
 		gap := 1 / s.Rate
-		if !s.Even {
+		if !s.EvenlySpaced {
 			gap *= rng.ExpFloat64()
 		}
 		next = next.Add(time.Duration(gap * float64(time.Second)))
@@ -99,24 +99,24 @@
 	addr := l.Addrs[s.Entry]
 	l.mu.Unlock()
 	// A client that leaves on the second would not see the answer that it is owed then.
-	ctx, cancel := context.WithTimeout(context.Background(), s.Patience+250*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), s.ClientTimeout+250*time.Millisecond)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+s.Class,
 		strings.NewReader(fmt.Sprintf("%s %d slots=%d", s.Tenant, s.Entry, max(s.Slots, 1))))
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Request-Class", s.Class)
 	req.Header.Set("Tenant", s.Tenant)
-	req.Header.Set("Request-Timeout", fmt.Sprintf("%.3f", s.Patience.Seconds()))
-	if s.Keyed {
+	req.Header.Set("Request-Timeout", fmt.Sprintf("%.3f", s.ClientTimeout.Seconds()))
+	if s.HasIdempotencyKey {
 		req.Header.Set("Idempotency-Key", id+id)
 	}
 	if s.Slots > 1 {
 		req.Header.Set("Request-Info", fmt.Sprintf("slots=%d", s.Slots))
 	}
-	a := Answer{At: time.Now(), ID: id, Tenant: s.Tenant, Class: s.Class, Entry: s.Entry, Patience: s.Patience}
+	a := Answer{At: time.Now(), ID: id, Tenant: s.Tenant, Class: s.Class, Entry: s.Entry, ClientTimeout: s.ClientTimeout}
 	resp, err := l.client.Do(req)
 	var op *net.OpError
-	a.Never = errors.As(err, &op) && op.Op == "dial"
+	a.DialFailed = errors.As(err, &op) && op.Op == "dial"
 	if err == nil {
 		a.Status = resp.StatusCode
 		body, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
@@ -125,7 +125,7 @@
 			a.Status = 0
 		}
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			a.After = time.Duration(s * float64(time.Second))
+			a.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	}
 	a.Took = time.Since(a.At)
@@ -144,8 +144,8 @@
 	return append([]Answer(nil), l.got...)
 }
 
-// Between are the answers to what was asked in a span at any of these entries.
-func Between(list []Answer, from, to time.Time, entries ...int) (some []Answer) {
+// AnswersBetween are the answers to what was asked in a span at any of these entries.
+func AnswersBetween(list []Answer, from, to time.Time, entries ...int) (some []Answer) {
 	for _, a := range list {
 		if !a.At.Before(from) && a.At.Before(to) && slices.Contains(entries, a.Entry) {
 			some = append(some, a)
@@ -154,8 +154,8 @@
 	return some
 }
 
-// Served is the part that was answered with a result; 0 of nothing.
-func Served(list []Answer) float64 {
+// ServedFraction is the part that was answered with a result; 0 of nothing.
+func ServedFraction(list []Answer) float64 {
 	n := 0
 	for _, a := range list {
 		if a.Status == http.StatusOK {
--- a/internal/lab/experiments/loadself.go
+++ b/internal/lab/experiments/loadself.go
@@ -50,7 +50,7 @@
 		closed = 16
 	}
 	run := func(rate, span float64) (*LoadReport, error) {
-		return RunLoad(context.Background(), LoadOptions{Closed: closed, Targets: []string{l.Addr().String()}, Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson,
+		return RunLoad(context.Background(), LoadOptions{ClosedLoopClients: closed, Targets: []string{l.Addr().String()}, Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson,
 			Span: span, Classes: []loadgen.Class{{WeightedName: loadgen.WeightedName{Name: "job", Weight: 1}, ClientTimeout: 5}}, Tenants: []loadgen.WeightedName{{Name: "t", Weight: 1}}}})
 	}
 	x, err := run(loadRate, span)
--- a/internal/lab/experiments/loadtool.go
+++ b/internal/lab/experiments/loadtool.go
@@ -29,12 +29,12 @@
 
 // LoadOptions are what the load tool runs with.
 type LoadOptions struct {
-	Targets  []string // in turn
-	Settings loadgen.Settings
-	Trace    []loadgen.Job // played instead of what the settings draw
-	Progress io.Writer     // a line a second; nil: none
-	Aim      time.Duration // an answer of 200 within that is in time; 0: all are
-	Closed   int           // so many clients that ask when they have their answer, for comparison; 0: open loop
+	Targets           []string // in turn
+	Settings          loadgen.Settings
+	Trace             []loadgen.Job // played instead of what the settings draw
+	Progress          io.Writer     // a line a second; nil: none
+	LatencyObjective  time.Duration // an answer of 200 within that is in time; 0: all are
+	ClosedLoopClients int           // so many clients that ask when they have their answer, for comparison; 0: open loop
 }
 
 // LoadReport is what the clients saw. Times count from when a question was due,
@@ -120,7 +120,7 @@
 	l.began = time.Now()
 	// The runtime's own timers are a millisecond late when little else happens.
 	runtime.LockOSThread()
-	turns := make(chan struct{}, max(l.Closed, 1))
+	turns := make(chan struct{}, max(l.ClosedLoopClients, 1))
 	for ctx.Err() == nil {
 		j, ok := next()
 		if !ok {
@@ -128,7 +128,7 @@
 		}
 		due := l.began.Add(time.Duration(j.At * float64(time.Second)))
 		nap(ctx, due)
-		if l.Closed > 0 { // what a slow server does to such a client: the question comes later
+		if l.ClosedLoopClients > 0 { // what a slow server does to such a client: the question comes later
 			turns <- struct{}{}
 			due = time.Now()
 		}
@@ -145,7 +145,7 @@
 			l.all.Add(1)
 			go func() {
 				l.play(j, due)
-				if l.Closed > 0 {
+				if l.ClosedLoopClients > 0 {
 					<-turns
 				}
 			}()
@@ -198,7 +198,7 @@
 		name = "none"
 	}
 	l.report.Status[name]++
-	if status == http.StatusOK && (l.Aim == 0 || took <= l.Aim) {
+	if status == http.StatusOK && (l.LatencyObjective == 0 || took <= l.LatencyObjective) {
 		l.report.InTime++
 	}
 	for m, key := range map[*map[string]*Latency]string{&l.report.Classes: j.Class, &l.report.Tenants: j.Tenant} {
--- a/internal/lab/experiments/processes_test.go
+++ b/internal/lab/experiments/processes_test.go
@@ -148,7 +148,7 @@
 	defer stop()
 	var streams []Stream
 	for i := range c.Nodes {
-		streams = append(streams, Stream{Tenant: "t", Class: "job", Entry: i, Rate: 20, Patience: time.Second})
+		streams = append(streams, Stream{Tenant: "t", Class: "job", Entry: i, Rate: 20, ClientTimeout: time.Second})
 	}
 	c.Load.Play(ctx, seed, streams)
 
@@ -197,10 +197,10 @@
 	}
 	stop()
 	c.Load.Wait()
-	away := Between(c.Load.Answers(), began, ended, 0)
-	others := Between(c.Load.Answers(), began, ended, 1, 2)
-	if Served(away) != 0 || Served(others) < 0.9 || len(others) < 20 {
-		t.Errorf("while n0 was away it served %.2f of %d, the others %.2f of %d", Served(away), len(away), Served(others), len(others))
+	away := AnswersBetween(c.Load.Answers(), began, ended, 0)
+	others := AnswersBetween(c.Load.Answers(), began, ended, 1, 2)
+	if ServedFraction(away) != 0 || ServedFraction(others) < 0.9 || len(others) < 20 {
+		t.Errorf("while n0 was away it served %.2f of %d, the others %.2f of %d", ServedFraction(away), len(away), ServedFraction(others), len(others))
 	}
 	acts := c.Halt()
 	if found := c.History(invariants.Limits{Grace: 0.016}, []invariants.Class{{Name: "job", Repeat: "unsafe"}}).Check(); len(found) > 0 {
--- a/internal/lab/experiments/rebalance.go
+++ b/internal/lab/experiments/rebalance.go
@@ -93,10 +93,10 @@
 			if t%4 == 0 {
 				class = "once"
 			}
-			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceCrowd, Patience: patience})
+			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceCrowd, ClientTimeout: patience})
 		}
 	}
-	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLone * 1.2, Even: true, Patience: patience})
+	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLone * 1.2, EvenlySpaced: true, ClientTimeout: patience})
 }
 
 // lone is the rate at which the fleet began jobs of the lone tenant, against its reservation.
--- a/internal/lab/experiments/silent.go
+++ b/internal/lab/experiments/silent.go
@@ -84,9 +84,9 @@
 	defer stop()
 	all := 0.6 * float64(workers*slots) / mean.Seconds()
 	r := &silentRun{silent: map[string]bool{}, clock: fleet.Clock, start: time.Now()}
-	load.Play(ctx, p.Seed, []Stream{{Tenant: "t", Class: "read", Rate: 0.6 * all, Patience: 3 * time.Second},
-		{Tenant: "t", Class: "write", Rate: 0.25 * all, Patience: 3 * time.Second},
-		{Tenant: "t", Class: "assign", Rate: 0.15 * all, Patience: 3 * time.Second, Keyed: true}})
+	load.Play(ctx, p.Seed, []Stream{{Tenant: "t", Class: "read", Rate: 0.6 * all, ClientTimeout: 3 * time.Second},
+		{Tenant: "t", Class: "write", Rate: 0.25 * all, ClientTimeout: 3 * time.Second},
+		{Tenant: "t", Class: "assign", Rate: 0.15 * all, ClientTimeout: 3 * time.Second, HasIdempotencyKey: true}})
 	time.Sleep(span / 4)
 	rule := fault.Rule{Kind: fault.Silence, Side: fault.Answer, Duration: (span / 2).Seconds()}
 	for i := range silent {
@@ -121,7 +121,7 @@
 
 // audited is an answer as the audit takes it.
 func (a Answer) audited(clock func(time.Time) float64) invariants.Request {
-	r := invariants.Request{ID: a.ID, Class: a.Class, Dispatcher: fmt.Sprint(a.Entry), SentAt: clock(a.At), ClientTimeout: a.Patience.Seconds(), Never: a.Never}
+	r := invariants.Request{ID: a.ID, Class: a.Class, Dispatcher: fmt.Sprint(a.Entry), SentAt: clock(a.At), ClientTimeout: a.ClientTimeout.Seconds(), Never: a.DialFailed}
 	if a.Status > 0 {
 		r.Answers = []invariants.Answer{{At: clock(a.At.Add(a.Took)), Status: a.Status, Body: a.Body}}
 	}
