--- a/internal/lab/experiments/ageing.go
+++ b/internal/lab/experiments/ageing.go
@@ -14,22 +14,23 @@
 	Run:     runAgeing,
 }
 
-// What the cheap and the wide class are promised, and how much the dear class
-// may lose by it.
+// Bounds of the claims: the longest wait of an admitted job of class cheap or wide, and the fraction of the
+// dear class's worth that may be lost by bounding that wait.
 const (
-	ageingWait = 4 * time.Second
-	ageingLoss = 0.05
+	ageingMaxWait      = 4 * time.Second
+	ageingMaxWorthLoss = 0.05
 )
 
-// ageingRun is one pass.
+// ageingRun is what clients and workers recorded of one run of the load.
 type ageingRun struct {
-	answers []Answer
-	jobs    []Job
-	began   time.Time
-	ended   time.Time
+	answers   []Answer
+	jobs      []Job
+	startedAt time.Time
+	endedAt   time.Time
 }
 
-// playAgeing plays the load against a fresh process and fleet.
+// playAgeing runs the load for span against a new process and fleet, with or without an ageing block in the
+// process's file.
 func playAgeing(p Params, name string, ageing bool, span time.Duration) (*ageingRun, error) {
 	fleet, err := NewFleet(p.Seed, 12, 4, 300*time.Millisecond) // 160 slots a second
 	if err != nil {
@@ -38,7 +39,7 @@
 	defer fleet.Close()
 	file := "log {\n  level = \"info\"\n}\n"
 	if ageing {
-		file += fmt.Sprintf("ageing {\n  max_wait = %q\n  classes = [\"cheap\", \"wide\"]\n}\n", ageingWait.String())
+		file += fmt.Sprintf("ageing {\n  max_wait = %q\n  classes = [\"cheap\", \"wide\"]\n}\n", ageingMaxWait.String())
 	}
 	d, err := alone(p, fleet, name, `{"name":"dear","aim":0.8,"hard_limit":3,"value":10,"semantics":"safe"},
  {"name":"cheap","aim":7,"hard_limit":9,"value":1,"semantics":"unsafe"},
@@ -51,20 +52,22 @@
 	defer load.Close()
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
-	r := &ageingRun{began: time.Now()}
+	r := &ageingRun{startedAt: time.Now()}
 	load.Play(ctx, p.Seed, []Stream{
 		{Tenant: "t", Class: "dear", Rate: 1.2 * 160, ClientTimeout: 3 * time.Second},
 		{Tenant: "t", Class: "cheap", Rate: 5, ClientTimeout: 9 * time.Second},
 		{Tenant: "t", Class: "wide", Slots: 4, Rate: 0.4, ClientTimeout: 9 * time.Second},
 	})
 	load.Wait()
-	r.ended = r.began.Add(span)
+	r.endedAt = r.startedAt.Add(span)
 	r.answers, r.jobs = load.Answers(), fleet.Jobs()
 	return r, nil
 }
 
-// judge says what became of a class by clients' clocks and workers' records.
-func (r *ageingRun) judge(class string) (worst time.Duration, ran, refused, starved int, slow time.Duration) {
+// classOutcomes counts a class's jobs that ran, were refused within 250 ms, and starved: were
+// admitted but never reached a worker. worst is the longest time from the request to the first attempt, slow the
+// slowest refusal.
+func (r *ageingRun) classOutcomes(class string) (worst time.Duration, ran, refused, starved int, slow time.Duration) {
 	first := map[string]time.Time{}
 	for _, j := range r.jobs {
 		if at, ok := first[j.ID]; !ok || j.At.Before(at) {
@@ -83,7 +86,7 @@
 		case a.Status == 503 && a.Took < 250*time.Millisecond:
 			refused++
 			slow = max(slow, a.Took)
-		default: // taken in, and nobody ever got it
+		default: // admitted, but never sent to a worker
 			starved++
 			worst = max(worst, a.Took)
 		}
@@ -91,14 +94,14 @@
 	return
 }
 
-// dear is the worth of dear jobs that were answered in time, a second.
-func (r *ageingRun) dear() (worth float64) {
+// dearWorthPerSecond returns the worth of the dear jobs that were answered within 0.8 s, per second.
+func (r *ageingRun) dearWorthPerSecond() (worth float64) {
 	for _, a := range r.answers {
 		if a.Class == "dear" && a.Status == 200 && a.Took < 800*time.Millisecond {
 			worth += 10
 		}
 	}
-	return worth / r.ended.Sub(r.began).Seconds()
+	return worth / r.endedAt.Sub(r.startedAt).Seconds()
 }
 
 func runAgeing(p Params) (*Result, error) {
@@ -106,37 +109,37 @@
 	if p.Quick {
 		span = 12 * time.Second
 	}
-	p.Log("today's way for %v", span)
+	p.Log("run without ageing for %v", span)
 	today, err := playAgeing(p, "today", false, span)
 	if err != nil {
 		return nil, err
 	}
-	p.Log("with a longest wait of %v", ageingWait)
+	p.Log("run with a longest wait of %v", ageingMaxWait)
 	with, err := playAgeing(p, "ageing", p.Without != "ageing", span)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Size: fmt.Sprintf("12 workers of 4 slots, dear jobs at 120%%, %v, longest wait %v", span, ageingWait)}
-	worst, ran, refused, starved, slow := with.judge("cheap")
-	wideWorst, wideRan, wideRefused, wideStarved, wideSlow := with.judge("wide")
-	r.AtMost("an admitted cheap job waits for its first hop at most", ageingWait.Seconds(), worst.Seconds(), "s")
-	r.AtMost("an admitted job of four slots waits for its first hop at most", ageingWait.Seconds(), wideWorst.Seconds(), "s")
+	r := &Result{Size: fmt.Sprintf("12 workers of 4 slots, dear jobs at 120%%, %v, longest wait %v", span, ageingMaxWait)}
+	worst, ran, refused, starved, slow := with.classOutcomes("cheap")
+	wideWorst, wideRan, wideRefused, wideStarved, wideSlow := with.classOutcomes("wide")
+	r.AtMost("an admitted cheap job waits for its first hop at most", ageingMaxWait.Seconds(), worst.Seconds(), "s")
+	r.AtMost("an admitted job of four slots waits for its first hop at most", ageingMaxWait.Seconds(), wideWorst.Seconds(), "s")
 	r.AtMost("admitted jobs that no worker ever got", 0, float64(starved+wideStarved), "jobs")
 	r.AtLeast("cheap jobs that ran", 5, float64(ran), "jobs")
 	r.AtLeast("jobs of four slots that ran", 1, float64(wideRan), "jobs")
 	r.AtMost("a refusal comes after the job at most", 0.05, max(slow, wideSlow).Seconds(), "s")
-	r.AtLeast("worth of the dear class against today's way", 1-ageingLoss, with.dear()/math.Max(today.dear(), 1), "part")
+	r.AtLeast("worth of the dear class against today's way", 1-ageingMaxWorthLoss, with.dearWorthPerSecond()/math.Max(today.dearWorthPerSecond(), 1), "part")
 	r.Note("cheap jobs refused as they came", float64(refused), "jobs")
 	r.Note("jobs of four slots refused as they came", float64(wideRefused), "jobs")
-	worst, ran, _, starved, _ = today.judge("cheap")
+	worst, ran, _, starved, _ = today.classOutcomes("cheap")
 	r.Note("today's way: longest wait of a cheap job", worst.Seconds(), "s")
 	r.Note("today's way: cheap jobs that ran", float64(ran), "jobs")
 	r.Note("today's way: cheap jobs that no worker ever got", float64(starved), "jobs")
-	worst, ran, _, starved, _ = today.judge("wide")
+	worst, ran, _, starved, _ = today.classOutcomes("wide")
 	r.Note("today's way: longest wait of a job of four slots", worst.Seconds(), "s")
 	r.Note("today's way: jobs of four slots that ran", float64(ran), "jobs")
 	r.Note("today's way: jobs of four slots that no worker ever got", float64(starved), "jobs")
-	r.Note("worth of the dear class, a second", with.dear(), "worth")
-	r.Note("today's way: the same", today.dear(), "worth")
+	r.Note("worth of the dear class, a second", with.dearWorthPerSecond(), "worth")
+	r.Note("today's way: the same", today.dearWorthPerSecond(), "worth")
 	return r, nil
 }
--- a/internal/lab/experiments/capacity.go
+++ b/internal/lab/experiments/capacity.go
@@ -98,7 +98,7 @@
 		capacity.Target.Workers, capacity.Target.Teams, capacity.Target.Starts)}
 	load := machineLoad()
 	for _, x := range capacityParts {
-		if only := p.only(); only != nil && !slices.Contains(only, x.Name) || p.Without != "" && !slices.Contains(x.Without, p.Without) {
+		if only := p.selectedParts(); only != nil && !slices.Contains(only, x.Name) || p.Without != "" && !slices.Contains(x.Without, p.Without) {
 			continue
 		}
 		q := CapacityParams{Params: p, Percents: percents}
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -271,7 +271,7 @@
 		add(capacity.Lists, capacity.Memory, "lists, the table of workers", capacity.Target.Memory, c.table/1e6, "MB", capacity.OnSockets)
 		f.Row(shown(capacity.AtMost(capacity.Memory, percent, "decisions on jobs and workers at 44 dispatchers, heap", capacity.Target.Memory, d.heap/1e6, "MB", capacity.VirtualTime)))
 		for _, line := range []string{capacity.Workers, capacity.Starts, capacity.Running} {
-			f.Row(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleWorth, d.worth, "part", capacity.VirtualTime))
+			f.Row(capacity.AtLeast(line, percent, "tasks in time at 44 dispatchers, against one queue that sees all", scaleMinWorth, d.worth, "part", capacity.VirtualTime))
 		}
 		f.Row(shown(capacity.AtMost(capacity.Core, percent, "all decisions on jobs at 44 dispatchers, probes among them, mean of the peak", capacity.Target.Core, d.busy/10, "%", capacity.VirtualTime)))
 		p.Log("%d workers: whole list %.0f B, change %.0f B, read %.3f ms, table %.0f B, %d changes a day; %.2f probes a second, %.2f attempts a job, %.2f ms/s",
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -57,9 +57,9 @@
 }
 
 func (s *versionsStudy) run(seed uint64, percent, n int, apart float64, set lease.Settings) *versionsRun {
-	x := &versionsRun{seed: seed, close: s.close, n: n, apart: apart, set: set, seats: askSeats, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
+	x := &versionsRun{seed: seed, close: s.close, n: n, apart: apart, set: set, revokePollInterval: askSeats, load: s.Load(percent), idleSpan: 10, singleChanges: 3, concurrentChanges: capacity.AtOnce}
 	if s.Quick {
-		x.rest, x.plays = 5, 2
+		x.idleSpan, x.singleChanges = 5, 2
 	}
 	return x
 }
@@ -75,26 +75,26 @@
 }
 
 // play plays a run, and holds it against what is stated.
-func (s *versionsStudy) play(x *versionsRun) *versionsFound {
+func (s *versionsStudy) play(x *versionsRun) *versionsFigures {
 	began := time.Now()
-	if err := x.set.Validate(); err != nil || !x.play() {
+	if err := x.set.Validate(); err != nil || !x.measure() {
 		s.never++
 		s.Log("versions: %d instances, %g s apart, %+v: no first version (%v)", x.n, x.apart, x.set, err)
-		return &x.found
+		return &x.figures
 	}
-	f := &x.found
-	for k := range f.alone {
-		for _, took := range f.alone[k] {
+	f := &x.figures
+	for k := range f.single {
+		for _, took := range f.single[k] {
 			s.late[k] = max(s.late[k], took/stated(x.set, k == 1))
 		}
-		for _, took := range f.many[k] {
-			if took >= atOnceMost {
+		for _, took := range f.concurrent[k] {
+			if took >= concurrentChangesTimeout {
 				s.lost++
 			}
 		}
 	}
 	s.Log("versions: %d %%, %d instances, %g ms apart, %s: loose %.2f, exclusive %.2f, at once %.1f and %.1f s; %.1f s to play", x.load.Percent, x.n, 1000*x.apart,
-		settingName(x.set), f.alone[0], f.alone[1], f.many[0], f.many[1], time.Since(began).Seconds())
+		settingName(x.set), f.single[0], f.single[1], f.concurrent[0], f.concurrent[1], time.Since(began).Seconds())
 	return f
 }
 
@@ -114,8 +114,8 @@
 }
 
 // rows holds a play against the target.
-func (s *versionsStudy) rows(x *versionsRun, f *versionsFound) {
-	if len(f.alone[1]) == 0 || len(f.many[1]) == 0 {
+func (s *versionsStudy) rows(x *versionsRun, f *versionsFigures) {
+	if len(f.single[1]) == 0 || len(f.concurrent[1]) == 0 {
 		return
 	}
 	way := fmt.Sprintf(", %g ms between regions", 1000*x.apart)
@@ -127,11 +127,11 @@
 	}
 	shown := x.apart != versionsApart // the target names no delay
 	for k, kind := range []string{"loose", "exclusive"} {
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+way+at, capacity.Target.InForce, slices.Max(f.alone[k]), "s", capacity.VirtualTime)).Shown = shown
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+way+at, capacity.Target.InForce, slices.Max(f.many[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+way+at, capacity.Target.InForce, slices.Max(f.single[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+way+at, capacity.Target.InForce, slices.Max(f.concurrent[k]), "s", capacity.VirtualTime)).Shown = shown
 	}
 	add(capacity.AtLeast(capacity.Changes, x.load.Percent, "changes of a day that are in force everywhere within 4 s, all exclusive, a tenth of them ten at once"+way+at, 1,
-		inTime(f.alone[1], f.many[1]), "part", capacity.VirtualTime)).Shown = shown
+		inTime(f.single[1], f.concurrent[1]), "part", capacity.VirtualTime)).Shown = shown
 	if shown {
 		return
 	}
@@ -154,30 +154,30 @@
 			r := add(capacity.AtMost(capacity.Bytes, x.load.Percent, what+said+at, bytes, v, "B/s", capacity.VirtualTime))
 			r.Kind, r.When, r.Shown = kind(k), w, w == capacity.Second
 		}
-		leases, seats := f.leases(d), f.seats(d)
+		leases, seats := f.leaseRate(d), f.revokePollRate(d)
 		if w == capacity.Minute {
-			leases, seats = f.minute[0], f.minute[1]
+			leases, seats = f.zoneLoss[0], f.zoneLoss[1]
 		}
 		one(capacity.Agreement, "leases and pings, sent and received", leases)
 		one(capacity.Seats, "which shards to give away, asked once a second, sent and received", seats)
-		v := peak * f.extra[1][d]
+		v := peak * f.changeBytes[1][d]
 		if w == capacity.Second {
-			v = f.worst
+			v = f.worstSecond
 		}
 		one(capacity.Versions, "versions, all exclusive, sent and received", v)
 	}
 	if x.set != lease.DefaultSettings {
 		return
 	}
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+at, core, f.busy[d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+at, core, peak*f.cost[1][d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+at, core, f.cpu[d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+at, core, peak*f.changeCPU[1][d]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
 	add(capacity.AtMost(capacity.Memory, x.load.Percent, "rules, the last 64 versions of them, heap"+at, memory,
-		(f.heap+lease.MaxHistoryLength*tableHeap(x.load.Teams))/1e6, "MB", capacity.VirtualTime)).Kind = kind(capacity.Versions)
+		(f.heap+lease.MaxHistoryLength*heapPerTable(x.load.Teams))/1e6, "MB", capacity.VirtualTime)).Kind = kind(capacity.Versions)
 	for _, r := range []string{roleLeader, roleVoter} { // not dispatchers: shown
 		row := add(capacity.AtMost(capacity.Bytes, x.load.Percent, r+", leases and versions, sent and received, mean of the peak"+at, bytes,
-			total(f.sent[r])+total(f.got[r])+peak*f.extra[1][r], "B/s", capacity.VirtualTime))
+			total(f.sent[r])+total(f.received[r])+peak*f.changeBytes[1][r], "B/s", capacity.VirtualTime))
 		row.Shown = true
-		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+at, core, (f.busy[r]+peak*f.cost[1][r])/10, "%", capacity.VirtualTime))
+		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+at, core, (f.cpu[r]+peak*f.changeCPU[1][r])/10, "%", capacity.VirtualTime))
 		row.Shown = true
 	}
 }
@@ -192,7 +192,7 @@
 	whole := true
 	play := func(seed uint64, strike func(x *versionsRun)) (l versionsLoss) {
 		x := s.run(seed, 10, versionsMost, float64(apart)/1000, set)
-		l, ok := x.lose(func() { strike(x) })
+		l, ok := x.measureLoss(func() { strike(x) })
 		whole = whole && ok
 		return l
 	}
@@ -211,8 +211,8 @@
 	}
 	for _, seed := range seeds {
 		for _, r := range regions {
-			l := play(seed, func(x *versionsRun) { x.region(of(x, r)) })
-			worst, lapse = max(worst, l.took), max(lapse, l.lapse)
+			l := play(seed, func(x *versionsRun) { x.killRegion(of(x, r)) })
+			worst, lapse = max(worst, l.took), max(lapse, l.longestUnleased)
 		}
 		for _, pair := range links {
 			l := play(seed, func(x *versionsRun) {
@@ -220,9 +220,9 @@
 				if p == q {
 					q = (p + 1) % versionsVoters
 				}
-				x.a.SetPartition(func(i, k int) bool { return x.at[i] == p && x.at[k] == q || x.at[i] == q && x.at[k] == p })
+				x.sim.SetPartition(func(i, k int) bool { return x.at[i] == p && x.at[k] == q || x.at[i] == q && x.at[k] == p })
 			})
-			link, linked = max(link, l.took), max(linked, l.lapse)
+			link, linked = max(link, l.took), max(linked, l.longestUnleased)
 		}
 	}
 	way := fmt.Sprintf(", %d ms between regions", apart)
@@ -265,7 +265,7 @@
 			}
 		}
 		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // what check takes for long links gives leases
-		x.many = 0
+		x.concurrentChanges = 0
 		s.play(x)
 		if !p.Quick {
 			s.losses(80, seeds)
@@ -296,31 +296,31 @@
 func (s *versionsStudy) sweep(seeds []uint64) error {
 	type point struct {
 		x float64
-		f *versionsFound
+		f *versionsFigures
 	}
 	lines := []struct {
 		what, unit string
 		kind       capacity.Kind
-		of         func(f *versionsFound) float64
+		of         func(f *versionsFigures) float64
 	}{
-		{"an exclusive change alone, in force everywhere", "s", "", func(f *versionsFound) float64 { return mean(f.alone[1]) }},
-		{"a loose change alone, in force everywhere", "s", "", func(f *versionsFound) float64 { return mean(f.alone[0]) }},
-		{"ten exclusive changes at once, the last", "s", "", func(f *versionsFound) float64 { return slices.Max(f.many[1]) }},
-		{"leases, a dispatcher, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleDispatcher) }},
-		{"leases, a voter, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleVoter) }},
-		{"leases, the leader, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleLeader) }},
-		{"an exclusive change, a dispatcher, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleDispatcher] }},
-		{"an exclusive change, a voter, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleVoter] }},
-		{"an exclusive change, the leader, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleLeader] }},
-		{"leases, the leader, processor without sockets", "ms/s", capacity.Agreement, func(f *versionsFound) float64 { return f.busy[roleLeader] }},
-		{"an exclusive change, a dispatcher, processor without sockets", "ms", capacity.Versions, func(f *versionsFound) float64 { return f.cost[1][roleDispatcher] }},
-		{"an exclusive change, the leader, processor without sockets", "ms", capacity.Versions, func(f *versionsFound) float64 { return f.cost[1][roleLeader] }},
+		{"an exclusive change alone, in force everywhere", "s", "", func(f *versionsFigures) float64 { return mean(f.single[1]) }},
+		{"a loose change alone, in force everywhere", "s", "", func(f *versionsFigures) float64 { return mean(f.single[0]) }},
+		{"ten exclusive changes at once, the last", "s", "", func(f *versionsFigures) float64 { return slices.Max(f.concurrent[1]) }},
+		{"leases, a dispatcher, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleDispatcher) }},
+		{"leases, a voter, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleVoter) }},
+		{"leases, the leader, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleLeader) }},
+		{"an exclusive change, a dispatcher, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleDispatcher] }},
+		{"an exclusive change, a voter, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleVoter] }},
+		{"an exclusive change, the leader, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleLeader] }},
+		{"leases, the leader, processor without sockets", "ms/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.cpu[roleLeader] }},
+		{"an exclusive change, a dispatcher, processor without sockets", "ms", capacity.Versions, func(f *versionsFigures) float64 { return f.changeCPU[1][roleDispatcher] }},
+		{"an exclusive change, the leader, processor without sockets", "ms", capacity.Versions, func(f *versionsFigures) float64 { return f.changeCPU[1][roleLeader] }},
 	}
 	slopes := func(by string, points []point) error {
 		for _, l := range lines {
 			var list []capacity.Point
 			for _, p := range points {
-				if len(p.f.many[1]) > 0 {
+				if len(p.f.concurrent[1]) > 0 {
 					list = append(list, capacity.Point{X: p.x, Y: l.of(p.f)})
 				}
 			}
@@ -363,7 +363,7 @@
 		}
 		for _, n := range []int{1, 2, 3, 5, 10} {
 			x := s.run(seed, 100, versionsMost, versionsApart, lease.DefaultSettings)
-			x.teams, x.many = 41, n
+			x.teams, x.concurrentChanges = 41, n
 			rest = append(rest, point{float64(n), s.play(x)})
 		}
 	}
@@ -387,7 +387,7 @@
 	plot.Title, plot.XLabel, plot.YLabel = "Exclusive changes asked for at once: the last is in force everywhere", "changes", "s"
 	line := report.Line{Name: "virtual time, 49 instances"}
 	for _, p := range rest {
-		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.many[1]))
+		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.concurrent[1]))
 	}
 	plot.Lines = append(plot.Lines, line)
 	s.f.Plots = append(s.f.Plots, plot)
@@ -405,9 +405,9 @@
 // sockets plays the same cluster on sockets and in virtual time, and holds them against each other.
 func (s *versionsStudy) sockets() error {
 	load, set := s.Load(100), lease.DefaultSettings
-	at := regionOf(load, versionsFew)
+	at := placeInstances(load, versionsFew)
 	way := time.Duration(versionsApart * float64(time.Second))
-	c, err := startMembers(s.Params, versionsFew, versionsVoters, set, func(i, k int) time.Duration {
+	c, err := startAgentGroup(s.Params, versionsFew, versionsVoters, set, func(i, k int) time.Duration {
 		if at[i] == at[k] {
 			return 0
 		}
@@ -417,8 +417,8 @@
 		return err
 	}
 	defer c.close()
-	c.all[0].Propose(teamsTable(load.Teams))
-	if !c.reached(1, 30*time.Second) {
+	c.loops[0].Propose(initialTable(load.Teams))
+	if !c.waitForVersion(1, 30*time.Second) {
 		return fmt.Errorf("no first version on sockets in 30 s")
 	}
 	time.Sleep(5 * time.Second)
@@ -438,8 +438,8 @@
 	var extra float64
 	for n := range 2 * plays {
 		from, b := time.Now(), sum()
-		c.all[(5*n)%versionsFew].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
-		if !c.reached(uint64(n+2), 20*time.Second) {
+		c.loops[(5*n)%versionsFew].Propose(changeTeam(n, float64(100+n), n%2 == 1))
+		if !c.waitForVersion(uint64(n+2), 20*time.Second) {
 			return fmt.Errorf("version %d is not in force on sockets after 20 s", n+2)
 		}
 		took[n%2] = append(took[n%2], time.Since(from).Seconds())
@@ -449,7 +449,7 @@
 		}
 	}
 	x := s.run(s.Seed, 100, versionsFew, versionsApart, set)
-	x.plays, x.seats = plays, 0
+	x.singleChanges, x.revokePollInterval = plays, 0
 	f := s.play(x)
 	sent, bytes := 0.0, 0.0
 	for i := range versionsFew {
@@ -460,8 +460,8 @@
 		case i < versionsVoters:
 			r = roleVoter
 		}
-		sent += (total(f.sent[r]) + total(f.got[r])) / versionsFew
-		bytes += f.extra[1][r] / versionsFew
+		sent += (total(f.sent[r]) + total(f.received[r])) / versionsFew
+		bytes += f.changeBytes[1][r] / versionsFew
 	}
 	apart := func(name string, virtual, real float64) {
 		s.f.AtMost(fmt.Sprintf("%s, %d instances, virtual time against sockets, apart by", name, versionsFew), versionsClose, math.Abs(virtual/real-1), "part")
@@ -470,8 +470,8 @@
 	}
 	apart("bytes at rest", sent, rest)
 	apart("bytes for an exclusive change", bytes, extra)
-	apart("an exclusive change alone, mean", mean(f.alone[1]), mean(took[1]))
-	apart("a loose change alone, mean", mean(f.alone[0]), mean(took[0]))
+	apart("an exclusive change alone, mean", mean(f.single[1]), mean(took[1]))
+	apart("a loose change alone, mean", mean(f.single[0]), mean(took[0]))
 	s.f.Note("processor at rest on sockets, with the relay's, an instance", 1000*used, "ms/s")
 	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsFew), capacity.Target.Core, 100*used, "%", capacity.OnSockets)
 	r.Shown = true
--- a/internal/lab/experiments/capacityversions_test.go
+++ b/internal/lab/experiments/capacityversions_test.go
@@ -37,7 +37,7 @@
 
 // Five voters stand in five regions, dispatchers in all six.
 func TestVersionsStandApart(t *testing.T) {
-	at := regionOf(capacity.NewLoad(100, 1), versionsMost)
+	at := placeInstances(capacity.NewLoad(100, 1), versionsMost)
 	if !slices.Equal(at[:versionsVoters], []int{0, 1, 2, 3, 4}) {
 		t.Errorf("voters stand in %v", at[:versionsVoters])
 	}
@@ -66,7 +66,7 @@
 	for _, close := range []bool{false, true} {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}}, f: &CapacityFound{}, close: close}
 		s.losses(20, []uint64{3})
-		s.f.judge("versions", 3)
+		s.f.setVerdict("versions", 3)
 		if s.f.Held == close {
 			t.Errorf("voters in one region %v: claims held %v: %+v", close, s.f.Held, s.f.Claims)
 		}
@@ -78,12 +78,12 @@
 
 // The same seed gives the same figures, but for processor time and memory.
 func TestVersionsAreSeeded(t *testing.T) {
-	play := func() *versionsFound {
+	play := func() *versionsFigures {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 5, Quick: true, Log: t.Logf}}, f: &CapacityFound{}}
 		return s.play(s.run(5, 10, 12, versionsApart, lease.DefaultSettings))
 	}
 	one, two := play(), play()
-	if len(one.many[1]) != capacity.AtOnce || !slices.Equal(one.alone[1], two.alone[1]) || !slices.Equal(one.many[1], two.many[1]) || one.extra[1][roleDispatcher] != two.extra[1][roleDispatcher] {
+	if len(one.concurrent[1]) != capacity.AtOnce || !slices.Equal(one.single[1], two.single[1]) || !slices.Equal(one.concurrent[1], two.concurrent[1]) || one.changeBytes[1][roleDispatcher] != two.changeBytes[1][roleDispatcher] {
 		t.Errorf("%+v\n%+v", one, two)
 	}
 }
--- a/internal/lab/experiments/countslarge.go
+++ b/internal/lab/experiments/countslarge.go
@@ -20,19 +20,19 @@
 	Run:     runCountsLarge,
 }
 
-// largeHomes is more than the file's default: where an instance in twenty dies each minute
-// and one home's absence takes a third of a reservation, too many tenants have less than
-// nine tenths of what they need.
-const largeHomes = 8
+// largeOwners is the number of owners of each tenant. It is more than the file's default: with 5% of the
+// instances dying each minute, the loss of one owner would take a third of a reservation, and too many tenants
+// would have less than nine tenths of what they need.
+const largeOwners = 8
 
-// largeRun is what one size gives.
+// largeRun holds the figures of one cluster size.
 type largeRun struct {
-	over      float64 // of the sum of slices, beyond the whole, at worst
-	reached   float64 // of the smaller of demand and reservation, over settled tenants: the 1st percentile
-	median    float64
-	bytes     float64 // a second and instance
-	converged float64 // s until all counts are alike after traffic ends
-	double    float64 // slots counted that nobody started
+	over      float64 // largest excess of a tenant's sum of slices over its reservation, as a fraction of it
+	reached   float64 // usable part of the needed reservation over settled tenants, 1st percentile
+	median    float64 // the same, median
+	bytes     float64 // sent per second and instance
+	converged float64 // seconds from the end of traffic until all counts are equal
+	double    float64 // largest excess of a count over the slots that were started
 }
 
 func runCountsLarge(p Params) (*Result, error) {
@@ -44,26 +44,26 @@
 	var worst largeRun
 	worst.reached = math.Inf(1)
 	set := func(n int) quota.Settings {
-		s := quota.Settings{Period: period, RetainedFraction: 0.02, ExpectedInstances: n, MaxDelay: 0.05, LossRate: 0.1, Owners: largeHomes}
+		s := quota.Settings{Period: period, RetainedFraction: 0.02, ExpectedInstances: n, MaxDelay: 0.05, LossRate: 0.1, Owners: largeOwners}
 		s.LeaseDuration = s.Bounds(n, 20, 10).UsageDelay + s.MaxDelay + 2*period + 2
 		switch p.Without {
 		case "exchange":
-			s.LeaseDuration = 0 // no loan is ever worth anything
+			s.LeaseDuration = 0 // loans expire at once
 		case "homes":
 			s.Owners = 0
 			s.LeaseDuration = s.Bounds(n, 20, 10).UsageDelay + s.MaxDelay + 2*period + 2
 		}
 		return s
 	}
-	var news float64
+	var usageDelay float64
 	runs := make([]largeRun, len(sizes))
 	var all sync.WaitGroup
-	for i, n := range sizes { // each in its own time: side by side they stay the same
+	for i, n := range sizes { // each run has its own virtual clock, so running in parallel does not change results
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			began := time.Now()
-			runs[i] = playLarge(p.Seed, set(n), n, tenants, span)
+			runs[i] = simulateLarge(p.Seed, set(n), n, tenants, span)
 			p.Log("%d instances, %d tenants: %+v in %.1f s", n, tenants, runs[i], time.Since(began).Seconds())
 		}()
 	}
@@ -79,7 +79,7 @@
 		worst.over, worst.double = max(worst.over, x.over), max(worst.double, x.double)
 		worst.reached, worst.bytes = min(worst.reached, x.reached), max(worst.bytes, x.bytes)
 		worst.converged = max(worst.converged, x.converged-10-2*b.UsageDelay)
-		news = b.UsageDelay
+		usageDelay = b.UsageDelay
 	}
 	largest := sizes[len(sizes)-1]
 	r.Size = fmt.Sprintf("up to %d instances, %d tenants, %.0f s, churn 5%% a minute, 10%% loss", largest, tenants, span)
@@ -88,19 +88,18 @@
 	r.AtMost("slots counted that nobody started", 0, worst.double, "slots")
 	r.AtMost("bytes a second and instance", 8<<10, worst.bytes, "B/s")
 	r.AtMost("counts are alike after traffic ends, beyond 10 s for full exchanges and twice the news", 0, worst.converged, "s")
-	r.Note("stated time of news at the largest", news, "s")
+	r.Note("stated time of news at the largest", usageDelay, "s")
 	r.Note("ideal that sees all: of what is needed", 1, "part")
 	return r, nil
 }
 
-// playLarge plays a cluster in which each tenant enters through three
-// instances and asks for 0.9 of its reservation there, until its instances
-// die, come back, or it moves.
-func playLarge(seed uint64, set quota.Settings, n, tenants int, span float64) (x largeRun) {
+// simulateLarge simulates a cluster of n instances for span seconds. Each tenant enters through three instances
+// and asks for 0.9 of its reservation there in total. Instances die and restart; tenants move to other instances.
+func simulateLarge(seed uint64, set quota.Settings, n, tenants int, span float64) (x largeRun) {
 	const quotaValue, step = 20.0, 0.25
 	c := simulation.New(seed, set, simulation.Network{Loss: 0.1, Duplication: 0.02, MaxDelay: 0.05, DetectionDelay: 3, SyncInterval: 5}, simulation.EqualTenants(tenants, quotaValue))
 	c.MessageSize = wire.MessageSize
-	ids := map[uint64]int{} // in the order of slices
+	ids := map[uint64]int{} // position of each tenant's slice in Allotments
 	order := make([]uint64, 0, tenants)
 	for _, t := range c.Tenants {
 		order = append(order, t.ID)
@@ -120,7 +119,7 @@
 	for t := range tenants {
 		move(t)
 	}
-	truth := make([]uint64, tenants) // milli-slots started, and known to survive
+	truth := make([]uint64, tenants) // millislots started, by tenant
 	var traffic func()
 	running := true
 	traffic = func() {
@@ -143,7 +142,7 @@
 	}
 	c.After(0, traffic)
 	churn := func() {}
-	churn = func() { // 5% a minute die and come back after a while, with no memory
+	churn = func() { // 5% of the instances a minute die and restart after 2 to 6 s without state
 		if !running {
 			return
 		}
@@ -182,8 +181,8 @@
 	var uses []uint64
 	var parts []float64
 	b := set.Bounds(n, quotaValue, 10)
-	settled := b.ShiftDelay + 8 // demand is believed for some seconds more, and what dies keeps its part for a lease
-	look := func() {
+	settled := b.ShiftDelay + 8 // demand is counted for some seconds more, and a dead instance keeps its slice for a lease
+	sample := func() {
 		uses = c.Usable(uses)
 		for _, u := range uses {
 			x.over = max(x.over, float64(u)/quota.FullReservation-1)
@@ -207,7 +206,7 @@
 	}
 	for c.Now < span {
 		c.Run(min(span, c.Now+1), nil)
-		look()
+		sample()
 	}
 	for _, in := range c.Instances {
 		x.bytes += in.BytesSent / float64(len(c.Instances)) / span
@@ -216,7 +215,7 @@
 	ended := c.Now
 	for c.Now < ended+60 {
 		c.Run(c.Now+0.25, nil)
-		if alike(c, order) {
+		if countsAgree(c, order) {
 			break
 		}
 	}
@@ -246,12 +245,12 @@
 	return false
 }
 
-// alike says that all instances that are up and serve a tenant or own a part of it count
-// the same, and that of each that has a home enough do.
-func alike(c *simulation.Cluster, ids []uint64) bool {
+// countsAgree reports whether, for each tenant, all live instances that know a count have the same one, and
+// enough instances know it: as many as it has owners, or all live instances if ownership is off.
+func countsAgree(c *simulation.Cluster, ids []uint64) bool {
 	for _, id := range ids {
 		var first usage.Count
-		know, up := 0, 0
+		knowing, up := 0, 0
 		for _, in := range c.Instances {
 			if !in.Up {
 				continue
@@ -261,13 +260,13 @@
 			if !ok {
 				continue
 			}
-			if know++; know == 1 {
+			if knowing++; knowing == 1 {
 				first = got
 			} else if got != first {
 				return false
 			}
 		}
-		if know < min(up, max(1, c.Settings.Owners)) || c.Settings.Owners == 0 && know < up {
+		if knowing < min(up, max(1, c.Settings.Owners)) || c.Settings.Owners == 0 && knowing < up {
 			return false
 		}
 	}
--- a/internal/lab/experiments/fleetcost.go
+++ b/internal/lab/experiments/fleetcost.go
@@ -14,13 +14,13 @@
 	Run:     runFleetCost,
 }
 
-// What is claimed: wide jobs find their room however many dispatchers there are, for a
-// bounded number of questions a job. Handshakes are shown, not claimed: few requests at
-// each dispatcher leave few connections to be used again.
+// Bounds of the claims: with any number of dispatchers, wide jobs find free slots at a bounded number of health
+// checks a job. Handshakes are shown but not claimed: with few requests at each dispatcher, few connections are
+// reused.
 const (
-	fleetWide   = 0.77 // of the jobs of four slots are served in time, at 80 dispatchers, three in four slots in use
-	fleetWidest = 0.65 // the same at 300
-	fleetProbes = 4.0  // questions a job
+	fleetCostMinWide80       = 0.77 // fraction of jobs of four slots in time at 80 dispatchers, load 75%
+	fleetCostMinWide300      = 0.65 // the same at 300 dispatchers
+	fleetCostMaxHealthChecks = 4.0  // health checks a job
 )
 
 func runFleetCost(p Params) (*Result, error) {
@@ -50,10 +50,10 @@
 		name := fmt.Sprintf("%d dispatchers", n)
 		p.Log("%s: %d jobs, in time %.3f, wide %.3f of %d, %.2f questions and %.2f handshakes a job, %d connections at the fullest worker, %.0f us a job",
 			name, x.Jobs, float64(x.InTime)/jobs, wide, x.Wide, figures[0], figures[1], x.Connections, figures[2])
-		if least, ok := map[int]float64{80: fleetWide, 300: fleetWidest}[n]; ok {
+		if least, ok := map[int]float64{80: fleetCostMinWide80, 300: fleetCostMinWide300}[n]; ok {
 			r.AtLeast(name+": wide jobs in time", least, wide, "part")
 		}
-		r.AtMost(name+": questions a job", fleetProbes, figures[0], "questions")
+		r.AtMost(name+": questions a job", fleetCostMaxHealthChecks, figures[0], "questions")
 		r.Note(name+": handshakes a job", figures[1], "handshakes")
 		r.Note(name+": CPU of the decisions a job", figures[2], "us")
 		r.Note(name+": connections at the fullest worker", float64(x.Connections), "connections")
--- a/internal/lab/experiments/golden_test.go
+++ b/internal/lab/experiments/golden_test.go
@@ -12,9 +12,9 @@
 	"example.org/bellstream/internal/lab/capacity"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Fleets' files are read as they always were, key by key.
+// Guards the keys and defaults of fleet files against unintended changes.
 func TestGoldenFleets(t *testing.T) {
 	queue := 9
 	for path, want := range map[string]FleetFile{
@@ -131,11 +131,12 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s: %s, want %s", path, dump(t, got), dump(t, &want))
+			t.Errorf("%s: got %s, want %s", path, dump(t, got), dump(t, &want))
 		}
 	}
 }
 
+// dump returns a fleet file as JSON for messages.
 func dump(t *testing.T, f *FleetFile) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(f, "", " ")
@@ -145,7 +146,7 @@
 	return string(raw)
 }
 
-// What 'run --json' and 'load --json' print.
+// Guards the JSON that 'run --json' and 'load --json' print.
 func TestGoldenJSON(t *testing.T) {
 	golden(t, "result.json", &Result{
 		Experiment: "capacity",
@@ -207,7 +208,8 @@
 	golden(t, "empty-load.json", &LoadReport{})
 }
 
-// golden checks that a value encodes to a file's bytes, and decodes from them.
+// golden checks that want encodes to the bytes of a golden file and decodes from them. With -update it writes the
+// file first.
 func golden[T any](t *testing.T, name string, want *T) {
 	t.Helper()
 	path := "testdata/golden/" + name
@@ -225,10 +227,10 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, b.Bytes()) {
-		t.Errorf("%s: encoded\n%s, want\n%s", name, b.Bytes(), raw)
+		t.Errorf("%s: encoded as\n%s, want\n%s", name, b.Bytes(), raw)
 	}
 	got := new(T)
 	if err := json.Unmarshal(raw, got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: decoded %+v, %v, want %+v", name, got, err, want)
+		t.Errorf("%s: decoded as %+v, error %v, want %+v", name, got, err, want)
 	}
 }
--- a/internal/lab/experiments/lab.go
+++ b/internal/lab/experiments/lab.go
@@ -1,6 +1,6 @@
-// Package experiments is the project's laboratory: experiments on real processes over
-// loopback or in virtual time, each with claims that were stated in advance and
-// are measured from outside, by the workers' and the clients' own records.
+// Package experiments holds the experiments of bellstream-lab. They run on real processes over loopback or in
+// virtual time. The claims of each are stated in advance and measured from outside, by the records of workers
+// and clients.
 package experiments
 
 import (
@@ -18,7 +18,7 @@
 	"example.org/bellstream/internal/lab/report"
 )
 
-// Claim is one promise and what was measured.
+// Claim is a bound that was stated in advance, and the value that was measured.
 type Claim struct {
 	Name     string  `json:"name"`
 	Bound    float64 `json:"bound"`
@@ -27,33 +27,34 @@
 	Held     bool    `json:"held"`
 }
 
-// ContextFigure is a figure that stands beside a claim: today's way, or an ideal.
+// ContextFigure is a figure that is reported beside the claims for comparison, such as the value without the
+// mechanism or an ideal value.
 type ContextFigure struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// Result is what an experiment found.
+// Result is the result of an experiment.
 type Result struct {
 	Experiment string          `json:"experiment"`
 	Seed       uint64          `json:"seed"`
 	Size       string          `json:"size"`
 	Claims     []Claim         `json:"claims"`
 	Held       bool            `json:"held"`
-	Void       string          `json:"void,omitempty"` // why it shows nothing
+	Void       string          `json:"void,omitempty"` // why the run is invalid; empty: it is valid
 	Beside     []ContextFigure `json:"beside,omitempty"`
-	// Rows and Slopes are of the experiment that is held against the target.
+	// Rows and Slopes are set by the capacity experiment, which is compared with the target.
 	Rows    []capacity.Row   `json:"rows,omitempty"`
 	Slopes  []capacity.Slope `json:"slopes,omitempty"`
-	Command string           `json:"command,omitempty"` // by which it is played again
-	Build   string           `json:"build,omitempty"`   // what was played
-	Machine string           `json:"machine,omitempty"` // how busy it was
-	// Plots are for reports.
+	Command string           `json:"command,omitempty"` // command line that repeats the run
+	Build   string           `json:"build,omitempty"`   // revision of the executable
+	Machine string           `json:"machine,omitempty"` // load of the machine during the run
+	// Plots appear only in HTML reports.
 	Plots []report.Plot `json:"-"`
 }
 
-// Page is the result as a report.
+// Page returns the result as a report page.
 func (r *Result) Page() *report.Page {
 	p := &report.Page{Title: "bellstream: " + r.Experiment, Subtitle: fmt.Sprintf("Seed %d. %s.", r.Seed, r.Size), InvalidReason: r.Void, Plots: r.Plots,
 		Notes: []string{"Claims were stated in advance and are measured from outside, by the records of workers and clients."}}
@@ -69,7 +70,7 @@
 	return p
 }
 
-// tables hold the rows and slopes, where there are any.
+// tables returns the tables of rows, verdicts and slopes, without the empty ones.
 func (r *Result) tables() (list []capacity.Table) {
 	if len(r.Rows) > 0 {
 		all := append(slices.Clone(r.Rows), capacity.Sums(r.Rows)...)
@@ -81,62 +82,62 @@
 	return list
 }
 
-// AtLeast claims that a figure is no smaller than its bound.
+// AtLeast adds a claim that holds if measured >= bound; NaN does not hold.
 func (r *Result) AtLeast(name string, bound, measured float64, unit string) {
 	r.Claims = append(r.Claims, Claim{name, bound, measured, unit, measured >= bound})
 }
 
-// AtMost claims that a figure is no larger than its bound. What is no figure holds nothing.
+// AtMost adds a claim that holds if measured <= bound; NaN does not hold.
 func (r *Result) AtMost(name string, bound, measured float64, unit string) {
 	r.Claims = append(r.Claims, Claim{name, bound, measured, unit, measured <= bound})
 }
 
-// Note puts a figure beside the claims.
+// Note adds a figure without a bound, for comparison.
 func (r *Result) Note(name string, value float64, unit string) {
 	r.Beside = append(r.Beside, ContextFigure{name, value, unit})
 }
 
-// Params are what an experiment is run with.
+// Params are the parameters of a run.
 type Params struct {
-	Seed      uint64
-	Quick     bool           // ends within 50 s
-	Without   string         // the mechanism to switch off
-	Only      string         // the parts to play, with commas between them; empty: all
-	Out       string         // folder for logs; empty: a temporary one, removed
-	Program   string         // bin/bellstream
-	earlier   string         // the same of an earlier build, for every second instance of a cluster; empty: all are of one build
-	processes *[]*Dispatcher // that were started and have to live until they are ended
-	Log       func(format string, args ...any)
-}
-
-// only are the parts to play; none: all.
-func (p Params) only() []string {
+	Seed         uint64
+	Quick        bool           // shorter run, within 50 s
+	Without      string         // the mechanism to switch off; empty: none
+	Only         string         // the parts to run, separated by commas; empty: all
+	Out          string         // folder for logs; empty: a temporary folder that is removed after the run
+	Program      string         // path of bellstream; empty: beside the running executable
+	earlierBuild string         // path of an earlier build, for every second instance of a cluster; empty: all run Program
+	processes    *[]*Dispatcher // started processes; one that ends by itself makes the run void
+	Log          func(format string, args ...any)
+}
+
+// selectedParts returns the names of the parts to run, nil for all.
+func (p Params) selectedParts() []string {
 	if p.Only == "" {
 		return nil
 	}
 	return strings.Split(p.Only, ",")
 }
 
-// programOf is the executable of an instance of a cluster, by its number.
-func (p Params) programOf(instance int) string {
-	if p.earlier != "" && instance%2 == 1 {
-		return p.earlier
+// executableOf returns the path of the executable for an instance of a cluster, given its number.
+func (p Params) executableOf(instance int) string {
+	if p.earlierBuild != "" && instance%2 == 1 {
+		return p.earlierBuild
 	}
 	return p.Program
 }
 
-// Experiment is one of the laboratory's.
+// Experiment is an experiment that bellstream-lab can run.
 type Experiment struct {
 	Name, About string
-	Without     []string // what can be switched off
-	Parts       []string // what can be played alone
+	Without     []string // mechanisms that can be switched off
+	Parts       []string // parts that can be run alone
 	Run         func(p Params) (*Result, error)
 }
 
-// Experiments are all there are.
+// Experiments lists all experiments.
 var Experiments = []Experiment{countsExperiment, countsLarge, waitingExperiment, ageingExperiment, silentExperiment, scaleExperiment, fleetCostExperiment, agreeExperiment, loadExperiment, agreedExperiment, rebalanceExperiment, clustersExperiment, clustersRealExperiment, capacityExperiment}
 
-// Find returns an experiment by name.
+// Find returns the experiment of that name, or nil.
 func Find(name string) *Experiment {
 	for i := range Experiments {
 		if Experiments[i].Name == name {
@@ -146,12 +147,13 @@
 	return nil
 }
 
-// Play runs an experiment and judges its claims.
+// Play runs the experiment and sets whether the result holds. It returns an error for an unknown mechanism or
+// part, or if the run fails. A process that ended by itself makes the result void.
 func (e *Experiment) Play(p Params) (*Result, error) {
 	if p.Without != "" && !slices.Contains(e.Without, p.Without) {
 		return nil, fmt.Errorf("%s can be run without %v, not without %q", e.Name, e.Without, p.Without)
 	}
-	for _, name := range p.only() {
+	for _, name := range p.selectedParts() {
 		if !slices.Contains(e.Parts, name) {
 			return nil, fmt.Errorf("%s has the parts %v, not %q", e.Name, e.Parts, name)
 		}
@@ -185,27 +187,28 @@
 			r.Void = fmt.Sprintf("process %s ended before its time", d.Name)
 		}
 	}
-	r.judge(e.Name, p.Seed)
+	r.setVerdict(e.Name, p.Seed)
 	p.Log("%s took %.1f s", e.Name, time.Since(began).Seconds())
 	return r, nil
 }
 
-// judge says whether all claims hold. What is void holds nothing.
-func (r *Result) judge(name string, seed uint64) {
+// setVerdict sets the name, the seed and whether the result holds: it is not void, has claims, and all of them
+// hold.
+func (r *Result) setVerdict(name string, seed uint64) {
 	r.Experiment, r.Seed, r.Held = name, seed, len(r.Claims) > 0 && r.Void == ""
 	for _, c := range r.Claims {
 		r.Held = r.Held && c.Held
 	}
 }
 
-// InterruptedResult is the result of an experiment that was ended by hand.
+// InterruptedResult returns the void result of a run that was interrupted.
 func (e *Experiment) InterruptedResult(seed uint64) *Result {
 	r := &Result{Void: "it was ended before its time"}
-	r.judge(e.Name, seed)
+	r.setVerdict(e.Name, seed)
 	return r
 }
 
-// Print writes a result for people, or as JSON.
+// Print writes the result as text tables, or as JSON.
 func (r *Result) Print(w io.Writer, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(r)
--- a/internal/lab/experiments/lab_test.go
+++ b/internal/lab/experiments/lab_test.go
@@ -19,7 +19,7 @@
 	"example.org/bellstream/internal/lab/loadgen"
 )
 
-// A result holds only if every claim does, and none that measured nothing.
+// A result holds only if it has claims and all of them hold. A claim whose value is NaN does not hold.
 func TestClaims(t *testing.T) {
 	e := Experiment{Name: "x", Without: []string{"y"}, Run: func(Params) (*Result, error) {
 		r := &Result{Size: "small"}
@@ -29,14 +29,14 @@
 	}}
 	r, err := e.Play(Params{Seed: 5})
 	if err != nil || r.Held || !r.Claims[0].Held || r.Claims[1].Held {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got result %+v, error %v, want only the first claim to hold", r, err)
 	}
 	e.Run = func(Params) (*Result, error) { return &Result{}, nil }
 	if r, _ := e.Play(Params{}); r.Held {
 		t.Error("a result without claims holds")
 	}
 	if _, err := e.Play(Params{Without: "z"}); err == nil {
-		t.Error("ran without what it does not have")
+		t.Error("run without an unknown mechanism: got no error")
 	}
 	var out bytes.Buffer
 	r = &Result{Experiment: "x", Seed: 5}
@@ -44,28 +44,28 @@
 	r.Print(&out, true)
 	var back map[string]any
 	if err := json.Unmarshal(out.Bytes(), &back); err != nil || back["experiment"] != "x" || back["claims"] == nil {
-		t.Errorf("%s: %v", out.String(), err)
+		t.Errorf("got JSON %s, error %v, want keys experiment and claims", out.String(), err)
 	}
 }
 
-// What was done is divided whole, reservations come first, and the lone tenant
-// gets no more than it asks for.
+// The ideal rates add up to the total, are at least the reservations, and the lone tenant's rate is at most what
+// it asks for.
 func TestIdeal(t *testing.T) {
 	for _, done := range []float64{140, 165, 200, 400} {
-		got, all := ideal(done), 0.0
+		got, all := idealRates(done), 0.0
 		for _, x := range countsTenants {
 			all += got[x]
 			if got[x] < countsQuotas[x]-1e-6 {
-				t.Errorf("%v done: %s has %v of %v", done, x, got[x], countsQuotas[x])
+				t.Errorf("total %v: tenant %s gets %v, less than its reservation %v", done, x, got[x], countsQuotas[x])
 			}
 		}
-		if math.Abs(all-done) > 1e-6 || got[countsLone] > 1.2*countsQuotas[countsLone]+1e-6 {
-			t.Errorf("%v done: %v", done, got)
+		if math.Abs(all-done) > 1e-6 || got[countsLoneTenant] > 1.2*countsQuotas[countsLoneTenant]+1e-6 {
+			t.Errorf("total %v: got rates %v, want their sum to be the total and the lone tenant within its demand", done, got)
 		}
 	}
 }
 
-// The relay passes, loses all, repeats all, and is cut by who sends to whom.
+// The relay delivers, loses or repeats datagrams as its link says, and cuts only the pairs that a rule names.
 func TestRelay(t *testing.T) {
 	target, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -89,7 +89,7 @@
 		buf := make([]byte, 9)
 		for i := range n + 1 {
 			wait := 5 * time.Second
-			if i == n { // for what must not come: it ends by its deadline
+			if i == n { // no further datagram may arrive
 				wait = 200 * time.Millisecond
 			}
 			target.SetReadDeadline(time.Now().Add(wait))
@@ -109,13 +109,13 @@
 	}{"passes": {NewRelay(1, Link{Jitter: time.Millisecond}), 1}, "loses": {NewRelay(1, Link{Loss: 1}), 0},
 		"repeats": {NewRelay(1, Link{Repeat: 1}), 2}, "cut": {cut, 0}, "another is cut": {other, 1}} {
 		if got := count(c.r, c.want); got != c.want {
-			t.Errorf("%s: %d came, want %d", name, got, c.want)
+			t.Errorf("%s: got %d datagrams, want %d", name, got, c.want)
 		}
 	}
 }
 
-// A worker of the fleet speaks the protocol: starts, ends, failures, hand-backs
-// when its queue is full, reports, and a record of each.
+// A worker of the fleet follows the protocol: it reports starts, ends, failures and its load, refuses jobs when its
+// queue is full, and records each job that it takes.
 func TestFleet(t *testing.T) {
 	f, err := NewFleet(1, 1, 1, time.Millisecond)
 	if err != nil {
@@ -131,7 +131,7 @@
 	}
 	if status, text, _ := post("a", "north 2"); status != 200 || !strings.Contains(text, `"state":"started"`) ||
 		!strings.Contains(text, `"state":"done","result":"a by w-00, try 0","load":{"x0":1,"waiting":0}`) {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("job a: got status %d, body %s, want it started and done", status, text)
 	}
 	if _, text, _ := post("b", "north 2 fail"); !strings.Contains(text, `"state":"failed"`) {
 		t.Error(text)
@@ -143,11 +143,11 @@
 		}
 	})
 	if status, _, h := post("c", "x 0"); status != 503 || h.Get("Not-Started") != "1" || h.Get("Server-Load") == "" {
-		t.Errorf("%d %v", status, h)
+		t.Errorf("full queue: got status %d, header %v, want 503 with Not-Started and Server-Load", status, h)
 	}
 	jobs := f.Jobs()
 	if len(jobs) != 2 || jobs[0].Tenant != "north" || jobs[0].Entry != "2" || jobs[0].Done.IsZero() || jobs[0].Failed || !jobs[1].Failed || f.Taken()["north"] != 2 {
-		t.Errorf("%+v", jobs)
+		t.Errorf("got records %+v, want job a done and job b failed, both of tenant north", jobs)
 	}
 	resp, err := http.Get("http://" + f.Discovery() + "/v1/servers")
 	if err != nil {
@@ -156,11 +156,11 @@
 	raw, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if !strings.Contains(string(raw), `"host":"w-00"`) {
-		t.Errorf("%s", raw)
+		t.Errorf("got discovery answer %s, want host w-00", raw)
 	}
 }
 
-// A process that ends by itself makes its experiment void, whatever the figures say.
+// A process that ends by itself makes the result void, even if all claims hold.
 func TestDeadProcessIsVoid(t *testing.T) {
 	e := Experiment{Name: "x", Run: func(p Params) (*Result, error) {
 		d := &Dispatcher{Name: "n0", cmd: exec.Command(os.Args[0], "-test.run=^$"), ended: make(chan error, 1)}
@@ -177,7 +177,7 @@
 	}}
 	r, err := e.Play(Params{Out: t.TempDir()})
 	if err != nil || r.Held || !strings.Contains(r.Void, "n0 ended") {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got result %+v, error %v, want it void because of n0", r, err)
 	}
 	var b bytes.Buffer
 	r.Print(&b, false)
@@ -185,11 +185,11 @@
 		t.Error(b.String())
 	}
 	if r := e.InterruptedResult(3); r.Held || r.Void == "" || r.Seed != 3 {
-		t.Errorf("%+v", r)
+		t.Errorf("interrupted: got result %+v, want it void with seed 3", r)
 	}
 }
 
-// A load tool that can't keep up says so, and one that was ended before its time.
+// The load report is void if the tool cannot keep up with its rate or is interrupted.
 func TestLoadIsVoid(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -202,11 +202,11 @@
 		Classes: []loadgen.Class{{WeightedName: loadgen.WeightedName{Name: "a", Weight: 1}, ClientTimeout: 60}}, Tenants: []loadgen.WeightedName{{Name: "t", Weight: 1}}}}
 	r, err := RunLoad(context.Background(), o)
 	if err != nil || !strings.Contains(r.Void, "late") || r.Jobs != 3000 || r.Status["200"] != 3000 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("got report %+v, error %v, want 3000 jobs served and the tool late", r, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if r, err = RunLoad(ctx, o); err != nil || !strings.Contains(r.Void, "ended") {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("interrupted: got report %+v, error %v, want it void", r, err)
 	}
 }
--- a/internal/lab/experiments/load.go
+++ b/internal/lab/experiments/load.go
@@ -15,63 +15,63 @@
 	"time"
 )
 
-// Stream is an open-loop flow of jobs: they come at their own pace, however
-// slow the answers are.
+// Stream is an open-loop stream of jobs: its arrival times do not depend on how fast the answers are.
 type Stream struct {
 	Tenant, Class     string
 	Entry             int     // index of the dispatcher
-	Slots             int     // of each job; 0 means 1
-	Rate              float64 // a second
-	EvenlySpaced      bool    // evenly spaced; false: Poisson
+	Slots             int     // slots per job; 0 means 1
+	Rate              float64 // jobs per second
+	EvenlySpaced      bool    // evenly spaced arrivals; false: Poisson
 	HasIdempotencyKey bool    // jobs carry an Idempotency-Key
 	ClientTimeout     time.Duration
 }
 
-// Answer is what a client saw.
+// Answer is a request and its answer as the client saw them.
 type Answer struct {
-	At            time.Time // when it asked
+	At            time.Time // when the request was sent
 	Took          time.Duration
 	ID            string
 	Tenant        string
 	Class         string
 	Entry         int
 	ClientTimeout time.Duration
-	Status        int  // 0: no answer
-	DialFailed    bool // the connection was never made
+	Status        int  // HTTP status; 0: no complete answer
+	DialFailed    bool // the connection could not be opened
 	Body          string
-	RetryAfter    time.Duration // what Retry-After said
+	RetryAfter    time.Duration // value of Retry-After; 0: none
 }
 
-// Load plays streams against dispatchers.
+// Load runs streams against dispatchers and records the answers.
 type Load struct {
 	Addrs []string
 
-	client *http.Client
-	mu     sync.Mutex
-	got    []Answer
-	all    sync.WaitGroup
-	n      uint64
-	tag    uint64
+	client   *http.Client
+	mu       sync.Mutex
+	answers  []Answer
+	pending  sync.WaitGroup
+	lastID   uint64
+	idPrefix uint64
 }
 
-// NewLoad makes a load against dispatchers at these addresses.
+// NewLoad returns a load for the dispatchers at these addresses. The seed becomes part of the request ids.
 func NewLoad(seed uint64, addrs []string) *Load {
-	return &Load{Addrs: addrs, tag: seed & 0xffffffff, client: &http.Client{
+	return &Load{Addrs: addrs, idPrefix: seed & 0xffffffff, client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 512, MaxConnsPerHost: 512, DisableCompression: true}}}
 }
 
-// Play runs streams until the context ends.
+// Play starts the streams and returns. They run until ctx ends.
 func (l *Load) Play(ctx context.Context, seed uint64, streams []Stream) {
 	for i, s := range streams {
-		l.all.Add(1)
+		l.pending.Add(1)
 		go func() {
-			defer l.all.Done()
-			l.stream(ctx, rand.New(rand.NewPCG(seed, uint64(i))), s)
+			defer l.pending.Done()
+			l.playStream(ctx, rand.New(rand.NewPCG(seed, uint64(i))), s)
 		}()
 	}
 }
 
-func (l *Load) stream(ctx context.Context, rng *rand.Rand, s Stream) {
+// playStream sends the requests of a stream until ctx ends.
+func (l *Load) playStream(ctx context.Context, rng *rand.Rand, s Stream) {
 	next := time.Now().Add(time.Duration(rng.Float64() / s.Rate * float64(time.Second)))
 	for {
 		t := time.NewTimer(time.Until(next))
@@ -86,19 +86,20 @@
 			gap *= rng.ExpFloat64()
 		}
 		next = next.Add(time.Duration(gap * float64(time.Second)))
-		l.all.Add(1)
-		go l.ask(s)
+		l.pending.Add(1)
+		go l.sendRequest(s)
 	}
 }
 
-func (l *Load) ask(s Stream) {
-	defer l.all.Done()
+// sendRequest sends one request and records its answer.
+func (l *Load) sendRequest(s Stream) {
+	defer l.pending.Done()
 	l.mu.Lock()
-	l.n++
-	id := fmt.Sprintf("%08x%08x", l.tag, l.n)
+	l.lastID++
+	id := fmt.Sprintf("%08x%08x", l.idPrefix, l.lastID)
 	addr := l.Addrs[s.Entry]
 	l.mu.Unlock()
-	// A client that leaves on the second would not see the answer that it is owed then.
+	// The margin lets the client receive an answer that the dispatcher sends exactly at the time-out.
 	ctx, cancel := context.WithTimeout(context.Background(), s.ClientTimeout+250*time.Millisecond)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+s.Class,
@@ -130,21 +131,21 @@
 	}
 	a.Took = time.Since(a.At)
 	l.mu.Lock()
-	l.got = append(l.got, a)
+	l.answers = append(l.answers, a)
 	l.mu.Unlock()
 }
 
-// Wait returns when the streams have ended and all jobs are answered or given up.
-func (l *Load) Wait() { l.all.Wait() }
+// Wait blocks until the streams have ended and each request is answered or timed out.
+func (l *Load) Wait() { l.pending.Wait() }
 
-// Answers are what the clients saw so far.
+// Answers returns a copy of the answers recorded so far.
 func (l *Load) Answers() []Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Answer(nil), l.got...)
+	return append([]Answer(nil), l.answers...)
 }
 
-// AnswersBetween are the answers to what was asked in a span at any of these entries.
+// AnswersBetween returns the answers to requests that were sent in [from, to) to any of these dispatchers.
 func AnswersBetween(list []Answer, from, to time.Time, entries ...int) (some []Answer) {
 	for _, a := range list {
 		if !a.At.Before(from) && a.At.Before(to) && slices.Contains(entries, a.Entry) {
@@ -154,7 +155,7 @@
 	return some
 }
 
-// ServedFraction is the part that was answered with a result; 0 of nothing.
+// ServedFraction returns the fraction of answers with status 200, 0 for an empty list.
 func ServedFraction(list []Answer) float64 {
 	n := 0
 	for _, a := range list {
@@ -165,5 +166,5 @@
 	return float64(n) / float64(max(len(list), 1))
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (l *Load) Close() { l.client.CloseIdleConnections() }
--- a/internal/lab/experiments/loadself.go
+++ b/internal/lab/experiments/loadself.go
@@ -16,18 +16,18 @@
 	Name:    "load",
 	About:   "The load tool itself against a trivial server: is it fast enough, and in time? Does a slow server slow it?",
 	Without: []string{"open-loop"},
-	Run:     runLoadItself,
+	Run:     runLoadToolCheck,
 }
 
 const (
-	loadRate = 6000.0 // asked for
-	loadLow  = 5000.0 // claimed
-	stall    = 300 * time.Millisecond
+	loadRate    = 6000.0                 // requests per second that the tool is set to
+	loadMinRate = 5000.0                 // requests per second that are claimed
+	loadStall   = 300 * time.Millisecond // how long the server answers nothing
 
-	loadStalled = 1000.0
+	loadStallRate = 1000.0 // requests per second of the run with the stall
 )
 
-func runLoadItself(p Params) (*Result, error) {
+func runLoadToolCheck(p Params) (*Result, error) {
 	span := 30.0
 	if p.Quick {
 		span = 8
@@ -36,10 +36,10 @@
 	if err != nil {
 		return nil, err
 	}
-	var from atomic.Int64 // when it stalls: whoever comes meanwhile waits for its end
+	var from atomic.Int64 // Unix nanoseconds at which a stall starts; requests that arrive during it wait until its end
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		if left := time.Until(time.Unix(0, from.Load()).Add(stall)); left > 0 && left < stall {
+		if left := time.Until(time.Unix(0, from.Load()).Add(loadStall)); left > 0 && left < loadStall {
 			time.Sleep(left)
 		}
 	})}
@@ -58,16 +58,16 @@
 		return nil, err
 	}
 	from.Store(time.Now().Add(2 * time.Second).UnixNano())
-	slow, err := run(loadStalled, 4)
+	slow, err := run(loadStallRate, 4)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Size: fmt.Sprintf("%.0f questions a second for %.0f s; then %.0f for 4 s, with a stall of %v", loadRate, span, loadStalled, stall)}
-	r.AtLeast("questions a second", loadLow, float64(x.Asked)/x.Seconds, "1/s")
+	r := &Result{Size: fmt.Sprintf("%.0f questions a second for %.0f s; then %.0f for 4 s, with a stall of %v", loadRate, span, loadStallRate, loadStall)}
+	r.AtLeast("questions a second", loadMinRate, float64(x.Asked)/x.Seconds, "1/s")
 	r.AtMost("the tool's own lateness at the 99th percentile", 1, x.ToolLate.P99, "ms")
-	// A thirteenth of the questions falls into the stall and half of those wait for
-	// half of it: a closed loop would have one slow answer for each connection.
-	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", stall.Seconds()*500, slow.Classes["job"].P99, "ms")
+	// A thirteenth of the requests arrives during the stall, and half of those wait for at least half of it. A
+	// closed loop would see only one slow answer per connection.
+	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", loadStall.Seconds()*500, slow.Classes["job"].P99, "ms")
 	r.AtMost("questions without an answer", 0, float64(x.Jobs-x.Status["200"]+slow.Jobs-slow.Status["200"]), "jobs")
 	r.Note("lateness, worst", x.ToolLate.Max, "ms")
 	r.Note("answer, median", x.Classes["job"].P50, "ms")
--- a/internal/lab/experiments/loadtool.go
+++ b/internal/lab/experiments/loadtool.go
@@ -21,41 +21,40 @@
 	"example.org/bellstream/internal/lab/loadgen"
 )
 
-// Bounds of the load tool.
+// Limits of the load tool.
 const (
-	inFlightMost = 20_000
-	lateMost     = time.Millisecond // of the tool itself, at the 99th percentile; above it the run is void
+	maxInFlight     = 20_000           // jobs; further ones are not sent and make the run void
+	maxToolLateness = time.Millisecond // 99th percentile of the tool's own delay; a longer one makes the run void
 )
 
-// LoadOptions are what the load tool runs with.
+// LoadOptions are the options of a run of the load tool.
 type LoadOptions struct {
-	Targets           []string // in turn
+	Targets           []string // addresses of dispatchers, used in turn
 	Settings          loadgen.Settings
-	Trace             []loadgen.Job // played instead of what the settings draw
-	Progress          io.Writer     // a line a second; nil: none
-	LatencyObjective  time.Duration // an answer of 200 within that is in time; 0: all are
-	ClosedLoopClients int           // so many clients that ask when they have their answer, for comparison; 0: open loop
+	Trace             []loadgen.Job // replayed instead of jobs drawn by Settings; nil: drawn
+	Progress          io.Writer     // receives a progress line each second; nil: none
+	LatencyObjective  time.Duration // an answer with status 200 within it is in time; 0: every 200 is
+	ClosedLoopClients int           // number of closed-loop clients, for comparison; 0: open loop
 }
 
-// LoadReport is what the clients saw. Times count from when a question was due,
-// not from when it was asked: a slow server does not slow the questions, and a
-// late tool is not hidden.
+// LoadReport holds what the clients measured. Latencies count from the time at which a request was due, not from
+// when it was sent. So neither a slow server nor a late tool hides waiting time.
 type LoadReport struct {
 	Jobs     int                 `json:"jobs"`
-	Asked    int                 `json:"asked"` // with retries
-	Unasked  int                 `json:"unasked"`
-	NoSocket int                 `json:"no_socket"` // asked, and no descriptor was left for it
-	Left     int                 `json:"left"`
+	Asked    int                 `json:"asked"`     // requests sent, retries included
+	Unasked  int                 `json:"unasked"`   // jobs not sent because maxInFlight were in flight
+	NoSocket int                 `json:"no_socket"` // requests that failed because no file descriptor or port was free
+	Left     int                 `json:"left"`      // clients that disconnected early on purpose
 	InTime   int                 `json:"in_time"`
 	Seconds  float64             `json:"seconds"`
-	Status   map[string]int      `json:"status"` // of final answers; "none": there was none
+	Status   map[string]int      `json:"status"` // jobs by status of the final answer; "none": no answer
 	Classes  map[string]*Latency `json:"classes"`
 	Tenants  map[string]*Latency `json:"tenants"`
-	ToolLate *Latency            `json:"tool_late"` // how long after they were due questions were asked
+	ToolLate *Latency            `json:"tool_late"` // delay from when a request was due to when it was sent
 	Void     string              `json:"void,omitempty"`
 }
 
-// Latency is a distribution, in milliseconds.
+// Latency is a latency distribution, in milliseconds.
 type Latency struct {
 	N    int64   `json:"n"`
 	P50  float64 `json:"p50_ms"`
@@ -66,38 +65,41 @@
 	h    *hdrhistogram.Histogram
 }
 
+// newLatency returns a histogram of 1 µs to 600 s with three significant digits.
 func newLatency() *Latency { return &Latency{h: hdrhistogram.New(1, 600_000_000, 3)} }
 
 func (l *Latency) add(d time.Duration) { l.h.RecordValue(min(max(d.Microseconds(), 1), 600_000_000)) }
 
-func (l *Latency) sum() {
+// summarize sets the exported fields from the histogram.
+func (l *Latency) summarize() {
 	at := func(q float64) float64 { return float64(l.h.ValueAtQuantile(q)) / 1000 }
 	l.N, l.P50, l.P90, l.P99, l.P999, l.Max = l.h.TotalCount(), at(50), at(90), at(99), at(99.9), float64(l.h.Max())/1000
 }
 
-// loader is a run.
-type loader struct {
+// loadRun is a run of the load tool.
+type loadRun struct {
 	LoadOptions
-	client *http.Client
-	began  time.Time
-	all    sync.WaitGroup
-	mu     sync.Mutex
-	open   int
-	n      int
-	report LoadReport
+	client    *http.Client
+	startedAt time.Time
+	pending   sync.WaitGroup
+	mu        sync.Mutex
+	inFlight  int
+	lastID    int
+	report    LoadReport
 }
 
-// RunLoad asks until its source or the context ends, and then waits for answers.
+// RunLoad sends jobs until the source or the context ends, then waits for the answers. It returns an error if
+// there is no target or the settings are invalid.
 func RunLoad(ctx context.Context, o LoadOptions) (*LoadReport, error) {
 	if len(o.Targets) == 0 {
-		return nil, fmt.Errorf("target: there is none")
+		return nil, fmt.Errorf("target: none given")
 	}
 	if o.Trace == nil {
 		if err := o.Settings.Validate(); err != nil {
 			return nil, err
 		}
 	}
-	l := &loader{LoadOptions: o, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxIdleConns: 0, DisableCompression: true}},
+	l := &loadRun{LoadOptions: o, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxIdleConns: 0, DisableCompression: true}},
 		report: LoadReport{Status: map[string]int{}, Classes: map[string]*Latency{}, Tenants: map[string]*Latency{}, ToolLate: newLatency()}}
 	defer l.client.CloseIdleConnections()
 	source := loadgen.NewGenerator(o.Settings)
@@ -117,8 +119,9 @@
 	if o.Progress != nil {
 		go l.progress(stop)
 	}
-	l.began = time.Now()
-	// The runtime's own timers are a millisecond late when little else happens.
+	l.startedAt = time.Now()
+	// The runtime's timers fire up to a millisecond late in a mostly idle process, so this goroutine sleeps by
+	// system calls on a thread of its own.
 	runtime.LockOSThread()
 	turns := make(chan struct{}, max(l.ClosedLoopClients, 1))
 	for ctx.Err() == nil {
@@ -126,25 +129,25 @@
 		if !ok {
 			break
 		}
-		due := l.began.Add(time.Duration(j.At * float64(time.Second)))
-		nap(ctx, due)
-		if l.ClosedLoopClients > 0 { // what a slow server does to such a client: the question comes later
+		due := l.startedAt.Add(time.Duration(j.At * float64(time.Second)))
+		sleepUntil(ctx, due)
+		if l.ClosedLoopClients > 0 { // closed loop: a slow server delays the next request
 			turns <- struct{}{}
 			due = time.Now()
 		}
 		l.mu.Lock()
 		l.report.Jobs++
-		full := l.open >= inFlightMost
+		full := l.inFlight >= maxInFlight
 		if full {
 			l.report.Unasked++
 		} else {
-			l.open++
+			l.inFlight++
 		}
 		l.mu.Unlock()
 		if !full {
-			l.all.Add(1)
+			l.pending.Add(1)
 			go func() {
-				l.play(j, due)
+				l.runJob(j, due)
 				if l.ClosedLoopClients > 0 {
 					<-turns
 				}
@@ -152,15 +155,14 @@
 		}
 	}
 	runtime.UnlockOSThread()
-	l.report.Seconds = time.Since(l.began).Seconds()
-	l.all.Wait()
+	l.report.Seconds = time.Since(l.startedAt).Seconds()
+	l.pending.Wait()
 	close(stop)
 	return l.finish(ctx), nil
 }
 
-// nap sleeps until a time by the system's clock itself, in parts so that an end
-// is noticed.
-func nap(ctx context.Context, until time.Time) {
+// sleepUntil sleeps by nanosleep until the given time or the end of ctx, which it checks every 100 ms.
+func sleepUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
 		left := time.Until(until)
 		if left <= 0 {
@@ -171,14 +173,14 @@
 	}
 }
 
-// play asks a job's question, again where the client would.
-func (l *loader) play(j loadgen.Job, due time.Time) {
-	defer l.all.Done()
+// runJob sends a job's request and its retries, and records the outcome.
+func (l *loadRun) runJob(j loadgen.Job, due time.Time) {
+	defer l.pending.Done()
 	end := due.Add(time.Duration(j.ClientTimeout * float64(time.Second)))
 	status, left := 0, false
 	for tries := 1; ; tries++ {
 		var after float64
-		status, after, left = l.ask(j, due, end, tries)
+		status, after, left = l.sendRequest(j, due, end, tries)
 		in, again := l.Settings.RetryDelay(status, tries, after, time.Until(end).Seconds())
 		if !again || left {
 			break
@@ -188,7 +190,7 @@
 	took := time.Since(due)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.inFlight--
 	if left {
 		l.report.Left++
 		return
@@ -209,12 +211,14 @@
 	}
 }
 
-func (l *loader) ask(j loadgen.Job, due, end time.Time, tries int) (status int, after float64, left bool) {
+// sendRequest sends one request of a job. It returns the status, 0 without a complete answer, the value of
+// Retry-After in seconds, and whether the client disconnected on purpose.
+func (l *loadRun) sendRequest(j loadgen.Job, due, end time.Time, tries int) (status int, after float64, left bool) {
 	l.mu.Lock()
-	l.n++
-	n := l.n
+	l.lastID++
+	n := l.lastID
 	l.mu.Unlock()
-	until := end.Add(250 * time.Millisecond) // to see an answer that comes on the second
+	until := end.Add(250 * time.Millisecond) // margin to receive an answer that is sent exactly at the time-out
 	if j.DisconnectsAfter > 0 {
 		until = due.Add(time.Duration(j.DisconnectsAfter * float64(time.Second)))
 	}
@@ -262,7 +266,8 @@
 	return resp.StatusCode, after, false
 }
 
-func (l *loader) progress(stop chan struct{}) {
+// progress writes a progress line each second until stop is closed.
+func (l *loadRun) progress(stop chan struct{}) {
 	for t := time.NewTicker(time.Second); ; {
 		select {
 		case <-stop:
@@ -270,28 +275,29 @@
 			return
 		case <-t.C:
 			l.mu.Lock()
-			fmt.Fprintf(l.Progress, "\r%6.0f s  %d jobs, %d open, answers %v   ", time.Since(l.began).Seconds(), l.report.Jobs, l.open, l.report.Status)
+			fmt.Fprintf(l.Progress, "\r%6.0f s  %d jobs, %d open, answers %v   ", time.Since(l.startedAt).Seconds(), l.report.Jobs, l.inFlight, l.report.Status)
 			l.mu.Unlock()
 		}
 	}
 }
 
-func (l *loader) finish(ctx context.Context) *LoadReport {
+// finish computes the distributions and sets Void if the run is invalid.
+func (l *loadRun) finish(ctx context.Context) *LoadReport {
 	r := &l.report
 	for _, m := range []map[string]*Latency{r.Classes, r.Tenants} {
 		for _, x := range m {
-			x.sum()
+			x.summarize()
 		}
 	}
-	r.ToolLate.sum()
+	r.ToolLate.summarize()
 	switch {
 	case ctx.Err() != nil:
 		r.Void = "it was ended before its time"
 	case r.Unasked > 0:
-		r.Void = fmt.Sprintf("%d questions were not asked: %d were open", r.Unasked, inFlightMost)
+		r.Void = fmt.Sprintf("%d questions were not asked: %d were open", r.Unasked, maxInFlight)
 	case r.NoSocket > 0:
 		r.Void = fmt.Sprintf("%d questions found no descriptor or port left: raise the limit (ulimit -n)", r.NoSocket)
-	case r.ToolLate.P99 > float64(lateMost.Microseconds())/1000:
+	case r.ToolLate.P99 > float64(maxToolLateness.Microseconds())/1000:
 		r.Void = fmt.Sprintf("the tool itself was late: %.2f ms at the 99th percentile", r.ToolLate.P99)
 	}
 	if l.Progress != nil {
@@ -300,7 +306,7 @@
 	return r
 }
 
-// Print writes the report for people.
+// Print writes the report as text tables.
 func (r *LoadReport) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "%d jobs in %.1f s, %.0f a second; %d questions asked, %d clients left\n\nANSWER\tJOBS\n", r.Jobs, r.Seconds, float64(r.Jobs)/r.Seconds, r.Asked, r.Left)
--- a/internal/lab/experiments/members.go
+++ b/internal/lab/experiments/members.go
@@ -13,38 +13,40 @@
 	"example.org/bellstream/internal/cluster/lease/agent"
 )
 
-// members are instances' parts of the agreed rules, many in this process, on real sockets that
-// stand apart by a relay. A loop takes what holds as a dispatcher's does. They are what the
-// agreement in virtual time is held against.
-type members struct {
-	all   []*memberLoop
+// agentGroup runs the configuration agents of many instances in this process, on real sockets. A relay between
+// them adds delay. Each agent has a loop that adopts the effective configuration as a dispatcher's loop does.
+// The simulated agreement is compared with such a group.
+type agentGroup struct {
+	loops []*agentLoop
 	relay *Relay
 }
 
-type memberLoop struct {
+// agentLoop is an agent and the loop that adopts its configuration.
+type agentLoop struct {
 	*agent.Agent
-	wake, end, gone chan struct{}
-	inForce         atomic.Uint64 // version that the loop acts on
+	wake, stop, stopped chan struct{}
+	inForce             atomic.Uint64 // version that the loop applies
 }
 
-// memberTurn is until a loop that is woken has taken what holds: a dispatcher's round.
-const memberTurn = 4 * time.Millisecond
+// agentLoopDelay is the time from waking a loop until it adopts the effective configuration: a dispatcher's round.
+const agentLoopDelay = 4 * time.Millisecond
 
-// startMembers starts them, the first of them as voters, with that delay from one to another.
-func startMembers(p Params, n, voters int, s lease.Settings, delay func(from, to int) time.Duration) (c *members, err error) {
-	c = &members{relay: NewRelay(p.Seed, Link{})}
+// startAgentGroup starts n agents, the first of them as voters. delay returns the one-way delay between two
+// instances. On error, everything that was started is closed.
+func startAgentGroup(p Params, n, voters int, s lease.Settings, delay func(from, to int) time.Duration) (c *agentGroup, err error) {
+	c = &agentGroup{relay: NewRelay(p.Seed, Link{})}
 	defer func() {
 		if err != nil {
 			c.close()
 		}
 	}()
-	apart := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for x := range n {
 		for y := range n {
-			apart[delay(x, y)] = true
+			delays[delay(x, y)] = true
 		}
 	}
-	for d := range apart {
+	for d := range delays {
 		c.relay.Lay(func(x, y int) bool { return delay(x, y) == d }, Link{Delay: d})
 	}
 	at, listen := map[string]string{}, make([]string, n)
@@ -58,11 +60,11 @@
 			}
 		}
 	}
-	c.all = make([]*memberLoop, n)
+	c.loops = make([]*agentLoop, n)
 	for i := range n {
-		c.all[i] = &memberLoop{wake: make(chan struct{}, 1), end: make(chan struct{}), gone: make(chan struct{})}
+		c.loops[i] = &agentLoop{wake: make(chan struct{}, 1), stop: make(chan struct{}), stopped: make(chan struct{})}
 	}
-	for i, x := range c.all {
+	for i, x := range c.loops {
 		name := fmt.Sprint("n", i)
 		o := agent.Options{Name: name, Incarnation: uint64(i + 1), Cluster: "lab", StateDir: filepath.Join(p.Out, name), ListenAddress: listen[i], Voters: at, LeaseSettings: s,
 			Log: zerolog.Nop(), Now: time.Now, OnChange: func() {
@@ -79,33 +81,35 @@
 	return c, nil
 }
 
-func (x *memberLoop) run(look float64) {
-	defer close(x.gone)
-	t := time.NewTicker(time.Duration(look * float64(time.Second)))
+// run adopts and acknowledges new configurations until stop is closed. It checks when woken and every
+// pollInterval seconds.
+func (x *agentLoop) run(pollInterval float64) {
+	defer close(x.stopped)
+	t := time.NewTicker(time.Duration(pollInterval * float64(time.Second)))
 	defer t.Stop()
-	var took *config.Table
+	var applied *config.Table
 	for {
-		if r := x.EffectiveConfig(time.Now()); r != took {
-			took = r
+		if r := x.EffectiveConfig(time.Now()); r != applied {
+			applied = r
 			x.Acknowledge(r)
 		}
-		if s := x.Status(); s.Leased && s.Table == took && s.Stage != lease.StageIntersection.String() {
+		if s := x.Status(); s.Leased && s.Table == applied && s.Stage != lease.StageIntersection.String() {
 			x.inForce.Store(s.Version)
 		}
 		select {
-		case <-x.end:
+		case <-x.stop:
 			return
 		case <-x.wake:
-			time.Sleep(memberTurn)
+			time.Sleep(agentLoopDelay)
 		case <-t.C:
 		}
 	}
 }
 
-// reached waits until all act on a version.
-func (c *members) reached(version uint64, most time.Duration) bool {
-	return Until(most, "a version", func() bool {
-		for _, x := range c.all {
+// waitForVersion waits up to timeout until all loops apply version or a later one, and reports whether they do.
+func (c *agentGroup) waitForVersion(version uint64, timeout time.Duration) bool {
+	return Until(timeout, "a version", func() bool {
+		for _, x := range c.loops {
 			if x.inForce.Load() < version {
 				return false
 			}
@@ -114,11 +118,12 @@
 	}) == nil
 }
 
-func (c *members) close() {
-	for _, x := range c.all {
+// close stops the loops and closes the agents and the relay.
+func (c *agentGroup) close() {
+	for _, x := range c.loops {
 		if x != nil && x.Agent != nil {
-			close(x.end)
-			<-x.gone
+			close(x.stop)
+			<-x.stopped
 			x.Agent.Close()
 		}
 	}
--- a/internal/lab/experiments/mixed_test.go
+++ b/internal/lab/experiments/mixed_test.go
@@ -16,12 +16,12 @@
 	for _, name := range []string{"counts", "agreed", "rebalance", "clusters-real"} {
 		t.Run(name, func(t *testing.T) {
 			result, err := Find(name).Play(Params{
-				Seed:    1,
-				Quick:   true,
-				Out:     t.TempDir(),
-				Program: program(t),
-				earlier: earlier,
-				Log:     t.Logf,
+				Seed:         1,
+				Quick:        true,
+				Out:          t.TempDir(),
+				Program:      program(t),
+				earlierBuild: earlier,
+				Log:          t.Logf,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lab/experiments/plain.go
+++ b/internal/lab/experiments/plain.go
@@ -12,10 +12,9 @@
 	"time"
 )
 
-// plain is the dispatcher that experiments compare with: each job goes to the
-// next worker of the list, once, and nothing is learned. It shares no code with
-// the program.
-type plain struct {
+// roundRobinDispatcher is the baseline of comparisons: it sends each job once, to the next worker of the list,
+// and keeps no state about workers. It shares no code with bellstream.
+type roundRobinDispatcher struct {
 	server  *http.Server
 	client  *http.Client
 	addr    string
@@ -23,8 +22,9 @@
 	next    atomic.Uint64
 }
 
-func newPlain(f *Fleet) (*plain, error) {
-	p := &plain{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
+// newRoundRobinDispatcher starts a dispatcher for the workers of a fleet on a free port.
+func newRoundRobinDispatcher(f *Fleet) (*roundRobinDispatcher, error) {
+	p := &roundRobinDispatcher{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 	for _, w := range f.workers {
 		p.workers = append(p.workers, w.addr)
 	}
@@ -37,22 +37,22 @@
 	return p, nil
 }
 
-func (p *plain) close() {
+func (p *roundRobinDispatcher) close() {
 	p.server.Close()
 	p.client.CloseIdleConnections()
 }
 
-func (p *plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *roundRobinDispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	patience, err := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
+	timeout, err := strconv.ParseFloat(r.Header.Get("Request-Timeout"), 64)
 	if err != nil {
-		patience = 3
+		timeout = 3
 	}
 	client := *p.client
-	client.Timeout = time.Duration(patience * float64(time.Second))
+	client.Timeout = time.Duration(timeout * float64(time.Second))
 	to := p.workers[p.next.Add(1)%uint64(len(p.workers))]
 	req, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://"+to+r.URL.RequestURI(), bytes.NewReader(body))
 	for _, name := range []string{"Request-Id", "Idempotency-Key", "Request-Timeout"} {
@@ -71,9 +71,9 @@
 		return
 	}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
-		var said struct{ State, Result string }
-		if json.Unmarshal(lines.Bytes(), &said) == nil && said.State == "done" {
-			io.WriteString(w, said.Result)
+		var line struct{ State, Result string }
+		if json.Unmarshal(lines.Bytes(), &line) == nil && line.State == "done" {
+			io.WriteString(w, line.Result)
 			return
 		}
 	}
--- a/internal/lab/experiments/processes.go
+++ b/internal/lab/experiments/processes.go
@@ -176,7 +176,7 @@
 		if s.Sockets > 0 {
 			limits = fmt.Sprintf(`"cores":1,"memory_mb":768,"sockets":%d`, s.Sockets)
 		}
-		x.Dispatcher, err = NewDispatcher(p.programOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), me, s.N, limits, s.Lanes, s.Parties, s.Rules), "")
+		x.Dispatcher, err = NewDispatcher(p.executableOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), me, s.N, limits, s.Lanes, s.Parties, s.Rules), "")
 		if err != nil {
 			return err
 		}
--- a/internal/lab/experiments/scale.go
+++ b/internal/lab/experiments/scale.go
@@ -16,14 +16,14 @@
 	Run:     runScale,
 }
 
-// What is claimed at every size: worth against one queue that sees all, and what
-// a job's decisions cost. That grows with what one dispatcher has out, since it
-// looks at more workers then, and not with the fleet: that is where it bends.
+// Bounds of the claims at every size: the worth, as a fraction of that of one queue that sees all jobs, and the
+// processor time of a job's decisions. That time grows with the number of jobs that one dispatcher has in flight,
+// because it examines more workers then. It does not grow with the size of the fleet.
 const (
-	scaleWorth = 0.9
-	scaleBase  = 100.0 // µs a job
-	scaleEach  = 4.0   // µs a job more for each worker to a dispatcher
-	scaleFlat  = 2.0   // CPU a job in a larger fleet with as many workers to a dispatcher
+	scaleMinWorth     = 0.9
+	scaleBaseCPU      = 100.0 // µs per job
+	scaleCPUPerWorker = 4.0   // additional µs per job for each worker per dispatcher
+	scaleMaxCPURatio  = 2.0   // CPU per job, relative to a smaller fleet with as many workers per dispatcher
 )
 
 type scaleSize struct {
@@ -36,12 +36,12 @@
 	if p.Quick {
 		sizes = []scaleSize{{12, 4, 10}, {100, 4, 10}, {100, 16, 10}, {400, 16, 6}, {1000, 16, 4}}
 	}
-	set := func(s scaleSize) simulation.FleetSettings {
+	settings := func(s scaleSize) simulation.FleetSettings {
 		return simulation.FleetSettings{Seed: p.Seed, Workers: s.workers, Slots: 4, Dispatchers: s.dispatchers, MeanWork: 0.3, Load: 0.75,
 			LatencyObjective: 1.5, Timeout: 4, Tick: 0.004, Span: s.span, WithoutLoadReports: p.Without == "reports"}
 	}
 	play := func(s scaleSize) (simulation.FleetResult, error) {
-		f, err := simulation.NewFleet(set(s))
+		f, err := simulation.NewFleet(settings(s))
 		if err != nil {
 			return simulation.FleetResult{}, err
 		}
@@ -50,7 +50,7 @@
 	r := &Result{Size: fmt.Sprintf("up to %d workers of 4 slots, load 75%%, %d cores", sizes[len(sizes)-1].workers, runtime.GOMAXPROCS(0))}
 	cpuPlot := report.Plot{Title: "CPU of the decisions, a job", XLabel: "workers", YLabel: "us", LogX: true}
 	memoryPlot := report.Plot{Title: "Memory of a dispatcher", XLabel: "workers", YLabel: "MB", LogX: true}
-	grow := func(p *report.Plot, s scaleSize, y float64) {
+	addPoint := func(p *report.Plot, s scaleSize, y float64) {
 		name := fmt.Sprintf("%d dispatchers", s.dispatchers)
 		i := slices.IndexFunc(p.Lines, func(l report.Line) bool { return l.Name == name })
 		if i < 0 {
@@ -71,10 +71,10 @@
 		cost[scaleSize{s.workers, s.dispatchers, 0}] = cpu
 		p.Log("%s: %d jobs, worth %.3f, %.1f us a job, %.2f attempts a job, late %d, refused %d, failed %d, %.1f MB a dispatcher, %.0f s in %.1f s", name, x.Jobs, worth, cpu,
 			float64(x.Attempts)/float64(x.Jobs), x.Late, x.Rejected, x.Failed, float64(x.Heap)/1e6/float64(s.dispatchers), s.span, x.Wall.Seconds())
-		r.AtLeast(name+": worth against one queue that sees all", scaleWorth, worth, "part")
-		r.AtMost(name+": CPU of the decisions a job", scaleBase+scaleEach*float64(s.workers)/float64(s.dispatchers), cpu, "us")
-		grow(&cpuPlot, s, cpu)
-		grow(&memoryPlot, s, float64(x.Heap)/1e6/float64(s.dispatchers))
+		r.AtLeast(name+": worth against one queue that sees all", scaleMinWorth, worth, "part")
+		r.AtMost(name+": CPU of the decisions a job", scaleBaseCPU+scaleCPUPerWorker*float64(s.workers)/float64(s.dispatchers), cpu, "us")
+		addPoint(&cpuPlot, s, cpu)
+		addPoint(&memoryPlot, s, float64(x.Heap)/1e6/float64(s.dispatchers))
 		r.Note(name+": memory a dispatcher", float64(x.Heap)/1e6/float64(s.dispatchers), "MB")
 		r.Note(name+": attempts a job", float64(x.Attempts)/float64(x.Jobs), "attempts")
 		if i == 0 {
@@ -95,7 +95,7 @@
 	}
 	r.AtLeast("the same seed gives the same run, byte for byte", 1, same, "runs")
 	if small, large := cost[scaleSize{400, 16, 0}], cost[scaleSize{1600, 64, 0}]; large > 0 {
-		r.AtMost("CPU a job at 1,600 workers and 64 dispatchers, against 400 and 16", scaleFlat, large/small, "times")
+		r.AtMost("CPU a job at 1,600 workers and 64 dispatchers, against 400 and 16", scaleMaxCPURatio, large/small, "times")
 	}
 	return r, nil
 }
--- a/internal/lab/experiments/silent.go
+++ b/internal/lab/experiments/silent.go
@@ -62,7 +62,7 @@
 	defer tool.Close()
 	addr := ""
 	if !learns {
-		plain, err := newPlain(fleet)
+		plain, err := newRoundRobinDispatcher(fleet)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/experiments/versionsplay.go
+++ b/internal/lab/experiments/versionsplay.go
@@ -14,8 +14,9 @@
 	"example.org/bellstream/internal/lab/simulation"
 )
 
-// teamsTable is a first version with so many teams, of unlike reservations and weights.
-func teamsTable(teams []capacity.Team) agent.Proposal {
+// initialTable returns a proposal of version 1 with these teams as tenants, with different reservations and
+// weights. Once there is a version, it proposes nothing new.
+func initialTable(teams []capacity.Team) agent.Proposal {
 	return func(history []*config.Table, by string) (*config.Table, error) {
 		if newest := history[len(history)-1]; newest.Version > 0 {
 			return newest, nil
@@ -29,13 +30,14 @@
 	}
 }
 
-// raiseTeam has a team's reservation, or its weight, be another, on whatever is the newest: the best that
-// whoever writes files can do. A file that is based on an older version is refused for good instead.
-func raiseTeam(team int, to float64, exclusive bool) agent.Proposal {
+// changeTeam returns a proposal that sets a team's reservation (exclusive) or weight (loose) to a value. It is
+// always based on the newest version, the best case for an operator: a file that is based on an older version is
+// refused permanently.
+func changeTeam(team int, to float64, exclusive bool) agent.Proposal {
 	return func(history []*config.Table, by string) (*config.Table, error) {
 		newest := history[len(history)-1]
 		if len(newest.Tenants) == 0 {
-			return nil, fmt.Errorf("there are no teams yet")
+			return nil, fmt.Errorf("newest version has no tenants")
 		}
 		x := newest.Tenants[team%len(newest.Tenants)]
 		if exclusive && *x.Reservation == to || !exclusive && *x.Weight == to {
@@ -54,71 +56,74 @@
 	}
 }
 
-// Roles of instances in the agreement.
+// Roles of instances in the agreement protocol.
 const (
 	roleLeader     = "leader"
-	roleVoter      = "voter"      // one that does not lead
-	roleDispatcher = "dispatcher" // one that does not vote
+	roleVoter      = "voter"      // not the leader
+	roleDispatcher = "dispatcher" // not a voter
 )
 
 var roles = []string{roleLeader, roleVoter, roleDispatcher}
 
-// versionsRun is one play of the agreement: so many dispatchers, and five voters that stand aside, one in each of
-// five regions.
+// versionsRun is one simulated run of the agreement protocol: dispatchers, and five voters on machines of their
+// own, one in each of five regions.
 type versionsRun struct {
-	seed  uint64
-	close bool    // voters all stand in the first region
-	n     int     // instances, the voters too
-	teams int     // entries of the rules; 0: the load's
-	apart float64 // s, one way, from region to region
-	set   lease.Settings
-	seats float64 // s between questions which shards to give away; 0: there are no shards
-	load  *capacity.Load
-	rest  float64 // s that are looked at, at rest
-	plays int     // changes of a kind, alone
-	many  int     // changes at once
-	a     *simulation.Agreement
-	at    []int // region of each
-	rng   *rand.Rand
-	wish  int // the last team that was changed, so that each wish is another
-	found versionsFound
+	seed               uint64
+	close              bool    // all voters are in the first region
+	n                  int     // number of instances, voters included
+	teams              int     // number of teams in the rules; 0: as many as the load has
+	apart              float64 // one-way delay between regions, in s
+	set                lease.Settings
+	revokePollInterval float64 // seconds between polls for shards to release; 0: no shards
+	load               *capacity.Load
+	idleSpan           float64 // seconds of idle operation that are measured
+	singleChanges      int     // number of changes of each kind that are made one at a time
+	concurrentChanges  int     // number of changes that are proposed at the same time
+	sim                *simulation.Agreement
+	at                 []int // region of each instance
+	rng                *rand.Rand
+	changeNumber       int // number of the last proposed change; makes each proposal different
+	figures            versionsFigures
 }
 
-// versionsFound is what a play measured; by kind of change: 0 loose, 1 exclusive.
-type versionsFound struct {
-	table int                           // bytes of the rules
-	alone [2][]float64                  // s until each was in force everywhere
-	many  [2][]float64                  // the same of those at once, in their order
-	sent  map[string]map[string]float64 // B/s at rest, by role and kind of frame
-	got   map[string]map[string]float64
-	busy  map[string]float64    // ms/s at rest
-	extra [2]map[string]float64 // bytes for a change beyond rest, sent and received, by role
-	cost  [2]map[string]float64 // ms of processor for a change, by role
-	worst float64               // B sent and received in a second while changes come, the worst dispatcher
-	heap  float64               // B an instance, without histories, which are shared here
-	// minute is what the dispatcher that is left with most to say sent and received a second, for leases and
-	// for seats, in the minute after a zone went.
-	minute [2]float64
+// versionsFigures holds the measurements of a run. Index 0 of an array is for loose changes, 1 for exclusive ones,
+// except in zoneLoss.
+type versionsFigures struct {
+	tableBytes  int                           // size of the encoded rules
+	single      [2][]float64                  // seconds until each single change was in force everywhere
+	concurrent  [2][]float64                  // the same for concurrent changes, by version
+	sent        map[string]map[string]float64 // B/s without changes, by role and kind of frame
+	received    map[string]map[string]float64
+	cpu         map[string]float64    // ms/s without changes, by role
+	changeBytes [2]map[string]float64 // bytes sent and received per change, in addition to idle traffic, by role
+	changeCPU   [2]map[string]float64 // processor ms per change, in addition to idle load, by role
+	worstSecond float64               // most bytes that a dispatcher sent and received in a second during changes
+	heap        float64               // bytes per instance, without histories, which the instances share in the simulation
+	// zoneLoss is the traffic of the remaining dispatcher with the most, in the minute after a zone was lost, in
+	// B/s sent and received: index 0 without revocation polls, index 1 the polls.
+	zoneLoss [2]float64
 }
 
-// seats is what an instance of a role sends and receives a second at rest for seats of shards, leases what for all else.
-func (f *versionsFound) seats(role string) float64 {
-	return f.sent[role][simulation.FlowRevokePoll] + f.got[role][simulation.FlowRevokePoll]
+// revokePollRate returns the B/s that an instance of a role sends and receives without changes for revocation polls.
+func (f *versionsFigures) revokePollRate(role string) float64 {
+	return f.sent[role][simulation.FlowRevokePoll] + f.received[role][simulation.FlowRevokePoll]
 }
 
-func (f *versionsFound) leases(role string) float64 {
-	return total(f.sent[role]) + total(f.got[role]) - f.seats(role)
+// leaseRate returns the same for all other frames.
+func (f *versionsFigures) leaseRate(role string) float64 {
+	return total(f.sent[role]) + total(f.received[role]) - f.revokePollRate(role)
 }
 
 const (
-	versionsVoters = 5
-	versionsNear   = 0.0005 // s, one way, within a region
-	versionsDisk   = 0.005  // s that a synced write takes
-	versionsJitter = 0.1
+	versionsVoters     = 5
+	versionsLocalDelay = 0.0005 // one-way delay within a region, in s
+	versionsDiskSync   = 0.005  // duration of a synced write, in s
+	versionsJitter     = 0.1
 )
 
-// regionOf is where an instance stands: voters in five regions, dispatchers over the map.
-func regionOf(load *capacity.Load, n int) []int {
+// placeInstances returns the region of each instance: each voter has a region of its own, dispatchers are placed as
+// the load places them.
+func placeInstances(load *capacity.Load, n int) []int {
 	at, zones := make([]int, n), load.Place(max(1, n-versionsVoters))
 	for i := range at {
 		if at[i] = i; i >= versionsVoters {
@@ -128,16 +133,17 @@
 	return at
 }
 
-// begin starts the cluster and waits for its first version. False: it never came.
-func (x *versionsRun) begin() bool {
-	x.at, x.rng = regionOf(x.load, x.n), rand.New(rand.NewPCG(x.seed, 0x7e55))
+// start starts the cluster and waits up to 40 s for its first version. It reports whether that is in force
+// everywhere and all instances have a lease.
+func (x *versionsRun) start() bool {
+	x.at, x.rng = placeInstances(x.load, x.n), rand.New(rand.NewPCG(x.seed, 0x7e55))
 	if x.close {
 		clear(x.at[:min(versionsVoters, x.n)])
 	}
-	x.a = simulation.NewAgreement(simulation.AgreementSettings{Seed: x.seed, Instances: x.n, Voters: versionsVoters, Leases: x.set, Jitter: versionsJitter,
-		DiskSyncSeconds: versionsDisk, SchedulerDelaySeconds: memberTurn.Seconds(), RevokePollSeconds: x.seats, CPUSeconds: threadTime, Delay: func(from, to int) float64 {
+	x.sim = simulation.NewAgreement(simulation.AgreementSettings{Seed: x.seed, Instances: x.n, Voters: versionsVoters, Leases: x.set, Jitter: versionsJitter,
+		DiskSyncSeconds: versionsDiskSync, SchedulerDelaySeconds: agentLoopDelay.Seconds(), RevokePollSeconds: x.revokePollInterval, CPUSeconds: threadTime, Delay: func(from, to int) float64 {
 			if x.at[from] == x.at[to] {
-				return versionsNear
+				return versionsLocalDelay
 			}
 			return x.apart
 		}})
@@ -150,21 +156,21 @@
 			teams = append(teams, t)
 		}
 	}
-	x.a.Propose(x.a.Members[0], teamsTable(teams))
-	x.a.Run(40, func() bool { return x.a.InForceEverywhereAt[1] > 0 && x.a.Leased() })
-	if x.a.InForceEverywhereAt[1] == 0 || !x.a.Leased() {
+	x.sim.Propose(x.sim.Members[0], initialTable(teams))
+	x.sim.Run(40, func() bool { return x.sim.InForceEverywhereAt[1] > 0 && x.sim.Leased() })
+	if x.sim.InForceEverywhereAt[1] == 0 || !x.sim.Leased() {
 		return false
 	}
-	x.a.Run(x.a.Now+5, nil)
-	t, _ := teamsTable(teams)([]*config.Table{{}}, "x")
+	x.sim.Run(x.sim.Now+5, nil)
+	t, _ := initialTable(teams)([]*config.Table{{}}, "x")
 	raw, _ := config.Encode(t)
-	x.found.table = len(raw)
+	x.figures.tableBytes = len(raw)
 	return true
 }
 
-func (x *versionsRun) role(in *simulation.AgreementInstance, i int) string {
+func (x *versionsRun) roleOf(in *simulation.AgreementInstance, i int) string {
 	switch {
-	case in == x.a.Leader():
+	case in == x.sim.Leader():
 		return roleLeader
 	case i < versionsVoters:
 		return roleVoter
@@ -172,41 +178,42 @@
 	return roleDispatcher
 }
 
-// newest is the highest version that is in force everywhere.
-func (x *versionsRun) newest() (v uint64) {
-	for n := range x.a.InForceEverywhereAt {
+// newestInForce returns the highest version that has been in force everywhere.
+func (x *versionsRun) newestInForce() (v uint64) {
+	for n := range x.sim.InForceEverywhereAt {
 		v = max(v, n)
 	}
 	return v
 }
 
-// change has an instance ask for a change and waits until it is in force everywhere; the time it took, or most.
-func (x *versionsRun) change(exclusive bool, most float64) float64 {
-	v, from := x.newest()+1, x.a.Now
-	in := x.a.Members[x.rng.IntN(len(x.a.Members))]
+// measureChange has a random live instance propose a change and waits until the change is in force everywhere. It
+// returns the seconds until then, at most timeout.
+func (x *versionsRun) measureChange(exclusive bool, timeout float64) float64 {
+	v, from := x.newestInForce()+1, x.sim.Now
+	in := x.sim.Members[x.rng.IntN(len(x.sim.Members))]
 	for !in.Up {
-		in = x.a.Members[x.rng.IntN(len(x.a.Members))]
+		in = x.sim.Members[x.rng.IntN(len(x.sim.Members))]
 	}
-	x.wish++
-	x.a.Propose(in, raiseTeam(x.wish, float64(100+x.wish), exclusive))
-	for x.a.InForceEverywhereAt[v] == 0 && x.a.Now < from+most {
-		was := x.carried()
-		x.a.Run(min(from+most, x.a.Now+1), func() bool { return x.a.InForceEverywhereAt[v] > 0 })
-		for i, n := range x.carried() {
+	x.changeNumber++
+	x.sim.Propose(in, changeTeam(x.changeNumber, float64(100+x.changeNumber), exclusive))
+	for x.sim.InForceEverywhereAt[v] == 0 && x.sim.Now < from+timeout {
+		before := x.bytesByInstance()
+		x.sim.Run(min(from+timeout, x.sim.Now+1), func() bool { return x.sim.InForceEverywhereAt[v] > 0 })
+		for i, n := range x.bytesByInstance() {
 			if i >= versionsVoters {
-				x.found.worst = max(x.found.worst, n-was[i])
+				x.figures.worstSecond = max(x.figures.worstSecond, n-before[i])
 			}
 		}
 	}
-	if x.a.InForceEverywhereAt[v] == 0 {
-		return most
+	if x.sim.InForceEverywhereAt[v] == 0 {
+		return timeout
 	}
-	return x.a.InForceEverywhereAt[v] - from
+	return x.sim.InForceEverywhereAt[v] - from
 }
 
-// carried is what each instance has sent and received since the last Reset.
-func (x *versionsRun) carried() (list []float64) {
-	for _, in := range x.a.Members {
+// bytesByInstance returns the bytes that each instance has sent and received since the last Reset.
+func (x *versionsRun) bytesByInstance() (list []float64) {
+	for _, in := range x.sim.Members {
 		sum := 0.0
 		for _, m := range []map[string]simulation.Flow{in.Sent, in.Received} {
 			for _, f := range m {
@@ -218,35 +225,36 @@
 	return list
 }
 
-type versionsTally struct {
-	sent, got map[string]map[string]float64
-	busy      map[string]float64
+// versionsUsage holds bytes sent and received by role and kind of frame, and processor ms by role.
+type versionsUsage struct {
+	sent, received map[string]map[string]float64
+	cpu            map[string]float64
 }
 
-// tally is what each role's mean instance has sent, received and computed since the last Reset.
-func (x *versionsRun) tally() versionsTally {
-	t := versionsTally{map[string]map[string]float64{}, map[string]map[string]float64{}, map[string]float64{}}
+// meanUsage returns the mean usage per instance of each role since the last Reset.
+func (x *versionsRun) meanUsage() versionsUsage {
+	t := versionsUsage{map[string]map[string]float64{}, map[string]map[string]float64{}, map[string]float64{}}
 	n := map[string]float64{}
-	for i, in := range x.a.Members {
-		n[x.role(in, i)]++
+	for i, in := range x.sim.Members {
+		n[x.roleOf(in, i)]++
 	}
 	for _, r := range roles {
-		t.sent[r], t.got[r] = map[string]float64{}, map[string]float64{}
+		t.sent[r], t.received[r] = map[string]float64{}, map[string]float64{}
 	}
-	for i, in := range x.a.Members {
-		r := x.role(in, i)
+	for i, in := range x.sim.Members {
+		r := x.roleOf(in, i)
 		for k, f := range in.Sent {
 			t.sent[r][k] += f.Bytes / n[r]
 		}
 		for k, f := range in.Received {
-			t.got[r][k] += f.Bytes / n[r]
+			t.received[r][k] += f.Bytes / n[r]
 		}
-		t.busy[r] += 1000 * in.CPUSeconds / n[r]
+		t.cpu[r] += 1000 * in.CPUSeconds / n[r]
 	}
 	return t
 }
 
-// total adds up by name, as sums of the same figures in another order differ in their last digits.
+// total adds up the values in the order of their keys, because floating-point sums depend on the order.
 func total(m map[string]float64) (sum float64) {
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		sum += m[k]
@@ -254,68 +262,70 @@
 	return sum
 }
 
-// play measures rest, changes alone, and many at once.
-func (x *versionsRun) play() bool {
+// measure measures idle operation, single changes, concurrent changes and the loss of a zone. It reports whether the
+// cluster started.
+func (x *versionsRun) measure() bool {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	heap := heapInUse()
-	if !x.begin() {
+	if !x.start() {
 		return false
 	}
-	f := &x.found
-	x.a.Reset()
-	x.a.Run(x.a.Now+x.rest, nil)
-	rest := x.tally()
-	f.sent, f.got, f.busy = rest.sent, rest.got, rest.busy
+	f := &x.figures
+	x.sim.Reset()
+	x.sim.Run(x.sim.Now+x.idleSpan, nil)
+	rest := x.meanUsage()
+	f.sent, f.received, f.cpu = rest.sent, rest.received, rest.cpu
 	for _, r := range roles {
-		for _, m := range []map[string]float64{f.sent[r], f.got[r]} {
+		for _, m := range []map[string]float64{f.sent[r], f.received[r]} {
 			for k := range m {
-				m[k] /= x.rest
+				m[k] /= x.idleSpan
 			}
 		}
-		f.busy[r] /= x.rest
+		f.cpu[r] /= x.idleSpan
 	}
-	for k := range f.extra {
-		f.extra[k], f.cost[k] = map[string]float64{}, map[string]float64{}
-		for range x.plays {
-			x.a.Run(x.a.Now+x.set.RenewIntervalSeconds*(1+x.rng.Float64()), nil) // not always at the same place of a period
-			x.a.Reset()
-			from := x.a.Now
-			f.alone[k] = append(f.alone[k], x.change(k == 1, 30))
-			x.a.Run(x.a.Now+2*x.set.RenewIntervalSeconds, nil) // what still answers
-			span, t := x.a.Now-from, x.tally()
+	for k := range f.changeBytes {
+		f.changeBytes[k], f.changeCPU[k] = map[string]float64{}, map[string]float64{}
+		for range x.singleChanges {
+			x.sim.Run(x.sim.Now+x.set.RenewIntervalSeconds*(1+x.rng.Float64()), nil) // a random point of the period
+			x.sim.Reset()
+			from := x.sim.Now
+			f.single[k] = append(f.single[k], x.measureChange(k == 1, 30))
+			x.sim.Run(x.sim.Now+2*x.set.RenewIntervalSeconds, nil) // to include late responses
+			span, t := x.sim.Now-from, x.meanUsage()
 			for _, r := range roles {
-				over := total(t.sent[r]) + total(t.got[r]) - span*(total(f.sent[r])+total(f.got[r]))
-				f.extra[k][r] += over / float64(x.plays)
-				f.cost[k][r] += (t.busy[r] - span*f.busy[r]) / float64(x.plays)
+				over := total(t.sent[r]) + total(t.received[r]) - span*(total(f.sent[r])+total(f.received[r]))
+				f.changeBytes[k][r] += over / float64(x.singleChanges)
+				f.changeCPU[k][r] += (t.cpu[r] - span*f.cpu[r]) / float64(x.singleChanges)
 			}
 		}
 	}
-	for k := range f.many {
-		f.many[k] = x.atOnce(k == 1)
-		x.a.Run(x.a.Now+5, nil)
+	for k := range f.concurrent {
+		f.concurrent[k] = x.measureConcurrentChanges(k == 1)
+		x.sim.Run(x.sim.Now+5, nil)
 	}
 	now := heapInUse()
 	f.heap = float64(now-min(now, heap)) / float64(x.n)
-	x.zone()
+	x.measureZoneLoss()
 	return true
 }
 
-// zone ends the dispatchers of the first one's zone, and looks at the others for a minute.
-func (x *versionsRun) zone() {
+// measureZoneLoss kills the dispatchers of the first dispatcher's zone and measures the traffic of the others for
+// a minute.
+func (x *versionsRun) measureZoneLoss() {
 	const minute = 60.0
 	if x.n <= versionsVoters {
 		return
 	}
 	zones := x.load.Place(x.n - versionsVoters)
-	for i, in := range x.a.Members[versionsVoters:] {
+	for i, in := range x.sim.Members[versionsVoters:] {
 		if zones[i] == zones[0] {
-			x.a.Kill(in, true)
+			x.sim.Kill(in, true)
 		}
 	}
-	x.a.Reset()
-	x.a.Run(x.a.Now+minute, nil)
-	for _, in := range x.a.Members[versionsVoters:] {
+	x.sim.Reset()
+	x.sim.Run(x.sim.Now+minute, nil)
+	for _, in := range x.sim.Members[versionsVoters:] {
 		if !in.Up {
 			continue
 		}
@@ -327,16 +337,16 @@
 				}
 			}
 		}
-		if all > x.found.minute[0]+x.found.minute[1] {
-			x.found.minute = [2]float64{all - seats, seats}
+		if all > x.figures.zoneLoss[0]+x.figures.zoneLoss[1] {
+			x.figures.zoneLoss = [2]float64{all - seats, seats}
 		}
 	}
 }
 
-// tableHeap is what one version takes in an instance's memory, in bytes.
-func tableHeap(teams []capacity.Team) float64 {
+// heapPerTable returns the heap that one version takes, in bytes; 0 if the table cannot be encoded.
+func heapPerTable(teams []capacity.Team) float64 {
 	const copies = 64
-	t, err := teamsTable(teams)([]*config.Table{{}}, "x")
+	t, err := initialTable(teams)([]*config.Table{{}}, "x")
 	if err != nil {
 		return 0
 	}
@@ -344,72 +354,75 @@
 	if err != nil {
 		return 0
 	}
-	was, kept := heapInUse(), make([]*config.Table, 0, copies)
+	before, kept := heapInUse(), make([]*config.Table, 0, copies)
 	for range copies {
 		t, _ := config.Decode(raw)
 		kept = append(kept, t)
 	}
 	now := heapInUse()
 	runtime.KeepAlive(kept)
-	return float64(now-min(now, was)) / copies
+	return float64(now-min(now, before)) / copies
 }
 
-// atOnceMost is how long changes at once are waited for, in seconds.
-const atOnceMost = 120.0
+// concurrentChangesTimeout bounds the wait for concurrent changes, in seconds.
+const concurrentChangesTimeout = 120.0
 
-// atOnce has many instances ask for a change of their own at one moment.
-func (x *versionsRun) atOnce(exclusive bool) (took []float64) {
-	if x.many == 0 {
+// measureConcurrentChanges has concurrentChanges instances propose a change each at the same time. It returns the
+// seconds until each was in force everywhere, at most concurrentChangesTimeout.
+func (x *versionsRun) measureConcurrentChanges(exclusive bool) (took []float64) {
+	if x.concurrentChanges == 0 {
 		return nil
 	}
-	x.a.Run(x.a.Now+x.set.RenewIntervalSeconds*x.rng.Float64(), nil)
-	from, first := x.a.Now, x.newest()+1
-	for _, i := range x.rng.Perm(len(x.a.Members))[:min(x.many, len(x.a.Members))] {
-		x.wish++
-		x.a.Propose(x.a.Members[i], raiseTeam(x.wish, float64(100+x.wish), exclusive))
+	x.sim.Run(x.sim.Now+x.set.RenewIntervalSeconds*x.rng.Float64(), nil)
+	from, first := x.sim.Now, x.newestInForce()+1
+	for _, i := range x.rng.Perm(len(x.sim.Members))[:min(x.concurrentChanges, len(x.sim.Members))] {
+		x.changeNumber++
+		x.sim.Propose(x.sim.Members[i], changeTeam(x.changeNumber, float64(100+x.changeNumber), exclusive))
 	}
-	last := first + uint64(min(x.many, len(x.a.Members))) - 1
-	x.a.Run(from+atOnceMost, func() bool { return x.a.InForceEverywhereAt[last] > 0 })
+	last := first + uint64(min(x.concurrentChanges, len(x.sim.Members))) - 1
+	x.sim.Run(from+concurrentChangesTimeout, func() bool { return x.sim.InForceEverywhereAt[last] > 0 })
 	for v := first; v <= last; v++ {
-		if x.a.InForceEverywhereAt[v] == 0 {
-			took = append(took, atOnceMost)
+		if x.sim.InForceEverywhereAt[v] == 0 {
+			took = append(took, concurrentChangesTimeout)
 			continue
 		}
-		took = append(took, x.a.InForceEverywhereAt[v]-from)
+		took = append(took, x.sim.InForceEverywhereAt[v]-from)
 	}
 	return took
 }
 
-// versionsLoss is what a loss cost.
+// versionsLoss holds the effects of losing instances or links.
 type versionsLoss struct {
-	took  float64 // s until an exclusive change was in force everywhere that was asked for as it began
-	next  float64 // s for the next one
-	waits float64 // instance-seconds without a lease, of those that live
-	lapse float64 // s that one of them had none, the longest
+	took            float64 // seconds until an exclusive change proposed right after the loss was in force everywhere
+	next            float64 // the same for the next change
+	unleased        float64 // total seconds without a lease, over all live instances
+	longestUnleased float64 // longest time that one of them had no lease, in seconds
 }
 
-// lose plays a loss at a cluster at rest.
-func (x *versionsRun) lose(strike func()) (l versionsLoss, ok bool) {
-	if !x.begin() {
+// measureLoss starts a cluster, calls strike while it is idle and measures the effects. ok is false if the cluster did
+// not start or an instance has no lease at the end.
+func (x *versionsRun) measureLoss(strike func()) (l versionsLoss, ok bool) {
+	if !x.start() {
 		return l, false
 	}
-	x.a.Run(x.a.Now+x.rng.Float64(), nil)
-	x.a.Reset()
+	x.sim.Run(x.sim.Now+x.rng.Float64(), nil)
+	x.sim.Reset()
 	strike()
-	l.took = x.change(true, 60)
-	l.next = x.change(true, 60)
-	x.a.Run(x.a.Now+5, nil)
-	l.waits, l.lapse = x.a.UnleasedSeconds, x.a.LongestUnleasedSeconds
-	return l, x.a.Leased()
+	l.took = x.measureChange(true, 60)
+	l.next = x.measureChange(true, 60)
+	x.sim.Run(x.sim.Now+5, nil)
+	l.unleased, l.longestUnleased = x.sim.UnleasedSeconds, x.sim.LongestUnleasedSeconds
+	return l, x.sim.Leased()
 }
 
-// region ends all machines of a region at once.
-func (x *versionsRun) region(r int) {
-	for i, in := range x.a.Members {
+// killRegion kills all instances of a region at once.
+func (x *versionsRun) killRegion(r int) {
+	for i, in := range x.sim.Members {
 		if x.at[i] == r {
-			x.a.Kill(in, true)
+			x.sim.Kill(in, true)
 		}
 	}
 }
 
-func (x *versionsRun) leader() int { return slices.Index(x.a.Members, x.a.Leader()) }
+// leader returns the leader's index, -1 without a leader.
+func (x *versionsRun) leader() int { return slices.Index(x.sim.Members, x.sim.Leader()) }
--- a/internal/lab/experiments/waiting.go
+++ b/internal/lab/experiments/waiting.go
@@ -19,16 +19,16 @@
 	Run:     runWaiting,
 }
 
-// wish is a job of the experiment and what became of it.
-type wish struct {
-	id        string
-	after     []int
-	notBefore time.Time
-	fails     bool
-	asked     time.Time
-	answered  time.Time
-	status    int
-	why       string
+// waitingJob is a job of the experiment and its outcome.
+type waitingJob struct {
+	id         string
+	parents    []int
+	notBefore  time.Time
+	fails      bool
+	sentAt     time.Time
+	answeredAt time.Time
+	status     int
+	body       string
 }
 
 func runWaiting(p Params) (*Result, error) {
@@ -52,26 +52,26 @@
 	defer d.Kill()
 
 	rng := rand.New(rand.NewPCG(p.Seed, 3))
-	list := make([]wish, jobs)
+	list := make([]waitingJob, jobs)
 	for i := range list {
 		w := &list[i]
 		w.id, w.fails = fmt.Sprintf("%08x%08x", uint32(p.Seed), i), rng.Float64() < 0.05
 		for range rng.IntN(3) {
-			// Mostly of the last hundred, now and then one that comes later.
+			// Usually one of the previous hundred jobs, sometimes a later one.
 			parent := i - 1 - rng.IntN(100)
 			if rng.Float64() < 0.05 {
 				parent = i + 1 + rng.IntN(100)
 			}
 			if parent >= 0 && parent < jobs && parent != i && rng.Float64() < 0.5 {
-				w.after = append(w.after, parent)
+				w.parents = append(w.parents, parent)
 			}
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	began := time.Now()
-	for k, at := range []float64{0.25, 0.5, 0.7} { // workers go silent, one after the other
+	for k, at := range []float64{0.25, 0.5, 0.7} { // one worker after another stops responding
 		time.AfterFunc(time.Duration(at*float64(jobs)/rate*float64(time.Second)), func() { fleet.Silence(3*k, 2*time.Second) })
 	}
 	for i := range list {
@@ -80,9 +80,9 @@
 		if rng.Float64() < 0.2 {
 			w.notBefore = time.Now().Add(time.Duration(rng.Float64() * 2 * float64(time.Second)))
 		}
-		all.Add(1)
+		pending.Add(1)
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			body := "t 0"
 			if w.fails {
 				body += " fail"
@@ -91,7 +91,7 @@
 			req.Header.Set("Request-Id", w.id)
 			req.Header.Set("Request-Timeout", "15")
 			var after []string
-			for _, k := range w.after {
+			for _, k := range w.parents {
 				after = append(after, list[k].id)
 			}
 			if len(after) > 0 {
@@ -100,20 +100,20 @@
 			if !w.notBefore.IsZero() {
 				req.Header.Set("Not-Before", strconv.FormatFloat(float64(w.notBefore.UnixNano())/1e9, 'f', 6, 64))
 			}
-			w.asked = time.Now()
+			w.sentAt = time.Now()
 			resp, err := client.Do(req)
-			w.answered = time.Now()
+			w.answeredAt = time.Now()
 			if err == nil {
 				raw, _ := io.ReadAll(resp.Body)
 				resp.Body.Close()
-				w.status, w.why = resp.StatusCode, string(raw)
+				w.status, w.body = resp.StatusCode, string(raw)
 			}
 		}()
 	}
-	all.Wait()
-	p.Log("all answered after %.1f s", time.Since(began).Seconds())
+	pending.Wait()
+	p.Log("all requests finished after %.1f s", time.Since(began).Seconds())
 
-	// The workers' own records: what ran when, and how often.
+	// The workers' own records: when each job ran, and how often.
 	ends, starts, runs := map[string]time.Time{}, map[string]time.Time{}, map[string]int{}
 	for _, j := range fleet.Jobs() {
 		if !j.Started.IsZero() {
@@ -124,7 +124,7 @@
 			ends[j.ID] = j.Done
 		}
 	}
-	var none, early, orphans, twice, ran, slow, looked float64
+	var none, early, orphans, twice, ran, slow, checked float64
 	var worst time.Duration
 	count := map[int]int{}
 	for i := range list {
@@ -142,23 +142,23 @@
 			if start.Before(w.notBefore) {
 				early++
 			}
-			for _, k := range w.after {
+			for _, k := range w.parents {
 				if end, ok := ends[list[k].id]; !ok || end.After(start) {
 					orphans++
 				}
 			}
 		}
-		if w.status == http.StatusFailedDependency { // how soon after the end that it names?
-			_, rest, _ := strings.Cut(w.why, "job ")
+		if w.status == http.StatusFailedDependency { // time from the end of the parent that the answer names
+			_, rest, _ := strings.Cut(w.body, "job ")
 			name, _, _ := strings.Cut(rest, ",")
 			for k := max(0, i-2000); k < min(jobs, i+200); k++ {
 				if list[k].id == name {
-					since := list[k].answered
-					if since.Before(w.asked) {
-						since = w.asked
+					since := list[k].answeredAt
+					if since.Before(w.sentAt) {
+						since = w.sentAt
 					}
-					looked++
-					took := w.answered.Sub(since)
+					checked++
+					took := w.answeredAt.Sub(since)
 					worst = max(worst, took)
 					if took > 100*time.Millisecond {
 						slow++
@@ -173,9 +173,9 @@
 	r.AtMost("jobs that a worker started before their time", 0, early, "jobs")
 	r.AtMost("unsafe jobs that ran twice", 0, twice, "jobs")
 	r.AtMost("cascades slower than 100 ms from the end to the answer", 0, slow, "jobs")
-	r.AtLeast("cascades that were looked at", 1, looked, "jobs")
+	r.AtLeast("cascades that were looked at", 1, checked, "jobs")
 	r.AtLeast("jobs that ran (so that the rest means something)", float64(jobs)/4, ran, "jobs")
-	for k := 0; k < jobs; k += int(5 * rate) { // what became of each five seconds' jobs
+	for k := 0; k < jobs; k += int(5 * rate) { // outcomes of the jobs of each five seconds
 		n := map[int]int{}
 		for i := k; i < min(jobs, k+int(5*rate)); i++ {
 			n[list[i].status]++
@@ -185,7 +185,7 @@
 	reasons := map[string]int{}
 	for i := range list {
 		if w := &list[i]; w.status != http.StatusOK {
-			_, why, _ := strings.Cut(w.why, ",")
+			_, why, _ := strings.Cut(w.body, ",")
 			reasons[fmt.Sprint(w.status, why)]++
 		}
 	}
