--- a/internal/lab/experiments/ageing.go
+++ b/internal/lab/experiments/ageing.go
@@ -110,36 +110,36 @@
 		span = 12 * time.Second
 	}
 	p.Log("run without ageing for %v", span)
-	today, err := playAgeing(p, "today", false, span)
+	baseline, err := playAgeing(p, "today", false, span)
 	if err != nil {
 		return nil, err
 	}
 	p.Log("run with a longest wait of %v", ageingMaxWait)
-	with, err := playAgeing(p, "ageing", p.Without != "ageing", span)
+	bounded, err := playAgeing(p, "ageing", p.Without != "ageing", span)
 	if err != nil {
 		return nil, err
 	}
 	r := &Result{Size: fmt.Sprintf("12 workers of 4 slots, dear jobs at 120%%, %v, longest wait %v", span, ageingMaxWait)}
-	worst, ran, refused, starved, slow := with.classOutcomes("cheap")
-	wideWorst, wideRan, wideRefused, wideStarved, wideSlow := with.classOutcomes("wide")
+	worst, ran, refused, starved, slow := bounded.classOutcomes("cheap")
+	wideWorst, wideRan, wideRefused, wideStarved, wideSlow := bounded.classOutcomes("wide")
 	r.AtMost("an admitted cheap job waits for its first hop at most", ageingMaxWait.Seconds(), worst.Seconds(), "s")
 	r.AtMost("an admitted job of four slots waits for its first hop at most", ageingMaxWait.Seconds(), wideWorst.Seconds(), "s")
 	r.AtMost("admitted jobs that no worker ever got", 0, float64(starved+wideStarved), "jobs")
 	r.AtLeast("cheap jobs that ran", 5, float64(ran), "jobs")
 	r.AtLeast("jobs of four slots that ran", 1, float64(wideRan), "jobs")
 	r.AtMost("a refusal comes after the job at most", 0.05, max(slow, wideSlow).Seconds(), "s")
-	r.AtLeast("worth of the dear class against today's way", 1-ageingMaxWorthLoss, with.dearWorthPerSecond()/math.Max(today.dearWorthPerSecond(), 1), "part")
+	r.AtLeast("worth of the dear class against today's way", 1-ageingMaxWorthLoss, bounded.dearWorthPerSecond()/math.Max(baseline.dearWorthPerSecond(), 1), "part")
 	r.Note("cheap jobs refused as they came", float64(refused), "jobs")
 	r.Note("jobs of four slots refused as they came", float64(wideRefused), "jobs")
-	worst, ran, _, starved, _ = today.classOutcomes("cheap")
+	worst, ran, _, starved, _ = baseline.classOutcomes("cheap")
 	r.Note("today's way: longest wait of a cheap job", worst.Seconds(), "s")
 	r.Note("today's way: cheap jobs that ran", float64(ran), "jobs")
 	r.Note("today's way: cheap jobs that no worker ever got", float64(starved), "jobs")
-	worst, ran, _, starved, _ = today.classOutcomes("wide")
+	worst, ran, _, starved, _ = baseline.classOutcomes("wide")
 	r.Note("today's way: longest wait of a job of four slots", worst.Seconds(), "s")
 	r.Note("today's way: jobs of four slots that ran", float64(ran), "jobs")
 	r.Note("today's way: jobs of four slots that no worker ever got", float64(starved), "jobs")
-	r.Note("worth of the dear class, a second", with.dearWorthPerSecond(), "worth")
-	r.Note("today's way: the same", today.dearWorthPerSecond(), "worth")
+	r.Note("worth of the dear class, a second", bounded.dearWorthPerSecond(), "worth")
+	r.Note("today's way: the same", baseline.dearWorthPerSecond(), "worth")
 	return r, nil
 }
--- a/internal/lab/experiments/countslarge.go
+++ b/internal/lab/experiments/countslarge.go
@@ -119,7 +119,7 @@
 	for t := range tenants {
 		move(t)
 	}
-	truth := make([]uint64, tenants) // millislots started, by tenant
+	started := make([]uint64, tenants) // millislots started, by tenant
 	var traffic func()
 	running := true
 	traffic = func() {
@@ -134,7 +134,7 @@
 				for range simulation.Poisson(c.Rand, quotaValue*0.3*step) {
 					nodes[i].Meter.RecordArrival(c.Tenants[t].Name)
 					nodes[i].Meter.RecordStart(c.Tenants[t].Name, 1)
-					truth[t] += usage.MillislotsPerSlot
+					started[t] += usage.MillislotsPerSlot
 				}
 			}
 		}
@@ -194,14 +194,14 @@
 			if c.Now-since[t] < settled+set.LeaseDuration {
 				continue
 			}
-			has, need := 0.0, 0.0
+			usable, needed := 0.0, 0.0
 			for k, i := range where {
-				need += 0.3
+				needed += 0.3
 				if seen := where[:k]; len(nodes[i].Allotments) > 0 && !contains(seen, i) {
-					has += float64(nodes[i].Allotments[ids[c.Tenants[t].ID]]) / quota.FullReservation
+					usable += float64(nodes[i].Allotments[ids[c.Tenants[t].ID]]) / quota.FullReservation
 				}
 			}
-			parts = append(parts, min(1, has/need))
+			parts = append(parts, min(1, usable/needed))
 		}
 	}
 	for c.Now < span {
@@ -224,7 +224,7 @@
 		for _, in := range c.Instances {
 			if in.Up {
 				if got, ok := in.KnownUsage(tn.ID); ok {
-					x.double = max(x.double, float64(int64(got.Started)-int64(truth[t]))/usage.MillislotsPerSlot)
+					x.double = max(x.double, float64(int64(got.Started)-int64(started[t]))/usage.MillislotsPerSlot)
 				}
 			}
 		}
@@ -250,7 +250,7 @@
 func countsAgree(c *simulation.Cluster, ids []uint64) bool {
 	for _, id := range ids {
 		var first usage.Count
-		knowing, up := 0, 0
+		informed, up := 0, 0
 		for _, in := range c.Instances {
 			if !in.Up {
 				continue
@@ -260,13 +260,13 @@
 			if !ok {
 				continue
 			}
-			if knowing++; knowing == 1 {
+			if informed++; informed == 1 {
 				first = got
 			} else if got != first {
 				return false
 			}
 		}
-		if knowing < min(up, max(1, c.Settings.Owners)) || c.Settings.Owners == 0 && knowing < up {
+		if informed < min(up, max(1, c.Settings.Owners)) || c.Settings.Owners == 0 && informed < up {
 			return false
 		}
 	}
--- a/internal/lab/experiments/fleetcost.go
+++ b/internal/lab/experiments/fleetcost.go
@@ -50,8 +50,8 @@
 		name := fmt.Sprintf("%d dispatchers", n)
 		p.Log("%s: %d jobs, in time %.3f, wide %.3f of %d, %.2f questions and %.2f handshakes a job, %d connections at the fullest worker, %.0f us a job",
 			name, x.Jobs, float64(x.InTime)/jobs, wide, x.Wide, figures[0], figures[1], x.Connections, figures[2])
-		if least, ok := map[int]float64{80: fleetCostMinWide80, 300: fleetCostMinWide300}[n]; ok {
-			r.AtLeast(name+": wide jobs in time", least, wide, "part")
+		if bound, ok := map[int]float64{80: fleetCostMinWide80, 300: fleetCostMinWide300}[n]; ok {
+			r.AtLeast(name+": wide jobs in time", bound, wide, "part")
 		}
 		r.AtMost(name+": questions a job", fleetCostMaxHealthChecks, figures[0], "questions")
 		r.Note(name+": handshakes a job", figures[1], "handshakes")
--- a/internal/lab/experiments/loadself.go
+++ b/internal/lab/experiments/loadself.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var from atomic.Int64 // Unix nanoseconds at which a stall starts; requests that arrive during it wait until its end
+	var stallStart atomic.Int64 // Unix ns; requests that arrive in the stall wait for its end
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		if left := time.Until(time.Unix(0, from.Load()).Add(loadStall)); left > 0 && left < loadStall {
-			time.Sleep(left)
+		if remaining := time.Until(time.Unix(0, stallStart.Load()).Add(loadStall)); remaining > 0 && remaining < loadStall {
+			time.Sleep(remaining)
 		}
 	})}
 	go server.Serve(l)
@@ -53,23 +53,23 @@
 		return RunLoad(context.Background(), LoadOptions{ClosedLoopClients: closed, Targets: []string{l.Addr().String()}, Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson,
 			Span: span, Classes: []loadgen.Class{{WeightedName: loadgen.WeightedName{Name: "job", Weight: 1}, ClientTimeout: 5}}, Tenants: []loadgen.WeightedName{{Name: "t", Weight: 1}}}})
 	}
-	x, err := run(loadRate, span)
+	steady, err := run(loadRate, span)
 	if err != nil {
 		return nil, err
 	}
-	from.Store(time.Now().Add(2 * time.Second).UnixNano())
-	slow, err := run(loadStallRate, 4)
+	stallStart.Store(time.Now().Add(2 * time.Second).UnixNano())
+	stalled, err := run(loadStallRate, 4)
 	if err != nil {
 		return nil, err
 	}
 	r := &Result{Size: fmt.Sprintf("%.0f questions a second for %.0f s; then %.0f for 4 s, with a stall of %v", loadRate, span, loadStallRate, loadStall)}
-	r.AtLeast("questions a second", loadMinRate, float64(x.Asked)/x.Seconds, "1/s")
-	r.AtMost("the tool's own lateness at the 99th percentile", 1, x.ToolLate.P99, "ms")
+	r.AtLeast("questions a second", loadMinRate, float64(steady.Asked)/steady.Seconds, "1/s")
+	r.AtMost("the tool's own lateness at the 99th percentile", 1, steady.ToolLate.P99, "ms")
 	// A thirteenth of the requests arrives during the stall, and half of those wait for at least half of it. A
 	// closed loop would see only one slow answer per connection.
-	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", loadStall.Seconds()*500, slow.Classes["job"].P99, "ms")
-	r.AtMost("questions without an answer", 0, float64(x.Jobs-x.Status["200"]+slow.Jobs-slow.Status["200"]), "jobs")
-	r.Note("lateness, worst", x.ToolLate.Max, "ms")
-	r.Note("answer, median", x.Classes["job"].P50, "ms")
+	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", loadStall.Seconds()*500, stalled.Classes["job"].P99, "ms")
+	r.AtMost("questions without an answer", 0, float64(steady.Jobs-steady.Status["200"]+stalled.Jobs-stalled.Status["200"]), "jobs")
+	r.Note("lateness, worst", steady.ToolLate.Max, "ms")
+	r.Note("answer, median", steady.Classes["job"].P50, "ms")
 	return r, nil
 }
--- a/internal/lab/experiments/loadtool.go
+++ b/internal/lab/experiments/loadtool.go
@@ -123,7 +123,7 @@
 	// The runtime's timers fire up to a millisecond late in a mostly idle process, so this goroutine sleeps by
 	// system calls on a thread of its own.
 	runtime.LockOSThread()
-	turns := make(chan struct{}, max(l.ClosedLoopClients, 1))
+	closedLoopSlots := make(chan struct{}, max(l.ClosedLoopClients, 1))
 	for ctx.Err() == nil {
 		j, ok := next()
 		if !ok {
@@ -132,7 +132,7 @@
 		due := l.startedAt.Add(time.Duration(j.At * float64(time.Second)))
 		sleepUntil(ctx, due)
 		if l.ClosedLoopClients > 0 { // closed loop: a slow server delays the next request
-			turns <- struct{}{}
+			closedLoopSlots <- struct{}{}
 			due = time.Now()
 		}
 		l.mu.Lock()
@@ -149,7 +149,7 @@
 			go func() {
 				l.runJob(j, due)
 				if l.ClosedLoopClients > 0 {
-					<-turns
+					<-closedLoopSlots
 				}
 			}()
 		}
@@ -187,7 +187,7 @@
 		}
 		time.Sleep(time.Duration(in * float64(time.Second)))
 	}
-	took := time.Since(due)
+	latency := time.Since(due)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
@@ -200,14 +200,14 @@
 		name = "none"
 	}
 	l.report.Status[name]++
-	if status == http.StatusOK && (l.LatencyObjective == 0 || took <= l.LatencyObjective) {
+	if status == http.StatusOK && (l.LatencyObjective == 0 || latency <= l.LatencyObjective) {
 		l.report.InTime++
 	}
 	for m, key := range map[*map[string]*Latency]string{&l.report.Classes: j.Class, &l.report.Tenants: j.Tenant} {
 		if (*m)[key] == nil {
 			(*m)[key] = newLatency()
 		}
-		(*m)[key].add(took)
+		(*m)[key].add(latency)
 	}
 }
 
--- a/internal/lab/experiments/members.go
+++ b/internal/lab/experiments/members.go
@@ -49,13 +49,13 @@
 	for d := range delays {
 		c.relay.Lay(func(x, y int) bool { return delay(x, y) == d }, Link{Delay: d})
 	}
-	at, listen := map[string]string{}, make([]string, n)
+	voterAddresses, listen := map[string]string{}, make([]string, n)
 	for i := range n {
 		if listen[i], err = freePort(IP(i).String()); err != nil {
 			return nil, err
 		}
 		if i < voters {
-			if at[fmt.Sprint("n", i)], err = c.relay.DoorTo(accordDoor, Anyone, i, listen[i]); err != nil {
+			if voterAddresses[fmt.Sprint("n", i)], err = c.relay.DoorTo(accordDoor, Anyone, i, listen[i]); err != nil {
 				return nil, err
 			}
 		}
@@ -66,7 +66,7 @@
 	}
 	for i, x := range c.loops {
 		name := fmt.Sprint("n", i)
-		o := agent.Options{Name: name, Incarnation: uint64(i + 1), Cluster: "lab", StateDir: filepath.Join(p.Out, name), ListenAddress: listen[i], Voters: at, LeaseSettings: s,
+		o := agent.Options{Name: name, Incarnation: uint64(i + 1), Cluster: "lab", StateDir: filepath.Join(p.Out, name), ListenAddress: listen[i], Voters: voterAddresses, LeaseSettings: s,
 			Log: zerolog.Nop(), Now: time.Now, OnChange: func() {
 				select {
 				case x.wake <- struct{}{}:
--- a/internal/lab/experiments/scale.go
+++ b/internal/lab/experiments/scale.go
@@ -59,7 +59,7 @@
 		}
 		p.Lines[i].X, p.Lines[i].Y = append(p.Lines[i].X, float64(s.workers)), append(p.Lines[i].Y, y)
 	}
-	var first uint64
+	var firstDigest uint64
 	cost := map[scaleSize]float64{}
 	for i, s := range sizes {
 		x, err := play(s)
@@ -78,7 +78,7 @@
 		r.Note(name+": memory a dispatcher", float64(x.Heap)/1e6/float64(s.dispatchers), "MB")
 		r.Note(name+": attempts a job", float64(x.Attempts)/float64(x.Jobs), "attempts")
 		if i == 0 {
-			first = x.Digest
+			firstDigest = x.Digest
 		}
 		if !p.Quick && i == len(sizes)-1 {
 			r.AtMost("the largest minute against real time", 1, x.Wall.Seconds()/s.span, "part")
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	same := 0.0
-	if again.Digest == first {
+	if again.Digest == firstDigest {
 		same = 1
 	}
 	r.AtLeast("the same seed gives the same run, byte for byte", 1, same, "runs")
--- a/internal/lab/experiments/waiting.go
+++ b/internal/lab/experiments/waiting.go
@@ -124,14 +124,14 @@
 			ends[j.ID] = j.Done
 		}
 	}
-	var none, early, orphans, twice, ran, slow, checked float64
+	var unanswered, early, unmetParents, twice, ran, slow, checked float64
 	var worst time.Duration
 	count := map[int]int{}
 	for i := range list {
 		w := &list[i]
 		count[w.status]++
 		if w.status == 0 {
-			none++
+			unanswered++
 		}
 		if runs[w.id] > 1 {
 			twice++
@@ -144,7 +144,7 @@
 			}
 			for _, k := range w.parents {
 				if end, ok := ends[list[k].id]; !ok || end.After(start) {
-					orphans++
+					unmetParents++
 				}
 			}
 		}
@@ -168,8 +168,8 @@
 		}
 	}
 	r := &Result{Size: fmt.Sprintf("%d jobs at %.0f a second, 40 workers of 4 slots, 5%% fail, 3 silences of 2 s", jobs, rate)}
-	r.AtMost("jobs without a final answer", 0, none, "jobs")
-	r.AtMost("jobs that a worker started before what they wait for was served", 0, orphans, "jobs")
+	r.AtMost("jobs without a final answer", 0, unanswered, "jobs")
+	r.AtMost("jobs that a worker started before what they wait for was served", 0, unmetParents, "jobs")
 	r.AtMost("jobs that a worker started before their time", 0, early, "jobs")
 	r.AtMost("unsafe jobs that ran twice", 0, twice, "jobs")
 	r.AtMost("cascades slower than 100 ms from the end to the answer", 0, slow, "jobs")
