--- a/internal/lab/experiments/capacityhollow.go
+++ b/internal/lab/experiments/capacityhollow.go
@@ -129,7 +129,7 @@
 	return list
 }
 
-// at gives an instance's; -1: it is in no cluster.
+// regions gives an instance's; -1: it is in no cluster.
 func (h hollowCluster) regions() func(i int) int {
 	zones := h.load.Place(h.n)
 	return func(i int) int {
