--- a/internal/lab/experiments/capacity.go
+++ b/internal/lab/experiments/capacity.go
@@ -100,7 +100,7 @@
 		capacity.Target.Workers, capacity.Target.Teams, capacity.Target.Starts)}
 	load := machineLoad()
 	for _, part := range capacityParts {
-		if only := p.only(); only != nil && !slices.Contains(only, part.Name) || p.Without != "" && !slices.Contains(part.Without, p.Without) {
+		if only := p.selectedParts(); only != nil && !slices.Contains(only, part.Name) || p.Without != "" && !slices.Contains(part.Without, p.Without) {
 			continue
 		}
 		partParams := CapacityParams{Params: p, Percents: percents}
--- a/internal/lab/experiments/capacityhollow.go
+++ b/internal/lab/experiments/capacityhollow.go
@@ -272,7 +272,7 @@
 			}
 			slices.Sort(teams)
 			for _, t := range teams {
-				streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: demand[i][t], Patience: 2 * time.Second})
+				streams = append(streams, Stream{Tenant: t, Class: "job", Entry: i, Rate: demand[i][t], ClientTimeout: 2 * time.Second})
 			}
 		}
 		site.Load.Play(ctx, p.Seed, streams)
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -58,9 +58,9 @@
 }
 
 func (s *versionsStudy) run(seed uint64, percent, n int, delay float64, settings lease.Settings) *versionsRun {
-	x := &versionsRun{seed: seed, close: s.close, n: n, apart: delay, set: settings, seats: revokePollSeconds, load: s.Load(percent), rest: 10, plays: 3, many: capacity.AtOnce}
+	x := &versionsRun{seed: seed, close: s.close, n: n, apart: delay, set: settings, revokePollInterval: revokePollSeconds, load: s.Load(percent), idleSpan: 10, singleChanges: 3, concurrentChanges: capacity.AtOnce}
 	if s.Quick {
-		x.rest, x.plays = 5, 2
+		x.idleSpan, x.singleChanges = 5, 2
 	}
 	return x
 }
@@ -76,26 +76,26 @@
 }
 
 // play executes a run and compares its changes with the stated bounds.
-func (s *versionsStudy) play(x *versionsRun) *versionsFound {
+func (s *versionsStudy) play(x *versionsRun) *versionsFigures {
 	began := time.Now()
-	if err := x.set.Validate(); err != nil || !x.play() {
+	if err := x.set.Validate(); err != nil || !x.measure() {
 		s.noFirstVersion++
 		s.Log("versions: %d instances, %g s between regions, %+v: no first version (%v)", x.n, x.apart, x.set, err)
-		return &x.found
+		return &x.figures
 	}
-	f := &x.found
-	for k := range f.alone {
-		for _, took := range f.alone[k] {
+	f := &x.figures
+	for k := range f.single {
+		for _, took := range f.single[k] {
 			s.latest[k] = max(s.latest[k], took/statedBound(x.set, k == 1))
 		}
-		for _, took := range f.many[k] {
-			if took >= atOnceMost {
+		for _, took := range f.concurrent[k] {
+			if took >= concurrentChangesTimeout {
 				s.neverInForce++
 			}
 		}
 	}
 	s.Log("versions: %d %%, %d instances, %g ms between regions, %s: loose %.2f, exclusive %.2f, concurrent %.1f and %.1f s; the run took %.1f s", x.load.Percent, x.n, 1000*x.apart,
-		settingName(x.set), f.alone[0], f.alone[1], f.many[0], f.many[1], time.Since(began).Seconds())
+		settingName(x.set), f.single[0], f.single[1], f.concurrent[0], f.concurrent[1], time.Since(began).Seconds())
 	return f
 }
 
@@ -115,8 +115,8 @@
 }
 
 // addRows compares a run with the target.
-func (s *versionsStudy) addRows(x *versionsRun, f *versionsFound) {
-	if len(f.alone[1]) == 0 || len(f.many[1]) == 0 {
+func (s *versionsStudy) addRows(x *versionsRun, f *versionsFigures) {
+	if len(f.single[1]) == 0 || len(f.concurrent[1]) == 0 {
 		return
 	}
 	delaySuffix := fmt.Sprintf(", %g ms between regions", 1000*x.apart)
@@ -128,11 +128,11 @@
 	}
 	shown := x.apart != versionsRegionDelay // the target names no delay, so only versionsRegionDelay is judged
 	for k, kind := range []string{"loose", "exclusive"} {
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.alone[k]), "s", capacity.VirtualTime)).Shown = shown
-		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.many[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.single[k]), "s", capacity.VirtualTime)).Shown = shown
+		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.concurrent[k]), "s", capacity.VirtualTime)).Shown = shown
 	}
 	add(capacity.AtLeast(capacity.Changes, x.load.Percent, "changes of a day that are in force everywhere within 4 s, all exclusive, a tenth of them ten at once"+delaySuffix+suffix, 1,
-		fractionInTime(f.alone[1], f.many[1]), "part", capacity.VirtualTime)).Shown = shown
+		fractionInTime(f.single[1], f.concurrent[1]), "part", capacity.VirtualTime)).Shown = shown
 	if shown {
 		return
 	}
@@ -155,30 +155,30 @@
 			r := add(capacity.AtMost(capacity.Bytes, x.load.Percent, what+period+suffix, bytes, v, "B/s", capacity.VirtualTime))
 			r.Kind, r.When, r.Shown = kind(k), w, w == capacity.Second
 		}
-		leases, seats := f.leases(role), f.seats(role)
+		leases, seats := f.leaseRate(role), f.revokePollRate(role)
 		if w == capacity.Minute {
-			leases, seats = f.minute[0], f.minute[1]
+			leases, seats = f.zoneLoss[0], f.zoneLoss[1]
 		}
 		addBytes(capacity.Agreement, "leases and pings, sent and received", leases)
 		addBytes(capacity.Seats, "which shards to give away, asked once a second, sent and received", seats)
-		v := peak * f.extra[1][role]
+		v := peak * f.changeBytes[1][role]
 		if w == capacity.Second {
-			v = f.worst
+			v = f.worstSecond
 		}
 		addBytes(capacity.Versions, "versions, all exclusive, sent and received", v)
 	}
 	if x.set != lease.DefaultSettings {
 		return
 	}
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+suffix, core, f.busy[role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
-	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+suffix, core, peak*f.cost[1][role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+suffix, core, f.cpu[role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
+	add(capacity.AtMost(capacity.Core, x.load.Percent, "versions, all exclusive, mean of the peak, without sockets"+suffix, core, peak*f.changeCPU[1][role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Versions)
 	add(capacity.AtMost(capacity.Memory, x.load.Percent, "rules, the last 64 versions of them, heap"+suffix, memory,
-		(f.heap+lease.MaxHistoryLength*tableHeap(x.load.Teams))/1e6, "MB", capacity.VirtualTime)).Kind = kind(capacity.Versions)
+		(f.heap+lease.MaxHistoryLength*heapPerTable(x.load.Teams))/1e6, "MB", capacity.VirtualTime)).Kind = kind(capacity.Versions)
 	for _, r := range []string{roleLeader, roleVoter} { // not dispatchers, so only shown
 		row := add(capacity.AtMost(capacity.Bytes, x.load.Percent, r+", leases and versions, sent and received, mean of the peak"+suffix, bytes,
-			total(f.sent[r])+total(f.got[r])+peak*f.extra[1][r], "B/s", capacity.VirtualTime))
+			total(f.sent[r])+total(f.received[r])+peak*f.changeBytes[1][r], "B/s", capacity.VirtualTime))
 		row.Shown = true
-		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+suffix, core, (f.busy[r]+peak*f.cost[1][r])/10, "%", capacity.VirtualTime))
+		row = add(capacity.AtMost(capacity.Core, x.load.Percent, r+", leases and versions, mean of the peak, without sockets"+suffix, core, (f.cpu[r]+peak*f.changeCPU[1][r])/10, "%", capacity.VirtualTime))
 		row.Shown = true
 	}
 }
@@ -194,7 +194,7 @@
 	allLeased := true
 	play := func(seed uint64, fail func(x *versionsRun)) (loss versionsLoss) {
 		x := s.run(seed, 10, versionsSize, float64(delayMS)/1000, set)
-		loss, ok := x.lose(func() { fail(x) })
+		loss, ok := x.measureLoss(func() { fail(x) })
 		allLeased = allLeased && ok
 		return loss
 	}
@@ -213,8 +213,8 @@
 	}
 	for _, seed := range seeds {
 		for _, r := range regions {
-			loss := play(seed, func(x *versionsRun) { x.region(region(x, r)) })
-			worst, regionLapse = max(worst, loss.took), max(regionLapse, loss.lapse)
+			loss := play(seed, func(x *versionsRun) { x.killRegion(region(x, r)) })
+			worst, regionLapse = max(worst, loss.took), max(regionLapse, loss.longestUnleased)
 		}
 		for _, pair := range links {
 			loss := play(seed, func(x *versionsRun) {
@@ -222,9 +222,9 @@
 				if p == q {
 					q = (p + 1) % versionsVoters
 				}
-				x.a.SetPartition(func(i, k int) bool { return x.at[i] == p && x.at[k] == q || x.at[i] == q && x.at[k] == p })
+				x.sim.SetPartition(func(i, k int) bool { return x.at[i] == p && x.at[k] == q || x.at[i] == q && x.at[k] == p })
 			})
-			link, linkLapse = max(link, loss.took), max(linkLapse, loss.lapse)
+			link, linkLapse = max(link, loss.took), max(linkLapse, loss.longestUnleased)
 		}
 	}
 	suffix := fmt.Sprintf(", %d ms between regions", delayMS)
@@ -267,7 +267,7 @@
 			}
 		}
 		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // settings that are valid for long links must give leases
-		x.many = 0
+		x.concurrentChanges = 0
 		s.play(x)
 		if !p.Quick {
 			s.losses(80, seeds)
@@ -300,31 +300,31 @@
 func (s *versionsStudy) measureGrowth(seeds []uint64) error {
 	type point struct {
 		x float64
-		f *versionsFound
+		f *versionsFigures
 	}
 	lines := []struct {
 		what, unit string
 		kind       capacity.Kind
-		of         func(f *versionsFound) float64
+		of         func(f *versionsFigures) float64
 	}{
-		{"an exclusive change alone, in force everywhere", "s", "", func(f *versionsFound) float64 { return mean(f.alone[1]) }},
-		{"a loose change alone, in force everywhere", "s", "", func(f *versionsFound) float64 { return mean(f.alone[0]) }},
-		{"ten exclusive changes at once, the last", "s", "", func(f *versionsFound) float64 { return slices.Max(f.many[1]) }},
-		{"leases, a dispatcher, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleDispatcher) }},
-		{"leases, a voter, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleVoter) }},
-		{"leases, the leader, sent and received", "B/s", capacity.Agreement, func(f *versionsFound) float64 { return f.leases(roleLeader) }},
-		{"an exclusive change, a dispatcher, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleDispatcher] }},
-		{"an exclusive change, a voter, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleVoter] }},
-		{"an exclusive change, the leader, sent and received", "B", capacity.Versions, func(f *versionsFound) float64 { return f.extra[1][roleLeader] }},
-		{"leases, the leader, processor without sockets", "ms/s", capacity.Agreement, func(f *versionsFound) float64 { return f.busy[roleLeader] }},
-		{"an exclusive change, a dispatcher, processor without sockets", "ms", capacity.Versions, func(f *versionsFound) float64 { return f.cost[1][roleDispatcher] }},
-		{"an exclusive change, the leader, processor without sockets", "ms", capacity.Versions, func(f *versionsFound) float64 { return f.cost[1][roleLeader] }},
+		{"an exclusive change alone, in force everywhere", "s", "", func(f *versionsFigures) float64 { return mean(f.single[1]) }},
+		{"a loose change alone, in force everywhere", "s", "", func(f *versionsFigures) float64 { return mean(f.single[0]) }},
+		{"ten exclusive changes at once, the last", "s", "", func(f *versionsFigures) float64 { return slices.Max(f.concurrent[1]) }},
+		{"leases, a dispatcher, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleDispatcher) }},
+		{"leases, a voter, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleVoter) }},
+		{"leases, the leader, sent and received", "B/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.leaseRate(roleLeader) }},
+		{"an exclusive change, a dispatcher, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleDispatcher] }},
+		{"an exclusive change, a voter, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleVoter] }},
+		{"an exclusive change, the leader, sent and received", "B", capacity.Versions, func(f *versionsFigures) float64 { return f.changeBytes[1][roleLeader] }},
+		{"leases, the leader, processor without sockets", "ms/s", capacity.Agreement, func(f *versionsFigures) float64 { return f.cpu[roleLeader] }},
+		{"an exclusive change, a dispatcher, processor without sockets", "ms", capacity.Versions, func(f *versionsFigures) float64 { return f.changeCPU[1][roleDispatcher] }},
+		{"an exclusive change, the leader, processor without sockets", "ms", capacity.Versions, func(f *versionsFigures) float64 { return f.changeCPU[1][roleLeader] }},
 	}
 	slopes := func(by string, points []point) error {
 		for _, series := range lines {
 			var list []capacity.Point
 			for _, p := range points {
-				if len(p.f.many[1]) > 0 {
+				if len(p.f.concurrent[1]) > 0 {
 					list = append(list, capacity.Point{X: p.x, Y: series.of(p.f)})
 				}
 			}
@@ -367,7 +367,7 @@
 		}
 		for _, n := range []int{1, 2, 3, 5, 10} {
 			x := s.run(seed, 100, versionsSize, versionsRegionDelay, lease.DefaultSettings)
-			x.teams, x.many = 41, n
+			x.teams, x.concurrentChanges = 41, n
 			batches = append(batches, point{float64(n), s.play(x)})
 		}
 	}
@@ -391,7 +391,7 @@
 	plot.Title, plot.XLabel, plot.YLabel = "Exclusive changes asked for at once: the last is in force everywhere", "changes", "s"
 	line := report.Line{Name: "virtual time, 49 instances"}
 	for _, p := range batches {
-		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.many[1]))
+		line.X, line.Y = append(line.X, p.x), append(line.Y, slices.Max(p.f.concurrent[1]))
 	}
 	plot.Lines = append(plot.Lines, line)
 	s.result.Plots = append(s.result.Plots, plot)
@@ -409,9 +409,9 @@
 // compareSockets runs the same cluster on sockets and in virtual time, and claims that their figures are close.
 func (s *versionsStudy) compareSockets() error {
 	load, set := s.Load(100), lease.DefaultSettings
-	regions := regionOf(load, versionsSocketSize)
+	regions := placeInstances(load, versionsSocketSize)
 	regionDelay := time.Duration(versionsRegionDelay * float64(time.Second))
-	members, err := startMembers(s.Params, versionsSocketSize, versionsVoters, set, func(i, k int) time.Duration {
+	members, err := startAgentGroup(s.Params, versionsSocketSize, versionsVoters, set, func(i, k int) time.Duration {
 		if regions[i] == regions[k] {
 			return 0
 		}
@@ -421,8 +421,8 @@
 		return err
 	}
 	defer members.close()
-	members.all[0].Propose(teamsTable(load.Teams))
-	if !members.reached(1, 30*time.Second) {
+	members.loops[0].Propose(initialTable(load.Teams))
+	if !members.waitForVersion(1, 30*time.Second) {
 		return fmt.Errorf("no first version on sockets in 30 s")
 	}
 	time.Sleep(5 * time.Second)
@@ -442,8 +442,8 @@
 	var changeBytes float64
 	for n := range 2 * plays {
 		from, b := time.Now(), meanBytes()
-		members.all[(5*n)%versionsSocketSize].Propose(raiseTeam(n, float64(100+n), n%2 == 1))
-		if !members.reached(uint64(n+2), 20*time.Second) {
+		members.loops[(5*n)%versionsSocketSize].Propose(changeTeam(n, float64(100+n), n%2 == 1))
+		if !members.waitForVersion(uint64(n+2), 20*time.Second) {
 			return fmt.Errorf("version %d is not in force on sockets after 20 s", n+2)
 		}
 		delays[n%2] = append(delays[n%2], time.Since(from).Seconds())
@@ -453,7 +453,7 @@
 		}
 	}
 	x := s.run(s.Seed, 100, versionsSocketSize, versionsRegionDelay, set)
-	x.plays, x.seats = plays, 0
+	x.singleChanges, x.revokePollInterval = plays, 0
 	f := s.play(x)
 	virtualRest, virtualChange := 0.0, 0.0
 	for i := range versionsSocketSize {
@@ -464,8 +464,8 @@
 		case i < versionsVoters:
 			r = roleVoter
 		}
-		virtualRest += (total(f.sent[r]) + total(f.got[r])) / versionsSocketSize
-		virtualChange += f.extra[1][r] / versionsSocketSize
+		virtualRest += (total(f.sent[r]) + total(f.received[r])) / versionsSocketSize
+		virtualChange += f.changeBytes[1][r] / versionsSocketSize
 	}
 	compare := func(name string, virtual, real float64) {
 		s.result.AtMost(fmt.Sprintf("%s, %d instances, virtual time against sockets, apart by", name, versionsSocketSize), versionsTolerance, math.Abs(virtual/real-1), "part")
@@ -474,8 +474,8 @@
 	}
 	compare("bytes at rest", virtualRest, restBytes)
 	compare("bytes for an exclusive change", virtualChange, changeBytes)
-	compare("an exclusive change alone, mean", mean(f.alone[1]), mean(delays[1]))
-	compare("a loose change alone, mean", mean(f.alone[0]), mean(delays[0]))
+	compare("an exclusive change alone, mean", mean(f.single[1]), mean(delays[1]))
+	compare("a loose change alone, mean", mean(f.single[0]), mean(delays[0]))
 	s.result.Note("processor at rest on sockets, with the relay's, an instance", 1000*cpu, "ms/s")
 	r := capacity.AtMost(capacity.Core, 100, fmt.Sprintf("leases with sockets, and the relay's part, mean of %d instances, voters too", versionsSocketSize), capacity.Target.Core, 100*cpu, "%", capacity.OnSockets)
 	r.Shown = true
--- a/internal/lab/experiments/capacityversions_test.go
+++ b/internal/lab/experiments/capacityversions_test.go
@@ -38,7 +38,7 @@
 
 // Five voters are in five regions, dispatchers in all six.
 func TestVotersInDifferentRegions(t *testing.T) {
-	at := regionOf(capacity.NewLoad(100, 1), versionsSize)
+	at := placeInstances(capacity.NewLoad(100, 1), versionsSize)
 	if !slices.Equal(at[:versionsVoters], []int{0, 1, 2, 3, 4}) {
 		t.Errorf("got voters in regions %v, want one in each of the first five", at[:versionsVoters])
 	}
@@ -67,7 +67,7 @@
 	for _, close := range []bool{false, true} {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 3, Quick: true, Log: t.Logf}}, result: &CapacityResult{}, close: close}
 		s.losses(20, []uint64{3})
-		s.result.judge("versions", 3)
+		s.result.setVerdict("versions", 3)
 		if s.result.Held == close {
 			t.Errorf("all voters in one region: %v, but claims held: %v: %+v", close, s.result.Held, s.result.Claims)
 		}
@@ -79,12 +79,12 @@
 
 // The same seed gives the same figures, except for CPU time and memory.
 func TestVersionsAreSeeded(t *testing.T) {
-	play := func() *versionsFound {
+	play := func() *versionsFigures {
 		s := &versionsStudy{CapacityParams: CapacityParams{Params: Params{Seed: 5, Quick: true, Log: t.Logf}}, result: &CapacityResult{}}
 		return s.play(s.run(5, 10, 12, versionsRegionDelay, lease.DefaultSettings))
 	}
 	one, two := play(), play()
-	if len(one.many[1]) != capacity.AtOnce || !slices.Equal(one.alone[1], two.alone[1]) || !slices.Equal(one.many[1], two.many[1]) || one.extra[1][roleDispatcher] != two.extra[1][roleDispatcher] {
+	if len(one.concurrent[1]) != capacity.AtOnce || !slices.Equal(one.single[1], two.single[1]) || !slices.Equal(one.concurrent[1], two.concurrent[1]) || one.changeBytes[1][roleDispatcher] != two.changeBytes[1][roleDispatcher] {
 		t.Errorf("the same seed gave different results:\n%+v\n%+v", one, two)
 	}
 }
--- a/internal/lab/experiments/loadself.go
+++ b/internal/lab/experiments/loadself.go
@@ -16,18 +16,18 @@
 	Name:    "load",
 	About:   "The load tool itself against a trivial server: is it fast enough, and in time? Does a slow server slow it?",
 	Without: []string{"open-loop"},
-	Run:     runLoadItself,
+	Run:     runLoadToolCheck,
 }
 
 const (
-	loadRate = 6000.0 // asked for
-	loadLow  = 5000.0 // claimed
-	stall    = 300 * time.Millisecond
+	loadRate    = 6000.0                 // requests per second that the tool is set to
+	loadMinRate = 5000.0                 // requests per second that are claimed
+	loadStall   = 300 * time.Millisecond // how long the server answers nothing
 
-	loadStalled = 1000.0
+	loadStallRate = 1000.0 // requests per second of the run with the stall
 )
 
-func runLoadItself(p Params) (*Result, error) {
+func runLoadToolCheck(p Params) (*Result, error) {
 	span := 30.0
 	if p.Quick {
 		span = 8
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var from atomic.Int64 // when it stalls: whoever comes meanwhile waits for its end
+	var stallStart atomic.Int64 // Unix ns; requests that arrive in the stall wait for its end
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		if left := time.Until(time.Unix(0, from.Load()).Add(stall)); left > 0 && left < stall {
-			time.Sleep(left)
+		if remaining := time.Until(time.Unix(0, stallStart.Load()).Add(loadStall)); remaining > 0 && remaining < loadStall {
+			time.Sleep(remaining)
 		}
 	})}
 	go server.Serve(l)
@@ -50,26 +50,26 @@
 		closed = 16
 	}
 	run := func(rate, span float64) (*LoadReport, error) {
-		return RunLoad(context.Background(), LoadOptions{Closed: closed, Targets: []string{l.Addr().String()}, Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson,
+		return RunLoad(context.Background(), LoadOptions{ClosedLoopClients: closed, Targets: []string{l.Addr().String()}, Settings: loadgen.Settings{Seed: p.Seed, Rate: rate, Shape: loadgen.Poisson,
 			Span: span, Classes: []loadgen.Class{{WeightedName: loadgen.WeightedName{Name: "job", Weight: 1}, ClientTimeout: 5}}, Tenants: []loadgen.WeightedName{{Name: "t", Weight: 1}}}})
 	}
-	x, err := run(loadRate, span)
+	steady, err := run(loadRate, span)
 	if err != nil {
 		return nil, err
 	}
-	from.Store(time.Now().Add(2 * time.Second).UnixNano())
-	slow, err := run(loadStalled, 4)
+	stallStart.Store(time.Now().Add(2 * time.Second).UnixNano())
+	stalled, err := run(loadStallRate, 4)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Size: fmt.Sprintf("%.0f questions a second for %.0f s; then %.0f for 4 s, with a stall of %v", loadRate, span, loadStalled, stall)}
-	r.AtLeast("questions a second", loadLow, float64(x.Asked)/x.Seconds, "1/s")
-	r.AtMost("the tool's own lateness at the 99th percentile", 1, x.ToolLate.P99, "ms")
-	// A thirteenth of the questions falls into the stall and half of those wait for
-	// half of it: a closed loop would have one slow answer for each connection.
-	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", stall.Seconds()*500, slow.Classes["job"].P99, "ms")
-	r.AtMost("questions without an answer", 0, float64(x.Jobs-x.Status["200"]+slow.Jobs-slow.Status["200"]), "jobs")
-	r.Note("lateness, worst", x.ToolLate.Max, "ms")
-	r.Note("answer, median", x.Classes["job"].P50, "ms")
+	r := &Result{Size: fmt.Sprintf("%.0f questions a second for %.0f s; then %.0f for 4 s, with a stall of %v", loadRate, span, loadStallRate, loadStall)}
+	r.AtLeast("questions a second", loadMinRate, float64(steady.Asked)/steady.Seconds, "1/s")
+	r.AtMost("the tool's own lateness at the 99th percentile", 1, steady.ToolLate.P99, "ms")
+	// A thirteenth of the requests arrives during the stall, and half of those wait for at least half of it. A
+	// closed loop would see only one slow answer per connection.
+	r.AtLeast("the stall shows: the slowest hundredth took at least half of it", loadStall.Seconds()*500, stalled.Classes["job"].P99, "ms")
+	r.AtMost("questions without an answer", 0, float64(steady.Jobs-steady.Status["200"]+stalled.Jobs-stalled.Status["200"]), "jobs")
+	r.Note("lateness, worst", steady.ToolLate.Max, "ms")
+	r.Note("answer, median", steady.Classes["job"].P50, "ms")
 	return r, nil
 }
--- a/internal/lab/experiments/processes_test.go
+++ b/internal/lab/experiments/processes_test.go
@@ -148,7 +148,7 @@
 	defer stop()
 	var streams []Stream
 	for i := range c.Nodes {
-		streams = append(streams, Stream{Tenant: "t", Class: "job", Entry: i, Rate: 20, Patience: time.Second})
+		streams = append(streams, Stream{Tenant: "t", Class: "job", Entry: i, Rate: 20, ClientTimeout: time.Second})
 	}
 	c.Load.Play(ctx, seed, streams)
 
@@ -197,10 +197,10 @@
 	}
 	stop()
 	c.Load.Wait()
-	ofKilled := Between(c.Load.Answers(), began, ended, 0)
-	others := Between(c.Load.Answers(), began, ended, 1, 2)
-	if Served(ofKilled) != 0 || Served(others) < 0.9 || len(others) < 20 {
-		t.Errorf("while n0 was down: it served %.2f of %d jobs, want 0; the others served %.2f of %d, want at least 0.9 of 20", Served(ofKilled), len(ofKilled), Served(others), len(others))
+	ofKilled := AnswersBetween(c.Load.Answers(), began, ended, 0)
+	others := AnswersBetween(c.Load.Answers(), began, ended, 1, 2)
+	if ServedFraction(ofKilled) != 0 || ServedFraction(others) < 0.9 || len(others) < 20 {
+		t.Errorf("while n0 was down: it served %.2f of %d jobs, want 0; the others served %.2f of %d, want at least 0.9 of 20", ServedFraction(ofKilled), len(ofKilled), ServedFraction(others), len(others))
 	}
 	acts := c.Halt()
 	if found := c.History(invariants.Limits{Grace: 0.016}, []invariants.Class{{Name: "job", Repeat: "unsafe"}}).Check(); len(found) > 0 {
--- a/internal/lab/experiments/rebalance.go
+++ b/internal/lab/experiments/rebalance.go
@@ -93,10 +93,10 @@
 			if t%4 == 0 {
 				class = "once"
 			}
-			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceTenants, Patience: patience})
+			list = append(list, Stream{Tenant: fmt.Sprint("t", t), Class: class, Entry: i, Rate: rate / rebalanceN / rebalanceTenants, ClientTimeout: patience})
 		}
 	}
-	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLoneQuota * 1.2, Even: true, Patience: patience})
+	return append(list, Stream{Tenant: "lone", Class: "job", Entry: 0, Rate: rebalanceLoneQuota * 1.2, EvenlySpaced: true, ClientTimeout: patience})
 }
 
 // loneTenantShare returns the rate at which the fleet started jobs of the lone tenant, as a fraction of its reservation.
