--- a/balance/large_test.go
+++ b/balance/large_test.go
@@ -16,7 +16,7 @@
 }
 
 // Guards against dispatchers that consider all workers of a large fleet: each event would rank all of them,
-// and each job would go to a different worker on a new connection.
+// and each job would be sent to a different worker on a new connection.
 func TestDispatcherUsesSmallPool(t *testing.T) {
 	seen := map[string]int{}
 	for index := range 60 {
@@ -71,9 +71,9 @@
 	}
 }
 
-// Among hundreds of dispatchers, each one's share of a worker's slow-start budget is less than a job, so that
-// none would send. They must send whole jobs in turns instead, which together use some of the budget and
-// never exceed it in any period of OverloadSeconds.
+// If hundreds of dispatchers share a worker's slow-start budget, the share of each is less than one job's work,
+// so none would send. The dispatchers must take turns at sending whole jobs instead. In any period of
+// OverloadSeconds, the work of these jobs must not exceed the budget, and some jobs must be sent.
 func TestSlowStartBudgetAcrossDispatchers(t *testing.T) {
 	const n, slots = 150, 4.0
 	warming := WorkerInfo{ID: "cold", Zone: "here", State: Running, StartedAt: 100}
@@ -120,29 +120,30 @@
 	}
 }
 
-// Guards against jobs that wait in a worker's queue while other workers have free slots, as a third of all
-// sends did in a large fleet.
+// Guards against jobs that wait in a worker's queue while other workers have free slots. In a large fleet, a
+// third of all sends waited like this.
 func TestUnstartedJobIsHedged(t *testing.T) {
 	for _, c := range []struct {
-		class  string
-		prompt float64
-		copies int
+		class        string
+		promptStarts float64 // fraction of attempts that start promptly
+		hedges       int
 	}{{"read", 1, 1}, {"read", 0, 0}, {"write", 1, 0}} {
 		cfg := testConfig()
 		cfg.Dispatchers, cfg.HealthChecks, cfg.Cancellation, cfg.Hedging = 100, false, true, true
 		r := newRig(t, cfg, runningWorkers("v", "w")...)
 		for range 20 {
-			r.b.promptStartRate.observe(c.prompt)
+			r.b.promptStartRate.observe(c.promptStarts)
 		}
 		first := actionsOf[Send](r.step(r.job(c.class, "a")))
 		if len(first) != 1 {
 			t.Fatalf("got %d sends, want 1", len(first))
 		}
-		again := actionsOf[Send](r.stepAt(104, TimerFired{}))
-		if len(again) != c.copies || c.copies == 1 && again[0].Worker == first[0].Worker {
-			t.Errorf("class %s, fraction %v of starts prompt: got copies %v after sends %v", c.class, c.prompt, again, first)
+		hedged := actionsOf[Send](r.stepAt(104, TimerFired{}))
+		if len(hedged) != c.hedges || c.hedges == 1 && hedged[0].Worker == first[0].Worker {
+			t.Errorf("class %s, fraction of prompt starts %v: got hedged sends %v after sends %v",
+				c.class, c.promptStarts, hedged, first)
 		}
-		if c.copies == 1 {
+		if c.hedges == 1 {
 			cancelled := actionsOf[Cancel](r.step(AttemptStarted{first[0].ID, 1}))
 			if len(cancelled) != 1 || cancelled[0].Attempt != 0 {
 				t.Errorf("got cancellations %v, want one of the attempt that has not started", cancelled)
@@ -151,7 +152,7 @@
 	}
 }
 
-// When a job arrives at a dispatcher that was idle for long, no report is fresh. The job waits for health checks.
+// A dispatcher that was idle for long has no fresh report, so the next job must wait for health checks.
 func TestJobWaitsForHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers = 100
@@ -171,13 +172,13 @@
 	}
 }
 
-// At a rate of one job in ten seconds, the random variation of arrivals must not be taken for surplus.
+// At a rate of one job in ten seconds, the random variation of arrivals must not count as surplus.
 func TestRandomArrivalsAreNotSurplus(t *testing.T) {
 	cfg := testConfig()
 	cfg.Dispatchers, cfg.Tenants = 100, []Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 10}}
 	r := newRig(t, cfg, runningWorkers("w")...)
 	rng := rand.New(rand.NewPCG(1, 2))
-	over := map[string]int{}
+	surplusRounds := map[string]int{}
 	for range 500 { // tenant a sends nine tenths of its allotment, tenant b more than three times its allotment
 		r.now += 10 * rng.ExpFloat64() / 0.9
 		for range 1 {
@@ -189,13 +190,13 @@
 		for _, name := range []string{"a", "b"} {
 			r.b.now = r.now
 			if tn := r.b.tenantsByName[name]; r.b.availableTokens(tn) < 1 {
-				over[name]++
+				surplusRounds[name]++
 				tn.tokens = max(tn.tokens, 0)
 			}
 		}
 	}
-	if over["a"] > 50 || over["b"] < 400 {
-		t.Errorf("times taken for surplus in 500 rounds: got %v, want at most 50 for a and at least 400 for b", over)
+	if surplusRounds["a"] > 50 || surplusRounds["b"] < 400 {
+		t.Errorf("rounds of 500 with surplus: got %v, want at most 50 for a and at least 400 for b", surplusRounds)
 	}
 }
 
@@ -232,8 +233,8 @@
 	}
 }
 
-// Where few dispatchers share busy workers, jobs would use up their attempts on workers that reject them. So
-// a high rate of rejections raises the number of free slots that a send requires.
+// A high rate of rejections must raise the number of free slots that a send requires. Otherwise, if few
+// dispatchers share busy workers, jobs use up their attempts on workers that reject them.
 func TestRejectionsRaiseRequiredFreeSlots(t *testing.T) {
 	for _, c := range []struct{ rejectionRate, want float64 }{{0, 1}, {1, 0}} {
 		cfg := testConfig()
@@ -243,7 +244,7 @@
 			r.b.rejectionRate.observe(c.rejectionRate)
 		}
 		if got := actionsOf[Send](r.step(r.report("w", 1), r.job("write", "a"))); float64(len(got)) != c.want {
-			t.Errorf("got %d sends after a fraction %v of sends was rejected, want %v", len(got), c.rejectionRate, c.want)
+			t.Errorf("got %d sends with a rejection rate of %v, want %v", len(got), c.rejectionRate, c.want)
 		}
 	}
 }
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -13,24 +13,24 @@
 	poolPerAttempt          = 3    // additional workers considered for each attempt in flight
 	zoneAffinityFactor      = 8.0  // preference factor of a worker in this dispatcher's zone
 	minFreshness            = 0.05 // least weight factor of an estimate from an old report
-	rejectionCautionSlots   = 3.0  // further free slots required, times the rejection rate and 1 - viewUncertainty()
-	checkWaitObjectiveShare = 0.25 // part of its objective, times viewUncertainty(), that a job waits for checks
+	rejectionCautionSlots   = 3.0  // extra free slots required, times the rejection rate and 1 - viewUncertainty()
+	checkWaitObjectiveShare = 0.25 // longest wait of a job for checks, in latency objectives times viewUncertainty()
 	maxJobsWaitingForChecks = 128  // in one queue: with more, a check is always pending and no job would ever be sent
 	slowdownPriorWeight     = 4.0  // weight of the prior of a worker's slowdown, in observations
 	minSlowdown             = 0.1
-	probabilityFloor        = 0.1  // added, so that a low probability alone excludes no worker
-	wideWorkPrior           = 0.3  // part of the workers reserved for wide jobs until their part of the work is known
+	probabilityFloor        = 0.1  // added to the probability of success, so that a low one alone excludes no worker
+	wideWorkPrior           = 0.3  // prior of the wide jobs' part of the work; see wideJobFactor
 	wideWorkPriorWeight     = 20.0 // weight of that prior, in slots times seconds
-	wideJobMismatchFactor   = 0.06 // preference factor of a worker that is reserved for jobs of other widths
+	wideJobMismatchFactor   = 0.06 // for narrow jobs on workers reserved for wide ones, and for wide jobs on the others
 )
 
-// placement determines where a worker comes in this dispatcher's order. It is drawn from hashes of the
-// worker's id.
+// placement holds a worker's rank for this dispatcher and its preferences, which are derived from its zone and from
+// hashes of its id.
 type placement struct {
-	rank         float64
+	rank         float64 // the dispatcher considers workers in ascending order of rank
 	zoneAffinity float64
-	wideJobRank  float64 // from 0 to 1, the same at all dispatchers: the lowest are reserved for wide jobs
-	turnOffset   float64 // the same at all dispatchers: determines whose turn it is while the worker warms up
+	wideJobRank  float64 // from 0 to 1, the same at all dispatchers; workers with low ranks are reserved for wide jobs
+	turnOffset   float64 // the same at all dispatchers; determines which dispatcher may send while the worker warms up
 }
 
 // scan holds the workers that the present step considers.
@@ -44,7 +44,7 @@
 	awaitingCheck  bool    // a health check was sent less than healthCheckWaitSeconds ago and is unanswered
 }
 
-// rankWorker draws a worker's placement in this dispatcher's order.
+// rankWorker sets a worker's placement.
 func (b *Balancer) rankWorker(w *worker) {
 	h := fnv.New64a()
 	h.Write([]byte(w.ID)) //nolint:errcheck // a hash never fails
@@ -64,7 +64,7 @@
 // scanWorkers selects the workers that this step considers: the first usable ones in the dispatcher's
 // own order. Their number grows with the number of attempts in flight. If all of several hundred workers
 // were considered, each job would need a new connection, reports would always be old, and a step would
-// cost too much. The pool is too small where a few dispatchers have most of the traffic.
+// cost too much. Known limit: if a few dispatchers have most of the traffic, their pools are too small.
 func (b *Balancer) scanWorkers() {
 	b.scan = scan{
 		eligible:  b.eligible[:0],
@@ -88,7 +88,8 @@
 }
 
 // addToScan adds a worker to this step's scan, and to the eligible workers unless it is unreachable. It
-// reports whether the worker counts towards the wanted number, as a fully usable one does.
+// reports whether the worker is fully usable: reachable, not ejected, warmed up and verified. Only such
+// workers count towards the size of the pool.
 func (b *Balancer) addToScan(w *worker) bool {
 	w.lastScan = b.scanCount
 	b.scanned = append(b.scanned, w)
@@ -198,8 +199,8 @@
 // wideJobFactor returns a preference factor for a worker and a job of the given slots. If narrow jobs
 // were spread evenly over all workers, none would have capacity for a wide job (one that takes more than
 // half of a worker) although the total would suffice. So all dispatchers reserve the same workers, by
-// their ids, for wide jobs, in proportion to the wide jobs' part of the work. Narrow jobs wait longer
-// while that part changes.
+// their ids, for wide jobs, in proportion to the wide jobs' part of the work. The drawback is that narrow
+// jobs wait longer while that part changes.
 func (b *Balancer) wideJobFactor(w *worker, slots float64) float64 {
 	wideShare := (b.wideWork + wideWorkPrior*wideWorkPriorWeight) / (b.totalWork + wideWorkPriorWeight)
 	reservedForWide := w.wideJobRank < wideShare
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// meanRunTime simulates until a time. More returns further events of each step, or is nil. Each dispatcher is kept at the
-// given number of queued jobs.
+// run simulates until a time and keeps the given number of jobs queued at each dispatcher. The function more returns
+// further events of each step; it may be nil.
 func (p *greedyDispatchers) run(until float64, waiting int, more func(i int, r *rig) []Event) {
 	for ; p.now() < until; p.step++ {
 		now := p.now()
--- a/balance/slowstartsim_test.go
+++ b/balance/slowstartsim_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// overloadRatio returns the load of a warming worker relative to the allowed load plus what chance explains. More
-// than 1 is an overload.
+// overloadRatio returns the load of a warming worker relative to the allowed load plus a margin for random variation.
+// A ratio above 1 is an overload.
 func overloadRatio(got, allowed float64) float64 { return got / (allowed + 2*math.Sqrt(allowed) + 2) }
 
 // warmUpFleet describes a simulation of dispatchers and workers. Some workers are missing at first and then start
@@ -19,11 +19,11 @@
 	slots               float64 // of each worker
 	work                float64 // mean work of a job, in slots times seconds
 	load                float64 // offered load relative to the capacity of all workers
-	workDeviation       float64 // standard deviation over mean of a job's work within its class
+	workDeviation       float64 // coefficient of variation of a job's work within its class
 	wideJobs            bool    // some jobs take 2 slots, some 4
 	shortObjectives     bool    // latency objectives are shorter than run times
 	noReports           bool    // there are neither load reports nor health checks
-	reportsWithAnswers  bool    // load reports also come with answers
+	reportsWithAnswers  bool    // answers include load reports
 	firstDispatcherLoad float64 // additional traffic of the first dispatcher, relative to the mean; 0: none
 	listDelay           float64 // longest additional delay of the endpoint list, in seconds
 	restartInPlace      bool    // the warming workers existed before and restart
@@ -32,18 +32,19 @@
 	hedging             bool    // two attempts of a job may be in flight at once
 	oneRejects          bool    // one of the warming workers rejects all jobs
 	indexChanges        bool    // the dispatchers get other indexes after the warming workers start
-	reportNoise         float64 // standard deviation over value of the reported free slots
+	reportNoise         float64 // relative standard deviation of the reported free slots
 	uncordon            bool    // operators cordon the warming workers and uncordon them when they start
 }
 
 const (
 	simBegin, simWarmUpStart                = 102.0, 106.0 // start of the dispatchers and of the warming workers
-	rampFloor, rampSeconds                  = 0.3, 6.0     // least capacity at the start, and time until full capacity
+	rampFloor, rampSeconds                  = 0.3, 6.0     // part of the capacity at a start, and time until full capacity
 	simOverloadMultiple, simOverloadSeconds = 3.0, 3.0
 	simTick                                 = 0.02
 )
 
-func rampShare(age float64) float64 { return min(1, rampFloor+(1-rampFloor)*age/rampSeconds) }
+// rampCapacity returns the part of its capacity that a worker has at an age in seconds.
+func rampCapacity(age float64) float64 { return min(1, rampFloor+(1-rampFloor)*age/rampSeconds) }
 
 type simWorker struct {
 	WorkerInfo
@@ -57,19 +58,19 @@
 	if w.StartedAt == 0 {
 		return w.slots
 	}
-	return max(1, math.Round(w.slots*rampShare(now-w.StartedAt)))
+	return max(1, math.Round(w.slots*rampCapacity(now-w.StartedAt)))
 }
 
 type simAttempt struct {
 	sentAt, slots, work     float64
 	attempt                 int
-	fromInformed, cancelled bool // fromInformed: the sender knew of the start of the warming workers
+	fromInformed, cancelled bool // fromInformed: the sender knew that the warming workers had started
 	reply                   func(after float64, e Event)
 	id                      string
 }
 
-// meanRunTime simulates the fleet. It returns the highest overload ratio of a warming worker and the number of sends to warming
-// workers.
+// run simulates the fleet. It returns the highest overload ratio of a warming worker and the number of sends to
+// warming workers.
 func (f warmUpFleet) run(t *testing.T, seed uint64, ramp bool) (worst float64, sends int) {
 	s := newSlowStartSim(t, f, seed, ramp)
 	s.schedule()
@@ -149,7 +150,7 @@
 	byID      map[string]*simWorker
 	balancers []*Balancer
 	events    [][]Event // by dispatcher
-	informed  []bool    // by dispatcher: whether it knows the start of the warming workers
+	informed  []bool    // by dispatcher: whether it knows that the warming workers have started
 	jobs      map[string]*simAttempt
 	attempts  map[string][]*simAttempt
 }
@@ -180,7 +181,8 @@
 	return s
 }
 
-// schedule schedules a call after a time, in a later step. Calls after the end of the run are dropped.
+// after schedules a call for a later step, when at least wait seconds have passed. Calls after the end of the run are
+// dropped.
 func (s *slowStartSim) after(wait float64, do func()) {
 	if i := s.step + max(1, int(math.Ceil(wait/simTick))); i < len(s.scheduled) {
 		s.scheduled[i] = append(s.scheduled[i], do)
@@ -194,7 +196,7 @@
 		s.startDispatcher(d, 0)
 		s.after(untilStart+0.03+s.rng.Float64()*s.listDelay, func() {
 			s.informed[d] = true
-			s.post(d, s.list(EndpointsSnapshot, true))
+			s.post(d, s.endpointUpdate(EndpointsSnapshot, true))
 		})
 		if s.indexChanges {
 			s.after(untilStart+1+2*s.rng.Float64(), func() {
@@ -234,16 +236,16 @@
 		s.t.Fatal(err)
 	}
 	s.balancers[d] = b
-	s.events[d] = []Event{s.list(EndpointsCached, s.restartInPlace || s.informed[d])}
+	s.events[d] = []Event{s.endpointUpdate(EndpointsCached, s.restartInPlace || s.informed[d])}
 }
 
 func (s *slowStartSim) post(d int, e Event) { s.events[d] = append(s.events[d], e) }
 
-// list returns an update with the endpoint list, including the warming workers if all is set.
-func (s *slowStartSim) list(kind EndpointUpdateKind, all bool) EndpointUpdate {
+// endpointUpdate returns an update with the warm workers and, if includeWarming is set, the warming ones.
+func (s *slowStartSim) endpointUpdate(kind EndpointUpdateKind, includeWarming bool) EndpointUpdate {
 	u := EndpointUpdate{Kind: kind}
 	for i, w := range s.workers {
-		if i < s.warm || all {
+		if i < s.warm || includeWarming {
 			u.Workers = append(u.Workers, w.WorkerInfo)
 		}
 	}
@@ -274,7 +276,7 @@
 	return []float64{max(0, w.usableSlots(s.now)-w.usedSlots) * math.Exp(s.reportNoise*s.rng.NormFloat64()), queued}
 }
 
-// reportWithAnswer returns the load report that comes with an answer, or nil if none does.
+// reportWithAnswer returns the load report that a worker includes in an answer, or nil if its answers have none.
 func (s *slowStartSim) reportWithAnswer(w *simWorker) []float64 {
 	if s.reportsWithAnswers {
 		return s.report(w)
@@ -326,52 +328,53 @@
 	}
 }
 
-// carryOut executes an action of a dispatcher.
-func (s *slowStartSim) carryOut(d int, a Action) {
-	back := s.replyTo(d)
+// execute performs an action that a dispatcher returned.
+func (s *slowStartSim) execute(d int, a Action) {
+	reply := s.replyTo(d)
 	switch a := a.(type) {
 	case Send:
-		s.send(d, a, back)
+		s.send(d, a, reply)
 	case Cancel:
 		s.attempts[a.ID][a.Attempt].cancelled = true
-		back(0, AttemptDone{ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled})
+		reply(0, AttemptDone{ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled})
 	case HealthCheck:
 		if w := s.byID[a.Worker]; w.hangs {
-			back(0.5, HealthCheckDone{Worker: w.ID, Outcome: TimedOut})
+			reply(0.5, HealthCheckDone{Worker: w.ID, Outcome: TimedOut})
 		} else {
-			back(0, HealthCheckDone{Worker: w.ID, Outcome: Served, Report: s.report(w)})
+			reply(0, HealthCheckDone{Worker: w.ID, Outcome: Served, Report: s.report(w)})
 		}
 	case SetTimer:
-		back(a.After, TimerFired{})
+		reply(a.After, TimerFired{})
 	}
 }
 
-func (s *slowStartSim) send(d int, a Send, back func(wait float64, e Event)) {
+func (s *slowStartSim) send(d int, a Send, reply func(wait float64, e Event)) {
 	w := s.byID[a.Worker]
 	c := *s.jobs[a.ID]
 	c.sentAt = s.now
 	c.attempt = len(s.attempts[a.ID])
 	c.fromInformed = s.informed[d]
-	c.reply = back
+	c.reply = reply
 	s.attempts[a.ID] = append(s.attempts[a.ID], &c)
 	w.received = append(w.received, &c)
 	if w.rejects || len(w.queue) > int(4*s.slots) {
 		done := AttemptDone{ID: a.ID, Attempt: c.attempt, Worker: w.ID, Outcome: Overloaded, Report: s.reportWithAnswer(w)}
-		back(0, done)
+		reply(0, done)
 		return
 	}
 	w.queue = append(w.queue, &c)
 	s.serve(w)
 }
 
-// addArrivals posts the jobs that arrive in a step to dispatchers.
+// addArrivals posts each job that arrives before the present step to a random dispatcher.
 func (s *slowStartSim) addArrivals() {
 	sigma := math.Sqrt(math.Log(1 + s.workDeviation*s.workDeviation))
 	for ; s.nextJob < s.now; s.nextJob += s.rng.ExpFloat64() / (s.load * s.rate()) {
 		d := s.drawDispatcher()
 		class := s.drawClass()
 		slots := s.drawSlots()
-		factor := min(8, math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2)) // no estimate could allow for longer jobs
+		// The factor is limited because run times far above the estimate can't be allowed for.
+		factor := min(8, math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
 		id := fmt.Sprint("j", len(s.jobs))
 		s.jobs[id] = &simAttempt{id: id, slots: slots, work: factor * s.classWork()[class]}
 		s.post(d, JobArrived{
@@ -421,13 +424,13 @@
 		}
 		s.events[d] = nil
 		for _, a := range b.Step(s.now, events) {
-			s.carryOut(d, a)
+			s.execute(d, a)
 		}
 	}
 }
 
-// worstLoad returns the highest overload ratio of a worker over all spans in which more than 2/3 of its load came from
-// dispatchers that knew of its start.
+// worstLoad returns the highest overload ratio of a worker over all spans of simOverloadSeconds. It ignores spans in
+// which at most 2/3 of the load came from dispatchers that knew that the worker had started.
 func (s *slowStartSim) worstLoad(w *simWorker) (worst float64) {
 	first := 0
 	sum := 0.0
@@ -443,7 +446,8 @@
 			count(w.received[first], -1)
 		}
 		if informed > sum*2/3 {
-			allowed := simOverloadMultiple * rampShare(c.sentAt-w.StartedAt) * w.slots * simOverloadSeconds / (s.work * s.size())
+			allowed := simOverloadMultiple * rampCapacity(c.sentAt-w.StartedAt) * w.slots * simOverloadSeconds /
+				(s.work * s.size())
 			worst = max(worst, overloadRatio(sum, allowed))
 		}
 	}
