--- a/internal/cluster/config/table_test.go
+++ b/internal/cluster/config/table_test.go
@@ -24,23 +24,35 @@
 			}
 			return nil
 		}
-		t := &Table{Version: rapid.Uint64Range(1, 3).Draw(r, "version"), MaxAttempts: rapid.IntRange(0, 2).Draw(r, "attempts"),
-			CordonedWorkers: subset("out", "w1", "w2"), ShardInstances: subset("instance", "a", "b", "c"), EndpointListEpoch: rapid.Uint64Range(0, 1).Draw(r, "lists"),
-			BaseVersion: rapid.Uint64Range(0, 2).Draw(r, "base"), ProposedBy: rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "by")}
+		t := &Table{Version: rapid.Uint64Range(1, 3).Draw(r, "version"),
+			MaxAttempts:       rapid.IntRange(0, 2).Draw(r, "attempts"),
+			CordonedWorkers:   subset("cordoned worker", "w1", "w2"),
+			ShardInstances:    subset("shard instance", "a", "b", "c"),
+			EndpointListEpoch: rapid.Uint64Range(0, 1).Draw(r, "endpoint list epoch"),
+			BaseVersion:       rapid.Uint64Range(0, 2).Draw(r, "base version"),
+			ProposedBy:        rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "proposer")}
 		for _, n := range subset("tenant", "north", "south") {
 			t.Tenants = append(t.Tenants, Tenant{n, optional("reservation", 0, 10, 20), optional("weight", 1, 2)})
 		}
 		for _, n := range subset("class", "job", "read") {
-			c := Class{Name: n, LatencyObjective: optional("aim", 1, 2), Deadline: optional("deadline", 5, 9), PriorityWeight: optional("worth", 1, 3)}
-			switch c.Idempotence = rapid.SampledFrom([]balance.Idempotence{"", balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent}).Draw(r, "effect"); c.Idempotence {
+			c := Class{Name: n,
+				LatencyObjective: optional("latency objective", 1, 2),
+				Deadline:         optional("deadline", 5, 9),
+				PriorityWeight:   optional("priority weight", 1, 3)}
+			switch c.Idempotence = rapid.SampledFrom([]balance.Idempotence{
+				"", balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent}).
+				Draw(r, "idempotence"); c.Idempotence {
 			case balance.IdempotentWithKey:
-				c.DedupScope = rapid.SampledFrom([]balance.DedupScope{balance.ScopeAll, balance.ScopeZone, balance.ScopeCell}).Draw(r, "scope")
-				c.DedupWindow = rapid.SampledFrom([]float64{3, 8}).Draw(r, "window")
+				c.DedupScope = rapid.SampledFrom([]balance.DedupScope{balance.ScopeAll, balance.ScopeZone, balance.ScopeCell}).
+					Draw(r, "deduplication scope")
+				c.DedupWindow = rapid.SampledFrom([]float64{3, 8}).Draw(r, "deduplication window")
 			}
 			t.Classes = append(t.Classes, c)
 		}
 		for range rapid.SampledFrom([]int{0, 2, 2, 2, 3}).Draw(r, "shards") {
-			t.ShardOwners = append(t.ShardOwners, ShardOwner{rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "seat"), rapid.Uint64Range(0, 2).Draw(r, "epoch")})
+			t.ShardOwners = append(t.ShardOwners, ShardOwner{
+				rapid.SampledFrom([]string{"", "a", "b"}).Draw(r, "shard owner"),
+				rapid.Uint64Range(0, 2).Draw(r, "shard epoch")})
 		}
 		for _, n := range subset("voter", "a", "b", "c") {
 			t.Voters = append(t.Voters, Voter{n, "127.0.0.1:" + rapid.SampledFrom([]string{"1", "2"}).Draw(r, "port")})
@@ -49,10 +61,14 @@
 			t.Clusters = append(t.Clusters, Cluster{n, rapid.SampledFrom([]float64{20, 40}).Draw(r, "capacity")})
 		}
 		for _, n := range subset("placement", "north", "south") {
-			t.Placements = append(t.Placements, Placement{n, rapid.SampledFrom([]string{"", "east", "west"}).Draw(r, "in"), rapid.Bool().Draw(r, "release"),
+			t.Placements = append(t.Placements, Placement{
+				n,
+				rapid.SampledFrom([]string{"", "east", "west"}).Draw(r, "placed in cluster"),
+				rapid.Bool().Draw(r, "force release"),
 				rapid.SampledFrom([]string{"", "east"}).Draw(r, "origin")})
-			if rapid.Bool().Draw(r, "booked") {
-				t.LedgerEntries = append(t.LedgerEntries, LedgerEntry{n, rapid.SampledFrom([]float64{0, 10, 20}).Draw(r, "usable"), 0})
+			if rapid.Bool().Draw(r, "has ledger entry") {
+				t.LedgerEntries = append(t.LedgerEntries, LedgerEntry{
+					n, rapid.SampledFrom([]float64{0, 10, 20}).Draw(r, "usable"), 0})
 			}
 		}
 		return t
@@ -61,9 +77,21 @@
 
 // sampleTable returns the table that sampleFile describes, as version 7 with voters and shard owners.
 func sampleTable() *Table {
-	return &Table{Version: 7, BaseVersion: 6, ProposedBy: "a", MaxAttempts: 3, CordonedWorkers: []string{"w1"}, ShardInstances: []string{"a", "b"}, EndpointListEpoch: 1,
-		Tenants:     []Tenant{{"north", new(30.0), new(1.0)}, {"south", new(10.0), nil}},
-		Classes:     []Class{{Name: "job", LatencyObjective: new(1.0), Idempotence: balance.IdempotentWithKey, DedupScope: balance.ScopeZone, DedupWindow: 8}},
+	return &Table{
+		Version:           7,
+		BaseVersion:       6,
+		ProposedBy:        "a",
+		MaxAttempts:       3,
+		CordonedWorkers:   []string{"w1"},
+		ShardInstances:    []string{"a", "b"},
+		EndpointListEpoch: 1,
+		Tenants:           []Tenant{{"north", new(30.0), new(1.0)}, {"south", new(10.0), nil}},
+		Classes: []Class{{
+			Name:             "job",
+			LatencyObjective: new(1.0),
+			Idempotence:      balance.IdempotentWithKey,
+			DedupScope:       balance.ScopeZone,
+			DedupWindow:      8}},
 		Voters:      []Voter{{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}, {"c", "127.0.0.1:3"}},
 		ShardOwners: []ShardOwner{{"a", 1}, {"b", 4}},
 		Clusters:    []Cluster{{"east", 50}, {"west", 40}},
--- a/internal/cluster/lease/agent/journal_test.go
+++ b/internal/cluster/lease/agent/journal_test.go
@@ -12,8 +12,9 @@
 	"example.org/bellstream/internal/cluster/lease"
 )
 
-// If a new table is published right before the event loop reports a table as applied, the journal records the lease of
-// the applied table, and the start rates that its capacity ledger and reservations allow each placed service.
+// Guards against a journal entry that combines an applied table with the lease of a newer one. This could happen if the
+// newer table was published right before the event loop reported the older one as applied. The entry must also have the
+// start rates that the applied table allows each placed service, by its capacity ledger and reservations.
 func TestJournalOfReplacedTable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := openJournal(path, "n", 1, time.Now())
@@ -53,7 +54,7 @@
 	}
 	for _, want := range []string{`"version":1,"stage":"in force","leased":true`, `"uses":{"a":12.5,"b":30}`} {
 		if !strings.Contains(string(raw), want) {
-			t.Errorf("journal has %s, want %s in it", raw, want)
+			t.Errorf("got journal %s, want it to contain %s", raw, want)
 		}
 	}
 }
--- a/internal/cluster/lease/agent/proposal.go
+++ b/internal/cluster/lease/agent/proposal.go
@@ -8,22 +8,22 @@
 )
 
 // Proposal returns the table to propose for an operator's file. The last table of
-// history is the newest version. If the file changes nothing, Proposal returns
-// that table itself.
-type Proposal func(history []*config.Table, by string) (*config.Table, error)
+// history is the newest version. If the file does not differ from it, Proposal
+// returns the same pointer.
+type Proposal func(history []*config.Table, proposer string) (*config.Table, error)
 
 // proposalState is the progress of the proposal of the operator's file.
 type proposalState struct {
-	pending    Proposal // nil if there is nothing to propose
-	generation uint64   // counts the files, so that outcomes of earlier ones are ignored
-	notBefore  time.Time
-	base       uint64 // version that the last proposal was based on
-	rejected   bool   // permanently, as long as base is the newest version
-	rejection  string // why the file is not in force; empty if it was not rejected
+	pending    Proposal  // nil if there is nothing to propose
+	generation uint64    // number of calls of Propose; results of earlier proposals are ignored
+	notBefore  time.Time // when the next proposal may be sent
+	base       uint64    // version that the last proposal was based on
+	rejected   bool      // the proposal based on base was rejected; it is not repeated until there is a newer version
+	rejection  string    // error of the last failed proposal; empty if none failed
 }
 
-// Propose sets the operator's file whose configuration the agent proposes. It
-// replaces an earlier one. With nil the agent stops proposing.
+// Propose makes the agent propose the configuration of an operator's file instead
+// of that of any earlier file. With nil the agent stops proposing.
 func (a *Agent) Propose(p Proposal) {
 	a.post(proposeRequest{proposal: p})
 }
@@ -65,7 +65,8 @@
 	case a.proposal.rejected && newest.Version <= a.proposal.base:
 		a.abandonProposal()
 	default:
-		// A newer version, such as one that only moves shards, need not outdate the file: propose it again.
+		// A newer version may have nothing to do with the file (for example, if it only moves shards), so
+		// propose the file again.
 		a.proposal.rejected = false
 		a.sendProposal(table, err, newest.Version)
 	}
@@ -109,7 +110,7 @@
 // failed. A retry is idempotent, because a proposal names its base version.
 func (r proposalResult) handle(a *Agent) {
 	if a.proposal.pending == nil || a.proposal.generation != r.generation {
-		return // it was replaced
+		return // the operator's file was replaced
 	}
 	if r.err == nil {
 		a.proposal.pending = nil
@@ -119,7 +120,8 @@
 	}
 	a.proposal.rejection = r.err.Error()
 	if rejected, ok := errors.AsType[*RejectedError](r.err); ok && rejected.Permanent {
-		// Another instance may have proposed the same file earlier. If so, the next lease shows that.
+		// Another instance may have proposed the same file earlier. If so, this instance receives that version
+		// within one lease duration.
 		a.proposal.rejected = true
 		a.proposal.notBefore = a.Now().Add(secondsToDuration(a.LeaseSettings.LeaseSeconds))
 		return
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -13,8 +13,9 @@
 // reordered, leaders are deposed without noticing, and instances are suspended,
 // resumed and restarted, in every order. A suspended instance is one that makes
 // no transition while the clock advances. The consensus protocol is simplified to
-// elections and committed entries: one node leads the term, the other one keeps
-// the state and term that it had when it was last the leader or caught up.
+// elections and committed entries. Of the two nodes, one leads the current term. The
+// other one may be behind: it keeps the state and term that it had when it last led,
+// or last caught up with the leader.
 
 // protocolRules are the rules of the protocol. Each can be switched off, to show that it is necessary.
 type protocolRules struct {
@@ -22,10 +23,10 @@
 	confirmedGrants  bool // before a grant, the voters confirm the leader after the request has arrived
 	inheritedLeases  bool // a new leader waits until leases granted by former leaders have expired
 	waitForLeases    bool // the next stage waits for the holders of active leases
-	announced        bool // all instances act on the version in force alone before any acts on an intersection
-	intersection     bool // instances act on the intersection of two versions before the next one alone
-	termCheck        bool // an entry has no effect in a later term than that in which it was proposed
-	monotonic        bool // holders accept no revision lower than a known one, not even after a restart
+	announced        bool // all instances act only on the version in force before any instance acts on an intersection
+	intersection     bool // instances act on the intersection of two versions before they act only on the next version
+	termCheck        bool // an entry has no effect if it is committed in a later term than it was proposed in
+	monotonic        bool // a holder accepts no revision below the highest that it knows, not even after a restart
 	nonceCheck       bool // a grant is valid only for the pending request
 	incarnationCheck bool // a grant is valid only for the process that sent the request
 	driftAllowance   bool // the leader allows for holders with a slower clock
@@ -54,11 +55,11 @@
 	m.Run()
 }
 
-// maxWorlds stops a search that visits more worlds than any of searchBounds needs.
+// maxWorlds is the number of worlds after which a search fails. No search within searchBounds visits that many.
 const maxWorlds = 20_000_000
 
-// search visits all worlds that can be reached, breadth first. It returns the first
-// violation of an invariant, empty if there is none, and the number of worlds visited.
+// search visits all reachable worlds (states of the model), breadth first. It returns the
+// first violation of an invariant, empty if there is none, and the number of worlds visited.
 func search(t *testing.T, b bounds, rules protocolRules) (violation string, worlds int) {
 	start := firstWorld(b, rules)
 	visited := map[[2]uint64]bool{start.key(): true}
@@ -151,16 +152,16 @@
 		bounds string // name of the bounds in searchBounds
 		want   string // part of the violation
 	}{
-		{"lease from receiving the grant", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", conflict},
+		{"lease starts when the grant arrives", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", conflict},
 		{"grant without confirmation", func(rules *protocolRules) { rules.confirmedGrants = false }, "elections", conflict},
 		{"leader ignores inherited leases", func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", conflict},
 		{"stage ignores leases", func(rules *protocolRules) { rules.waitForLeases = false }, "stages", conflict},
 		{"no announcement", func(rules *protocolRules) { rules.announced = false }, "withdrawals", conflict},
 		{"no intersection", func(rules *protocolRules) { rules.intersection = false }, "stages", conflict},
-		{"entry of any term", func(rules *protocolRules) { rules.termCheck = false }, "elections", conflict},
-		{"any revision", func(rules *protocolRules) { rules.monotonic = false }, "file losses", decrease},
-		{"grant for any request", func(rules *protocolRules) { rules.nonceCheck = false }, "stages", conflict},
-		{"grant for any process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", conflict},
+		{"entry takes effect in a later term", func(rules *protocolRules) { rules.termCheck = false }, "elections", conflict},
+		{"holder accepts a lower revision", func(rules *protocolRules) { rules.monotonic = false }, "file losses", decrease},
+		{"grant accepted without its request", func(rules *protocolRules) { rules.nonceCheck = false }, "stages", conflict},
+		{"grant accepted by another process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", conflict},
 		{"no allowance for drift", func(rules *protocolRules) { rules.driftAllowance = false }, "clocks", conflict},
 		{"received counts as applied", func(rules *protocolRules) { rules.acknowledgement = false }, "acknowledgements", conflict},
 		{"longer leases ignored", func(rules *protocolRules) { rules.longestLease = false }, "shorter leases", conflict},
--- a/internal/cluster/lease/view.go
+++ b/internal/cluster/lease/view.go
@@ -83,13 +83,16 @@
 }
 
 // Proposal returns the entry that proposes table as the next version. It sets the
-// version, base and proposer in the encoded table; table itself is unchanged. The
-// error is a *StaleProposalError if base is not the newest version, without the
-// changes since base, which a view does not have; a *ProposalInProgressError; an
-// error of config.Decode, Validate or Encode; or that of an invalid entry.
+// version, base and proposer in the encoded table; table itself is unchanged.
 //
-// These checks reject most invalid proposals without involving the voters, but
-// State.Apply checks again and decides.
+// If base is not the newest version, the error is a *StaleProposalError. Its Changes
+// are empty, because a view has no history. If another version is being rolled out
+// and the proposal does not withdraw it, the error is a *ProposalInProgressError.
+// Proposal also returns errors of config.Decode, Validate and Encode, and of
+// Entry.validate.
+//
+// These checks reject most invalid proposals without involving the voters.
+// State.Apply repeats them on the replicated state, and its result is final.
 func (v *View) Proposal(table *config.Table, proposer string, base uint64) (Entry, error) {
 	if base != v.NewestNumber() {
 		return Entry{}, &StaleProposalError{Base: base, Newest: v.NewestNumber()}
