--- a/internal/cluster/consensus/voterchange.go
+++ b/internal/cluster/consensus/voterchange.go
@@ -21,8 +21,9 @@
 
 func (c *voterChange) proposed() bool { return c.sequence != 0 }
 
-// changeVoters starts a change to the given voters, a map of names to addresses, and
-// passes the result to done.
+// changeVoters starts a change to the given voters, a map of names to addresses. It
+// calls done with nil once the change has been applied (at once if there is nothing to
+// change), or with an error if it was rejected or has failed.
 func (l *loop) changeVoters(voters map[string]string, done func(error)) {
 	change, err := l.planVoterChange(voters)
 	if err != nil || change == nil {
@@ -104,7 +105,7 @@
 
 // proposeVoterChange proposes the change in progress as soon as it can take effect:
 // raft silently drops a change before this leader has applied an entry of its own
-// term, and a new voter has to be ready.
+// term, and a new voter must be ready (see newVoterReady).
 func (l *loop) proposeVoterChange() {
 	change := l.pending.voterChange
 	if change == nil || change.proposed() || l.applied.term != l.leaderTerm {
@@ -123,7 +124,8 @@
 
 // newVoterReady reports whether a new voter has responded, and stores its seed in the
 // change. Adding a voter that is down would only increase the majority that the
-// others have to reach. A new voter whose file has an identity is rejected.
+// others have to reach. A new voter whose file already has a cluster's identity is
+// rejected, which ends the change with an error.
 func (l *loop) newVoterReady(change *voterChange) bool {
 	peer, known := l.peers[change.member.Name]
 	if !known || l.node.transport.connectionTo(change.member.Name) == nil {
--- a/internal/cluster/consensus/wire/wire.go
+++ b/internal/cluster/consensus/wire/wire.go
@@ -23,21 +23,21 @@
 
 // Sizes of fixed parts, in bytes.
 const (
-	ProposalHeaderLen = 16 // of a proposal: its proposer's incarnation and sequence number
-	SeedLen           = 16 // of a member
+	ProposalHeaderLen = 16 // header of a proposal: the proposer's incarnation and the sequence number
+	SeedLen           = 16 // seed of a member
 )
 
-// Limits of decoded messages. Names with Bytes are in bytes, the others are counts.
+// Limits of decoded messages. Constants whose names end in Bytes are in bytes, the others are counts.
 const (
 	MaxProposalBytes     = 1 << 20
-	MaxPayloadBytes      = 4 << 20 // of a request or a response
+	MaxPayloadBytes      = 4 << 20 // payload of a request or a response
 	MaxSnapshotBytes     = 8 << 20
-	MaxMessageEntryBytes = 2*MaxProposalBytes + 64<<10 // of all entries of one message
+	MaxMessageEntryBytes = 2*MaxProposalBytes + 64<<10 // all entries of one message
 	MaxFrameBytes        = MaxSnapshotBytes + 64<<10
 	MaxNameBytes         = 255
-	MaxMembers           = 32   // of a list
-	MaxRemovedNames      = 1024 // of a list
-	maxContextBytes      = 64   // of a raft message
+	MaxMembers           = 32   // members in a list
+	MaxRemovedNames      = 1024 // names in a list
+	maxContextBytes      = 64   // context of a raft message
 )
 
 // Reasons for dropping a frame. Their texts are values of a metric's label.
--- a/internal/cluster/quota/ownership.go
+++ b/internal/cluster/quota/ownership.go
@@ -12,13 +12,14 @@
 // hashing (Thaler, Ravishankar, 1998). The best instance of each region ranks before the second
 // best instance of any region.
 //
-// No part is owned twice, for the following reason. An instance's rank can only get worse as more
-// instances are counted as members. If each instance that has joined counts all instances that
-// have joined, then its rank among the joined instances is no worse than the rank by which it
-// claims a part. No two instances have the same rank, so there are no more claimants than parts,
-// and each claims at most 1/n of the reservation, where n is the number of claimants. An expected
-// instance that was never seen may have joined. An instance therefore does not join until all
-// expected instances were seen, or until ForgetAfter has passed, after which others would be removed.
+// No part is owned twice. An instance claims a part by its rank among the members that it counts, and
+// this rank can only get worse as it counts more members. If each joined instance counts all joined
+// instances, then its rank among the joined instances is no worse than the rank by which it claims.
+// No two instances have the same rank, so there are no more claimants than parts, and each claims at
+// most 1/n of the reservation, where n is the number of claimants. This requires that no joined
+// instance is left out, and an expected instance that was never seen may have joined. An instance
+// therefore does not join until all expected instances were seen, or until ForgetAfter has passed,
+// the time after which silent members are removed as well.
 
 // rendezvousScore returns the score by which an instance is ranked for a tenant; the highest score
 // ranks first.
@@ -57,7 +58,8 @@
 	return slices.ContainsFunc(a.members.sorted, func(p *peer) bool { return p.build < OwnershipBuild })
 }
 
-// countUnseen returns the number of expected instances that were never seen.
+// countUnseen returns the number of expected instances that were never seen and still have to be waited
+// for. It is 0 once ForgetAfter has passed, and, unless ownership is flat, once all have been seen.
 func (a *Allocator) countUnseen(now float64, flat bool) int {
 	unseen := max(0, a.ExpectedInstances-len(a.members.sorted)-1)
 	if unseen == 0 {
@@ -102,7 +104,7 @@
 	}
 }
 
-// assignFlat assigns an equal part of every reservation to every instance.
+// assignFlat sets this instance's part of every reservation, which is equal for all instances.
 func (a *Allocator) assignFlat(now float64) {
 	part := uint32(FullReservation / a.ClusterSize(now))
 	for i := range a.tenants.list {
@@ -160,9 +162,9 @@
 	regions  []int         // region number of each peer; 0 is this instance's region
 	best     [][]candidate // best candidates of each region, by rank
 	sameRank []candidate   // candidates of equal rank within their regions
-	selected []candidate   // owners by rank
+	selected []candidate   // the tenant's owners, by rank
 	wanted   int           // configured number of owners of each tenant
-	parts    int           // owners of each tenant: wanted, but at most the number of instances
+	parts    int           // actual number of owners of each tenant: the lesser of wanted and the number of instances
 }
 
 // candidate is an instance that may own a part; a nil peer is this instance.
@@ -219,7 +221,7 @@
 	}
 }
 
-// add inserts a candidate into the ranked list of its region, which keeps the best wanted ones.
+// add inserts a candidate into the ranked list of its region, and keeps only the best r.wanted candidates.
 func (r *ranking) add(region int, c candidate) {
 	best := r.best[region]
 	if len(best) == r.wanted {
@@ -263,7 +265,8 @@
 	}
 }
 
-// setOwners sets a tenant's owners, and schedules sending demands and counts to them accordingly.
+// setOwners sets a tenant's owners. If they have changed, it schedules messages that withdraw the demands
+// from former owners, and that send demands and counts to the present ones.
 func (a *Allocator) setOwners(now float64, t *tenantState, owners []*peer) {
 	previous := t.ledger.owners
 	if slices.Equal(previous, owners) {
@@ -285,9 +288,9 @@
 // this instance has become an owner or ceased to be one.
 func (a *Allocator) sendCountsToOwners(now float64, t *tenantState, previous []*peer) {
 	ownedHere := t.ownedHere()
-	sameHere := slices.Contains(previous, nil) == ownedHere
+	unchangedHere := slices.Contains(previous, nil) == ownedHere
 	for _, p := range t.ledger.owners {
-		if p == nil || slices.Contains(previous, p) && sameHere {
+		if p == nil || slices.Contains(previous, p) && unchangedHere {
 			continue
 		}
 		p.pending.counts.add(t.ID)
@@ -298,8 +301,8 @@
 	}
 }
 
-// aggregator returns the instance that reports to a tenant's users what other instances have
-// counted: the first owner by rank that is present. A nil peer with ok set is this instance.
+// aggregator returns the instance that relays a tenant's usage counts between the instances that use
+// the tenant: the first owner by rank that is present. A nil peer with ok set is this instance.
 func (a *Allocator) aggregator(t *tenantState) (p *peer, ok bool) {
 	for _, p := range t.ledger.owners {
 		if p == nil || p.presence.present {
--- a/internal/cluster/quota/receive_loans.go
+++ b/internal/cluster/quota/receive_loans.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// clearDemands drops the peer's demands for the tenants from start to end.
+// clearDemands drops the peer's demands for tenants with ids from start to end, both included.
 func (a *Allocator) clearDemands(p *peer, start, end uint64) {
 	for tenant := range p.loans.demands {
 		if tenant >= start && tenant <= end {
@@ -32,7 +32,8 @@
 	}
 }
 
-// recordDemand records a peer as a user of a tenant, and schedules sending its grant and the counts.
+// recordDemand records a peer as a user of a tenant. It schedules sending the peer's grant again, if
+// there is one. If this instance relays the tenant's counts to its users, they are sent as well.
 func (a *Allocator) recordDemand(now float64, p *peer, t *tenantState) {
 	p.lastUsed[t.ID] = now
 	if p.loans.granted[t.ID] > 0 { // the peer may have lost the grant
@@ -44,9 +45,9 @@
 	}
 }
 
-// receiveGrants records what a peer lends. A loan expires one lease after the time at which this
-// instance sent the message that the peer acknowledges, so only this instance's own clock matters.
-// A delta message also renews the loans that it does not name.
+// receiveGrants records what a peer lends. The peer's message acknowledges a message of this instance.
+// The loans expire one lease after this instance sent that message, so that they depend on this
+// instance's clock only. A delta message also renews loans for tenants that it does not list.
 func (a *Allocator) receiveGrants(now float64, p *peer, m *Message) {
 	if !m.Delta {
 		for tenant := range p.loans.borrowed {
@@ -66,7 +67,7 @@
 		p.renewBorrowed(now, expiresAt)
 	}
 	for _, grant := range m.Grants {
-		if _, ours := a.tenants.byID[grant.Tenant]; !ours {
+		if _, exists := a.tenants.byID[grant.Tenant]; !exists {
 			continue
 		}
 		delete(p.loans.borrowed, grant.Tenant)
@@ -91,7 +92,7 @@
 	}
 }
 
-// recordUsers records the peer as a user of the tenants whose counts a delta message holds.
+// recordUsers records the peer as a user of the tenants for which a delta message has counts.
 func (a *Allocator) recordUsers(now float64, p *peer, m *Message) {
 	if !m.Delta {
 		return
--- a/internal/cluster/quota/send_flat.go
+++ b/internal/cluster/quota/send_flat.go
@@ -7,8 +7,8 @@
 	"example.org/bellstream/internal/cluster/usage"
 )
 
-// flatMessages returns full messages with all demands and grants, and the pending counts. Flat
-// ownership only.
+// flatMessages returns full messages with all demands and grants, and the pending counts. It is used
+// with flat ownership only.
 func (a *Allocator) flatMessages(now float64, p *peer, local usage.Counts) []Message {
 	if p.pending.fullState {
 		p.pending.fullState = false
