--- a/internal/cluster/lease/agent/proposal.go
+++ b/internal/cluster/lease/agent/proposal.go
@@ -18,7 +18,7 @@
 	generation uint64    // number of calls of Propose; results of earlier proposals are ignored
 	notBefore  time.Time // when the next proposal may be sent
 	base       uint64    // version that the last proposal was based on
-	rejected   bool      // the proposal based on base was rejected; it is not repeated until there is a newer version
+	rejected   bool      // the proposal based on base was rejected; only a newer version lets the agent repeat it
 	rejection  string    // error of the last failed proposal; empty if none failed
 }
 
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -25,7 +25,7 @@
 	waitForLeases    bool // the next stage waits for the holders of active leases
 	announced        bool // all instances act only on the version in force before any instance acts on an intersection
 	intersection     bool // instances act on the intersection of two versions before they act only on the next version
-	termCheck        bool // an entry has no effect if it is committed in a later term than it was proposed in
+	termCheck        bool // an advance to a stage has no effect in a term other than the one in which it was proposed
 	monotonic        bool // a holder accepts no revision below the highest that it knows, not even after a restart
 	nonceCheck       bool // a grant is valid only for the pending request
 	incarnationCheck bool // a grant is valid only for the process that sent the request
@@ -152,18 +152,23 @@
 		bounds string // name of the bounds in searchBounds
 		want   string // part of the violation
 	}{
-		{"lease starts when the grant arrives", func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", conflict},
+		{"lease starts when the grant arrives",
+			func(rules *protocolRules) { rules.leaseFromSending = false }, "clocks", conflict},
 		{"grant without confirmation", func(rules *protocolRules) { rules.confirmedGrants = false }, "elections", conflict},
-		{"leader ignores inherited leases", func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", conflict},
+		{"leader ignores inherited leases",
+			func(rules *protocolRules) { rules.inheritedLeases = false }, "elections", conflict},
 		{"stage ignores leases", func(rules *protocolRules) { rules.waitForLeases = false }, "stages", conflict},
 		{"no announcement", func(rules *protocolRules) { rules.announced = false }, "withdrawals", conflict},
 		{"no intersection", func(rules *protocolRules) { rules.intersection = false }, "stages", conflict},
-		{"entry takes effect in a later term", func(rules *protocolRules) { rules.termCheck = false }, "elections", conflict},
+		{"advance takes effect in a later term",
+			func(rules *protocolRules) { rules.termCheck = false }, "elections", conflict},
 		{"holder accepts a lower revision", func(rules *protocolRules) { rules.monotonic = false }, "file losses", decrease},
 		{"grant accepted without its request", func(rules *protocolRules) { rules.nonceCheck = false }, "stages", conflict},
-		{"grant accepted by another process", func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", conflict},
+		{"grant accepted by another process",
+			func(rules *protocolRules) { rules.incarnationCheck = false }, "restarts", conflict},
 		{"no allowance for drift", func(rules *protocolRules) { rules.driftAllowance = false }, "clocks", conflict},
-		{"received counts as applied", func(rules *protocolRules) { rules.acknowledgement = false }, "acknowledgements", conflict},
+		{"received counts as applied",
+			func(rules *protocolRules) { rules.acknowledgement = false }, "acknowledgements", conflict},
 		{"longer leases ignored", func(rules *protocolRules) { rules.longestLease = false }, "shorter leases", conflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cluster/lease/view.go
+++ b/internal/cluster/lease/view.go
@@ -92,7 +92,8 @@
 // Entry.validate.
 //
 // These checks reject most invalid proposals without involving the voters.
-// State.Apply repeats them on the replicated state, and its result is final.
+// State.Apply checks the base, the version in progress and the entry's fields again,
+// and its result is final.
 func (v *View) Proposal(table *config.Table, proposer string, base uint64) (Entry, error) {
 	if base != v.NewestNumber() {
 		return Entry{}, &StaleProposalError{Base: base, Newest: v.NewestNumber()}
