--- a/internal/cluster/gossip/run.go
+++ b/internal/cluster/gossip/run.go
@@ -22,7 +22,7 @@
 	usageRequest  struct{ response chan<- UsageReport }
 )
 
-// UsageReport holds the usage counts of all instances together, by tenant name.
+// UsageReport holds, by tenant name, the sum of the usage counts of all instances, as far as they are known here.
 type UsageReport map[string]usage.Count
 
 // enqueue puts an entry into the inbox. If the inbox is full, the entry is dropped and counted.
@@ -93,8 +93,8 @@
 
 func (r usageRequest) handle(n *Node) { r.response <- n.usageReport() }
 
-// dropReason returns the kind of an error. The complete error text is not used as a counter's
-// name: it depends on the content of messages, so that the number of names would be unbounded.
+// dropReason returns the name of the drop counter for an error of wire.Decode. The full error text
+// is no counter name: it depends on the content of messages, so the number of names would be unbounded.
 func dropReason(err error) string {
 	for _, known := range []error{wire.ErrWrongCluster, wire.ErrUnsupportedVersion, wire.ErrTooLarge} {
 		if errors.Is(err, known) {
@@ -162,8 +162,9 @@
 	}
 }
 
-// Usage returns the usage counts of all instances together, as far as this one knows them.
-// It covers the tenants that this instance serves or owns a part of. It returns nil after Close.
+// Usage returns the sums of the usage counts of all instances that this instance knows of. It omits
+// tenants that this instance neither serves nor owns, and those on which it has received no report
+// yet. It returns nil after Close.
 func (n *Node) Usage() UsageReport {
 	response := make(chan UsageReport, 1)
 	select {
@@ -209,7 +210,7 @@
 		case <-n.lifecycle.done:
 			return
 		default:
-			_, _ = n.members.Join([]string{addr}) // retried if it fails
+			_, _ = n.members.Join([]string{addr}) // rejoinMissing retries it later if it fails
 		}
 	}
 }
--- a/internal/cluster/mesh/golden_test.go
+++ b/internal/cluster/mesh/golden_test.go
@@ -17,9 +17,10 @@
 )
 
 // updateGolden regenerates the files under testdata/golden. A changed file means a changed wire format.
-var updateGolden = flag.Bool("update", false, "write testdata/golden anew")
+var updateGolden = flag.Bool("update", false, "rewrite the files under testdata/golden")
 
-func golden(t *testing.T, file string, encoded []byte) []byte {
+// checkGolden compares encoded with a golden file and returns the content of the file.
+func checkGolden(t *testing.T, file string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", file)
 	if *updateGolden {
@@ -52,7 +53,7 @@
 		"data-empty.frame": {kindData, []byte{}},
 		"ping.frame":       {kindPing, []byte{}},
 	} {
-		raw := golden(t, file, encode(cluster, c.kind, c.body))
+		raw := checkGolden(t, file, encode(cluster, c.kind, c.body))
 		kind, body, err := decode(bytes.NewReader(raw), cluster)
 		if err != nil || kind != c.kind || !bytes.Equal(body, c.body) {
 			t.Errorf("%s: decoded kind %d, content %q, error %v", file, kind, body, err)
@@ -67,20 +68,20 @@
 // TestGoldenHandshake tests the accepting and the dialling end against the recorded bytes of a peer.
 func TestGoldenHandshake(t *testing.T) {
 	cluster := xxhash.Sum64String("cluster-1")
-	hello := golden(t, "hello.frame", encode(cluster, kindHello, []byte("\x06node-a\x06node-b")))
-	answer := golden(t, "hello-answer.frame", encode(cluster, kindHello, []byte("\x06node-b\x06node-a")))
-	data := golden(t, "data.frame", encode(cluster, kindData, []byte("what it carries\x00\xff")))
+	hello := checkGolden(t, "hello.frame", encode(cluster, kindHello, []byte("\x06node-a\x06node-b")))
+	answer := checkGolden(t, "hello-answer.frame", encode(cluster, kindHello, []byte("\x06node-b\x06node-a")))
+	data := checkGolden(t, "data.frame", encode(cluster, kindData, []byte("what it carries\x00\xff")))
 
 	t.Run("accepted", func(t *testing.T) {
-		b, toB := start(t, "node-b", "cluster-1", "127.0.0.1")
+		b, receivedByB := start(t, "node-b", "cluster-1", "127.0.0.1")
 		b.SetPeers(map[string]string{"node-a": "127.0.0.1:1"})
 		c, err := net.Dial("tcp", b.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		exchange(t, c, hello, answer)
-		expect(t, c, toB, b, "node-a", data)
+		exchangeHellos(t, c, hello, answer)
+		exchangeFrames(t, c, receivedByB, b, "node-a", data)
 	})
 	t.Run("dialled", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,7 +89,7 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		a, toA := start(t, "node-a", "cluster-1", "127.0.0.1")
+		a, receivedByA := start(t, "node-a", "cluster-1", "127.0.0.1")
 		a.SetPeers(map[string]string{"node-b": l.Addr().String()})
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 		c, err := l.Accept()
@@ -96,13 +97,13 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		exchange(t, c, answer, hello)
-		expect(t, c, toA, a, "node-b", data)
+		exchangeHellos(t, c, answer, hello)
+		exchangeFrames(t, c, receivedByA, a, "node-b", data)
 	})
 }
 
-// exchange sends a hello and checks the hello that the mesh sends. The two may cross.
-func exchange(t *testing.T, c net.Conn, hello, want []byte) {
+// exchangeHellos sends a hello and checks the hello that the mesh sends. Either side may send first.
+func exchangeHellos(t *testing.T, c net.Conn, hello, want []byte) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	if _, err := c.Write(hello); err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// expect sends one frame in each direction, and checks what arrives. It skips pings of the mesh.
-func expect(t *testing.T, c net.Conn, receivedFrames chan received, m *Mesh, name string, data []byte) {
+// exchangeFrames sends one frame in each direction and checks the frames that arrive. It skips pings from the mesh.
+func exchangeFrames(t *testing.T, c net.Conn, receivedFrames chan received, m *Mesh, name string, data []byte) {
 	t.Helper()
 	if _, err := c.Write(data); err != nil {
 		t.Fatal(err)
@@ -127,12 +128,12 @@
 		t.Fatal("the mesh received no frame within 10 s")
 	}
 	if x.from != name || string(x.frame) != "what it carries\x00\xff" {
-		t.Errorf("got frame %q from %q", x.frame, x.from)
+		t.Errorf("got frame %q from %q, want the frame that the peer sent", x.frame, x.from)
 	}
 	if !m.Send(name, []byte("what it carries\x00\xff")) {
 		t.Fatal("Send dropped the frame")
 	}
-	ping := golden(t, "ping.frame", encode(m.clusterDigest, kindPing, nil))
+	ping := checkGolden(t, "ping.frame", encode(m.clusterDigest, kindPing, nil))
 	for {
 		got := make([]byte, len(ping))
 		if _, err := io.ReadFull(c, got); err != nil {
@@ -155,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "status.json", encoded)
+	checkGolden(t, "status.json", encoded)
 }
 
 // TestGoldenReasons checks the names of drop counters, which operators search for in the status.
--- a/internal/cluster/usage/state_test.go
+++ b/internal/cluster/usage/state_test.go
@@ -19,7 +19,7 @@
 	return Normalize(counts)
 }
 
-// drawState draws a state of up to 4 updates.
+// drawState draws a state that results from merging up to 4 updates.
 func drawState(t *rapid.T) State {
 	s := EmptyState()
 	for range rapid.IntRange(0, 4).Draw(t, "updates") {
@@ -28,7 +28,7 @@
 		if writer > 0 {
 			through = rapid.Uint64Range(0, writer-1).Draw(t, "through")
 		}
-		// Rollups with the same writer and sequence must be equal, as their writer makes only one.
+		// Rollups with the same writer and sequence must be equal, as a writer makes one rollup per sequence.
 		rollup := Rollup{Writer: writer, Sequence: through, Through: through, Counts: Counts{{1, Count{writer*100 + through, 0}}}}
 		if writer == 0 {
 			rollup = Rollup{}
@@ -109,7 +109,7 @@
 	var self *Replica
 	for i := range uint64(restarts) {
 		self = NewReplica("self", 10+i)
-		mergeReplica(float64(i), self, other) // it learns its past incarnations from the other replica
+		mergeReplica(float64(i), self, other) // self learns its past incarnations from other
 		self.UpdateLocal(Counts{{7, Count{Started: 3, Refunded: 1}}})
 		self.Compact(float64(i), 600, nil)
 		mergeReplica(float64(i), other, self)
@@ -120,7 +120,7 @@
 	for _, s := range []*Replica{self, other} {
 		r := instanceUsage(s, "self")
 		if len(r.Incarnations) > MaxIncarnations+1 || len(r.Rollup.Counts) != 1 {
-			t.Errorf("%d incarnations are kept, want at most MaxIncarnations, the current one, and a rollup of one tenant",
+			t.Errorf("got %d incarnations, want at most MaxIncarnations and the current one, and a rollup with one tenant",
 				len(r.Incarnations))
 		}
 		if got := s.Snapshot().Total(7); got != (Count{3 * restarts, restarts}) {
@@ -136,9 +136,9 @@
 	}
 }
 
-// Two processes run under one name by mistake. Each counts under its own incarnation, the total includes both, and
-// neither compacts the other's incarnation while that grows. A process whose incarnation was compacted because it was
-// idle continues under a new one, so that its next counts are not lost.
+// Two processes run under one name by mistake. Each counts under its own incarnation, and the total includes both.
+// Neither process compacts the other's incarnation while its counts grow. A process whose idle incarnation was
+// compacted continues under a new incarnation, so that its later counts are not lost.
 func TestTwoProcessesWithOneName(t *testing.T) {
 	a, b := NewReplica("twin", 5), NewReplica("twin", 9)
 	var countsA, countsB Counts
@@ -150,7 +150,7 @@
 		mergeReplica(now, a, b)
 		mergeReplica(now, b, a)
 		if a.Compact(now, 10, countsA) || b.Compact(now, 10, countsB) {
-			t.Fatalf("compacted at %v s while both incarnations grow", now)
+			t.Fatalf("compacted at %v s while the counts of both incarnations grow", now)
 		}
 	}
 	for _, s := range []*Replica{a, b} {
@@ -163,7 +163,7 @@
 	}
 	mergeReplica(500, a, b)
 	if !a.Compact(500, 10, countsA) || a.Incarnation() <= 9 {
-		t.Fatalf("continues as incarnation %d after it was compacted, want a new one above 9", a.Incarnation())
+		t.Fatalf("got incarnation %d after the idle one was compacted, want a new one above 9", a.Incarnation())
 	}
 	a.UpdateLocal(addCounts(countsA, Counts{{1, Count{Started: 1}}}))
 	mergeReplica(501, b, a)
@@ -172,7 +172,8 @@
 	}
 }
 
-// An update with a higher count for a replica's current incarnation is ignored: only the replica itself counts there.
+// An update from elsewhere with a higher count for a replica's current incarnation is ignored, because only the replica
+// itself counts under that incarnation.
 func TestUpdateOfOwnIncarnationIsIgnored(t *testing.T) {
 	s := NewReplica("s", 3)
 	s.UpdateLocal(Counts{{1, Count{Started: 1}}})
@@ -217,11 +218,11 @@
 	}
 }
 
-// distinctCounts returns the counts of n tenants, all different, in multiples of by.
-func distinctCounts(n int, by uint64) Counts {
+// distinctCounts returns counts of n tenants: factor, 2*factor and so on up to n*factor.
+func distinctCounts(n int, factor uint64) Counts {
 	c := make(Counts, n)
 	for i := range c {
-		c[i] = TenantCount{uint64(i) * 7, Count{by * uint64(i+1), 0}}
+		c[i] = TenantCount{uint64(i) * 7, Count{factor * uint64(i+1), 0}}
 	}
 	return c
 }
