--- a/internal/cluster/shard/export.go
+++ b/internal/cluster/shard/export.go
@@ -33,8 +33,8 @@
 	checksum      Checksum
 }
 
-// Snapshot holds the jobs and tags of a sealed owner. Their times are relative to
-// AsOf, in seconds of the holder's own clock.
+// Snapshot holds the jobs and tags of a sealed owner. AsOf is a time in seconds of
+// the holder's own clock; the times of jobs and tags are relative to AsOf.
 type Snapshot struct {
 	AsOf    float64
 	Records []JobRecord
@@ -43,7 +43,7 @@
 
 // BeginTransfer seals the owner and begins a transfer to target, an incarnation
 // of another instance. It returns a TransferRejectedError if the owner is not
-// open, as during another transfer.
+// open, for example during another transfer.
 func (o *Owner) BeginTransfer(target string) (*ExportTransfer, error) {
 	if o.state != StateOpen {
 		return nil, TransferRejectedError{o.shard, o.epoch, o.transfers, "this instance's owner is " + string(o.state)}
@@ -68,17 +68,18 @@
 	return t.stage
 }
 
-// Freeze takes the snapshot of the sealed owner, with the tags of its tenants in
-// seconds relative to now. It returns a TransferRejectedError while grants are
-// pending (see Owner.Revokes and Owner.ApplyDecline), unless waive is set. With
-// waive it does not wait for origins that do not answer: jobs with a pending Send
-// are transferred as Granted, their charges stay, and the updates of the origins
-// to the new owner settle these grants.
-func (t *ExportTransfer) Freeze(now float64, tags []TenantTags, waive bool) error {
+// Freeze takes the snapshot of the sealed owner. The caller passes the tags of the
+// shard's tenants, in seconds relative to now. Freeze returns a TransferRejectedError
+// if the stage is not StageRevoking, or while grants are pending (see Owner.Revokes
+// and Owner.ApplyDecline) unless waivePending is set. With waivePending the transfer
+// does not wait for origins that do not answer: jobs with a pending Send are
+// transferred as Granted, their charges stay, and the updates of the origins to the
+// new owner settle these grants.
+func (t *ExportTransfer) Freeze(now float64, tags []TenantTags, waivePending bool) error {
 	if t.Stage() != StageRevoking {
 		return t.rejected("its stage is " + string(t.Stage()))
 	}
-	if len(t.owner.grants) > 0 && !waive {
+	if len(t.owner.grants) > 0 && !waivePending {
 		return t.rejected("grants are still pending")
 	}
 	records := t.owner.recordsForTransfer(now)
@@ -152,8 +153,8 @@
 	return list[min(index*size, len(list)):min((index+1)*size, len(list))]
 }
 
-// Acknowledge records which chunk the new owner expects next. When it has all,
-// the transfer is staged.
+// Acknowledge records which chunk the new owner expects next. Once the new owner
+// has all chunks, the transfer is staged.
 func (t *ExportTransfer) Acknowledge(ack ChunkAck) {
 	if t.Stage() != StageCopying || !t.matches(ack.Shard, ack.Epoch, ack.TransferNumber) || ack.Next > t.chunkCount {
 		return
@@ -187,8 +188,8 @@
 	}
 }
 
-// AbortMessage returns the message that asks the new owner to abort the transfer;
-// false: the transfer is not in StageAborting.
+// AbortMessage returns the message that asks the new owner to abort the transfer.
+// It returns false unless the stage is StageAborting.
 func (t *ExportTransfer) AbortMessage() (Abort, bool) {
 	return Abort{
 		Shard:          t.owner.shard,
@@ -215,10 +216,10 @@
 }
 
 // Reclaim returns the change that the old owner proposes if the new owner's
-// incarnation has ended or does not answer: the map names the old owner, self,
-// again, at the next epoch. If it takes effect, the caller calls Owner.Renew.
-// Reclaim returns false if the transfer is done, or if the last chunk was never
-// made: then Abort is enough.
+// incarnation has ended or does not answer. It makes self, the old owner, the owner
+// of the shard for the next epoch too. Once the map has changed accordingly, the
+// caller calls Owner.Renew. Reclaim returns false if the transfer is done, or if the
+// last chunk was never made, because Abort is enough then.
 func (t *ExportTransfer) Reclaim(self string) (OwnerChange, bool) {
 	return OwnerChange{
 		Shard: t.owner.shard,
--- a/internal/cluster/shard/import.go
+++ b/internal/cluster/shard/import.go
@@ -8,7 +8,7 @@
 	shard       int
 	incarnation string
 	maxRecords  int
-	knownEpoch  uint64 // epoch of the shard in the map, as far as known on this instance
+	knownEpoch  uint64 // newest epoch of the shard in the map that this instance knows
 	epoch       uint64 // epoch of the newest transfer known
 	number      uint64 // number of that transfer
 	nextChunk   int
@@ -41,9 +41,9 @@
 	}
 }
 
-// ObserveEpoch records that the map has reached an epoch. Transfers of older
-// epochs are neither continued nor aborted any more. The records of a transfer
-// are kept for the epoch that follows its own, and discarded after that.
+// ObserveEpoch records that the map has reached an epoch. Messages of transfers of
+// older epochs are rejected from then on. The records of a transfer of epoch N are
+// kept for TakeSnapshot at epoch N+1, and discarded once the map is past N+1.
 func (t *ImportTransfer) ObserveEpoch(epoch uint64) {
 	t.knownEpoch = max(t.knownEpoch, epoch)
 	if t.knownEpoch > t.epoch+1 {
@@ -57,7 +57,7 @@
 	return t.chunkCount > 0 && t.nextChunk == t.chunkCount && t.abortReason == ""
 }
 
-// compareTo orders a message's transfer against the newest known: negative if older, positive if newer.
+// compareTo compares a message's transfer with the newest transfer known: negative if older, positive if newer.
 func (t *ImportTransfer) compareTo(epoch, number uint64) int {
 	return cmp.Or(cmp.Compare(epoch, t.epoch), cmp.Compare(number, t.number))
 }
@@ -82,7 +82,7 @@
 // chunk expected next. A repeated chunk, or one after a gap, is ignored and
 // acknowledged. The error says why the chunk was rejected: a
 // TransferRejectedError or a StaleEpochError. If the transfer is aborted, Aborted
-// is set; it is to be sent to the old owner, which may then open again.
+// is set; the caller sends it to the old owner, which may then open again.
 func (t *ImportTransfer) AddChunk(now float64, c Chunk) (ChunkAck, *Aborted, error) {
 	if err := t.checkTransfer(c.Target, c.Epoch, c.TransferNumber); err != nil {
 		return ChunkAck{}, nil, err
@@ -118,8 +118,8 @@
 	return ack, nil, nil
 }
 
-// checkTransfer returns an error if the target, epoch or number of a transfer's
-// message rules it out.
+// checkTransfer returns an error for a message of a transfer to another
+// incarnation, of an older epoch, or that a newer transfer has superseded.
 func (t *ImportTransfer) checkTransfer(target string, epoch, number uint64) error {
 	switch {
 	case target != t.incarnation:
@@ -158,10 +158,10 @@
 	}
 }
 
-// Propose returns the change of the agreed map that the new owner, name, has to
-// propose. It returns false unless the transfer is staged and of the map's current
-// epoch. After Propose the new owner does not abort the transfer any more. Propose
-// may be called repeatedly.
+// Propose returns the change of the agreed map that makes name, the new owner, the
+// owner of the shard; the caller proposes it. It returns false unless the transfer
+// is staged and its epoch is the map's current one. After Propose the new owner does
+// not abort the transfer any more. Propose may be called repeatedly.
 func (t *ImportTransfer) Propose(name string) (OwnerChange, bool) {
 	if !t.Staged() || t.epoch < t.knownEpoch {
 		return OwnerChange{}, false
@@ -174,14 +174,16 @@
 	}, true
 }
 
-// HandleAbort aborts a transfer at the request of the old owner. It returns an
-// error once the change was proposed or the map has changed: from then on the
-// transfer cannot be aborted, and the old owner may only Reclaim the shard.
+// HandleAbort aborts a transfer at the request of the old owner. It returns a
+// TransferRejectedError if the transfer is to another incarnation, was superseded,
+// or its change was proposed, and a StaleEpochError if the map has changed. Once the
+// change was proposed or the map has changed, the transfer cannot be aborted, and
+// the old owner may only Reclaim the shard.
 func (t *ImportTransfer) HandleAbort(m Abort) (*Aborted, error) {
 	if err := t.checkTransfer(m.Target, m.Epoch, m.TransferNumber); err != nil {
 		return nil, err
 	}
-	if t.compareTo(m.Epoch, m.TransferNumber) > 0 { // its chunks still in flight must not be staged later
+	if t.compareTo(m.Epoch, m.TransferNumber) > 0 { // chunks of it that are in flight must not be staged later
 		t.restart(m.Epoch, m.TransferNumber)
 	} else if t.proposed {
 		return nil, t.rejected(m.Epoch, m.TransferNumber, reasonProposed)
@@ -199,9 +201,10 @@
 	return t.abort(reason)
 }
 
-// TakeSnapshot returns the snapshot with which the owner opens at an epoch at
-// which the map names this instance; nil: no staged transfer leads to that epoch.
-// It returns a snapshot only once.
+// TakeSnapshot returns the snapshot with which the owner on this instance opens at
+// an epoch. The caller has seen that the map names this instance at that epoch.
+// TakeSnapshot returns nil unless a transfer of the previous epoch is staged, and
+// returns each snapshot only once.
 func (t *ImportTransfer) TakeSnapshot(epoch uint64) *Snapshot {
 	t.ObserveEpoch(epoch)
 	if !t.Staged() || t.epoch+1 != epoch {
--- a/internal/cluster/shard/wire/wire_test.go
+++ b/internal/cluster/shard/wire/wire_test.go
@@ -75,13 +75,13 @@
 		return c
 	}
 	for name, m := range map[string]shard.Message{
-		"no epoch":     shard.Ack{Origin: "h"},
-		"no origin":    shard.Ack{Epoch: 1},
-		"shard number": shard.Ack{Shard: shard.MaxShards, Epoch: 1, Origin: "h"},
-		"kind":         shard.Grant{Epoch: 1, Origin: "h", ID: "j", Kind: "other"},
-		"no id":        update(func(e *shard.JobRecord) { e.ID = "" }),
-		"long id":      update(func(e *shard.JobRecord) { e.ID = long }),
-		"NaN timeout":  update(func(e *shard.JobRecord) { e.Timeout = math.NaN() }),
+		"no epoch":               shard.Ack{Origin: "h"},
+		"no origin":              shard.Ack{Epoch: 1},
+		"shard number too large": shard.Ack{Shard: shard.MaxShards, Epoch: 1, Origin: "h"},
+		"unknown kind":           shard.Grant{Epoch: 1, Origin: "h", ID: "j", Kind: "other"},
+		"no id":                  update(func(e *shard.JobRecord) { e.ID = "" }),
+		"long id":                update(func(e *shard.JobRecord) { e.ID = long }),
+		"NaN timeout":            update(func(e *shard.JobRecord) { e.Timeout = math.NaN() }),
 		"long report": update(func(e *shard.JobRecord) {
 			e.Attempts = []shard.Attempt{{Report: make([]float64, shard.MaxReportValues+1)}}
 		}),
@@ -91,10 +91,10 @@
 		"too many attempts":         update(func(e *shard.JobRecord) { e.Attempts = make([]shard.Attempt, shard.MaxAttempts+1) }),
 		"too many records":          chunk(func(c *shard.Chunk) { c.Records = make([]shard.JobRecord, shard.MaxChunkRecords+1) }),
 		"too many tags":             chunk(func(c *shard.Chunk) { c.Tags = make([]shard.TenantTags, shard.MaxChunkTags+1) }),
-		"chunk index":               chunk(func(c *shard.Chunk) { c.Index = 2 }),
+		"chunk index too large":     chunk(func(c *shard.Chunk) { c.Index = 2 }),
 		"no chunks":                 chunk(func(c *shard.Chunk) { c.Count, c.Index = 0, 0 }),
 		"too few checksums":         shard.Digest{Epoch: 1, Origin: "h", Checksums: make([]shard.Checksum, 1)},
-		"bucket":                    shard.DigestMismatch{Epoch: 1, Origin: "h", Buckets: []int{shard.BucketCount}},
+		"bucket number too large":   shard.DigestMismatch{Epoch: 1, Origin: "h", Buckets: []int{shard.BucketCount}},
 		"too many ids":              shard.ResendRequest{Epoch: 1, Origin: "h", IDs: make([]string, shard.MaxChunkRecords+1)},
 		"unknown type":              otherMessage{},
 	} {
@@ -102,17 +102,17 @@
 			t.Errorf("%s: Encode returned %v, want ErrCorrupt", name, err)
 		}
 	}
-	other := func(e *Envelope) []byte { e.Cluster = 5; raw, _ := proto.Marshal(e); return raw }
+	marshal := func(e *Envelope) []byte { e.Cluster = 5; raw, _ := proto.Marshal(e); return raw }
 	for name, c := range map[string]struct {
 		raw  []byte
 		want error
 	}{
-		"too large":     {make([]byte, MaxMessage+1), ErrTooLarge},
-		"no protobuf":   {[]byte{0xff}, ErrCorrupt},
-		"newer version": {other(&Envelope{MinVersion: Version + 1}), ErrUnsupportedVersion},
-		"no body":       {other(&Envelope{Epoch: 1, Origin: []byte("h")}), ErrCorrupt},
-		"uneven lists":  {other(&Envelope{Epoch: 1, Origin: []byte("h"), Body: &Envelope_BucketContents{&BucketContentsMessage{Ids: [][]byte{{1}}}}}), ErrCorrupt},
-		"kind":          {other(&Envelope{Epoch: 1, Origin: []byte("h"), Body: &Envelope_Grant{&GrantMessage{Id: []byte("j"), Kind: 1 << 31}}}), ErrCorrupt},
+		"too large":               {make([]byte, MaxMessage+1), ErrTooLarge},
+		"not protobuf":            {[]byte{0xff}, ErrCorrupt},
+		"newer version":           {marshal(&Envelope{MinVersion: Version + 1}), ErrUnsupportedVersion},
+		"no body":                 {marshal(&Envelope{Epoch: 1, Origin: []byte("h")}), ErrCorrupt},
+		"lists of unequal length": {marshal(&Envelope{Epoch: 1, Origin: []byte("h"), Body: &Envelope_BucketContents{&BucketContentsMessage{Ids: [][]byte{{1}}}}}), ErrCorrupt},
+		"unknown kind":            {marshal(&Envelope{Epoch: 1, Origin: []byte("h"), Body: &Envelope_Grant{&GrantMessage{Id: []byte("j"), Kind: 1 << 31}}}), ErrCorrupt},
 	} {
 		if _, err := Decode(5, c.raw); !errors.Is(err, c.want) {
 			t.Errorf("%s: Decode returned %v, want %v", name, err, c.want)
@@ -120,8 +120,8 @@
 	}
 }
 
-// FuzzDecode checks that no bytes make Decode panic, that a decoded message survives
-// another round trip, and that the types of package shard handle it without a panic.
+// FuzzDecode checks that no bytes make Decode panic, that a decoded message is the same
+// after another round trip, and that the types of package shard handle it without a panic.
 func FuzzDecode(f *testing.F) {
 	for _, m := range sampleMessages {
 		raw, _ := Encode(5, m)
@@ -137,86 +137,86 @@
 			t.Fatalf("encode %+v again: %v", m, err)
 		}
 		if back, err := Decode(5, again); err != nil || !reflect.DeepEqual(back, m) {
-			t.Fatalf("%+v became %+v in a second round trip: %v", m, back, err)
+			t.Fatalf("got %+v, which a second round trip decodes to %+v, error %v", m, back, err)
 		}
-		l, s := shard.NewJobLog(7, "h#1"), shard.NewOwner(7, shard.Limits{MaxJobs: 4})
-		l.Add(0, shard.JobRecord{ID: "j", Timeout: 9})
-		l.ObserveEpoch(3)
-		s.Open(3, nil)
-		update, _ := l.NextUpdate(0)
-		s.ApplyUpdate(0, update)
-		in := shard.NewImportTransfer(7, "b#1", 4)
+		jobLog, owner := shard.NewJobLog(7, "h#1"), shard.NewOwner(7, shard.Limits{MaxJobs: 4})
+		jobLog.Add(0, shard.JobRecord{ID: "j", Timeout: 9})
+		jobLog.ObserveEpoch(3)
+		owner.Open(3, nil)
+		update, _ := jobLog.NextUpdate(0)
+		owner.ApplyUpdate(0, update)
+		importTransfer := shard.NewImportTransfer(7, "b#1", 4)
 		switch m := m.(type) {
 		case shard.Grant:
-			l.Accept(1, m)
-			l.Decline(m)
+			jobLog.Accept(1, m)
+			jobLog.Decline(m)
 		case shard.JobUpdate:
-			s.ApplyUpdate(1, m)
+			owner.ApplyUpdate(1, m)
 		case shard.Ack:
-			l.Acknowledge(m)
+			jobLog.Acknowledge(m)
 		case shard.Revoke:
-			l.Revoke(m)
+			jobLog.Revoke(m)
 		case shard.Decline:
-			s.ApplyDecline(m)
+			owner.ApplyDecline(m)
 		case shard.Chunk:
-			in.AddChunk(1, m)
-			in.TakeSnapshot(m.Epoch + 1)
+			importTransfer.AddChunk(1, m)
+			importTransfer.TakeSnapshot(m.Epoch + 1)
 		case shard.ChunkAck, shard.Aborted:
-			o, _ := s.BeginTransfer("b#1")
-			o.Freeze(1, nil, true)
-			o.Chunks(1, 1)
+			exportTransfer, _ := owner.BeginTransfer("b#1")
+			exportTransfer.Freeze(1, nil, true)
+			exportTransfer.Chunks(1, 1)
 			if x, ok := m.(shard.ChunkAck); ok {
-				o.Acknowledge(x)
+				exportTransfer.Acknowledge(x)
 			} else {
-				o.HandleAborted(m.(shard.Aborted))
+				exportTransfer.HandleAborted(m.(shard.Aborted))
 			}
 		case shard.Abort:
-			in.HandleAbort(m)
+			importTransfer.HandleAbort(m)
 		case shard.Digest:
-			s.Compare(m)
+			owner.Compare(m)
 		case shard.DigestMismatch:
-			l.BucketContents(m)
+			jobLog.BucketContents(m)
 		case shard.BucketContents:
-			s.Reconcile(m)
+			owner.Reconcile(m)
 		case shard.ResendRequest:
-			l.QueueResend(m)
+			jobLog.QueueResend(m)
 		}
-		if s.JobCount() > shard.MaxChunkRecords+1 {
-			t.Fatalf("the owner has %d jobs, more than one message can add", s.JobCount())
+		if owner.JobCount() > shard.MaxChunkRecords+1 {
+			t.Fatalf("the owner has %d jobs, want at most MaxChunkRecords+1, which one message can add", owner.JobCount())
 		}
 	})
 }
 
-// BenchmarkCopy measures encoding, decoding and the digests of both sides of a transfer of 4,096 records.
+// BenchmarkCopy measures a transfer of 4,096 records: encoding, decoding, and computing the checksums on both sides.
 func BenchmarkCopy(b *testing.B) {
 	const size = 4096
-	l, s := shard.NewJobLog(0, "h#1"), shard.NewOwner(0, shard.Limits{MaxJobs: size})
+	jobLog, owner := shard.NewJobLog(0, "h#1"), shard.NewOwner(0, shard.Limits{MaxJobs: size})
 	for i := range size {
-		l.Add(0, shard.JobRecord{ID: fmt.Sprintf("request-%08d", i), Class: "interactive", Tenant: fmt.Sprint("tenant", i%50), Timeout: 30, Slots: 1, Memory: 256})
+		jobLog.Add(0, shard.JobRecord{ID: fmt.Sprintf("request-%08d", i), Class: "interactive", Tenant: fmt.Sprint("tenant", i%50), Timeout: 30, Slots: 1, Memory: 256})
 	}
-	l.ObserveEpoch(1)
-	s.Open(1, nil)
-	for m, ok := l.NextUpdate(0); ok; m, ok = l.NextUpdate(0) {
-		_, ack, _ := s.ApplyUpdate(0, m)
-		l.Acknowledge(ack)
+	jobLog.ObserveEpoch(1)
+	owner.Open(1, nil)
+	for m, ok := jobLog.NextUpdate(0); ok; m, ok = jobLog.NextUpdate(0) {
+		_, ack, _ := owner.ApplyUpdate(0, m)
+		jobLog.Acknowledge(ack)
 	}
 	bytes := 0
 	for b.Loop() {
-		o, _ := s.BeginTransfer("b#1")
-		o.Freeze(1, nil, false)
-		in := shard.NewImportTransfer(0, "b#1", size)
-		for _, p := range o.Chunks(1, size) {
+		exportTransfer, _ := owner.BeginTransfer("b#1")
+		exportTransfer.Freeze(1, nil, false)
+		importTransfer := shard.NewImportTransfer(0, "b#1", size)
+		for _, p := range exportTransfer.Chunks(1, size) {
 			raw, err := Encode(5, p)
 			if err != nil {
 				b.Fatal(err)
 			}
 			m, _ := Decode(5, raw)
-			if _, _, err := in.AddChunk(1, m.(shard.Chunk)); err != nil {
+			if _, _, err := importTransfer.AddChunk(1, m.(shard.Chunk)); err != nil {
 				b.Fatal(err)
 			}
 			bytes += len(raw)
 		}
-		o.HandleAborted(*in.Abort("again"))
+		exportTransfer.HandleAborted(*importTransfer.Abort("again"))
 	}
 	b.ReportMetric(float64(size)*float64(b.N)/b.Elapsed().Seconds(), "entries/s")
 	b.ReportMetric(float64(bytes)/float64(size)/float64(b.N), "B/entry")
--- a/internal/cluster/shardrouter/balancing.go
+++ b/internal/cluster/shardrouter/balancing.go
@@ -45,7 +45,7 @@
 	sh.owned.updates = nil
 	sh.owned.tagsEpoch = sh.owner.Epoch()
 	for tenant := range sh.owned.tenants {
-		r.batch.pending = append(r.batch.pending, balance.ExportTenant{Tenant: tenant})
+		r.batch.tenantEvents = append(r.batch.tenantEvents, balance.ExportTenant{Tenant: tenant})
 	}
 	sh.owned.tenantsToExport = len(sh.owned.tenants)
 	r.needsStep = true
@@ -59,7 +59,7 @@
 	defer sh.Unlock()
 	sh.owned.tenantsToExport--
 	sh.saveTags(now, state)
-	r.batch.pending = append(r.batch.pending, balance.QuotaUpdate{Tenant: state.Tenant})
+	r.batch.tenantEvents = append(r.batch.tenantEvents, balance.QuotaUpdate{Tenant: state.Tenant})
 	r.reimportUnsharded(state)
 	if sh.owned.tenantsToExport == 0 {
 		clear(sh.owned.jobViews)
@@ -96,7 +96,7 @@
 	}
 	if len(unsharded) > 0 {
 		kept := balance.TenantState{Tenant: state.Tenant, Jobs: unsharded}
-		r.batch.pending = append(r.batch.pending, balance.ImportTenant{State: kept})
+		r.batch.tenantEvents = append(r.batch.tenantEvents, balance.ImportTenant{State: kept})
 	}
 }
 
@@ -115,7 +115,7 @@
 	sh.addKnownTenants()
 	for tenant := range sh.owned.tenants {
 		state := sh.tenantState(now, tenant, byTenant[tenant])
-		r.batch.pending = append(r.batch.pending,
+		r.batch.tenantEvents = append(r.batch.tenantEvents,
 			balance.QuotaUpdate{Tenant: tenant, Allotment: 1},
 			balance.ImportTenant{State: state})
 	}
--- a/internal/cluster/shardrouter/export.go
+++ b/internal/cluster/shardrouter/export.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	r.schedule(sh)
-	r.wake()
+	r.requestWake()
 	return nil
 }
 
--- a/internal/cluster/shardrouter/owner.go
+++ b/internal/cluster/shardrouter/owner.go
@@ -3,7 +3,8 @@
 import "example.org/bellstream/internal/cluster/shard"
 
 // advanceOwner sends pending grants again and expires jobs of origins that do not
-// respond, if the shard is open and balanced here.
+// respond. It does nothing unless the owner is open, this instance's balancer
+// schedules the shard and the table is current.
 func (sh *shardState) advanceOwner(now float64) {
 	if sh.owner.State() != shard.StateOpen || !sh.owned.balancing || !sh.router.tableIsCurrent() {
 		return
@@ -12,7 +13,7 @@
 	if sh.owner.PendingCount() == 0 {
 		sh.owned.oldestGrant = 0
 	}
-	sh.sweepIfDue(now)
+	sh.expireUnansweredIfDue(now)
 }
 
 func (sh *shardState) resendGrantsIfDue(now float64) {
@@ -27,10 +28,10 @@
 	} else {
 		o.resendDelay = sh.router.Timing.RetryInterval
 	}
-	firstTime := o.oldestGrant == 0
+	newlyPending := o.oldestGrant == 0
 	o.oldestGrant = oldest
 	o.resendAt = now + o.resendDelay
-	if !firstTime {
+	if !newlyPending {
 		sh.resendGrants(grants)
 	}
 }
@@ -45,14 +46,14 @@
 	}
 }
 
-// sweepIfDue expires the jobs of other origins that are not answered although
-// their deadline has passed by more than OriginGrace.
-func (sh *shardState) sweepIfDue(now float64) {
+// expireUnansweredIfDue expires, once per CompareInterval, the jobs of other
+// origins that are unanswered more than OriginGrace after their deadline.
+func (sh *shardState) expireUnansweredIfDue(now float64) {
 	r := sh.router
-	if now < sh.owned.sweepAt {
+	if now < sh.owned.nextExpiryAt {
 		return
 	}
-	sh.owned.sweepAt = now + r.Timing.CompareInterval
+	sh.owned.nextExpiryAt = now + r.Timing.CompareInterval
 	for key, view := range sh.owned.jobViews {
 		if !view.answered && key.Origin != r.incarnation && now > view.deadline+r.Timing.OriginGrace {
 			sh.owned.updates = append(sh.owned.updates, jobExpired{key})
@@ -61,8 +62,9 @@
 	}
 }
 
-// queueUpdates queues updates from origins for the balancer if it schedules the
-// shard. Otherwise they are not needed: startBalancing passes all jobs on to it.
+// queueUpdates queues updates from origins for the balancer if the balancer
+// schedules the shard. Otherwise the updates are not needed, as startBalancing
+// passes all jobs of the shard to the balancer.
 func (sh *shardState) queueUpdates(updates []shard.Update) {
 	if !sh.owned.balancing || len(updates) == 0 {
 		return
@@ -73,8 +75,8 @@
 	sh.router.markReady(sh)
 }
 
-// queueReturnedGrants queues grants that were not executed for the balancer, if it
-// schedules the shard.
+// queueReturnedGrants queues an event for the balancer, if it schedules the shard,
+// for each grant that its origin did not execute.
 func (sh *shardState) queueReturnedGrants(grants []shard.Grant) {
 	if !sh.owned.balancing {
 		return
@@ -85,8 +87,8 @@
 	}
 }
 
-// receive handles a message or a new incarnation of its sender. Package shard
-// ignores messages that are late, duplicated or of another epoch.
+// receive handles an envelope: a message, or the notice that its sender has a new
+// incarnation. Package shard ignores messages that are late, duplicated or of another epoch.
 func (sh *shardState) receive(now float64, e envelope) {
 	if e.newIncarnation != "" {
 		sh.receiveIncarnation(e.sender, e.newIncarnation)
--- a/internal/cluster/shardrouter/router.go
+++ b/internal/cluster/shardrouter/router.go
@@ -95,12 +95,12 @@
 }
 
 // stepBatch collects the events of a step for the balancer. The balancer receives
-// undo, then pending, then local.
+// undo, then tenantEvents, then local.
 type stepBatch struct {
-	undo    []balance.Event // revert decisions that were not granted
-	pending []balance.Event // move tenants into and out of the balancer
-	local   []balance.Event // events that belong to no shard
-	events  []balance.Event // all of the above, and the events from owners
+	undo         []balance.Event // revert the balancer's decisions that were not granted
+	tenantEvents []balance.Event // import or export tenants, and update their quota
+	local        []balance.Event // events that belong to no shard
+	events       []balance.Event // all of the above, and the events from owners
 }
 
 // settings are the parts of the balancer's configuration that the router uses.
@@ -168,9 +168,9 @@
 		c.Idempotence == balance.IdempotentWithKey && c.DedupScope == balance.ScopeAll
 }
 
-// recordTimeout records a job's timeout as the longest of its class if it is.
-// The balancer too derives the age of a job's first request from the longest
-// timeout of its class.
+// recordTimeout updates the longest timeout of a class with that of a job. The
+// router needs it to compute the age of a job's first request in the same way as
+// the balancer.
 func (s *settings) recordTimeout(class string, timeout float64) {
 	if _, known := s.classes[class]; known {
 		s.longestTimeout[class] = max(s.longestTimeout[class], timeout)
@@ -268,7 +268,7 @@
 	}
 	r.sendProposals()
 	if !r.tableIsCurrent() {
-		r.wake()
+		r.requestWake()
 	}
 }
 
@@ -291,7 +291,8 @@
 	}
 }
 
-func (r *Router) wake() {
+// requestWake makes wakeLoop call Wake. It never blocks.
+func (r *Router) requestWake() {
 	select {
 	case r.wakeups <- struct{}{}:
 	default:
--- a/internal/cluster/shardrouter/state.go
+++ b/internal/cluster/shardrouter/state.go
@@ -67,7 +67,7 @@
 	resendAt        float64                   // when pending grants are sent again
 	resendDelay     float64                   // delay before the next resend of pending grants
 	oldestGrant     uint64                    // number of the oldest pending grant at the last check; 0: none
-	sweepAt         float64                   // the next search for jobs whose origin does not respond
+	nextExpiryAt    float64                   // the next search for jobs whose origin does not respond
 }
 
 // exportState is a transfer to another instance.
@@ -144,7 +144,7 @@
 	sh.Unlock()
 	r.flushPeers()
 	if wake {
-		r.wake()
+		r.requestWake()
 	}
 }
 
--- a/internal/cluster/shardrouter/step.go
+++ b/internal/cluster/shardrouter/step.go
@@ -28,8 +28,8 @@
 	r.grantRejections(now)
 	r.flushPeers()
 	r.scheduleChanged()
-	if r.needsStep || len(r.batch.undo) > 0 || len(r.batch.pending) > 0 {
-		r.wake()
+	if r.needsStep || len(r.batch.undo) > 0 || len(r.batch.tenantEvents) > 0 {
+		r.requestWake()
 	}
 	return r.actions
 }
@@ -47,14 +47,14 @@
 func (r *Router) collectEvents(now float64) {
 	b := &r.batch
 	b.events = append(b.events[:0], b.undo...)
-	b.events = append(b.events, b.pending...)
+	b.events = append(b.events, b.tenantEvents...)
 	b.events = append(b.events, b.local...)
 	b.undo = b.undo[:0]
-	b.pending = b.pending[:0]
+	b.tenantEvents = b.tenantEvents[:0]
 	r.updateLocalOwners(now)
 	r.collectReady(now)
-	b.events = append(b.events, b.pending...) // of shards whose balancing collectReady started or stopped
-	b.pending = b.pending[:0]
+	b.events = append(b.events, b.tenantEvents...) // of shards whose balancing collectReady started or stopped
+	b.tenantEvents = b.tenantEvents[:0]
 }
 
 // updateLocalOwners applies updates of changed shards to owners on this instance,
@@ -195,6 +195,6 @@
 			job.shard.Unlock()
 		}
 	}
-	r.batch.local = append(r.batch.local, r.batch.pending...)
-	r.batch.pending = r.batch.pending[:0]
+	r.batch.local = append(r.batch.local, r.batch.tenantEvents...)
+	r.batch.tenantEvents = r.batch.tenantEvents[:0]
 }
--- a/internal/cluster/shardrouter/table.go
+++ b/internal/cluster/shardrouter/table.go
@@ -46,7 +46,7 @@
 func (r *Router) enableSharding(count int) {
 	r.startShards(count)
 	for _, tenant := range r.settings.tenants {
-		r.batch.pending = append(r.batch.pending, balance.QuotaUpdate{Tenant: tenant})
+		r.batch.tenantEvents = append(r.batch.tenantEvents, balance.QuotaUpdate{Tenant: tenant})
 	}
 }
 
