--- a/internal/cluster/migration/plan_test.go
+++ b/internal/cluster/migration/plan_test.go
@@ -18,14 +18,14 @@
 
 func reservedAccount(service string, a Amount) Account { return Account{Service: service, Reserved: a} }
 
-// executePlan executes a plan and returns the amounts by cluster and service. It takes the order that needs the most
-// capacity: every move of a round is escrowed before any of them ends, and they end in random order.
+// executePlan executes a plan and returns the amounts by cluster and service. Every move of a round is escrowed before
+// any move of the round ends, which needs the most capacity. The moves of a round end in random order.
 func executePlan(t interface{ Fatalf(string, ...any) }, ledgers []*CapacityLedger, rounds [][]PlannedMove, seed uint64) map[string]map[string]Amount {
-	at, free := map[string]map[string]Amount{}, map[string]Amount{}
-	for _, b := range ledgers {
-		at[b.Cluster], free[b.Cluster] = map[string]Amount{}, b.Free()
-		for _, l := range b.Accounts {
-			at[b.Cluster][l.Service] = l.Reserved
+	amounts, free := map[string]map[string]Amount{}, map[string]Amount{}
+	for _, ledger := range ledgers {
+		amounts[ledger.Cluster], free[ledger.Cluster] = map[string]Amount{}, ledger.Free()
+		for _, account := range ledger.Accounts {
+			amounts[ledger.Cluster][account.Service] = account.Reserved
 		}
 	}
 	rnd := rand.New(rand.NewPCG(seed, 1))
@@ -34,18 +34,18 @@
 			t.Fatalf("round %d is empty", n)
 		}
 		for _, p := range round {
-			if free[p.To] -= p.Amount; free[p.To] < 0 || p.Amount <= 0 || p.Amount > at[p.From][p.Service] {
-				t.Fatalf("round %d: move %+v is not possible, it leaves %d free: plan %v", n, p, free[p.To], rounds)
+			if free[p.To] -= p.Amount; free[p.To] < 0 || p.Amount <= 0 || p.Amount > amounts[p.From][p.Service] {
+				t.Fatalf("round %d: move %+v is impossible, its destination would have %d free: plan %v", n, p, free[p.To], rounds)
 			}
 		}
 		for _, i := range rnd.Perm(len(round)) {
 			p := round[i]
-			at[p.From][p.Service] -= p.Amount
-			at[p.To][p.Service] += p.Amount
+			amounts[p.From][p.Service] -= p.Amount
+			amounts[p.To][p.Service] += p.Amount
 			free[p.From] += p.Amount
 		}
 	}
-	return at
+	return amounts
 }
 
 func TestPlans(t *testing.T) {
@@ -55,28 +55,28 @@
 		placements []Placement
 		limits     Limits
 		rounds     int
-		cluster    string // that lacks capacity
-		missing    Amount
+		cluster    string // expected cluster that lacks capacity
+		missing    Amount // expected missing amount
 	}{
-		"enough capacity":        {ledgers: []*CapacityLedger{newLedger("a", 200, reservedAccount("s", 90)), newLedger("b", 200, reservedAccount("t", 90))}, placements: swap, rounds: 1},
-		"one after the other":    {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 90)), newLedger("b", 180, reservedAccount("t", 90))}, placements: swap, rounds: 2},
-		"in pieces":              {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 100, reservedAccount("t", 90))}, placements: swap, rounds: 18},
-		"no free capacity":       {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 90, reservedAccount("t", 90))}, placements: swap, cluster: "b", missing: 3},
-		"less free than a piece": {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 92, reservedAccount("t", 90))}, placements: swap, cluster: "b", missing: 1},
-		"too little capacity for the final placement": {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 90)), newLedger("b", 80, reservedAccount("t", 10))}, placements: swap, cluster: "b", missing: 10},
-		"cluster without capacity":                    {ledgers: []*CapacityLedger{newLedger("a", 0, reservedAccount("s", 60), reservedAccount("t", 50)), newLedger("b", 70), newLedger("c", 55)}, placements: []Placement{{"s", ""}, {"t", ""}}, rounds: 1},
-		"cluster without capacity, service divided":   {ledgers: []*CapacityLedger{newLedger("a", 0, reservedAccount("s", 60)), newLedger("b", 40), newLedger("c", 55)}, placements: []Placement{{"s", ""}}, rounds: 1},
-		"capacity fell, one service moves":            {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 60), reservedAccount("t", 50)), newLedger("b", 70)}, placements: []Placement{{"s", ""}, {"t", ""}}, rounds: 1},
-		"capacity fell, no cluster has capacity":      {ledgers: []*CapacityLedger{newLedger("a", 40, reservedAccount("s", 60)), newLedger("b", 10)}, placements: []Placement{{"s", ""}}, cluster: "a", missing: 10},
-		"link for one move":                           {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 20), reservedAccount("t", 20), reservedAccount("u", 20)), newLedger("b", 100)}, placements: []Placement{{"s", "b"}, {"t", "b"}, {"u", "b"}}, limits: Limits{Links: []Link{{[][2]string{{"b", "a"}}, 1}}}, rounds: 3},
-		"cycle of three":                              {ledgers: []*CapacityLedger{newLedger("a", 10, reservedAccount("s", 10)), newLedger("b", 10, reservedAccount("t", 10)), newLedger("c", 15, reservedAccount("u", 10))}, placements: []Placement{{"s", "b"}, {"t", "c"}, {"u", "a"}}, rounds: 6},
-		"cycle needs the capacity first":              {ledgers: []*CapacityLedger{newLedger("a", 10, reservedAccount("s", 10)), newLedger("b", 12, reservedAccount("t", 10)), newLedger("c", 10, reservedAccount("u", 2))}, placements: append(swap, Placement{"u", "b"}), rounds: 11},
-		"open move":                                   {ledgers: []*CapacityLedger{newLedger("a", 100, Account{"s", 20, 70, 0}), newLedger("b", 100, Account{"s", 70, 20, 0})}, placements: swap, rounds: 0},
+		"enough capacity":                              {ledgers: []*CapacityLedger{newLedger("a", 200, reservedAccount("s", 90)), newLedger("b", 200, reservedAccount("t", 90))}, placements: swap, rounds: 1},
+		"one move after the other":                     {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 90)), newLedger("b", 180, reservedAccount("t", 90))}, placements: swap, rounds: 2},
+		"moves in pieces":                              {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 100, reservedAccount("t", 90))}, placements: swap, rounds: 18},
+		"no free capacity":                             {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 90, reservedAccount("t", 90))}, placements: swap, cluster: "b", missing: 3},
+		"less free than a piece":                       {ledgers: []*CapacityLedger{newLedger("a", 90, reservedAccount("s", 90)), newLedger("b", 92, reservedAccount("t", 90))}, placements: swap, cluster: "b", missing: 1},
+		"too little capacity for the final placement":  {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 90)), newLedger("b", 80, reservedAccount("t", 10))}, placements: swap, cluster: "b", missing: 10},
+		"cluster without capacity":                     {ledgers: []*CapacityLedger{newLedger("a", 0, reservedAccount("s", 60), reservedAccount("t", 50)), newLedger("b", 70), newLedger("c", 55)}, placements: []Placement{{"s", ""}, {"t", ""}}, rounds: 1},
+		"cluster without capacity, service divided":    {ledgers: []*CapacityLedger{newLedger("a", 0, reservedAccount("s", 60)), newLedger("b", 40), newLedger("c", 55)}, placements: []Placement{{"s", ""}}, rounds: 1},
+		"capacity fell, one service moves":             {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 60), reservedAccount("t", 50)), newLedger("b", 70)}, placements: []Placement{{"s", ""}, {"t", ""}}, rounds: 1},
+		"capacity fell, no cluster has capacity":       {ledgers: []*CapacityLedger{newLedger("a", 40, reservedAccount("s", 60)), newLedger("b", 10)}, placements: []Placement{{"s", ""}}, cluster: "a", missing: 10},
+		"link limited to one move":                     {ledgers: []*CapacityLedger{newLedger("a", 100, reservedAccount("s", 20), reservedAccount("t", 20), reservedAccount("u", 20)), newLedger("b", 100)}, placements: []Placement{{"s", "b"}, {"t", "b"}, {"u", "b"}}, limits: Limits{Links: []Link{{[][2]string{{"b", "a"}}, 1}}}, rounds: 3},
+		"cycle of three":                               {ledgers: []*CapacityLedger{newLedger("a", 10, reservedAccount("s", 10)), newLedger("b", 10, reservedAccount("t", 10)), newLedger("c", 15, reservedAccount("u", 10))}, placements: []Placement{{"s", "b"}, {"t", "c"}, {"u", "a"}}, rounds: 6},
+		"cycle uses free capacity before another move": {ledgers: []*CapacityLedger{newLedger("a", 10, reservedAccount("s", 10)), newLedger("b", 12, reservedAccount("t", 10)), newLedger("c", 10, reservedAccount("u", 2))}, placements: append(swap, Placement{"u", "b"}), rounds: 11},
+		"open move":                                    {ledgers: []*CapacityLedger{newLedger("a", 100, Account{"s", 20, 70, 0}), newLedger("b", 100, Account{"s", 70, 20, 0})}, placements: swap, rounds: 0},
 	} {
 		rounds, err := Plan(c.ledgers, c.placements, c.limits)
 		executePlan(t, c.ledgers, rounds, 1)
-		var full *InsufficientCapacityError
-		if errors.As(err, &full) != (c.cluster != "") || len(rounds) != c.rounds || full != nil && (full.Cluster != c.cluster || full.Missing != c.missing) {
+		var insufficient *InsufficientCapacityError
+		if errors.As(err, &insufficient) != (c.cluster != "") || len(rounds) != c.rounds || insufficient != nil && (insufficient.Cluster != c.cluster || insufficient.Missing != c.missing) {
 			t.Errorf("%s: got %d rounds %v, error %v", name, len(rounds), rounds, err)
 		}
 	}
@@ -85,31 +85,31 @@
 	}
 }
 
-// reachableByUnits reports whether some order of moves of one unit each brings every service to its placement.
+// reachableByUnits reports whether moves of one unit each, in some order, can bring every service to its placement.
 func reachableByUnits(ledgers []*CapacityLedger, placements []Placement) bool {
 	var todo []Key
 	free := map[string]Amount{}
-	for _, b := range ledgers {
-		free[b.Cluster] = b.Free()
-		for _, l := range b.Accounts {
-			i := slices.IndexFunc(placements, func(p Placement) bool { return p.Service == l.Service })
-			for range l.Reserved {
-				if placements[i].Cluster != b.Cluster {
-					todo = append(todo, Key{b.Cluster, placements[i].Cluster, l.Service})
+	for _, ledger := range ledgers {
+		free[ledger.Cluster] = ledger.Free()
+		for _, account := range ledger.Accounts {
+			i := slices.IndexFunc(placements, func(p Placement) bool { return p.Service == account.Service })
+			for range account.Reserved {
+				if placements[i].Cluster != ledger.Cluster {
+					todo = append(todo, Key{ledger.Cluster, placements[i].Cluster, account.Service})
 				}
 			}
 		}
 	}
 	seen := map[string]bool{}
-	var try func(done uint64, free map[string]Amount) bool
-	try = func(done uint64, free map[string]Amount) bool {
-		left := map[Key]int{}
+	var search func(done uint64, free map[string]Amount) bool
+	search = func(done uint64, free map[string]Amount) bool {
+		remaining := map[Key]int{}
 		for i, k := range todo {
 			if done&(1<<i) == 0 {
-				left[k] = i
+				remaining[k] = i
 			}
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return true
 		}
 		k := fmt.Sprint(done)
@@ -117,23 +117,24 @@
 			return false
 		}
 		seen[k] = true
-		for k, i := range left {
+		for k, i := range remaining {
 			if free[k.To] > 0 {
 				next := maps.Clone(free)
 				next[k.To]--
 				next[k.From]++
-				if try(done|1<<i, next) {
+				if search(done|1<<i, next) {
 					return true
 				}
 			}
 		}
 		return false
 	}
-	return try(0, free)
+	return search(0, free)
 }
 
 // Plans for random ledgers and placements never exceed a capacity, don't depend on the order of the input, and reach the
-// placements. If Plan returns an error and pieces may be as small as a unit, no order of unit moves reaches them either.
+// placements. If pieces may be as small as one unit and Plan returns an error, then moves of one unit each can't reach
+// the placements in any order.
 func TestPlansKeepLedgersValid(t *testing.T) {
 	plans, rejected := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -144,7 +145,7 @@
 			ledgers = append(ledgers, &CapacityLedger{Cluster: c})
 		}
 		tight := rapid.Bool().Draw(t, "tight")
-		scale := rapid.SampledFrom([]Amount{1, 1, 37}).Draw(t, "scale") // with 1, a piece may be as small as one unit
+		scale := rapid.SampledFrom([]Amount{1, 1, 37}).Draw(t, "scale") // with scale 1, a piece may be as small as one unit
 		for _, s := range []string{"s", "t", "u", "v", "w"}[:rapid.IntRange(1, 5).Draw(t, "services")] {
 			placements = append(placements, Placement{s, names[rapid.IntRange(0, len(names)-1).Draw(t, "to")]})
 			b := ledgers[rapid.IntRange(0, len(names)-1).Draw(t, "at")]
@@ -157,7 +158,7 @@
 			}
 		}
 		rounds, err := Plan(ledgers, placements, Limits{})
-		at := executePlan(t, ledgers, rounds, 1)
+		amounts := executePlan(t, ledgers, rounds, 1)
 		reversedLedgers, reversedPlacements := slices.Clone(ledgers), slices.Clone(placements)
 		slices.Reverse(reversedLedgers)
 		slices.Reverse(reversedPlacements)
@@ -167,8 +168,8 @@
 		plans++
 		if err != nil {
 			rejected++
-			var full *InsufficientCapacityError
-			if !errors.As(err, &full) || full.Missing <= 0 || rounds != nil {
+			var insufficient *InsufficientCapacityError
+			if !errors.As(err, &insufficient) || insufficient.Missing <= 0 || rounds != nil {
 				t.Fatalf("got plan %v with error %v, want no plan and the missing capacity", rounds, err)
 			}
 			if scale == 1 && reachableByUnits(ledgers, placements) {
@@ -177,9 +178,9 @@
 			return
 		}
 		for _, w := range placements {
-			for c, s := range at {
-				if c != w.Cluster && s[w.Service] > 0 {
-					t.Fatalf("a part of %s is still at %s after plan %v", w.Service, c, rounds)
+			for cluster, byService := range amounts {
+				if cluster != w.Cluster && byService[w.Service] > 0 {
+					t.Fatalf("a part of %s is still at %s after plan %v", w.Service, cluster, rounds)
 				}
 			}
 		}
--- a/internal/cluster/migration/receive.go
+++ b/internal/cluster/migration/receive.go
@@ -1,7 +1,8 @@
 package migration
 
-// receive applies a message and returns the resulting state; s itself if nothing changes.
-// A number that was already applied and a request older than the known one are ignored.
+// receive applies a message and returns the resulting state, or s itself if nothing changes.
+// It ignores a shift or token pass whose number is not the next one, for example a repeated
+// message, and a direction request that is not newer than the known one.
 func (s *State) receive(message Message) (*State, error) {
 	if !s.addressedHere(message) {
 		return s, s.staleError(message.ID)
@@ -49,7 +50,8 @@
 	}
 }
 
-// acknowledge clears the unacknowledged step if the other side has applied its number.
+// acknowledge clears this side's unacknowledged step if the other side's number shows that the
+// other side has applied the step.
 func (m *Move) acknowledge(number uint64) {
 	if m.Unacknowledged != "" && number >= m.Number {
 		m.Unacknowledged = ""
@@ -57,7 +59,9 @@
 	}
 }
 
-// accepts reports whether a message carries the next number that this side may apply.
+// accepts reports whether this side may apply a shift or token pass: the move is open, the other
+// side has the token, no step of this side is unacknowledged, the message has the next number,
+// and its amount does not exceed the rest of the move.
 func (m *Move) accepts(message Message) bool {
 	expected := message.Number == m.Number+1 && !m.HasToken && m.Unacknowledged == "" && m.End == Open
 	return expected && m.Local+message.Amount <= m.Amount
@@ -102,7 +106,9 @@
 }
 
 // receiveOffer applies the first message that a move's destination receives: an offer, or
-// the end of a move whose offer never arrived.
+// the end of a move whose offer never arrived. The new move is inserted at index i. If
+// replaces is set, it replaces the move at that index, which must have ended and have no
+// unacknowledged step.
 func (s *State) receiveOffer(i int, replaces bool, message Message) (*State, error) {
 	if replaces && (s.Moves[i].End == Open || s.Moves[i].Unacknowledged != "") {
 		return s, s.staleError(message.ID)
--- a/internal/cluster/migration/wire/wire_test.go
+++ b/internal/cluster/migration/wire/wire_test.go
@@ -15,7 +15,7 @@
 
 var services = []string{"s", "t"}
 
-// TestRandomRecords applies random records, allowed or not, to three clusters, and checks the invariants after each.
+// TestRandomRecords applies random valid and invalid records to three clusters, and checks the invariants after each.
 // Messages are encoded and decoded, and may arrive late, repeatedly or never. A cluster that restarts decodes its state.
 func TestRandomRecords(t *testing.T) {
 	shifts, begunMoves, finishedMoves := 0, 0, 0
@@ -120,13 +120,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, w := range list {
+				for _, message := range list {
 					for to, name := range names {
-						if w.Source && w.ID.To == name || !w.Source && w.ID.From == name {
-							if r, changes, _ := states[name].RecordFor(w); changes {
+						if message.Source && message.ID.To == name || !message.Source && message.ID.From == name {
+							if r, changes, _ := states[name].RecordFor(message); changes {
 								apply(to, r)
 							}
-							if a, ok := states[name].Answer(w); ok {
+							if a, ok := states[name].Answer(message); ok {
 								sent = append(sent, MarshalMessages([]migration.Message{a})...)
 							}
 						}
@@ -143,13 +143,13 @@
 	if shifts < 1000 {
 		t.Errorf("got %d shifts, want at least 1000", shifts)
 	}
-	t.Logf("%d shifts, %d moves finished of %d", shifts, finishedMoves, begunMoves)
+	t.Logf("%d shifts, finished %d of %d moves", shifts, finishedMoves, begunMoves)
 }
 
 func TestBounds(t *testing.T) {
 	many := make([]migration.Message, MaxMessages+1)
 	if n := len(MarshalMessages(many)); n != 2 {
-		t.Errorf("got %d packets, want 2", n)
+		t.Errorf("MaxMessages+1 messages are encoded in %d packets, want 2", n)
 	}
 	tooMany, _ := proto.Marshal(&PacketProto{Messages: make([]*MessageProto, MaxMessages+1)})
 	newer, _ := proto.Marshal(&PacketProto{MinVersion: Version + 1})
@@ -163,21 +163,21 @@
 	}
 }
 
-// FuzzRead checks that decoded data is the same after it is encoded and decoded again, and that decoded messages and
-// records leave a valid state valid.
+// FuzzRead checks that decoded data is the same after it is encoded and decoded again, and that a valid state stays
+// valid when decoded messages and records are applied to it.
 func FuzzRead(f *testing.F) {
-	w := migration.Message{Type: migration.MessageOffer, ID: migration.ID{Key: migration.Key{From: "a", To: "b", Service: "s"}, Seq: 1}, Source: true, Amount: 5, Request: migration.DirectionRequest{Number: 1, Direction: migration.Forward}}
-	b, _ := migration.New("b").Apply(migration.Record{Step: migration.StepSetCapacity, Amount: 9})
-	held, _ := b.Apply(migration.Record{Step: migration.StepReceive, Message: w})
-	f.Add(MarshalMessages([]migration.Message{w})[0])
-	f.Add(MarshalRecord(migration.Record{Step: migration.StepReceive, Message: w}))
-	f.Add(MarshalState(held))
+	offer := migration.Message{Type: migration.MessageOffer, ID: migration.ID{Key: migration.Key{From: "a", To: "b", Service: "s"}, Seq: 1}, Source: true, Amount: 5, Request: migration.DirectionRequest{Number: 1, Direction: migration.Forward}}
+	destination, _ := migration.New("b").Apply(migration.Record{Step: migration.StepSetCapacity, Amount: 9})
+	afterOffer, _ := destination.Apply(migration.Record{Step: migration.StepReceive, Message: offer})
+	f.Add(MarshalMessages([]migration.Message{offer})[0])
+	f.Add(MarshalRecord(migration.Record{Step: migration.StepReceive, Message: offer}))
+	f.Add(MarshalState(afterOffer))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if list, err := UnmarshalMessages(raw); err == nil && len(list) > 0 {
 			if again, err := UnmarshalMessages(MarshalMessages(list)[0]); err != nil || !reflect.DeepEqual(list, again) {
 				t.Fatalf("messages %+v decode to %+v, %v after encoding", list, again, err)
 			}
-			for s, i := held, 0; i < len(list); i++ {
+			for s, i := afterOffer, 0; i < len(list); i++ {
 				s, _ = s.Apply(migration.Record{Step: migration.StepReceive, Message: list[i]})
 				if !s.Valid() || s.Ledger().Free() < 0 {
 					t.Fatalf("invalid state %+v after message %+v", s, list[i])
@@ -188,7 +188,7 @@
 			if again, err := UnmarshalRecord(MarshalRecord(r)); err != nil || again != r {
 				t.Fatalf("record %+v decodes to %+v, %v after encoding", r, again, err)
 			}
-			if s, _ := held.Apply(r); !s.Valid() {
+			if s, _ := afterOffer.Apply(r); !s.Valid() {
 				t.Fatalf("invalid state %+v after record %+v", s, r)
 			}
 		}
--- a/internal/dispatcher/deferred_test.go
+++ b/internal/dispatcher/deferred_test.go
@@ -55,7 +55,7 @@
 	c := r.arrive("c", "safe", 2*time.Second, "p")
 	r.reportFreeSlots(1e6)
 	if p.inFlight == nil || c.inFlight != nil {
-		t.Fatal("the parent was not sent, or the child was sent before its end")
+		t.Fatal("the parent was not sent, or the child was sent before the parent ended")
 	}
 	r.finishJob(p, balance.Served)
 	if c.inFlight == nil {
@@ -69,8 +69,8 @@
 	r.finishJob(d, balance.Served)
 }
 
-// If a parent fails, times out or its client disconnects, its child and grandchild must be answered at once, and so
-// must a child that arrives later: with 424, as a retry would not help.
+// If a parent fails, times out or its client disconnects, its child and grandchild must be answered at once. A child
+// that arrives later must be answered at once too. All get 424, as a retry would not help.
 func TestChildEndsWithItsParent(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(r *rig, p *jobModel)
@@ -98,7 +98,8 @@
 	}
 }
 
-// An unknown parent may arrive within the grace time. A child whose parent does not arrive gets 503.
+// A child whose parent is unknown waits for the parent for the grace time. If the parent does not arrive, the child
+// gets 503.
 func TestUnknownParent(t *testing.T) {
 	r := newDeferredRig(t)
 	c := r.arrive("c", "safe", 9*time.Second, "never")
@@ -133,8 +134,8 @@
 	r.wantAnswer(r.arrive("d", "safe", time.Second), 400)
 }
 
-// When a parent with 10,000 children is served, the children must be submitted to the scheduler in batches. When it
-// fails instead, all children must be answered within 100 ms of virtual time.
+// When a parent with 10,000 children is served, the children must be submitted to the scheduler in batches. When the
+// parent fails, all children must be answered within 100 ms of virtual time.
 func TestTenThousandChildren(t *testing.T) {
 	for _, o := range []balance.Outcome{balance.Served, balance.ConnectionLost} {
 		r := newDeferredRig(t)
@@ -149,7 +150,7 @@
 		h.end(true)
 		h.notify(upstream.AttemptEvent{Outcome: o, Result: []byte("x"), Report: []float64{5}})
 		before := r.now
-		for range 5 { // turns within one batch interval, as after posted messages, release one batch
+		for range 5 { // several turns in one batch interval, as posted messages cause, must release only one batch
 			r.drainInbox()
 			r.runTurn(r.clock())
 		}
@@ -162,7 +163,7 @@
 		}
 		if o == balance.Served {
 			if submitted == 0 || submitted > deferredBatch {
-				t.Fatalf("%d submitted in one batch interval, want 1 up to deferredBatch", submitted)
+				t.Fatalf("%d children submitted in one batch interval, want between 1 and deferredBatch", submitted)
 			}
 			began := time.Now()
 			for r.Deferred.Pending() > 0 {
--- a/internal/dispatcher/recentids.go
+++ b/internal/dispatcher/recentids.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// maxRecentIDs limits the ids in one generation. Both generations together take about 1 MB.
+// maxRecentIDs limits the ids in each of the two maps of recentIDs. The two together take about 1 MB.
 const maxRecentIDs = 8192
 
-// recentIDs remembers the ids of requests for at least the retention time, unless a generation is full earlier.
+// recentIDs remembers the ids of requests for at least the retention time, unless the current map is full earlier.
+// Then, or after the retention time, the current map replaces the previous one and an empty one becomes current.
 // Ids must not be reused, so a request that repeats the id of an answered one is a mistake: if it were forwarded,
 // the job could run a second time.
 type recentIDs struct {
 	retention float64 // seconds
 	current   map[string]bool
 	previous  map[string]bool
-	rotatedAt float64 // when the current generation began
+	rotatedAt float64 // when the current map was created, in seconds
 }
 
 func newRecentIDs(retention, now float64) *recentIDs {
@@ -43,6 +44,6 @@
 	if r.current[id] || r.previous[id] {
 		return false
 	}
-	r.current[strings.Clone(id)] = true // cloned, as id would keep the request's head in memory
+	r.current[strings.Clone(id)] = true // cloned, as id would keep the memory of the request's head in use
 	return true
 }
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -11,13 +11,13 @@
 	w.Set(100.001, "a")
 	w.Set(99, "past") // fires at the next tick
 	far := w.Set(103, "far")
-	w.Set(102.5, "turn") // more than one revolution of the wheel ahead
+	w.Set(102.5, "later revolution") // more than one revolution of the wheel ahead
 	for _, c := range []struct {
 		now  float64
 		want []string
 	}{
 		{100.003, nil}, {100.004, []string{"a", "past"}}, {100.011, nil}, {100.012, []string{"b"}},
-		{100.5, nil}, {102.499, nil}, {102.5, []string{"turn"}},
+		{100.5, nil}, {102.499, nil}, {102.5, []string{"later revolution"}},
 	} {
 		if got := w.Advance(c.now); !slices.Equal(got, c.want) {
 			t.Errorf("at %v: got %v, want %v", c.now, got, c.want)
@@ -51,8 +51,8 @@
 	}
 }
 
-// SetTick must not lose a timer or move it by more than the rounding to the two ticks, and stopped timers must stay
-// stopped.
+// SetTick must not lose a timer, and must not make it fire early, or late by more than the sum of the old and the new
+// tick, to which its time is rounded up. Stopped timers must stay stopped.
 func TestSetTick(t *testing.T) {
 	for _, ticks := range [][2]float64{{0.004, 0.001}, {0.001, 0.004}, {0.004, 0.004}} {
 		start := 1.7e9
@@ -77,7 +77,7 @@
 			}
 		}
 		if _, ok := at[-1]; ok || len(at) > 2973 {
-			t.Errorf("ticks %v: %d timers fired, the stopped one fired: %v", ticks, len(at), ok)
+			t.Errorf("ticks %v: %d timers fired, want at most 2973; stopped timer fired: %v, want false", ticks, len(at), ok)
 		}
 		if _, ok := w.Next(); ok {
 			t.Errorf("ticks %v: Next returned true after all timers have fired", ticks)
