--- a/internal/boltfile/metapages.go
+++ b/internal/boltfile/metapages.go
@@ -22,9 +22,10 @@
 	txid     uint64
 }
 
-// checkMetaPages verifies both meta pages and returns an error that matches ErrCorrupt if
-// one is invalid. The library requires only one valid page: if the newer one is corrupt it
-// uses the older one, and the last commit, which was reported as durable, is silently lost.
+// checkMetaPages verifies both meta pages. It returns an error that matches ErrCorrupt if
+// one is invalid or if they are not of two consecutive commits. The library requires only
+// one valid page: if the newer one is corrupt it uses the older one, and the last commit,
+// which was reported as durable, is silently lost.
 func checkMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/downstream/crossing_test.go
+++ b/internal/downstream/crossing_test.go
@@ -15,7 +15,7 @@
 	"example.org/bellstream/internal/lab/wiretest"
 )
 
-// startTCP starts a server on a loopback listener, like startPipe, after calling the prepare functions on it.
+// startTCP starts a server on a loopback listener, like startServer, after calling the prepare functions on it.
 func startTCP(t *testing.T, maxConns int, prepare ...func(*Server)) (*Server, *fakeHandler, net.Addr) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,7 +106,7 @@
 // Pipelined bytes that exceed the buffer are read and discarded, so that a
 // disconnect after them is detected, and the connection closes after the answer.
 func TestTooManyPipelinedBytes(t *testing.T) {
-	s, d, l := startPipe(t, 8)
+	s, d, l := startServer(t, 8)
 	c := l.Dial()
 	io.WriteString(c, job("1"))
 	r := wiretest.Get(t, d.arrivals, "an arrival")
@@ -412,7 +412,7 @@
 // arrives. It must not make the 100 Continue for that request fail.
 func TestContinueAfterIdlePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, d, l := startPipe(t, 8)
+		_, d, l := startServer(t, 8)
 		c := l.Dial()
 		defer c.Close()
 		io.WriteString(c, job("1"))
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -32,7 +32,7 @@
 
 var classes = map[string]Class{"safe": {Deadline: 5 * time.Second}, "keyed": {Keyed: true, Deadline: 8 * time.Second}}
 
-func startPipe(t *testing.T, maxConns int) (*Server, *fakeHandler, *wiretest.Listener) {
+func startServer(t *testing.T, maxConns int) (*Server, *fakeHandler, *wiretest.Listener) {
 	d := &fakeHandler{arrivals: make(chan *Request, 64), disconnects: make(chan *Request, 64)}
 	s, l := NewServer(classes, d, d, maxConns, t.Logf), wiretest.NewListener()
 	go s.Serve(l)
@@ -53,7 +53,7 @@
 	clientClosed         // no connection
 )
 
-// What a client has sent after the request that the handler has, in the model.
+// The bytes that a client has sent beyond the request that the handler is working on, in the model.
 const (
 	pipelinedNone     = iota
 	pipelinedHalf     // half of its next request
@@ -61,9 +61,9 @@
 	pipelinedTooMuch  // more than the buffer holds
 )
 
-// FuzzConnection runs random steps of a client, the handler and the phase, and
-// compares the handler's calls, the client's answers and the connection's end
-// with the model above.
+// FuzzConnection runs random steps of a client, the handler and the phase. It
+// checks the calls of the handler, the answers that the client receives and the
+// closing of the connection against a model, whose states are listed above.
 func FuzzConnection(f *testing.F) {
 	f.Add([]byte{0, 3, 0, 4, 0, 3})
 	f.Add([]byte{1, 2, 3, 1, 4, 5, 6, 0, 8, 3, 6})
@@ -73,18 +73,18 @@
 	f.Add([]byte{0, 10, 8, 3, 0, 9, 3, 0, 11, 3})
 	f.Add([]byte{12, 3, 12, 10, 3, 4, 13, 0, 3, 13, 8, 12, 13})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s, d, l := startPipe(t, 8)
-		state, ahead, n := clientClosed, pipelinedNone, 0
+		s, d, l := startServer(t, 8)
+		state, pipelined, n := clientClosed, pipelinedNone, 0
 		var c *wiretest.Client
 		var r *Request
-		take := func() {
+		expectArrival := func() {
 			r, state = wiretest.Get(t, d.arrivals, "an arrival"), clientWaiting
 			if r.ID != fmt.Sprint(n) || string(r.Body) != "body" || r.Slots != 2 || r.URI != "/safe/a?b=1" {
 				t.Fatalf("request %d: the handler got %+v", n, r)
 			}
 		}
 		answer := func() {
-			ending := d.Ending() || ahead == pipelinedTooMuch
+			ending := d.Ending() || pipelined == pipelinedTooMuch
 			r.Answer(Answer{Status: 200 + n%2*303, Body: []byte("result"), RetryAfter: 0.25})
 			if got, body := c.Status(t); got != 200+n%2*303 || body != "result" {
 				t.Fatalf("request %d: got status %d and body %q", n, got, body)
@@ -93,13 +93,13 @@
 				c.Ended(t)
 				c.Close()
 				state = clientClosed
-			} else if ahead == pipelinedHalf {
+			} else if pipelined == pipelinedHalf {
 				n, state = n+1, clientSending
-			} else if ahead == pipelinedComplete {
+			} else if pipelined == pipelinedComplete {
 				n++
-				take()
+				expectArrival()
 			}
-			ahead = pipelinedNone
+			pipelined = pipelinedNone
 		}
 		wiretest.Steps(data, 40, func(b byte) {
 			if state == clientClosed {
@@ -112,14 +112,14 @@
 			case step == 0 && state == clientIdle:
 				n++
 				io.WriteString(c, job(fmt.Sprint(n)))
-				take()
+				expectArrival()
 			case step == 1 && state == clientIdle:
 				n++
 				io.WriteString(c, job(fmt.Sprint(n))[:half])
 				state = clientSending
 			case step == 2 && state == clientSending:
 				io.WriteString(c, job(fmt.Sprint(n))[half:])
-				take()
+				expectArrival()
 			case step == 3 && state == clientWaiting:
 				answer()
 			case step == 4:
@@ -127,7 +127,7 @@
 				if state == clientWaiting && wiretest.Get(t, d.disconnects, "a client's disconnect") != r {
 					t.Fatal("got the disconnect of another request")
 				}
-				state, ahead = clientClosed, pipelinedNone
+				state, pipelined = clientClosed, pipelinedNone
 			case step == 5 && state == clientIdle:
 				go io.WriteString(c, "nonsense\r\n\r\n")
 				if got, _ := c.Status(t); got != 400 {
@@ -168,15 +168,15 @@
 				}
 			case step == 8:
 				d.ending.Store(true)
-			case step == 9 && state == clientWaiting && ahead == pipelinedNone:
+			case step == 9 && state == clientWaiting && pipelined == pipelinedNone:
 				io.WriteString(c, next[:len(next)/2])
-				ahead = pipelinedHalf
-			case step == 10 && state == clientWaiting && ahead == pipelinedNone:
+				pipelined = pipelinedHalf
+			case step == 10 && state == clientWaiting && pipelined == pipelinedNone:
 				io.WriteString(c, next)
-				ahead = pipelinedComplete
-			case step == 10 && state == clientWaiting && ahead == pipelinedHalf:
+				pipelined = pipelinedComplete
+			case step == 10 && state == clientWaiting && pipelined == pipelinedHalf:
 				io.WriteString(c, next[len(next)/2:])
-				ahead = pipelinedComplete
+				pipelined = pipelinedComplete
 			case step == 12 && state == clientIdle:
 				n++
 				go io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"+job(fmt.Sprint(n)))
@@ -184,7 +184,7 @@
 					t.Fatalf("health check got %d", got)
 				}
 				if !d.Ending() {
-					take()
+					expectArrival()
 					break
 				}
 				c.Ended(t)
@@ -194,14 +194,14 @@
 				n++
 				io.WriteString(c, job(fmt.Sprint(n)))
 				c.Close()
-				take()
+				expectArrival()
 				if wiretest.Get(t, d.disconnects, "a client's disconnect") != r {
 					t.Fatal("got the disconnect of another request")
 				}
 				state = clientClosed
 			case step == 11 && state == clientWaiting:
 				io.WriteString(c, strings.Repeat("x", maxHead+1))
-				ahead = pipelinedTooMuch
+				pipelined = pipelinedTooMuch
 			}
 		})
 		for state == clientWaiting {
@@ -260,7 +260,7 @@
 		// With the fake clock of synctest, a slow test machine does not cause timeouts.
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, d, l := startPipe(t, 8)
+				_, d, l := startServer(t, 8)
 				client := l.Dial()
 				defer client.Close()
 				go io.WriteString(client, c.raw)
@@ -280,7 +280,7 @@
 
 // A client that connects when maxConns connections are busy gets a complete answer, status 503.
 func TestRejectionAtCapacity(t *testing.T) {
-	_, d, l := startPipe(t, 1)
+	_, d, l := startServer(t, 1)
 	first := l.Dial()
 	defer first.Close()
 	io.WriteString(first, job("1"))
@@ -313,7 +313,7 @@
 // block new clients. Their connections are evicted in this order: unused, used
 // once, used more often, slow.
 func TestEvictionOrder(t *testing.T) {
-	s, d, l := startPipe(t, 4)
+	s, d, l := startServer(t, 4)
 	s.newConnGrace, s.requestReadTimeout = 0, time.Hour
 	n := 0
 	submit := func(c *wiretest.Client) *Request {
@@ -342,7 +342,7 @@
 				t.Errorf("slow client: got status %d, want 408", got)
 			}
 		}
-		old.Ended(t) // a new connection replaces it even before its goroutine has run
+		old.Ended(t) // evicted for the new connection, even if the new connection's goroutine has not run yet
 		old.Close()
 		pending = append(pending, submit(c))
 	}
@@ -354,7 +354,7 @@
 // A lower limit takes effect immediately, even if no client connects: idle connections are closed,
 // slow requests are answered with 408, and connections that await an answer are kept.
 func TestResizeToLowerLimit(t *testing.T) {
-	s, d, l := startPipe(t, 16)
+	s, d, l := startServer(t, 16)
 	s.newConnGrace, s.requestReadTimeout = 0, time.Hour
 	var waiting, idle, slow []*wiretest.Client
 	for range 3 {
@@ -446,7 +446,7 @@
 	}{
 		{Answer{Status: 200, Body: []byte("ok")}, false, false, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"},
 		{Answer{Status: 200, Body: []byte("ok")}, false, true, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"},
-		// Rounded up, since a client that retries too early would be rejected again.
+		// RetryAfter is rounded up, since a client that retries too early would be rejected again.
 		{Answer{Status: 503, RetryAfter: 0.00001}, true, false,
 			"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.001\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"},
 		{Answer{Status: 405, Allow: "POST"}, false, false,
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,14 +6,14 @@
 	"example.org/bellstream/internal/connstate"
 )
 
-// evictionRank orders connections by the harm that evicting them does, the least first.
+// evictionRank is the harm that the eviction of a connection does. The lowest rank is evicted first.
 type evictionRank int
 
 const (
 	rankUnused     evictionRank = iota // no request yet, and open for at least newConnGrace
 	rankUsedOnce                       // idle after one request; the client may need no more
 	rankUsed                           // idle after several requests
-	rankSlowSender                     // part of a request, for at least 2 * newConnGrace
+	rankSlowSender                     // has been sending a request for at least 2 * newConnGrace
 	rankKeep                           // must not be evicted
 )
 
@@ -33,8 +33,8 @@
 	return rankKeep
 }
 
-// evict makes the connection of the lowest rank end, and reports whether there was one. It keeps clients that
-// stay idle or send slowly from blocking new clients. The caller holds mu.
+// evict starts to close a connection of the lowest rank, and reports whether there was one to evict. It prevents
+// clients that stay idle or send slowly from blocking new clients. The caller holds mu.
 func (s *Server) evict() bool {
 	now := time.Now()
 	for {
@@ -53,8 +53,8 @@
 	}
 }
 
-// evictionCandidate returns the connection of the lowest rank, and among equals the one longest in its state.
-// It returns nil if none may be evicted. The caller holds mu.
+// evictionCandidate returns the connection of the lowest rank; of several, the one that has been in its state for
+// the longest time. It returns nil if none may be evicted. The caller holds mu.
 func (s *Server) evictionCandidate(now time.Time) *conn {
 	var victim *conn
 	lowest := rankKeep
@@ -71,8 +71,8 @@
 	return victim
 }
 
-// closeIdle makes an idle connection end unless it holds unread bytes, and reports whether it did. The caller
-// holds mu.
+// closeIdle starts to close an idle connection unless the connection has unread bytes, and reports whether it has
+// started. The caller holds mu.
 func (s *Server) closeIdle(c *conn) bool {
 	if !connstate.IsQuiet(c.Conn) {
 		return false
@@ -81,17 +81,17 @@
 	return true
 }
 
-// requestClose makes the connection's own goroutine end it, since only that goroutine knows whether a request
-// was read first. The caller holds mu.
+// requestClose sets the connection's next state and interrupts its read, so that the connection's own goroutine
+// closes it: only that goroutine knows whether it has read a request before the interruption. The caller holds mu.
 func (s *Server) requestClose(c *conn, next state) {
 	c.state = next
 	s.closing++
 	c.SetReadDeadline(expired)
 }
 
-// freeDescriptor frees a descriptor: it closes a connection that has lingered for at least lingerMinimum. If
-// there is none it evicts a connection, unless others are closing already and will free theirs soon. The
-// caller holds mu.
+// freeDescriptor frees a file descriptor: it closes a connection that has lingered for at least lingerMinimum. If
+// there is none, it evicts a connection, unless some connection is being closed already, which will free a
+// descriptor soon. The caller holds mu.
 func (s *Server) freeDescriptor() {
 	for c := range s.conns {
 		if c.state == stateLingering && time.Since(c.stateSince) >= lingerMinimum {
@@ -113,8 +113,8 @@
 	c.Close()
 }
 
-// CloseIdle makes every connection end that has been idle, before its first request or between two, for at
-// least newConnGrace.
+// CloseIdle starts to close all connections that have been idle for at least newConnGrace, whether before their
+// first request or between two requests.
 func (s *Server) CloseIdle(newConnGrace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -23,7 +23,7 @@
 // A class that SetClasses adds is accepted immediately. A removed class is still
 // accepted, with its settings, for removedClassGrace.
 func TestSetClasses(t *testing.T) {
-	s, d, l := startPipe(t, 8)
+	s, d, l := startServer(t, 8)
 	c := l.Dial()
 	post := func(class string) {
 		io.WriteString(c, "POST /"+class+" HTTP/1.1\r\nHost: x\r\nRequest-Id: "+class+"\r\nContent-Length: 0\r\n\r\n")
@@ -61,7 +61,7 @@
 
 // A request that arrives in two parts, split at any byte, is parsed like one in a single part.
 func TestRequestSplitAtAnyByte(t *testing.T) {
-	_, d, l := startPipe(t, 8)
+	_, d, l := startServer(t, 8)
 	c := l.Dial()
 	defer c.Close()
 	request := job("id")
--- a/internal/jobledger/job.go
+++ b/internal/jobledger/job.go
@@ -22,7 +22,7 @@
 	Accepted     State = "taken"        // no lease is open
 	Leased       State = "leased"       // a lease is open: the job may be running, or have run
 	Completed    State = "reported"     // the final outcome is known
-	Acknowledged State = "acknowledged" // the client has it
+	Acknowledged State = "acknowledged" // the client has received the outcome
 )
 
 // Outcome is the final outcome of a job.
@@ -104,8 +104,9 @@
 	return Record{Kind: LeaseGranted, ID: j.ID, Term: j.lastTerm() + 1, Worker: worker, Epoch: epoch}
 }
 
-// RecordFromRejection returns the record that follows when a worker has rejected the lease
-// of a term in a way that proves that the job did not start; false if that lease is not open.
+// RecordFromRejection returns the record for a lease that its worker has rejected, if the
+// rejection proves that the job did not start. The lease is identified by its term. It
+// returns false if that lease is not open.
 func (j *Job) RecordFromRejection(term uint64) (Record, bool) {
 	if j.State != Leased || j.lastTerm() != term {
 		return Record{}, false
--- a/internal/lab/faultproxy/endpoint.go
+++ b/internal/lab/faultproxy/endpoint.go
@@ -10,8 +10,8 @@
 	"example.org/bellstream/internal/lab/fault"
 )
 
-// An address may remain in use for a moment after its listener was closed, so that
-// reopen retries.
+// reopen retries, because an address may remain in use for a moment after its listener
+// was closed.
 const (
 	reopenInterval = 20 * time.Millisecond
 	reopenAttempts = 50
@@ -51,8 +51,8 @@
 	go e.accept(listener)
 }
 
-// refuse closes the listener, so that the kernel refuses connections, or opens it
-// again. UDP endpoints are not affected.
+// refuse closes the listener if refused is true, so that the kernel refuses connections;
+// otherwise it opens the listener again. UDP endpoints are not affected.
 func (e *endpoint) refuse(refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,7 +82,7 @@
 		}
 		time.Sleep(reopenInterval)
 	}
-	e.recordFailure("its address is taken by another")
+	e.recordFailure("its address is still in use")
 }
 
 func (e *endpoint) recordFailure(reason string) {
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -20,7 +20,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // startEchoServer returns the address of a server that sends back all data that it
-// receives until the other side has closed its direction.
+// receives until the client has closed its side for writing.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,8 +133,8 @@
 	}
 }
 
-// Cut, Reset and HalfClose close a connection at a byte of the stream, each in its own way.
-// Reset without a point applies to open and to new connections until it is removed.
+// Cut, Reset and HalfClose rules with a byte position close a connection at that byte of the
+// stream. A Reset rule without a position resets open and new connections until it is removed.
 func TestConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule fault.Rule
@@ -229,7 +229,7 @@
 	}
 }
 
-// The lost datagrams are those that the seed determines, and answers reach the sender.
+// The seed determines which datagrams are lost. The answers to the others reach the sender.
 func TestDatagrams(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/operatorconfig/ageing.go
+++ b/internal/operatorconfig/ageing.go
@@ -8,8 +8,9 @@
 	"example.org/bellstream/internal/settings"
 )
 
-// MaxWaits returns the guaranteed maximum waits by class, in seconds. Unless classes
-// is nil, each class must be one of them and its deadline must be later.
+// MaxWaits returns the guaranteed maximum waits by class, in seconds. If classes is
+// not nil, it returns an error for a class of the file that is not in classes, or
+// whose deadline is not longer than its maximum wait.
 func (f *File) MaxWaits(classes []settings.Class) (map[string]float64, error) {
 	waits := map[string]float64{}
 	for i, block := range f.Ageing {
--- a/internal/operatorconfig/quota.go
+++ b/internal/operatorconfig/quota.go
@@ -12,8 +12,8 @@
 // Defaults of the exchange of usage counters, for a network within one or two data centers.
 const (
 	DefaultPeriod                 = 250 * time.Millisecond
-	DefaultStaleness              = 20 * time.Second // with owners at a few instances
-	DefaultStalenessWithoutOwners = 4 * time.Second  // with owners at all instances
+	DefaultStaleness              = 20 * time.Second // if each reservation has owners at a few instances
+	DefaultStalenessWithoutOwners = 4 * time.Second  // if Owners is 0: every instance owns a part of each reservation
 	DefaultOwners                 = 3
 	DefaultRetention              = 2 * time.Minute
 	DefaultDelay                  = 50 * time.Millisecond
@@ -29,8 +29,8 @@
 	return f.Usage.Instances
 }
 
-// QuotaSettings returns the settings of the exchange of usage counters. The number
-// of instances is used if the file has none.
+// QuotaSettings returns the settings of the exchange of usage counters. The argument
+// instances is the number of expected instances if the file does not set it.
 func (f *File) QuotaSettings(instances int) (quota.Settings, error) {
 	s := quota.Settings{
 		Period:            DefaultPeriod.Seconds(),
@@ -59,7 +59,7 @@
 	return s, errors.Join(c.errs...)
 }
 
-// usage replaces settings by the values in the counts block.
+// usage replaces settings by the values in the counts block. It only validates max_error, which FitQuota applies.
 func (c *collector) usage(block *Usage, s *quota.Settings) {
 	c.duration("counts", "staleness", block.Staleness, &s.LeaseDuration)
 	c.duration("counts", "forget", block.Retention, &s.ForgetAfter)
@@ -75,8 +75,8 @@
 	}
 }
 
-// duration sets seconds to the duration in text, the value of a key, unless that is empty. The duration must not
-// be below 0.
+// duration parses text, the value of a key, and sets seconds to the result. An empty text changes nothing. It
+// records an error if text is not a duration of 0 or more.
 func (c *collector) duration(block, key, text string, seconds *float64) {
 	if text == "" {
 		return
@@ -89,7 +89,8 @@
 	*seconds = duration.Seconds()
 }
 
-// fraction replaces a setting by the value of a key of the counts block, if there is one. It must be from 0 to 1.
+// fraction replaces a setting by the value of a key of the counts block, if the key is set. It records an error if
+// the value is not from 0 to 1.
 func (c *collector) fraction(key string, value, setting *float64) {
 	if value == nil {
 		return
@@ -121,9 +122,9 @@
 	return f.ErrorAt("counts", key, err)
 }
 
-// FitQuota returns the settings of the exchange and the bounds that they give for
-// the tenant with the smallest reservation. It is an error if the max_error in the
-// file can't be met for that tenant.
+// FitQuota returns the settings of the exchange and the error bounds that result from
+// them for the tenant with the smallest reservation. It returns an error if the
+// max_error in the file can't be met for that tenant.
 func (f *File) FitQuota(instances int, tenants []quota.Tenant) (quota.Settings, quota.Bounds, error) {
 	s, err := f.QuotaSettings(instances)
 	if err != nil {
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -29,7 +29,7 @@
 	return s.RotateKeys(keys)
 }
 
-// Tenants returns the tenants of the settings whose reservations instances share.
+// Tenants returns the tenants in the settings. The instances of a cluster share the tenants' reservations.
 func Tenants(s *settings.Settings) []quota.Tenant {
 	var tenants []quota.Tenant
 	for _, t := range s.Config().Tenants {
--- a/internal/service/life_stall_test.go
+++ b/internal/service/life_stall_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stallMonitor measures how long the machine delays this process. A time measured on a connection may be wrong by as
-// much, as the test runs both sides of the connection.
+// stallMonitor measures how long the machine delays this process. The test runs both sides of each connection, so a
+// time that it measures on a connection may be wrong by such a delay.
 type stallMonitor struct {
 	mu     sync.Mutex
 	stalls []stall
@@ -58,11 +58,13 @@
 	}()
 }
 
-// maxStallSeconds is the delay bound above which a run whose loop is stopped with requests in flight is not judged.
+// maxStallSeconds is the highest delay bound at which the result of a run counts if its loop was stopped with requests
+// in flight.
 const maxStallSeconds = 0.3
 
-// delayBoundSince returns an upper bound, in seconds, of the delay of an event since a time. A disconnect or an answer
-// passes through three goroutines, each of which may have been delayed as long as the longest stall.
+// delayBoundSince returns an upper bound, in seconds, of the time by which an event after from was delayed. A
+// disconnect or an answer passes through three goroutines, and each may have been delayed by the longest stall since
+// from.
 func (s *stallMonitor) delayBoundSince(from time.Time) (bound float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -13,8 +13,8 @@
 	"example.org/bellstream/internal/connstate"
 )
 
-// readBuffer is the size of a connection's read buffer in bytes.
-const readBuffer = 2048
+// readBufferBytes is the size of a connection's read buffer in bytes.
+const readBufferBytes = 2048
 
 // conn is one connection to a worker. It is used by one attempt or health check at a time, or is idle in the pool.
 type conn struct {
@@ -26,12 +26,12 @@
 	idleFor     time.Duration   // how long it was idle before it was reused; 0 for a new connection
 	body        io.Reader       // body of the answer being read
 	lastOutcome balance.Outcome // outcome of the last attempt; empty after a health check
-	reusableAt  time.Time       // it must not be reused before
-	settledAt   time.Time       // a second answer to an earlier job may arrive until then
+	reusableAt  time.Time       // earliest time at which it may be reused
+	settledAt   time.Time       // until this time, a second answer to an earlier job may arrive
 	unsettled   bool            // it was reused before settledAt
 }
 
-// dial opens a connection to addr. It fails if that takes until dialBy.
+// dial opens a connection to addr. It fails if the connection is not established by dialBy.
 func dial(ctx context.Context, addr string, dialBy time.Time) (*conn, error) {
 	dialer := net.Dialer{Deadline: dialBy, KeepAlive: -1}
 	socket, err := dialer.DialContext(ctx, "tcp", addr)
@@ -43,7 +43,7 @@
 		addr:  addr,
 		limit: io.LimitedReader{R: socket},
 	}
-	c.reader = bufio.NewReaderSize(&c.limit, readBuffer)
+	c.reader = bufio.NewReaderSize(&c.limit, readBufferBytes)
 	return c, nil
 }
 
@@ -51,8 +51,8 @@
 func (c *conn) alive() bool { return c.reader.Buffered() == 0 && connstate.IsQuiet(c.Conn) }
 
 // response reads the head of the final answer, skipping interim answers (1xx), and keeps its body for drain.
-// The heads may take maxHead bytes together and the body maxAnswer, so that an endless answer cannot exhaust
-// the memory.
+// All heads together may have maxHead bytes and the body may have maxAnswer bytes, so that an endless answer
+// cannot exhaust the memory.
 func (c *conn) response(method string) (*http.Response, error) {
 	c.limit.N = maxHead
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -69,7 +69,8 @@
 	return resp, err
 }
 
-// drain reads the rest of the answer, for at most drainTimeout, and reports whether the connection can be reused.
+// drain reads up to maxLine bytes of the rest of the answer, for at most drainTimeout. It reports whether the
+// connection can be reused, because less than maxLine bytes were left and nothing follows the answer.
 func (c *conn) drain() bool {
 	c.SetReadDeadline(time.Now().Add(drainTimeout))
 	n, err := io.CopyN(io.Discard, c.body, maxLine)
