--- a/internal/lab/simulation/agreement.go
+++ b/internal/lab/simulation/agreement.go
@@ -17,7 +17,7 @@
 type AgreementSettings struct {
 	Seed      uint64
 	Instances int
-	Voters    int // this many of the first instances vote
+	Voters    int // number of voters: the first instances
 	Leases    lease.Settings
 
 	Delay  func(from, to int) float64 // one-way delay of a frame
@@ -46,17 +46,17 @@
 	Partitioned            func(from, to int) bool // whether frames between them are lost; set by SetPartition
 	InForceEverywhereAt    map[uint64]float64      // by version: when it was in force on all running instances
 	UnleasedSeconds        float64                 // summed over running instances, since the last Reset
-	LongestUnleasedSeconds float64                 // the longest span of one instance, since the last Reset
+	LongestUnleasedSeconds float64                 // longest time of one instance without a lease, since the last Reset
 
-	events         eventQueue
-	lastEvent      int
-	rng            *rand.Rand
-	electionSource *rand.ChaCha8            // source of raft's election timeouts
-	lastArrivals   map[[2]int]float64       // by link
-	partitionedAt  float64                  // time of the last SetPartition
-	oldestInForce  uint64                   // the last version that was in force on all running instances
-	decodedTables  map[uint64]*config.Table // by version; shared by the instances' histories to save memory
-	sampledUntil   float64
+	events                  eventQueue
+	lastEvent               int
+	rng                     *rand.Rand
+	electionSource          *rand.ChaCha8            // source of raft's election timeouts
+	lastArrivals            map[[2]int]float64       // by link
+	partitionedAt           float64                  // time of the last SetPartition
+	newestInForceEverywhere uint64                   // newest version that has been in force on all running instances
+	decodedTables           map[uint64]*config.Table // by version; shared by the instances' histories to save memory
+	sampledUntil            float64
 }
 
 var (
@@ -170,7 +170,7 @@
 
 const sampleIntervalSeconds = 0.02
 
-// sample measures up to now how long instances have had no lease.
+// sample adds up the time without a lease of each instance until now.
 func (a *Agreement) sample() {
 	for ; a.sampledUntil+sampleIntervalSeconds <= a.Now; a.sampledUntil += sampleIntervalSeconds {
 		for _, in := range a.Members {
@@ -215,13 +215,13 @@
 	a.after(0, in, in.step)
 }
 
-// Kill ends the process of an instance, whose port then refuses dials at once, or its machine, which then does not
-// answer dials.
+// Kill stops an instance. If machine is false only the process ends, and its port refuses dials at once. If machine
+// is true the machine stops as well, and dials get no answer.
 func (a *Agreement) Kill(in *AgreementInstance, machine bool) {
 	in.Up = false
 	in.diedAt = a.Now
 	in.refusesDials = !machine
-	a.recordVersionsInForce()
+	a.recordVersionsInForceEverywhere()
 }
 
 // SetPartition sets the pairs of instances between which frames are lost from now on.
@@ -241,15 +241,16 @@
 	}
 }
 
-// recordVersionsInForce records the time for each version that is now in force on all running instances.
-func (a *Agreement) recordVersionsInForce() {
-	least := uint64(math.MaxUint64)
+// recordVersionsInForceEverywhere records the current time for each version that has newly come into
+// force on all running instances.
+func (a *Agreement) recordVersionsInForceEverywhere() {
+	oldest := uint64(math.MaxUint64)
 	for _, in := range a.Members {
 		if in.Up {
-			least = min(least, in.InForce)
+			oldest = min(oldest, in.InForce)
 		}
 	}
-	for ; least != math.MaxUint64 && a.oldestInForce < least; a.oldestInForce++ {
-		a.InForceEverywhereAt[a.oldestInForce+1] = a.Now
+	for ; oldest != math.MaxUint64 && a.newestInForceEverywhere < oldest; a.newestInForceEverywhere++ {
+		a.InForceEverywhereAt[a.newestInForceEverywhere+1] = a.Now
 	}
 }
--- a/internal/lab/simulation/agreement_instance.go
+++ b/internal/lab/simulation/agreement_instance.go
@@ -135,7 +135,7 @@
 	in.AppliedRevision = revision
 	if in.InForce != inForce && revision.Stage != lease.StageIntersection {
 		in.InForce = inForce
-		in.agreement.recordVersionsInForce()
+		in.agreement.recordVersionsInForceEverywhere()
 	}
 	in.holder.Acknowledge(in.agreement.Now, revision)
 }
--- a/internal/lab/simulation/services.go
+++ b/internal/lab/simulation/services.go
@@ -20,7 +20,7 @@
 	SingleStep             bool // no pacing: a service moves in one step
 }
 
-// ServicesResult is the result of Services. Each amount is the largest at any instant of the run.
+// ServicesResult is the result of Services. Each migration.Amount is the maximum over all times of the run.
 type ServicesResult struct {
 	// Moves by outcome.
 	Moved, RolledBack, Split, Refused, Unfinished int
@@ -39,7 +39,7 @@
 	Steps           []int     // of each move
 	StepsUnreversed []int     // of each complete move that was never reversed
 	Durations       []float64 // of each move, in seconds
-	ValueRatio      float64   // value earned by the moving services, relative to the same without a move
+	ValueRatio      float64   // value earned by the moving services, divided by their value without a move
 	Records         int
 	Messages        int
 	Span            float64 // of virtual time, in seconds
@@ -64,11 +64,11 @@
 
 // serviceInstance is an instance of a cluster.
 type serviceInstance struct {
-	view        *migration.State
-	applied     int     // index of view in the log
-	leaseUntil  float64 // its own end of its lease, until which it uses its view
-	bookedUntil float64 // the end of its lease as the cluster has recorded it
-	pausedUntil float64 // it does nothing until then, although its lease may be valid
+	view               *migration.State
+	applied            int     // index of view in the log
+	leaseUntil         float64 // end of the lease by the instance's own record; it uses its view until then
+	recordedLeaseUntil float64 // end of the lease by the cluster's record
+	pausedUntil        float64 // it does nothing until then, although its lease may be valid
 }
 
 // serviceCluster is a cluster without a consensus protocol: a record is committed 5 to 20 ms
@@ -89,12 +89,12 @@
 
 // moveObservation is what one side of a move has observed of it.
 type moveObservation struct {
-	since, step     float64 // times at which it applied the first and the latest number
+	since, step     float64 // times at which this side applied the first and the latest sequence number
 	number          uint64
 	jobs, value     float64           // the service's jobs requested here since the move began, and their value
-	last            float64           // jobs at the time of the latest number
-	received        migration.Message // the latest one
-	verdictReceived bool              // the pacer has decided to roll back; not yet proposed
+	last            float64           // jobs at the time of the latest sequence number
+	received        migration.Message // the latest message received
+	rollBackPending bool              // the pacer has decided to roll back, which is not yet proposed
 }
 
 // serviceMove is an open move.
@@ -215,26 +215,26 @@
 
 // agree commits a record unless it can't be applied, and checks the invariants.
 func (c *serviceCluster) agree(r migration.Record) {
-	was := c.agreed()
-	from := *was
+	before := c.agreed()
+	start := *before
 	if c.settings.WithoutReservation && r.Step == migration.StepReceive && r.Message.Type == migration.MessageOffer {
-		from.Capacity = migration.MaxAmount
+		start.Capacity = migration.MaxAmount
 	}
-	n, err := from.Apply(r)
-	if err != nil || n == &from {
+	n, err := start.Apply(r)
+	if err != nil || n == &start {
 		return
 	}
-	is := *n
+	next := *n
 	if r.Step != migration.StepSetCapacity {
-		is.Capacity = was.Capacity
+		next.Capacity = before.Capacity
 	}
-	c.log = append(c.log, &is)
+	c.log = append(c.log, &next)
 	c.journal.Entries = append(c.journal.Entries, migration.Entry{AtSeconds: c.Now, Record: r})
 	c.result.Records++
 	if r.Step == migration.StepReserve {
 		c.expected[r.Service] += r.Amount
 	}
-	if b := is.Ledger(); b.Free() < 0 && b.Promised() > was.Ledger().Promised() {
+	if b := next.Ledger(); b.Free() < 0 && b.Promised() > before.Ledger().Promised() {
 		c.result.OverCapacity = max(c.result.OverCapacity, -b.Free())
 	}
 	if c.sides[1] != nil {
@@ -247,21 +247,21 @@
 			}
 		}
 	}
-	at := len(c.log) - 1
+	index := len(c.log) - 1
 	for i := range c.instances {
-		c.After(0.05*c.Rand.Float64(), func() { c.apply(i, at) })
+		c.After(0.05*c.Rand.Float64(), func() { c.apply(i, index) })
 	}
 	c.onRecord(r)
 }
 
 // apply makes an instance use the state after a record.
-func (c *serviceCluster) apply(i, at int) {
+func (c *serviceCluster) apply(i, index int) {
 	x := &c.instances[i]
-	if c.Now < c.downUntil || c.Now < x.pausedUntil || at <= x.applied || c.log[at] == nil {
+	if c.Now < c.downUntil || c.Now < x.pausedUntil || index <= x.applied || c.log[index] == nil {
 		return
 	}
-	x.applied, x.view = at, c.log[at]
-	c.recordInForce()
+	x.applied, x.view = index, c.log[index]
+	c.checkOversubscription()
 }
 
 // renew renews an instance's lease, which includes the newest state.
@@ -270,14 +270,14 @@
 	if c.Now >= x.pausedUntil && c.up() {
 		c.apply(i, len(c.log)-1)
 		x.leaseUntil = c.Now + serviceLeaseSeconds
-		x.bookedUntil = x.leaseUntil
-		c.recordInForce()
+		x.recordedLeaseUntil = x.leaseUntil
+		c.checkOversubscription()
 	}
 	c.After(0.5, func() { c.renew(i) })
 }
 
 // usableBy returns how much of a service's reservation the instances with a lease may use together, by their own
-// views. With cut it is reduced if the capacity has fallen below the promised amount.
+// views. If cut is true, the amount is reduced when the capacity is below the promised amount.
 func (c *serviceCluster) usableBy(service string, cut bool) (sum migration.Amount) {
 	for i := range c.instances {
 		x := &c.instances[i]
@@ -293,25 +293,25 @@
 	return sum
 }
 
-// recordInForce compares what all instances may use with the reservations. Call it whenever an instance may use more
-// than before.
-func (c *serviceCluster) recordInForce() {
+// checkOversubscription records by how much the instances may use more than the reservations. Call it whenever an
+// instance may use more than before.
+func (c *serviceCluster) checkOversubscription() {
 	for _, s := range c.services {
 		usable := c.sides[0].usableBy(s, false) + c.sides[1].usableBy(s, false)
 		c.result.Oversubscribed = max(c.result.Oversubscribed, usable-c.expected[s])
 	}
 }
 
-// inForce returns the newest state that every instance with a recorded lease has applied. It drops the states
-// before it.
+// inForce returns the newest state that every instance with a recorded lease has applied. It removes older states
+// from the log.
 func (c *serviceCluster) inForce() *migration.State {
-	at := len(c.log) - 1
+	index := len(c.log) - 1
 	for i := range c.instances {
-		if x := &c.instances[i]; c.Now < x.bookedUntil {
-			at = min(at, x.applied)
+		if x := &c.instances[i]; c.Now < x.recordedLeaseUntil {
+			index = min(index, x.applied)
 		}
 	}
-	for ; c.inForceIndex < at; c.inForceIndex++ {
+	for ; c.inForceIndex < index; c.inForceIndex++ {
 		c.log[c.inForceIndex] = nil
 	}
 	return c.log[c.inForceIndex]
@@ -358,8 +358,8 @@
 		switch {
 		case m.Stage() == migration.StageSettled && m.Source && m.Request.Direction == migration.Forward:
 			r.Step = migration.StepFinish
-		case k.verdictReceived:
-			r.Step, r.Direction, k.verdictReceived = migration.StepSetDirection, migration.Backward, false
+		case k.rollBackPending:
+			r.Step, r.Direction, k.rollBackPending = migration.StepSetDirection, migration.Backward, false
 			c.result.PacerReversals++
 			if i := slices.IndexFunc(c.moves, func(x *serviceMove) bool { return x.ID == m.ID }); !c.moves[i].degraded {
 				c.result.NeedlessReversals++
@@ -403,7 +403,7 @@
 	c.result.Messages += len(list)
 	to := c.sides[1-c.number]
 	for _, raw := range wire.MarshalMessages(list) {
-		for range 1 + c.Rand.IntN(20)/19 {
+		for range 1 + c.Rand.IntN(20)/19 { // a few messages are sent twice
 			if c.chance(0.1) || c.Now < c.partitionedUntil {
 				continue
 			}
@@ -447,7 +447,7 @@
 			atDestination := migration.Outcomes{Jobs: w.Advice.Jobs, PriorityWeight: w.Advice.PriorityWeight}
 			if atDestination.Jobs >= servicePacer.MinJobs {
 				verdict := servicePacer.Evaluate(k.served(), atDestination, servicePacer.MinJobs, 0)
-				k.verdictReceived = verdict == migration.VerdictRollBack
+				k.rollBackPending = verdict == migration.VerdictRollBack
 			}
 		}
 	}
@@ -516,7 +516,8 @@
 	}
 }
 
-// onRecord keeps the list of open moves by the records of both sides, and injects the fault of a move at its record.
+// onRecord updates the list of open moves after a record of either side, and injects the fault of a move when
+// recordsUntilFault reaches 0.
 func (c *serviceCluster) onRecord(r migration.Record) {
 	if r.Step == migration.StepBeginMove {
 		m := c.agreed().Move(r.Move)
@@ -577,7 +578,7 @@
 	}
 }
 
-// fault draws the fault of a move.
+// fault returns a function that injects a randomly drawn fault into a move.
 func (w *serviceWorld) fault(x *serviceMove) func() {
 	c, p := w.sides[w.Rand.IntN(2)], w.Rand.Float64()
 	source := w.sides[0]
@@ -620,7 +621,7 @@
 			w.result.CapacityDrops++
 			c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity / 2})
 			w.After(span, func() { c.propose(migration.Record{Step: migration.StepSetCapacity, Amount: c.capacity}) })
-			w.After(3*span, func() {
+			w.After(3*span, func() { // again, in case the first proposal was lost
 				c.propose(migration.Record{
 					Step:   migration.StepSetCapacity,
 					Amount: c.capacity,
@@ -646,8 +647,8 @@
 func (w *serviceWorld) serve() {
 	w.After(serviceTickSeconds, w.serve)
 	for _, x := range w.moves {
-		all := w.expected[x.Service].SlotStarts()
-		demand := serviceDemand * all * serviceTickSeconds
+		reservation := w.expected[x.Service].SlotStarts()
+		demand := serviceDemand * reservation * serviceTickSeconds
 		usable := [2]migration.Amount{w.sides[0].usableBy(x.Service, true), w.sides[1].usableBy(x.Service, true)}
 		for n, c := range w.sides {
 			m := c.agreed().Move(x.Key)
--- a/internal/lab/simulation/tasks.go
+++ b/internal/lab/simulation/tasks.go
@@ -90,7 +90,7 @@
 type TaskResult struct {
 	Arrived, Started, Rejected, Failed int       // tasks that are neither urgent nor part of a gang
 	Waits                              []float64 // s from such a task's arrival to its start, in ascending order
-	Accelerated                        []float64 // the same for accelerators, by arrival; infinity: not started
+	Accelerated                        []float64 // waits for accelerators, in order of arrival; infinity: not started
 	// Avoidable is, for each task, the part of its wait in seconds during which there were enough free slots for it
 	// and all other waiting tasks: with one central queue it would not have waited then. AvoidableAccelerated is
 	// the same for tasks that require accelerators.
@@ -208,7 +208,7 @@
 	gangs                          []*gang
 	digest                         *xxhash.Digest
 	result                         TaskResult
-	teamsByShare                   []float64
+	teamRates                      []float64
 }
 
 // NewTasks returns a model whose dispatchers know all workers. A team's quota is divided equally among the
@@ -272,7 +272,7 @@
 	}
 	for _, t := range s.Teams {
 		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
-		w.teamsByShare = append(w.teamsByShare, t.Rate)
+		w.teamRates = append(w.teamRates, t.Rate)
 	}
 	if s.UrgentTeamReservation > 0 {
 		urgent := TaskTeam{Name: "urgent", Quota: s.UrgentTeamReservation}
@@ -280,7 +280,7 @@
 			urgent.Enters = append(urgent.Enters, i)
 		}
 		s.Teams = append(slices.Clone(s.Teams), urgent)
-		w.Teams, w.teamsByShare = s.Teams, append(w.teamsByShare, 0)
+		w.Teams, w.teamRates = s.Teams, append(w.teamRates, 0)
 		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Name: urgent.Name, Quota: urgent.Quota})
 	}
 	for i, z := range s.Dispatchers {
@@ -370,7 +370,7 @@
 	}
 	w.addInitialTasks()
 	total := 0.0
-	for _, r := range w.teamsByShare {
+	for _, r := range w.teamRates {
 		total += r
 	}
 	for _, g := range w.Gangs {
@@ -423,7 +423,7 @@
 	}
 }
 
-// addTaskSeconds adds the task-seconds since its last call to taskSeconds.
+// addTaskSeconds adds to taskSeconds the task-seconds since the last call.
 func (w *Tasks) addTaskSeconds() {
 	w.taskSeconds += float64(w.running) * (w.now - w.countedUntil)
 	w.countedUntil = w.now
@@ -445,16 +445,16 @@
 // drawTeam draws a team with a probability in proportion to its rate.
 func (w *Tasks) drawTeam() int {
 	total := 0.0
-	for _, r := range w.teamsByShare {
+	for _, r := range w.teamRates {
 		total += r
 	}
 	x := w.rng.Float64() * total
-	for i, r := range w.teamsByShare {
+	for i, r := range w.teamRates {
 		if x -= r; x < 0 {
 			return i
 		}
 	}
-	return len(w.teamsByShare) - 1
+	return len(w.teamRates) - 1
 }
 
 // addInitialTasks adds InitialTasks tasks, which arrive in the first half of WarmUp. Their work is the remaining
@@ -470,13 +470,13 @@
 	for range w.InitialTasks {
 		x := w.rng.Float64() * total
 		i, _ := slices.BinarySearch(draws, x)
-		long := draws[i]
+		length := draws[i]
 		if i > 0 {
-			long -= draws[i-1]
+			length -= draws[i-1]
 		}
-		left := long * w.rng.Float64()
+		remaining := length * w.rng.Float64()
 		accel, team := w.rng.Float64() < w.AcceleratedFraction, w.drawTeam()
-		w.after(w.rng.Float64()*w.WarmUp/2, func() { w.addTask(initialTask, team, accel, nil, left) })
+		w.after(w.rng.Float64()*w.WarmUp/2, func() { w.addTask(initialTask, team, accel, nil, remaining) })
 	}
 }
 
@@ -499,9 +499,9 @@
 	if t.counted {
 		w.tasks = append(w.tasks, t)
 	}
-	on := &w.pools[poolIndex(accel)]
-	on.advance(w.now)
-	t.freeAtArrival = on.freeFor
+	pool := &w.pools[poolIndex(accel)]
+	pool.advance(w.now)
+	t.freeAtArrival = pool.freeFor
 	dispatchers := w.Teams[team].Enters
 	w.submit(t, dispatchers[w.rng.IntN(len(dispatchers))])
 	return t
@@ -637,13 +637,14 @@
 			if t == nil {
 				continue
 			}
-			no := 0
+			number := 0
 			for _, o := range t.attempts {
 				if o.id == a.ID {
-					no++
+					number++
 				}
 			}
-			x := &taskAttempt{task: t, dispatcher: i, number: no, id: a.ID, worker: w.index[a.Worker], inFlight: true}
+			x := &taskAttempt{task: t, dispatcher: i, number: number, id: a.ID,
+				worker: w.index[a.Worker], inFlight: true}
 			t.attempts = append(t.attempts, x)
 			w.attempts++
 			w.after(w.delay(i, x.worker), func() { w.submitAttempt(x) })
@@ -714,9 +715,9 @@
 	}
 }
 
-func (w *Tasks) addToDigest(t *task, how byte) {
+func (w *Tasks) addToDigest(t *task, outcome byte) {
 	_, _ = w.digest.WriteString(t.id) // a hash returns no error
-	_, _ = w.digest.Write(binary.LittleEndian.AppendUint64([]byte{how}, math.Float64bits(w.now)))
+	_, _ = w.digest.Write(binary.LittleEndian.AppendUint64([]byte{outcome}, math.Float64bits(w.now)))
 }
 
 func (w *Tasks) report(m *emulator.Worker) []float64 {
@@ -854,16 +855,16 @@
 				w.result.Started++
 				w.result.Waits = append(w.result.Waits, t.started-t.arrivedAt)
 			}
-			began := t.freeAtEnd
+			freeAtEnd := t.freeAtEnd
 			if t.waiting {
 				k := &w.pools[poolIndex(t.accelerated)]
 				k.advance(w.now)
-				began = k.freeFor
+				freeAtEnd = k.freeFor
 			}
-			w.result.Avoidable = append(w.result.Avoidable, began-t.freeAtArrival)
+			w.result.Avoidable = append(w.result.Avoidable, freeAtEnd-t.freeAtArrival)
 			if t.accelerated {
 				w.result.Accelerated = append(w.result.Accelerated, cmp.Or(t.started, math.Inf(1))-t.arrivedAt)
-				w.result.AvoidableAccelerated = append(w.result.AvoidableAccelerated, began-t.freeAtArrival)
+				w.result.AvoidableAccelerated = append(w.result.AvoidableAccelerated, freeAtEnd-t.freeAtArrival)
 			}
 		case urgentTask:
 			wait := math.Inf(1)
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -64,91 +64,91 @@
 	const evidence = ", intermittent: go test -count=1 ./one; seed none; it is red, 7\n"
 	const all = "TestRed, broken, 7\nTestParts/red_part, broken, in part, #8\nTestPanics, ends, 9\n"
 	for _, test := range []struct {
-		name  string
-		list  string // "": no file
-		args  string
-		code  int
-		says  []string
-		never []string
+		name       string
+		list       string // "": no file
+		args       string
+		code       int
+		wantOutput []string
+		badOutput  []string
 	}{
 		{
 			name: "no file", args: "go test -vet=off -count=1 ./...", code: 1,
-			says:  []string{"--- FAIL: TestRed ", "--- FAIL: TestParts/red_part", "panic: it ends here"},
-			never: []string{"known red"},
+			wantOutput: []string{"--- FAIL: TestRed ", "--- FAIL: TestParts/red_part", "panic: it ends here"},
+			badOutput:  []string{"known red"},
 		}, {
-			name: "all that are red are named", list: all, args: "go test -vet=off -count=1 ./...", code: 0,
-			says: []string{
+			name: "all failing tests are listed", list: all, args: "go test -vet=off -count=1 ./...", code: 0,
+			wantOutput: []string{
 				"ok  \texample.test/fleet/one", "ok  \texample.test/fleet/two",
 				"    one_test.go:7: it is red",
 				"known red: TestRed still fails: broken, issue 7",
 				"known red: TestParts/red_part still fails: broken, in part, issue #8",
 				"known red: TestPanics still fails: ends, issue 9",
 			},
-			never: []string{"FAIL\t"},
+			badOutput: []string{"FAIL\t"},
 		}, {
-			name: "one is not named", list: "TestRed, broken, 7\nTestPanics, ends, 9\n",
+			name: "a failing test is not listed", list: "TestRed, broken, 7\nTestPanics, ends, 9\n",
 			args: "go test -vet=off -count=1 ./...", code: 1,
-			says: []string{
+			wantOutput: []string{
 				"--- FAIL: TestParts/red_part", "ok  \texample.test/fleet/two",
 				"known red: TestRed still fails", "known red: TestPanics still fails",
 			},
-			never: []string{"--- FAIL: TestRed (0.00s)\nFAIL"},
+			badOutput: []string{"--- FAIL: TestRed (0.00s)\nFAIL"},
 		}, {
-			name: "one passes again", list: "TestRedToo, was broken, 7\nTestPanics, ends, 9\n",
+			name: "a listed test passes again", list: "TestRedToo, was broken, 7\nTestPanics, ends, 9\n",
 			args: "go test -vet=off -count=1 ./two", code: 1,
-			says: []string{
+			wantOutput: []string{
 				"ok  \texample.test/fleet/two",
 				"known red: TestRedToo does not fail any more (pass): the line in KNOWN-RED.txt must go",
 				"known red: TestPanics still fails",
 			},
 		}, {
-			name: "a part passes again", list: "TestParts/green, was broken, 7\nTestParts/red_part, broken, 8\nTestRed, broken, 9\n",
+			name: "a listed subtest passes again", list: "TestParts/green, was broken, 7\nTestParts/red_part, broken, 8\nTestRed, broken, 9\n",
 			args: "go test -vet=off -count=1 ./one", code: 1,
-			says: []string{"known red: TestParts/green does not fail any more (pass)"},
+			wantOutput: []string{"known red: TestParts/green does not fail any more (pass)"},
 		}, {
-			name: "one that skips itself", list: "TestSkips, broken, 7\nTestRed, broken, 8\nTestParts, broken, 9\n",
+			name: "a listed test skips itself", list: "TestSkips, broken, 7\nTestRed, broken, 8\nTestParts, broken, 9\n",
 			args: "go test -vet=off -count=1 ./one", code: 1,
-			says: []string{
+			wantOutput: []string{
 				"known red: TestSkips does not fail any more (skip)",
 				"known red: TestRed still fails", "known red: TestParts still fails",
 			},
 		}, {
-			name: "a name of no test", list: "TestRe, broken, 7\n", args: "go test -vet=off -count=1 ./...", code: 1,
-			says: []string{"no test is named TestRe"}, never: []string{"ok  \t"},
+			name: "an unknown test", list: "TestRe, broken, 7\n", args: "go test -vet=off -count=1 ./...", code: 1,
+			wantOutput: []string{"no test is named TestRe"}, badOutput: []string{"ok  \t"},
 		}, {
-			name: "a part that is not there", list: "TestParts/blue, broken, 7\nTestParts/red_part, broken, 8\nTestRed, broken, 9\n",
+			name: "an unknown subtest", list: "TestParts/blue, broken, 7\nTestParts/red_part, broken, 8\nTestRed, broken, 9\n",
 			args: "go test -vet=off -count=1 ./one", code: 1,
-			says: []string{"known red: TestParts/blue: no test has this name", "known red: TestRed still fails"},
+			wantOutput: []string{"known red: TestParts/blue: no test has this name", "known red: TestRed still fails"},
 		}, {
 			name: "a name in two packages", list: "TestGreen, broken, 7\n", args: "go test -vet=off -count=1 ./...", code: 1,
-			says: []string{"TestGreen is in example.test/fleet/one and in example.test/fleet/two"},
+			wantOutput: []string{"TestGreen is in example.test/fleet/one and in example.test/fleet/two"},
 		}, {
 			name: "more lines than allowed", list: all + strings.Join(tooMany, ""), args: "go test -vet=off -count=1 ./...", code: 1,
-			says: []string{"9 lines, at most 8"}, never: []string{"ok  \t"},
+			wantOutput: []string{"9 lines, at most 8"}, badOutput: []string{"ok  \t"},
 		}, {
 			name: "intermittent, failed and passed", list: "TestRed" + evidence + "TestParts" + evidence + "TestRedToo" + evidence + "TestPanics, ends, 9\n",
 			args: "go test -vet=off -count=1 ./...", code: 0,
-			says: []string{
+			wantOutput: []string{
 				"ok  \texample.test/fleet/one", "    one_test.go:7: it is red",
 				"known red: TestRed failed on this run: intermittent: go test -count=1 ./one; seed none; it is red, issue 7",
 				"known red: TestParts failed on this run", "known red: TestRedToo passed on this run",
 			},
-			never: []string{"must go"},
+			badOutput: []string{"must go"},
 		}, {
 			name: "an intermittent test that ends the process", list: "TestPanics" + evidence,
-			args: "go test -vet=off -count=1 ./two", code: 0, says: []string{"known red: TestPanics failed on this run"},
+			args: "go test -vet=off -count=1 ./two", code: 0, wantOutput: []string{"known red: TestPanics failed on this run"},
 		}, {
 			name: "an intermittent test that skips itself",
 			list: "TestSkips" + evidence + "TestRed" + evidence + "TestParts" + evidence,
-			args: "go test -vet=off -count=1 ./one", code: 1, says: []string{"known red: TestSkips does not fail any more (skip)"},
+			args: "go test -vet=off -count=1 ./one", code: 1, wantOutput: []string{"known red: TestSkips does not fail any more (skip)"},
 		}, {
-			name: "an intermittent part that is not there", list: "TestParts/blue" + evidence + "TestRed" + evidence + "TestParts/red_part" + evidence,
-			args: "go test -vet=off -count=1 ./one", code: 1, says: []string{"known red: TestParts/blue: no test has this name"},
+			name: "an intermittent unknown subtest", list: "TestParts/blue" + evidence + "TestRed" + evidence + "TestParts/red_part" + evidence,
+			args: "go test -vet=off -count=1 ./one", code: 1, wantOutput: []string{"known red: TestParts/blue: no test has this name"},
 		}, {
-			name: "only left out", list: all, args: "--aside go test -vet=off -count=1 ./two", code: 0,
-			says: []string{"ok  \texample.test/fleet/two"}, never: []string{"known red"},
+			name: "the listed tests are skipped", list: all, args: "--aside go test -vet=off -count=1 ./two", code: 0,
+			wantOutput: []string{"ok  \texample.test/fleet/two"}, badOutput: []string{"known red"},
 		}, {
-			name: "no test command", args: "go vet ./...", code: 2, says: []string{"usage: knownred"},
+			name: "no test command", args: "go vet ./...", code: 2, wantOutput: []string{"usage: knownred"},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -165,12 +165,12 @@
 			if code := run(dir, strings.Fields(test.args), &out, &out); code != test.code {
 				t.Errorf("exit code %d, want %d", code, test.code)
 			}
-			for _, want := range test.says {
+			for _, want := range test.wantOutput {
 				if !strings.Contains(out.String(), want) {
 					t.Errorf("output lacks %q", want)
 				}
 			}
-			for _, bad := range test.never {
+			for _, bad := range test.badOutput {
 				if strings.Contains(out.String(), bad) {
 					t.Errorf("output has %q", bad)
 				}
@@ -213,8 +213,8 @@
 	}
 }
 
-// Characters of a test's name that have a meaning in a regular expression are quoted.
-func TestNameIsNoPattern(t *testing.T) {
+// Characters of a test's name that are special in a regular expression are quoted in the skip pattern.
+func TestSkipPatternQuotesNames(t *testing.T) {
 	known, err := parseList("TestX/a.b(c|d)[1], cause, 7\n")
 	if err != nil {
 		t.Fatal(err)
