--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,36 +1,36 @@
-// Package capacity holds the size that the system is to carry, in one place: the
-// target's figures, what a dispatcher may spend on control, the load that stands
-// for that size, and the rules by which a page says "carried" or "not carried".
-// docs/CAPACITY.md is written from it and from what `bellstream-lab run capacity`
-// measured.
+// Package capacity defines the size that the system must carry: the target's
+// figures, what a dispatcher may spend on control, a generated load of that size,
+// and the rules by which a page says "carried" or "not carried".
+// docs/CAPACITY.md is generated from this package and from the results of
+// `bellstream-lab run capacity`.
 //
-// The package does no I/O, reads no clock and starts no goroutine. What is drawn
-// is drawn from a seed.
+// The package does no I/O, reads no clock and starts no goroutine. All random
+// numbers are drawn from a seed.
 package capacity
 
-// Figures are a size: the target's, or a part of it.
+// Figures is the size of a system: the target, or a percentage of it.
 type Figures struct {
-	Workers      int     // machines that do the work
-	Accelerators int     // in some of the workers
-	Regions      int     // never scaled: the map stays
+	Workers      int     // worker machines
+	Accelerators int     // total; only some of the workers have any
+	Regions      int     // never scaled: the layout of regions and zones is fixed
 	Zones        int     // never scaled
-	Jobs         int     // a day
-	Starts       float64 // tasks a second at the peak
-	Running      int     // tasks at one time
-	Gang         int     // tasks of the largest gang; never scaled
-	Teams        int     // with quotas
-	Urgent       float64 // s within which urgent work starts; a promise, never scaled
-	Changes      int     // of the configuration, a day
-	InForce      float64 // s within which a change is in force everywhere; never scaled
-	Core         float64 // % of a core, that a dispatcher spends on control; never scaled
-	Memory       float64 // MB of a dispatcher, all of it; never scaled
-	Bytes        float64 // a second, that a dispatcher sends and receives for control; never scaled
-	Machines     int     // set aside for control; never scaled
-	Failures     float64 // machines that fail in a day
-	Restarts     float64 // machines that are restarted or replaced in a day
+	Jobs         int     // per day
+	Starts       float64 // task starts per second at the peak
+	Running      int     // tasks running at the same time
+	Gang         int     // number of tasks of the largest gang; never scaled
+	Teams        int     // teams that have quotas
+	Urgent       float64 // seconds within which urgent work starts; a promise, never scaled
+	Changes      int     // configuration changes per day
+	InForce      float64 // seconds within which a change is in force everywhere; never scaled
+	Core         float64 // percent of a core that a dispatcher may spend on control; never scaled
+	Memory       float64 // MB, total memory of a dispatcher; never scaled
+	Bytes        float64 // bytes per second that a dispatcher sends and receives for control; never scaled
+	Machines     int     // machines reserved for control; never scaled
+	Failures     float64 // machines that fail per day
+	Restarts     float64 // machines that are restarted or replaced per day
 }
 
-// Target is what has to be carried in about two years (issue 27).
+// Target is the size that the system has to carry in about two years (issue 27).
 var Target = Figures{
 	Workers: 1000, Accelerators: 1400, Regions: 6, Zones: 22,
 	Jobs: 11_000, Starts: 210, Running: 5200, Gang: 128,
@@ -39,16 +39,16 @@
 	Failures: 9, Restarts: 130,
 }
 
-// Percents are the sizes at which all is measured, in hundredths of the target.
+// Percents are the sizes at which every figure is measured, in percent of the target.
 var Percents = []int{10, 25, 50, 100, 200}
 
-// Line is a line of the target, by which verdicts are given. Its key stands in rows.
+// Line is one line of the target; each line gets a verdict. A [Row] names its line by Key.
 type Line struct {
 	Key   string  `json:"key"`
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	Scale bool    `json:"scale"` // whether it is smaller at a smaller percentage
+	Scale bool    `json:"scale"` // whether [Figures.Scale] scales the value
 }
 
 // Keys of the target's lines.
@@ -76,7 +76,7 @@
 	Links        = "links"
 )
 
-// Lines are the target's, in the order of the issue.
+// Lines returns the lines of the target, in the order in which issue 27 lists them.
 func (f Figures) Lines() []Line {
 	return []Line{
 		{Workers, "workers", float64(f.Workers), "machines", true},
@@ -103,8 +103,9 @@
 	}
 }
 
-// Scale is a part of a size: all that grows with the work, together. The map, the promises and the
-// budget of one dispatcher stay.
+// Scale returns the given percentage of f. It scales every figure that grows with the amount of work; regions,
+// zones, promised times, the largest gang and the budget for control stay the same. Integers are rounded and at
+// least 1.
 func (f Figures) Scale(percent int) Figures {
 	part := float64(percent) / 100
 	n := func(x int) int { return max(1, int(float64(x)*part+0.5)) }
@@ -113,29 +114,29 @@
 	return f
 }
 
-// Kind is a kind of control, by which the budget is added up.
+// Kind is a kind of control traffic and work. The budget is a sum over the kinds.
 type Kind string
 
-// Kinds of control. Together they are all that a dispatcher sends, receives and computes that is not
-// a client's request, its way to a worker and its answer.
+// Kinds of control. Together they cover everything that a dispatcher sends, receives and computes, except for
+// client requests, forwarding them to workers and their answers.
 const (
-	Membership Kind = "membership"       // who is there
-	Counts     Kind = "counts and loans" // what was used, what may be used
+	Membership Kind = "membership"       // which instances are members
+	Counts     Kind = "counts and loans" // how much of a quota was used and how much may be used
 	Agreement  Kind = "agreement at rest"
-	Versions   Kind = "versions" // changes of the rules
+	Versions   Kind = "versions" // configuration changes
 	Seats      Kind = "seats"    // which instance queues which shard
-	Lists      Kind = "lists"    // discovery's, of workers
+	Lists      Kind = "lists"    // endpoint lists of workers, from discovery
 	Probes     Kind = "probes and reports"
 )
 
-// Entry is a kind in the budget, with what it grows with and why it counts as control.
+// Entry is one kind of control in the budget.
 type Entry struct {
 	Kind Kind
 	By   string // what its cost grows with
-	Why  string // why it counts
+	Why  string // why it counts as control
 }
 
-// Budget is what is added up against 5 KB a second, 1.8 % of a core and 256 MB.
+// Budget lists the kinds whose costs are summed and compared with 5 KB per second, 1.8 % of a core and 256 MB.
 var Budget = []Entry{
 	{Membership, "instances", "nothing of it serves a request"},
 	{Counts, "instances, teams, starts a second", "it decides who may use what, for all requests at once"},
@@ -146,55 +147,55 @@
 	{Probes, "workers, requests", "questions to workers that no client asked; a report inside an answer is part of the answer and does not count"},
 }
 
-// How says where a figure is from.
+// How is the method by which a figure was obtained.
 type How string
 
-// Ways to a figure.
+// Methods by which a figure is obtained.
 const (
 	OnSockets    How = "on sockets"     // real processes or hollow instances on loopback
-	VirtualTime  How = "virtual time"   // the same code, network and clock played
-	Computed     How = "computed"       // from formats and settings, by the product's own code
-	Extrapolated How = "extrapolated"   // by a slope, beyond what was played
+	VirtualTime  How = "virtual time"   // the same code with a simulated network and clock
+	Computed     How = "computed"       // from formats and settings, by the production code
+	Extrapolated How = "extrapolated"   // by a slope, beyond the sizes that were run
 	NotMeasured  How = "not measured"   // no figure
-	NoMechanism  How = "no mechanism"   // nothing that carries it exists
-	NotYetJoined How = "not joined yet" // another part measures it
+	NoMechanism  How = "no mechanism"   // the system has no mechanism for this line
+	NotYetJoined How = "not joined yet" // measured by another part, result not merged yet
 )
 
-// Row is a figure that is held against the target at one size.
+// Row is a figure that is compared with the target at one size.
 type Row struct {
 	Line     string  `json:"line"`    // key of the target's line
-	Percent  int     `json:"percent"` // of the target, all figures together
-	What     string  `json:"what"`    // what was measured, the same words at every percentage
+	Percent  int     `json:"percent"` // size as a percentage of the target
+	What     string  `json:"what"`    // what was measured; the same text at every percentage
 	Bound    float64 `json:"bound"`
 	Measured float64 `json:"measured"`
-	Least    bool    `json:"least,omitempty"` // the bound must be reached, else it must not be passed
+	Least    bool    `json:"least,omitempty"` // the bound is a minimum; otherwise it is a maximum
 	Unit     string  `json:"unit"`
 	Held     bool    `json:"held"`
 	How      How     `json:"how"`
-	Setting  string  `json:"setting,omitempty"` // other than the default: what was set
-	Shown    bool    `json:"shown,omitempty"`   // beside the others, not judged: docs/questions.md says why
-	Kind     Kind    `json:"kind,omitempty"`    // of control, where it is a part of the budget's sum
-	When     When    `json:"when,omitempty"`    // of a part of the sum: empty is the mean
-	Run      int     `json:"-"`                 // which of a page's runs gave it, from 1; 0: computed from rows
+	Setting  string  `json:"setting,omitempty"` // the settings that differ from the default; empty: none
+	Shown    bool    `json:"shown,omitempty"`   // shown but not judged: docs/questions.md says why
+	Kind     Kind    `json:"kind,omitempty"`    // kind of control, if the row is a part of the budget's sum
+	When     When    `json:"when,omitempty"`    // period of a part of the sum; empty is the mean
+	Run      int     `json:"-"`                 // number of the page's run that measured it, from 1; 0: computed from rows
 }
 
-// When says over what a part of the budget's sum was taken.
+// When is the period over which a part of the budget's sum was measured.
 type When string
 
-// Times over which the budget is added up. A second is shown and not judged: what is read whole comes
-// within one, and the target says "a second" of a rate.
+// Periods over which the budget is summed. The worst second is shown but not judged: a message that is read
+// as a whole arrives within one second, and the target's "a second" is the unit of a rate.
 const (
 	Mean   When = ""
 	Second When = "the worst second"
 	Minute When = "the minute after a zone went"
 )
 
-// AtMost is a row whose figure must be no larger than its bound. What is no figure holds nothing.
+// AtMost returns a row whose figure must not exceed its bound. A NaN does not hold.
 func AtMost(line string, percent int, what string, bound, measured float64, unit string, how How) Row {
 	return Row{Line: line, Percent: percent, What: what, Bound: bound, Measured: measured, Unit: unit, Held: measured <= bound, How: how}
 }
 
-// AtLeast is a row whose figure must be no smaller than its bound.
+// AtLeast returns a row whose figure must not be below its bound. A NaN does not hold.
 func AtLeast(line string, percent int, what string, bound, measured float64, unit string, how How) Row {
 	return Row{Line: line, Percent: percent, What: what, Bound: bound, Measured: measured, Least: true, Unit: unit, Held: measured >= bound, How: how}
 }
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The target is the issue's, line by line.
+// The lines of the target have the figures of issue 27, and each key occurs once.
 func TestTarget(t *testing.T) {
 	want := map[string]float64{Workers: 1000, Accelerators: 1400, Regions: 6, Zones: 22, Jobs: 11000, Starts: 210, Running: 5200, Gangs: 128,
 		Teams: 410, Urgent: 7.3, Changes: 1700, InForce: 4, Core: 1.8, Memory: 256, Bytes: 5000, Machines: 17, Failures: 9, Restarts: 130,
@@ -18,16 +18,16 @@
 	got := map[string]float64{}
 	for _, l := range Target.Lines() {
 		if _, twice := got[l.Key]; twice {
-			t.Errorf("%s stands twice", l.Key)
+			t.Errorf("key %s occurs twice", l.Key)
 		}
 		got[l.Key] = l.Value
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("target lines: got %v, want %v", got, want)
 	}
 }
 
-// What grows with the work is scaled, the map, the promises and a dispatcher's budget are not.
+// Scale scales the lines that grow with the amount of work, and no others.
 func TestScale(t *testing.T) {
 	for _, p := range Percents {
 		full, part := Target.Lines(), Target.Scale(p).Lines()
@@ -37,20 +37,20 @@
 				want = l.Value * float64(p) / 100
 			}
 			if got := part[i].Value; math.Abs(got-want) > 0.5 {
-				t.Errorf("%d %%: %s is %v, want %v", p, l.Name, got, want)
+				t.Errorf("at %d %%: %s: got %v, want %v", p, l.Name, got, want)
 			}
 		}
 	}
 }
 
-// The load has the size that it is asked for, at every percentage and seed.
+// NewLoad draws a load with the figures of its percentage of the target, for every seed.
 func TestLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		percent := rapid.SampledFrom(Percents).Draw(t, "percent")
 		l := NewLoad(percent, rapid.Uint64().Draw(t, "seed"))
 		f := Target.Scale(percent)
 		if len(l.Teams) != f.Teams || len(l.Workers) != f.Workers || len(l.Zones) != f.Zones {
-			t.Fatalf("%d teams, %d workers, %d zones", len(l.Teams), len(l.Workers), len(l.Zones))
+			t.Fatalf("got %d teams, %d workers, %d zones", len(l.Teams), len(l.Workers), len(l.Zones))
 		}
 		regions, by := map[int]bool{}, make([]int, len(l.Zones))
 		for _, z := range l.Zones {
@@ -63,20 +63,20 @@
 		}
 		for i, z := range l.Zones {
 			if by[i] != z.Workers || z.Workers < 1 {
-				t.Fatalf("zone %s has %d workers, said %d", z.Name, by[i], z.Workers)
+				t.Fatalf("zone %s: %d workers are in it, its Workers field is %d", z.Name, by[i], z.Workers)
 			}
 		}
 		if len(regions) != f.Regions || accelerators < f.Accelerators || accelerators >= f.Accelerators+accelEach || slots < f.Running {
-			t.Fatalf("%d regions, %d accelerators, %d slots for %d tasks", len(regions), accelerators, slots, f.Running)
+			t.Fatalf("got %d regions, %d accelerators, %d slots for %d tasks", len(regions), accelerators, slots, f.Running)
 		}
 		sum, one, all := 0.0, 0, 0
 		for i, x := range l.Teams {
 			sum += x.Rate
 			if i > 0 && x.Share > l.Teams[i-1].Share {
-				t.Fatalf("team %d is larger than the one before", i)
+				t.Fatalf("team %d has a larger share than the team before it", i)
 			}
 			if math.Abs(x.Quota*Asked-x.Rate) > 1e-9 {
-				t.Fatalf("team %d asks for %v of %v", i, x.Rate, x.Quota)
+				t.Fatalf("team %d has a rate of %v with a quota of %v", i, x.Rate, x.Quota)
 			}
 			switch len(x.Zones) {
 			case 1:
@@ -85,34 +85,35 @@
 				all++
 			case FewZones:
 			default:
-				t.Fatalf("team %d enters through %v", i, x.Zones)
+				t.Fatalf("team %d enters through the zones %v", i, x.Zones)
 			}
 		}
 		few := int(float64(f.Teams)*OneZone + 0.5)
 		if math.Abs(sum-f.Starts) > 1e-6 || math.Abs(l.Teams[0].Share-Largest) > 1e-6 || one != few || all != few {
-			t.Fatalf("%v starts a second, the largest has %v, %d through one zone, %d through all", sum, l.Teams[0].Share, one, all)
+			t.Fatalf("got %v starts per second, a share of %v for the largest team, %d teams through one zone, %d through all", sum, l.Teams[0].Share, one, all)
 		}
 		n := rapid.SampledFrom([]int{5, 22, 44, 300}).Draw(t, "instances")
 		for i, list := range l.Enters(l.Place(n)) {
 			if len(list) == 0 || list[len(list)-1] >= n {
-				t.Fatalf("team %d enters through %v of %d", i, list, n)
+				t.Fatalf("team %d enters through the dispatchers %v of %d", i, list, n)
 			}
 		}
 	})
 }
 
-// The same seed draws the same load, another one another.
+// The same seed draws the same load; a different seed draws a different one.
 func TestLoadBySeed(t *testing.T) {
 	a, b, c := NewLoad(100, 5), NewLoad(100, 5), NewLoad(100, 6)
 	if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a.Changed(), b.Changed()) || !reflect.DeepEqual(a.Gone(44), b.Gone(44)) {
-		t.Error("one seed, two loads")
+		t.Error("the same seed drew different loads")
 	}
 	if reflect.DeepEqual(a.Workers, c.Workers) || reflect.DeepEqual(a.Changed(), c.Changed()) {
-		t.Error("two seeds, one load")
+		t.Error("different seeds drew the same load")
 	}
 }
 
-// A day has its changes, failures and restarts, the night a tenth of the peak, a task 25 s in the mean.
+// A day has the target's number of changes, failures and restarts, the rate at midnight is a tenth of the peak, and
+// tasks run for 25 s on average.
 func TestDay(t *testing.T) {
 	l := NewLoad(100, 7)
 	changes, many := 0, 0
@@ -125,7 +126,7 @@
 	failed, restarted := 0, 0
 	for _, e := range l.Gone(44) {
 		if e.Machine < 0 || e.Machine >= 1044 || e.Away <= 0 {
-			t.Errorf("%+v", e)
+			t.Errorf("invalid event %+v", e)
 		}
 		if e.Restart {
 			restarted++
@@ -134,10 +135,10 @@
 		}
 	}
 	if changes != 1700 || many != 17 || failed != 9 || restarted != 130 {
-		t.Errorf("%d changes, %d times ten, %d failed, %d restarted", changes, many, failed, restarted)
+		t.Errorf("got %d changes, %d groups of ten, %d failures, %d restarts", changes, many, failed, restarted)
 	}
 	if lo, hi := Rate(0), Rate(Day/2); math.Abs(lo-Night) > 1e-9 || math.Abs(hi-1) > 1e-9 {
-		t.Errorf("from %v to %v of the peak", lo, hi)
+		t.Errorf("rate ranges from %v to %v of the peak", lo, hi)
 	}
 	r, sum, long := rand.New(rand.NewPCG(1, 2)), 0.0, 0
 	const n = 400_000
@@ -149,14 +150,14 @@
 		}
 	}
 	if mean := sum / n; math.Abs(mean-MeanRun) > 1 || long < n/200 || long > n/50 {
-		t.Errorf("%v s in the mean, %d of %d over 260 s", mean, long, n)
+		t.Errorf("task time: mean %v s, %d of %d over 260 s", mean, long, n)
 	}
 	if got, want := l.Starts*MeanRun, float64(l.Running); math.Abs(got/want-1) > 0.02 {
-		t.Errorf("%v starts a second of %v s are %v running, the target says %v", l.Starts, MeanRun, got, want)
+		t.Errorf("%v starts per second of %v s give %v running tasks, the target has %v", l.Starts, MeanRun, got, want)
 	}
 }
 
-// A line through exact points is found, its bend and spread are told, and three sizes are none.
+// Fit finds the line, the spread and the bend of given points, and refuses points at three sizes.
 func TestFit(t *testing.T) {
 	var exact, bent []Point
 	for _, x := range []float64{5, 22, 44, 88, 300} {
@@ -167,21 +168,22 @@
 	}
 	s, err := Fit("bytes", "instances", "B/s", VirtualTime, exact)
 	if err != nil || math.Abs(s.A-10) > 1e-6 || math.Abs(s.B-2) > 1e-9 || math.Abs(s.Spread-0.1) > 1e-9 || s.Bend > 1e-9 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got slope %+v, error %v", s, err)
 	}
 	if !s.Played(44) || s.Played(600) || math.Abs(s.At(600)-1210) > 1e-6 {
-		t.Errorf("played %v, %v; %v at 600", s.Played(44), s.Played(600), s.At(600))
+		t.Errorf("played: got %v at 44, %v at 600; cost at 600: got %v", s.Played(44), s.Played(600), s.At(600))
 	}
 	if s, err := Fit("", "", "", VirtualTime, bent); err != nil || s.Bend < 0.1 {
-		t.Errorf("a square has a bend of %v, %v", s.Bend, err)
+		t.Errorf("points of a square: got bend %v, error %v", s.Bend, err)
 	}
 	if _, err := Fit("", "", "", VirtualTime, exact[:6]); !errors.Is(err, ErrFew) {
-		t.Errorf("three sizes: %v", err)
+		t.Errorf("points at three sizes: got error %v, want ErrFew", err)
 	}
 }
 
-// A line is carried if all its rows hold, with a setting if that mends what breaks, else not; what binds is
-// the row with the least margin, and the first percentage is the smallest that breaks.
+// A line is carried if all its rows hold; it is carried with a setting if the rows that break by default hold with it
+// and it breaks no other line; otherwise it is not carried. The row with the smallest margin binds, and First is the
+// smallest percentage at which a row breaks.
 func TestJudge(t *testing.T) {
 	with := func(r Row, setting string) Row { r.Setting = setting; return r }
 	rows := []Row{
@@ -191,7 +193,7 @@
 		with(AtMost(Teams, 100, "news", 4, 3, "s", VirtualTime), "period 2 s"),
 		AtMost(Teams, 50, "news", 4, 5, "s", VirtualTime),
 		AtMost(Teams, 100, "news", 4, 5, "s", VirtualTime),
-		with(AtMost(Teams, 100, "news", 4, 1, "s", VirtualTime), "period 9 s"), // mends this and breaks the next
+		with(AtMost(Teams, 100, "news", 4, 1, "s", VirtualTime), "period 9 s"), // holds here, but the same setting breaks Bytes in the next row
 		with(AtMost(Bytes, 100, "bytes", 5000, 8000, "B/s", VirtualTime), "period 9 s"),
 		AtMost(InForce, 100, "alone", 4, 2, "s", OnSockets),
 		AtMost(InForce, 100, "ten at once", 4, 22, "s", OnSockets),
@@ -228,11 +230,11 @@
 			w.state = Unknown
 		}
 		if v.State != w.state || v.Setting != w.setting || v.Binds.What != w.binds || math.Abs(v.Margin-w.margin) > 1e-9 || v.First != w.first {
-			t.Errorf("%s: %+v, want %+v", v.Key, v, w)
+			t.Errorf("%s: got %+v, want %+v", v.Key, v, w)
 		}
 	}
 	missing := Missing(list)
 	if len(missing) != 2 || missing[0].Key != Memory || missing[1].Key != InForce {
-		t.Errorf("missing: %+v", missing)
+		t.Errorf("lines not carried: got %+v, want Memory, InForce", missing)
 	}
 }
--- a/internal/lab/capacity/load.go
+++ b/internal/lab/capacity/load.go
@@ -8,76 +8,76 @@
 	"slices"
 )
 
-// Figures of the load that the target does not say. docs/questions.md has what is assumed.
+// Figures of the load that the target does not define. docs/questions.md lists the assumptions.
 const (
-	Largest   = 0.08   // the largest team's part of all starts
-	OneZone   = 0.05   // part of the teams that enter through one zone
-	Anywhere  = 0.05   // part of the teams that enter through all
-	FewZones  = 3      // through which the others enter
-	Asked     = 0.9    // of its reservation, that a team asks for at the peak
-	Night     = 0.1    // of the peak
-	MeanRun   = 25.0   // s that a task runs, in the mean
-	sigmaRun  = 1.5    // of the logarithm of a task's time: its tail is heavy (median 8 s, one in a hundred over 260 s)
-	Together  = 0.1    // part of the changes that come ten at once
-	AtOnce    = 10     // changes that come at once
-	Day       = 86_400 // s
-	accelEach = 4      // accelerators of a worker that has some
-	plainEach = 8      // slots of one that has none
-	awayMean  = 600.0  // s until a machine that failed is replaced
-	restarted = 60.0   // s that a machine is away which is restarted
+	Largest   = 0.08   // the largest team's share of all starts
+	OneZone   = 0.05   // fraction of the teams that enter through one zone
+	Anywhere  = 0.05   // fraction of the teams that enter through all zones
+	FewZones  = 3      // number of zones through which each of the other teams enters
+	Asked     = 0.9    // fraction of its quota that a team requests at the peak
+	Night     = 0.1    // rate at the start of the day, as a fraction of the peak
+	MeanRun   = 25.0   // mean run time of a task, in seconds
+	sigmaRun  = 1.5    // standard deviation of the logarithm of a task's run time: a heavy tail (median 8 s, 1 % over 260 s)
+	Together  = 0.1    // fraction of the changes that arrive ten at once
+	AtOnce    = 10     // number of changes that arrive at once
+	Day       = 86_400 // seconds
+	accelEach = 4      // accelerators of a worker that has any; it has as many slots
+	plainEach = 8      // slots of a worker without accelerators
+	awayMean  = 600.0  // mean time until a failed machine is replaced, in seconds
+	restarted = 60.0   // mean time that a restarted machine is away, in seconds
 )
 
-// Team is one with a quota.
+// Team is a team with a quota.
 type Team struct {
 	Name  string
-	Share float64 // of all starts
-	Quota float64 // starts a second
-	Rate  float64 // starts a second that it asks for at the peak
-	Zones []int   // through which it enters, ascending
+	Share float64 // fraction of all starts
+	Quota float64 // starts per second
+	Rate  float64 // starts per second that it requests at the peak
+	Zones []int   // indexes of the zones through which its requests enter, ascending
 }
 
-// Zone is one of the map.
+// Zone is a zone, with its region and its number of workers.
 type Zone struct {
 	Name    string
 	Region  int
 	Workers int
 }
 
-// Worker is one machine.
+// Worker is a worker machine.
 type Worker struct {
 	Zone         int
-	Accelerators int // 0: a worker of the plain kind
+	Accelerators int // 0: a worker without accelerators
 	Slots        int
 }
 
-// Change is a change of the configuration, on an ordinary day.
+// Change is a configuration change, or several at the same moment, on an ordinary day.
 type Change struct {
-	At   float64 // s of the day
-	Many int     // that come at this moment: 1 or AtOnce
+	At   float64 // seconds since the start of the day
+	Many int     // number of changes at this moment: 1 or AtOnce
 }
 
-// Event is a machine that goes, on an ordinary day.
+// Event is the failure or restart of a machine, on an ordinary day.
 type Event struct {
-	At      float64 // s of the day
-	Machine int     // of the workers and, behind them, the dispatchers
-	Restart bool    // else it has failed
-	Away    float64 // s
+	At      float64 // seconds since the start of the day
+	Machine int     // index among the workers followed by the dispatchers
+	Restart bool    // the machine is restarted; otherwise it has failed
+	Away    float64 // seconds until it, or its replacement, is back
 }
 
-// Load is the work of one size, drawn from a seed.
+// Load is a generated load of one size, drawn from a seed.
 type Load struct {
 	Figures
 	Percent int
-	Teams   []Team // the largest first
+	Teams   []Team // in descending order of Share
 	Zones   []Zone
 	Workers []Worker
 	seed    uint64
 }
 
-// regionZones is how the 22 zones lie in the 6 regions.
+// regionZones is the number of zones of each of the 6 regions, 22 in all.
 var regionZones = []int{6, 5, 4, 3, 2, 2}
 
-// NewLoad draws the load of a percentage of the target.
+// NewLoad draws the load for a percentage of the target. The same seed gives the same load.
 func NewLoad(percent int, seed uint64) *Load {
 	l := &Load{Figures: Target.Scale(percent), Percent: percent, seed: seed}
 	r := l.rand(1)
@@ -86,7 +86,7 @@
 			l.Zones = append(l.Zones, Zone{Name: fmt.Sprintf("r%d-z%d", region+1, k+1), Region: region})
 		}
 	}
-	weights := make([]float64, len(l.Zones)) // the largest has some five times the smallest
+	weights := make([]float64, len(l.Zones)) // the largest is about five times the smallest
 	for i := range weights {
 		weights[i] = 1 / math.Sqrt(float64(i+1))
 	}
@@ -109,7 +109,8 @@
 
 func (l *Load) rand(use uint64) *rand.Rand { return rand.New(rand.NewPCG(l.seed, 0xca9a<<16|use)) }
 
-// divide gives whole parts by weights, by the largest remainders, nobody less than one if there is enough.
+// divide splits n into integers proportional to the weights, by the largest-remainder method. Each part is at least 1
+// if n is at least the number of weights.
 func divide(n int, weights []float64) []int {
 	sum, left := 0.0, n
 	for _, w := range weights {
@@ -131,14 +132,15 @@
 		out[rest[k%len(rest)]]++
 		left--
 	}
-	for left < 0 { // ones that were given for nothing
+	for left < 0 { // takes back what the minimum of 1 gave in excess
 		out[slices.Index(out, slices.Max(out))]--
 		left++
 	}
 	return out
 }
 
-// teams draws sizes by a power law whose largest has its part, and where each enters.
+// teams draws the teams: their shares follow a power law in which the largest has [Largest], and each gets the zones
+// through which it enters.
 func (l *Load) teams(r *rand.Rand) {
 	n := l.Figures.Teams
 	shares := tail(n, Largest)
@@ -149,7 +151,7 @@
 		l.Teams = append(l.Teams, t)
 	}
 	all, one := int(float64(n)*Anywhere+0.5), int(float64(n)*OneZone+0.5)
-	perm := r.Perm(n) // half of those that enter anywhere are the largest
+	perm := r.Perm(n) // half of the teams that enter through all zones are the largest teams
 	how := make([]int, n)
 	for i := range (all + 1) / 2 {
 		how[i] = len(l.Zones)
@@ -173,8 +175,8 @@
 	}
 }
 
-// tail are n shares, falling by a power of the rank, of which the first is as large as asked for, if that
-// is more than an equal part.
+// tail returns n shares with the sum 1 that fall by a power of the rank. The first share is the given one, unless
+// that is less than 1/n.
 func tail(n int, first float64) []float64 {
 	at := func(power float64) []float64 {
 		out, sum := make([]float64, n), 0.0
@@ -198,9 +200,10 @@
 	return at(hi)
 }
 
-// Place is the zone of each of n dispatchers: as even as can be, regions in turn where there are fewer than zones.
+// Place returns the zone of each of n dispatchers, spread as evenly as possible; fewer dispatchers than zones go to
+// the regions in turn.
 func (l *Load) Place(n int) []int {
-	var turn []int // a zone of each region, then a second of each, and so on
+	var turn []int // the first zone of each region, then the second of each, and so on
 	for k := 0; len(turn) < len(l.Zones); k++ {
 		at := 0
 		for _, zones := range regionZones {
@@ -217,9 +220,9 @@
 	return out
 }
 
-// Enters is, by team, the dispatchers that it enters through, when they stand in these zones: where it enters
-// through one zone or through all, all of them; else one in each of its zones. In a zone without a dispatcher
-// its clients go to one of another zone.
+// Enters returns for each team the dispatchers that its requests enter through, given the zone of each dispatcher. A
+// team that enters through one zone or through all zones uses all dispatchers there; any other team uses one in each of
+// its zones. Instead of a zone without dispatchers, its clients use a dispatcher drawn from all.
 func (l *Load) Enters(zones []int) [][]int {
 	r := l.rand(2)
 	by := make([][]int, len(l.Zones))
@@ -244,17 +247,17 @@
 	return out
 }
 
-// Rate is the part of the peak that is asked for at a second of the day: lowest at its begin, highest at noon.
+// Rate returns the request rate at a second of the day as a fraction of the peak: lowest at midnight, highest at noon.
 func Rate(at float64) float64 {
 	return (1+Night)/2 - (1-Night)/2*math.Cos(2*math.Pi*at/Day)
 }
 
-// TaskTime draws how long a task runs, in seconds.
+// TaskTime draws the run time of a task, in seconds.
 func TaskTime(r *rand.Rand) float64 {
 	return MeanRun * math.Exp(sigmaRun*r.NormFloat64()-sigmaRun*sigmaRun/2)
 }
 
-// when draws a second of the day, as busy as the day is then.
+// when draws a second of the day, with a probability proportional to [Rate].
 func when(r *rand.Rand) float64 {
 	for {
 		if at := r.Float64() * Day; r.Float64() < Rate(at) {
@@ -263,7 +266,7 @@
 	}
 }
 
-// Changed are the changes of an ordinary day, in their order.
+// Changed returns the configuration changes of an ordinary day, by time.
 func (l *Load) Changed() (list []Change) {
 	r := l.rand(3)
 	many := int(float64(l.Changes)*Together/AtOnce + 0.5)
@@ -277,8 +280,8 @@
 	return list
 }
 
-// Gone are the machines that fail or are restarted on an ordinary day, with so many dispatchers behind the
-// workers, in their order.
+// Gone returns the failures and restarts of machines on an ordinary day, by time. Machines are the workers followed by
+// the given number of dispatchers.
 func (l *Load) Gone(dispatchers int) (list []Event) {
 	r := l.rand(4)
 	machine := func() int { return r.IntN(len(l.Workers) + dispatchers) }
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Run is what a play of the experiment printed as JSON, as far as the page takes it.
+// Run is the JSON output of a run of the experiment, with the fields that the page uses.
 type Run struct {
 	Experiment string  `json:"experiment"`
 	Command    string  `json:"command"`
@@ -25,7 +25,7 @@
 	Slopes     []Slope `json:"slopes"`
 }
 
-// Held is a claim of a run.
+// Held is a claim of a run, with its result.
 type Held struct {
 	Name     string  `json:"name"`
 	Bound    float64 `json:"bound"`
@@ -34,7 +34,7 @@
 	Held     bool    `json:"held"`
 }
 
-// ReadRun takes a run's output.
+// ReadRun parses the output of a run. It returns an error for another experiment's run and for a void run.
 func ReadRun(raw []byte) (r Run, err error) {
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return r, err
@@ -48,8 +48,8 @@
 	return r, nil
 }
 
-// Tables are all that a page may show, made of the runs in their order. Those from before a mechanism was changed
-// stand in the table of changes alone.
+// Tables returns all tables that a page may show, made from the runs, which are numbered in the given order. The
+// measurements of the runs in before, made before a mechanism was changed, appear only in the table of changes.
 func Tables(runs, before []Run) []Table {
 	var rows []Row
 	var slopes []Slope
@@ -85,8 +85,8 @@
 	return []Table{TargetTable(), VerdictTable(verdicts), OrderTable(Missing(verdicts)), BudgetTable(rows, 100), CountsTable(), SizesTable(all), SlopesTable(slopes), DelaysTable(), DayTable(), ChangeTable(before, runs), played}
 }
 
-// ChangeTable has what a change of a mechanism did, at each number of dispatchers that was played before and after: the
-// mean over seeds of each cost that both have a slope of.
+// ChangeTable shows the effect of changing a mechanism, at each number of dispatchers that was run before and after the
+// change: the mean over seeds of each cost that has a slope in both.
 func ChangeTable(before, after []Run) Table {
 	t := Table{Name: "change", Head: []string{"dispatchers"}}
 	was, is := costs(before), costs(after)
@@ -118,7 +118,7 @@
 	return t
 }
 
-// costs are what was measured by dispatchers: by cost, then by their number.
+// costs returns the measurements of the slopes over dispatchers, by cost and then by number of dispatchers.
 func costs(runs []Run) map[string]map[float64][]float64 {
 	out := map[string]map[float64][]float64{}
 	for _, r := range runs {
@@ -137,7 +137,7 @@
 	return out
 }
 
-// OrderTable is what no setting carries, what binds first first.
+// OrderTable lists the given verdicts, which no setting carries, in the order of the list.
 func OrderTable(list []Verdict) Table {
 	t := Table{Name: "order", Head: []string{"", "target", "breaks from", "at 100 %", "bound"}}
 	for i, v := range list {
@@ -150,13 +150,14 @@
 	return t
 }
 
-// ErrTable says that a page and the tables do not fit.
+// ErrTable is returned by Fill if the tables that the page names and the available or required ones do not match.
 var ErrTable = errors.New("page: table")
 
 var place = regexp.MustCompile(`(?s)<!-- table ([a-z]+)( [a-z,-]+)? -->\n.*?<!-- end -->`)
 
-// Fill puts tables where a page names them: between `<!-- table NAME -->` and `<!-- end -->`. With words behind the
-// name, it takes the rows alone whose first cell is one of these: `<!-- table sizes bytes,core -->`.
+// Fill puts each table where the page names it: between `<!-- table NAME -->` and `<!-- end -->`. Words after the name
+// select the rows whose first cell is one of these words: `<!-- table sizes bytes,core -->`. Fill returns an
+// [ErrTable] for an unknown table and for a page without one of the tables target, verdict, budget and runs.
 func Fill(page string, tables []Table) (string, error) {
 	var wrong []error
 	named := map[string]bool{}
@@ -183,7 +184,7 @@
 	return out, errors.Join(wrong...)
 }
 
-// Markdown is the table as a page has it.
+// Markdown returns the table in Markdown.
 func (t Table) Markdown() string {
 	var b strings.Builder
 	line := func(cells []string) {
--- a/internal/lab/capacity/placing.go
+++ b/internal/lab/capacity/placing.go
@@ -1,9 +1,9 @@
 package capacity
 
-// Voters is where voters stand: the region of each, one a machine.
+// Voters is the region of each voter; each voter has a machine of its own.
 var Voters = []int{0, 1, 2, 3, 4}
 
-// Placed are the rows that follow from where voters stand.
+// Placed returns the rows that follow from the regions of the voters.
 func Placed() []Row {
 	left := len(Voters)
 	for region := range Target.Regions {
--- a/internal/lab/capacity/slope.go
+++ b/internal/lab/capacity/slope.go
@@ -8,31 +8,31 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement of a cost.
+// Point is a measurement of a cost.
 type Point struct {
-	X float64 `json:"x"` // what it grows with
+	X float64 `json:"x"` // size of what the cost grows with
 	Y float64 `json:"y"`
 }
 
-// Slope is a cost as a + b x.
+// Slope is a cost as a linear function A + B x.
 type Slope struct {
 	What   string  `json:"what"`
-	By     string  `json:"by"`   // what X is
+	By     string  `json:"by"`   // what X counts, one of the By constants
 	Unit   string  `json:"unit"` // of Y
 	How    How     `json:"how"`
 	Kind   Kind    `json:"kind,omitempty"`
 	Points []Point `json:"points"`
 	A      float64 `json:"a"`
 	B      float64 `json:"b"`
-	Spread float64 `json:"spread"` // of repeats at one size: half their range against their mean, the largest over the sizes
-	Run    int     `json:"-"`      // which of a page's runs gave it, from 1
-	Bend   float64 `json:"bend"`   // the largest distance from the line of a size's mean, against the largest mean: over 0.1 it is no line
+	Spread float64 `json:"spread"` // of repeats at one size: half their range divided by their mean; the largest over the sizes
+	Run    int     `json:"-"`      // number of the page's run that measured it, from 1
+	Bend   float64 `json:"bend"`   // largest distance of a size's mean from the line, divided by the largest mean; over 0.1 the cost is not linear
 }
 
-// ErrFew says that there are fewer than four sizes.
+// ErrFew is returned by Fit for points at fewer than four sizes.
 var ErrFew = errors.New("a slope needs at least four sizes")
 
-// Fit lays a line through points by least squares: the residuals' squares are not weighted.
+// Fit fits a line to the points by unweighted least squares. It returns ErrFew if they have fewer than four sizes.
 func Fit(what, by, unit string, how How, points []Point) (Slope, error) {
 	s := Slope{What: what, By: by, Unit: unit, How: how, Points: points}
 	var xs, ys, sizes []float64
@@ -62,10 +62,10 @@
 	return s, nil
 }
 
-// At is the cost at a size, by the line.
+// At returns the cost that the line gives for a size.
 func (s *Slope) At(x float64) float64 { return s.A + s.B*x }
 
-// Played says whether a size lies within what was measured.
+// Played reports whether a size lies within the range of the measured sizes.
 func (s *Slope) Played(x float64) bool {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, p := range s.Points {
--- a/internal/lab/capacity/sum.go
+++ b/internal/lab/capacity/sum.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// sums are the lines over which the kinds of control are added up.
+// sums lists the target lines, and the periods, for which the kinds of control are summed.
 var sums = []struct {
 	line string
 	when When
 }{{Bytes, Mean}, {Bytes, Second}, {Bytes, Minute}, {Core, Mean}, {Memory, Mean}}
 
-// sure is the order in which ways to one figure are believed.
+// sure lists the methods from the most to the least reliable.
 var sure = []How{OnSockets, VirtualTime, Computed, Extrapolated}
 
-// part is what one kind of control comes to: of several ways to the figure, the surest; of several figures of
-// that way, their sum. Where it was not played with the setting, the default's figure stands. It says whether there
-// is any.
+// part returns the cost of one kind of control: the sum of the rows with the most reliable method that has any. If no
+// run with the setting measured the kind, it returns the figure of the default settings. The result ok is false if
+// there is no figure at all.
 func part(rows []Row, kind Kind, line string, when When, percent int, setting string) (sum float64, how How, ok bool) {
 	for _, with := range slices.Compact([]string{setting, ""}) {
 		for _, how := range sure {
@@ -34,9 +34,9 @@
 	return 0, NotMeasured, false
 }
 
-// Sums adds up the kinds of control at each percentage, by default and with each setting, and says in each row's
-// words which are not measured. The sum is judged as if these were nothing: it can break, and a sum that holds and
-// lacks one proves nothing, so it is given as not measured.
+// Sums adds up the kinds of control at each percentage, with the default settings and with each other setting. The
+// text of a row names the kinds that were not measured. They count as 0: such a sum can break its bound, but if it is
+// within the bound, it proves nothing and is marked as not measured.
 func Sums(rows []Row) (out []Row) {
 	rows = sorted(rows)
 	type key struct {
@@ -92,8 +92,8 @@
 	return out
 }
 
-// BudgetTable adds up the kinds of control against what a dispatcher may spend. A kind without a figure is said to
-// be not measured, and its sum to be at least what the others come to.
+// BudgetTable compares the sum over the kinds of control with what a dispatcher may spend. A kind without a figure is
+// shown as not measured, and the sum as "at least" the sum of the other kinds.
 func BudgetTable(rows []Row, percent int) Table {
 	t := Table{Name: "budget", Head: []string{"kind", "grows with", "B/s, mean", "B/s, worst second", "B/s, minute after a zone went", "% of a core", "MB"}}
 	rows = sorted(rows)
@@ -136,7 +136,7 @@
 	return t
 }
 
-// CountsTable says of each kind why it counts as control.
+// CountsTable shows why each kind counts as control.
 func CountsTable() Table {
 	t := Table{Name: "kinds", Head: []string{"kind", "counts, since"}}
 	for _, e := range Budget {
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -8,14 +8,14 @@
 	"strconv"
 )
 
-// Table is what a page, a report and a terminal show alike.
+// Table is a table for a page, a report or a terminal.
 type Table struct {
-	Name string // by which a page names it
+	Name string // name by which a page refers to it
 	Head []string
 	Rows [][]string
 }
 
-// TargetTable is the target, line by line.
+// TargetTable shows the lines of the target.
 func TargetTable() Table {
 	t := Table{Name: "target", Head: []string{"target", "figure", "unit", "scaled"}}
 	for _, l := range Target.Lines() {
@@ -28,7 +28,7 @@
 	return t
 }
 
-// Figure writes a figure with as many digits as are worth reading.
+// Figure formats a number with three significant digits, or from 100 on as an integer with thousands separators.
 func Figure(x float64) string {
 	switch a := math.Abs(x); {
 	case math.IsInf(x, 1):
@@ -41,7 +41,7 @@
 	return strconv.FormatFloat(x, 'g', 3, 64)
 }
 
-// group sets commas between thousands.
+// group inserts commas as thousands separators.
 func group(digits string) string {
 	sign := ""
 	if digits[0] == '-' {
@@ -53,8 +53,8 @@
 	return sign + digits
 }
 
-// SizesTable has a line for each figure that was held against the target, and a column for each percentage:
-// what breaks its bound is marked with an exclamation mark.
+// SizesTable has a line for each figure that was compared with the target, and a column for each percentage. A figure
+// that breaks its bound is marked with an exclamation mark.
 func SizesTable(rows []Row) Table {
 	t := Table{Name: "sizes", Head: []string{"line", "figure", "bound"}}
 	var percents []int
@@ -100,7 +100,7 @@
 		line := []string{k.line, what, bound}
 		for _, p := range percents {
 			cell := ""
-			for _, r := range list { // of several seeds the worst
+			for _, r := range list { // one row: of several seeds, sorted keeps only the worst
 				if r.Percent != p {
 					continue
 				}
@@ -120,7 +120,7 @@
 	return t
 }
 
-// from says how a figure was got, and by which run.
+// from formats how a figure was obtained and by which run; run 0 is none.
 func from(how How, run int) string {
 	if run == 0 {
 		return string(how)
@@ -128,8 +128,8 @@
 	return fmt.Sprintf("%s [%d]", how, run)
 }
 
-// sorted are rows in the order of the target's lines, those of one line as they came, and of several of one
-// figure and size the worst alone.
+// sorted returns the rows in the order of the target's lines; rows of the same line keep their order. Of several rows
+// for the same figure and size it keeps only the one with the smallest margin.
 func sorted(rows []Row) []Row {
 	order := map[string]int{}
 	for i, l := range Target.Lines() {
@@ -159,7 +159,8 @@
 	return out
 }
 
-// VerdictTable is the page's first: each line of the target, whether it is carried, what binds and from where on.
+// VerdictTable shows for each line of the target whether it is carried, which row binds, and the smallest percentage
+// at which it breaks.
 func VerdictTable(list []Verdict) Table {
 	t := Table{Name: "verdict", Head: []string{"target", "figure", "verdict", "binds", "bound", "measured", "margin", "breaks from"}}
 	for _, v := range list {
@@ -183,7 +184,7 @@
 	return t
 }
 
-// What costs grow with. Slopes say them in these words.
+// Values of [Slope].By: what a cost grows with.
 const (
 	ByDispatchers = "dispatchers"
 	ByTeams       = "teams"
@@ -195,14 +196,14 @@
 	ByRegions     = "regions"
 )
 
-// sizes are those at which a slope is read: the target's, and the two numbers of dispatchers.
+// sizes are the sizes at which a slope is evaluated: those of the target, and two numbers of dispatchers.
 var sizes = map[string][]float64{
 	ByDispatchers: {44, 300}, ByTeams: {float64(Target.Teams)}, ByWorkers: {float64(Target.Workers)}, ByStarts: {Target.Starts},
 	ByRunning: {float64(Target.Running)}, ByTable: {float64(Target.Teams)}, ByChanges: {float64(Target.Changes) / 1440}, ByRegions: {float64(Target.Regions)},
 }
 
-// SlopesTable has a line for each cost as a + b x, with what it comes to at the target's size, and whether that
-// was played or lies beyond.
+// SlopesTable has a line for each cost a + b x, with its value at the target's size and whether that size is within the
+// sizes that were run or the value is extrapolated.
 func SlopesTable(slopes []Slope) Table {
 	t := Table{Name: "slopes", Head: []string{"cost", "unit", "a", "b", "x", "sizes played", "spread", "bend", "at the target", "how"}}
 	for _, s := range slopes {
--- a/internal/lab/capacity/verdict.go
+++ b/internal/lab/capacity/verdict.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// Verdict is what the rows say of one line of the target.
+// Verdict is the result for one line of the target, derived from its rows.
 type Verdict struct {
 	Line
 	State   State
-	Setting string  // with which it is carried, if not with the default
-	Binds   Row     // of all at the target's size, the row that leaves least or breaks by most; its zero if there is none
-	Margin  float64 // bound against measured of that row: 2 means half is used, 0.5 that it takes twice the bound
-	First   int     // the smallest percentage at which a row breaks with the default; 0: none that was played
+	Setting string  // setting that carries the line, if the default does not
+	Binds   Row     // row with the smallest margin at the judged size, with the default settings; zero if there is none
+	Margin  float64 // [Row.Margin] of that row: at 2 half of the bound is used, at 0.5 twice the bound
+	First   int     // smallest percentage at which a row breaks with the default settings; 0: none of those measured
 }
 
-// State is a verdict.
+// State is the outcome of a verdict.
 type State string
 
-// Verdicts.
+// Outcomes of a verdict.
 const (
 	Carried     State = "carried"
 	WithSetting State = "carried with settings"
@@ -27,8 +27,9 @@
 	Unknown     State = "not measured"
 )
 
-// Margin says how often the figure fits into its bound or, where the bound is one that must be reached, the
-// bound into the figure: under 1 the row is broken. Where nothing may be it is without limit, or 0.
+// Margin returns the bound divided by the figure or, for a row with Least, the figure divided by the bound: below 1
+// the row is broken. If the divisor is not positive, it returns +Inf for a row that holds and 0 for one that does not;
+// for a NaN it returns 0.
 func (r Row) Margin() float64 {
 	over, under := r.Bound, r.Measured
 	if r.Least {
@@ -45,9 +46,9 @@
 	return 0
 }
 
-// Judge gives each line's verdict at a percentage. A line is carried if all its rows hold. It is with a setting if
-// all that breaks was played with it and holds, and it breaks nothing of any other line. What is a part of the
-// budget's sum is judged by [Sums], which belong to the rows.
+// Judge returns the verdict on each line at a percentage. A line is carried if all its rows hold. It is carried with a
+// setting if every row that breaks by default was also measured with that setting and holds, and the setting breaks no
+// row of any line. Parts of the budget's sum are not judged one by one: rows must include the result of [Sums].
 func Judge(f Figures, rows []Row, percent int) (list []Verdict) {
 	for _, l := range f.Lines() {
 		list = append(list, judge(l, rows, percent))
@@ -82,11 +83,11 @@
 		if !r.Held {
 			v.State = NotCarried
 		}
-		if v.Binds.Line == "" || r.Margin() <= v.Margin { // of equals the later: sums stand last
+		if v.Binds.Line == "" || r.Margin() <= v.Margin { // of equal margins the last row binds: sums are last
 			v.Binds, v.Margin = r, r.Margin()
 		}
 	}
-	if lacks && v.State == Carried { // a figure that is missing could break it
+	if lacks && v.State == Carried { // the missing figure could break the bound
 		v.State = Unknown
 	}
 	if v.State != NotCarried {
@@ -103,7 +104,7 @@
 	return v
 }
 
-// mends says whether all that breaks by default was played with the setting and held.
+// mends reports whether every row of the line that breaks by default was measured with the setting and held.
 func mends(line, setting string, rows []Row, percent int) bool {
 	for _, r := range rows {
 		if r.Line != line || r.Percent != percent || r.Setting != "" || r.Held || r.Shown || r.Kind != "" {
@@ -118,8 +119,8 @@
 	return true
 }
 
-// Missing are the verdicts that are not carried by any setting, in the order of what binds first: by the
-// percentage at which it breaks, then by how far it is off.
+// Missing returns the verdicts on lines that no setting carries, in the order in which they bind: by the smallest
+// percentage at which a line breaks, then by margin.
 func Missing(list []Verdict) []Verdict {
 	list = slices.DeleteFunc(slices.Clone(list), func(v Verdict) bool { return v.State != NotCarried })
 	slices.SortStableFunc(list, func(a, b Verdict) int { return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.Margin, b.Margin)) })
