--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -104,10 +104,10 @@
 // The same seed draws the same load; a different seed draws a different one.
 func TestLoadBySeed(t *testing.T) {
 	a, b, c := NewLoad(100, 5), NewLoad(100, 5), NewLoad(100, 6)
-	if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a.Changed(), b.Changed()) || !reflect.DeepEqual(a.Gone(44), b.Gone(44)) {
+	if !reflect.DeepEqual(a, b) || !reflect.DeepEqual(a.ConfigChanges(), b.ConfigChanges()) || !reflect.DeepEqual(a.MachineEvents(44), b.MachineEvents(44)) {
 		t.Error("the same seed drew different loads")
 	}
-	if reflect.DeepEqual(a.Workers, c.Workers) || reflect.DeepEqual(a.Changed(), c.Changed()) {
+	if reflect.DeepEqual(a.Workers, c.Workers) || reflect.DeepEqual(a.ConfigChanges(), c.ConfigChanges()) {
 		t.Error("different seeds drew the same load")
 	}
 }
@@ -117,14 +117,14 @@
 func TestDay(t *testing.T) {
 	l := NewLoad(100, 7)
 	changes, many := 0, 0
-	for _, c := range l.Changed() {
+	for _, c := range l.ConfigChanges() {
 		changes += c.Many
 		if c.Many == AtOnce {
 			many++
 		}
 	}
 	failed, restarted := 0, 0
-	for _, e := range l.Gone(44) {
+	for _, e := range l.MachineEvents(44) {
 		if e.Machine < 0 || e.Machine >= 1044 || e.Away <= 0 {
 			t.Errorf("invalid event %+v", e)
 		}
@@ -233,7 +233,7 @@
 			t.Errorf("%s: got %+v, want %+v", v.Key, v, w)
 		}
 	}
-	missing := Missing(list)
+	missing := NotCarriedVerdicts(list)
 	if len(missing) != 2 || missing[0].Key != Memory || missing[1].Key != InForce {
 		t.Errorf("lines not carried: got %+v, want Memory, InForce", missing)
 	}
--- a/internal/lab/capacity/load.go
+++ b/internal/lab/capacity/load.go
@@ -266,8 +266,8 @@
 	}
 }
 
-// Changed returns the configuration changes of an ordinary day, by time.
-func (l *Load) Changed() (list []Change) {
+// ConfigChanges returns the configuration changes of an ordinary day, by time.
+func (l *Load) ConfigChanges() (list []Change) {
 	r := l.rand(3)
 	many := int(float64(l.Changes)*Together/AtOnce + 0.5)
 	for range many {
@@ -280,9 +280,9 @@
 	return list
 }
 
-// Gone returns the failures and restarts of machines on an ordinary day, by time. Machines are the workers followed by
-// the given number of dispatchers.
-func (l *Load) Gone(dispatchers int) (list []Event) {
+// MachineEvents returns the failures and restarts of machines on an ordinary day, by time. Machines are the workers
+// followed by the given number of dispatchers.
+func (l *Load) MachineEvents(dispatchers int) (list []Event) {
 	r := l.rand(4)
 	machine := func() int { return r.IntN(len(l.Workers) + dispatchers) }
 	for range int(l.Failures + 0.5) {
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -20,13 +20,13 @@
 	Seed       uint64  `json:"seed"`
 	Machine    string  `json:"machine"`
 	Void       string  `json:"void"`
-	Claims     []Held  `json:"claims"`
+	Claims     []Claim `json:"claims"`
 	Rows       []Row   `json:"rows"`
 	Slopes     []Slope `json:"slopes"`
 }
 
-// Held is a claim of a run, with its result.
-type Held struct {
+// Claim is a claim of a run, with its result.
+type Claim struct {
 	Name     string  `json:"name"`
 	Bound    float64 `json:"bound"`
 	Measured float64 `json:"measured"`
@@ -80,9 +80,9 @@
 		}
 		played.Rows = append(played.Rows, []string{number, "`" + run.Command + "`", run.Build, run.Machine, claims})
 	}
-	all := append(slices.Concat(rows, Placed()), Sums(rows)...)
+	all := append(slices.Concat(rows, VoterPlacementRows()), Sums(rows)...)
 	verdicts := Judge(Target, all, 100)
-	return []Table{TargetTable(), VerdictTable(verdicts), OrderTable(Missing(verdicts)), BudgetTable(rows, 100), CountsTable(), SizesTable(all), SlopesTable(slopes), DelaysTable(), DayTable(), ChangeTable(before, runs), played}
+	return []Table{TargetTable(), VerdictTable(verdicts), OrderTable(NotCarriedVerdicts(verdicts)), BudgetTable(rows, 100), CountsTable(), SizesTable(all), SlopesTable(slopes), DelaysTable(), DayTable(), ChangeTable(before, runs), played}
 }
 
 // ChangeTable shows the effect of changing a mechanism, at each number of dispatchers that was run before and after the
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -106,7 +106,7 @@
 			t.Errorf("day table: got row %v, want %s", day.Rows[i], want)
 		}
 	}
-	for _, r := range Placed() {
+	for _, r := range VoterPlacementRows() {
 		if !r.Held || r.How != Computed {
 			t.Errorf("placement of voters: got row %+v", r)
 		}
@@ -114,7 +114,7 @@
 	was := Voters
 	defer func() { Voters = was }()
 	Voters = []int{0, 0, 0, 1, 2}
-	if Placed()[0].Held {
+	if VoterPlacementRows()[0].Held {
 		t.Error("a placement with three of five voters in one region holds")
 	}
 }
@@ -125,7 +125,7 @@
 	raw, _ := json.Marshal(Run{Experiment: "capacity", Command: "bellstream-lab run capacity --seed 5", Build: "abc", Machine: "8 processors",
 		Rows:   append(all(Bytes, 100, 100, "B/s", Mean), AtMost(InForce, 100, "ten | at once", 4, 22, "s", OnSockets)),
 		Slopes: []Slope{{What: "bytes", By: ByDispatchers, Unit: "B/s", Points: []Point{{5, 1}, {300, 2}}}},
-		Claims: []Held{{Name: "fine", Held: true}, {Name: "bad", Bound: 1, Measured: 2, Unit: "s"}}})
+		Claims: []Claim{{Name: "fine", Held: true}, {Name: "bad", Bound: 1, Measured: 2, Unit: "s"}}})
 	run, err := ReadRun(raw)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/capacity/placing.go
+++ b/internal/lab/capacity/placing.go
@@ -3,8 +3,8 @@
 // Voters is the region of each voter; each voter has a machine of its own.
 var Voters = []int{0, 1, 2, 3, 4}
 
-// Placed returns the rows that follow from the regions of the voters.
-func Placed() []Row {
+// VoterPlacementRows returns the rows that follow from the regions of the voters.
+func VoterPlacementRows() []Row {
 	left := len(Voters)
 	for region := range Target.Regions {
 		n := 0
--- a/internal/lab/capacity/verdict.go
+++ b/internal/lab/capacity/verdict.go
@@ -119,9 +119,9 @@
 	return true
 }
 
-// Missing returns the verdicts on lines that no setting carries, in the order in which they bind: by the smallest
-// percentage at which a line breaks, then by margin.
-func Missing(list []Verdict) []Verdict {
+// NotCarriedVerdicts returns the verdicts on lines that no setting carries, in the order in which they bind: by the
+// smallest percentage at which a line breaks, then by margin.
+func NotCarriedVerdicts(list []Verdict) []Verdict {
 	list = slices.DeleteFunc(slices.Clone(list), func(v Verdict) bool { return v.State != NotCarried })
 	slices.SortStableFunc(list, func(a, b Verdict) int { return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.Margin, b.Margin)) })
 	return list
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -237,7 +237,7 @@
 		}
 		asks, busy = append(asks, capacity.Point{X: float64(n), Y: d.probes}), append(busy, capacity.Point{X: float64(n), Y: d.busy})
 		changes := 0.0 // a day
-		for _, e := range l.Gone(dispatchers) {
+		for _, e := range l.MachineEvents(dispatchers) {
 			if e.Machine >= n {
 				continue // a dispatcher is in no list of workers
 			}
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -501,7 +501,7 @@
 	load := s.Load(100)
 	const dispatchers, aside = 44, 17
 	gone := 0
-	for _, e := range load.Gone(dispatchers + aside) {
+	for _, e := range load.MachineEvents(dispatchers + aside) {
 		if e.Machine >= load.Figures.Workers+dispatchers+versionsVoters {
 			gone++
 		}
