--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -66,7 +66,7 @@
 				t.Fatalf("zone %s: %d workers are in it, its Workers field is %d", z.Name, by[i], z.Workers)
 			}
 		}
-		if len(regions) != f.Regions || accelerators < f.Accelerators || accelerators >= f.Accelerators+accelEach || slots < f.Running {
+		if len(regions) != f.Regions || accelerators < f.Accelerators || accelerators >= f.Accelerators+acceleratorsPerWorker || slots < f.Running {
 			t.Fatalf("got %d regions, %d accelerators, %d slots for %d tasks", len(regions), accelerators, slots, f.Running)
 		}
 		sum, one, all := 0.0, 0, 0
--- a/internal/lab/capacity/load.go
+++ b/internal/lab/capacity/load.go
@@ -10,21 +10,21 @@
 
 // Figures of the load that the target does not define. docs/questions.md lists the assumptions.
 const (
-	Largest   = 0.08   // the largest team's share of all starts
-	OneZone   = 0.05   // fraction of the teams that enter through one zone
-	Anywhere  = 0.05   // fraction of the teams that enter through all zones
-	FewZones  = 3      // number of zones through which each of the other teams enters
-	Asked     = 0.9    // fraction of its quota that a team requests at the peak
-	Night     = 0.1    // rate at the start of the day, as a fraction of the peak
-	MeanRun   = 25.0   // mean run time of a task, in seconds
-	sigmaRun  = 1.5    // standard deviation of the logarithm of a task's run time: a heavy tail (median 8 s, 1 % over 260 s)
-	Together  = 0.1    // fraction of the changes that arrive ten at once
-	AtOnce    = 10     // number of changes that arrive at once
-	Day       = 86_400 // seconds
-	accelEach = 4      // accelerators of a worker that has any; it has as many slots
-	plainEach = 8      // slots of a worker without accelerators
-	awayMean  = 600.0  // mean time until a failed machine is replaced, in seconds
-	restarted = 60.0   // mean time that a restarted machine is away, in seconds
+	Largest               = 0.08   // the largest team's share of all starts
+	OneZone               = 0.05   // fraction of the teams that enter through one zone
+	Anywhere              = 0.05   // fraction of the teams that enter through all zones
+	FewZones              = 3      // number of zones through which each of the other teams enters
+	Asked                 = 0.9    // fraction of its quota that a team requests at the peak
+	Night                 = 0.1    // rate at the start of the day, as a fraction of the peak
+	MeanRun               = 25.0   // mean run time of a task, in seconds
+	runTimeSigma          = 1.5    // standard deviation of the logarithm of run times: a heavy tail (median 8 s, 1 % over 260 s)
+	Together              = 0.1    // fraction of the changes that arrive ten at once
+	AtOnce                = 10     // number of changes that arrive at once
+	Day                   = 86_400 // seconds
+	acceleratorsPerWorker = 4      // accelerators of a worker that has any; it has as many slots
+	plainWorkerSlots      = 8      // slots of a worker without accelerators
+	meanReplacementTime   = 600.0  // mean time until a failed machine is replaced, in seconds
+	meanRestartTime       = 60.0   // mean time that a restarted machine is away, in seconds
 )
 
 // Team is a team with a quota.
@@ -91,45 +91,45 @@
 		weights[i] = 1 / math.Sqrt(float64(i+1))
 	}
 	r.Shuffle(len(weights), func(i, k int) { weights[i], weights[k] = weights[k], weights[i] })
-	for i, n := range divide(l.Figures.Workers, weights) {
+	for i, n := range apportion(l.Figures.Workers, weights) {
 		l.Zones[i].Workers = n
 	}
-	withAccel := (l.Accelerators + accelEach - 1) / accelEach
+	withAccel := (l.Accelerators + acceleratorsPerWorker - 1) / acceleratorsPerWorker
 	for z, x := range l.Zones {
 		for range x.Workers {
-			l.Workers = append(l.Workers, Worker{Zone: z, Slots: plainEach})
+			l.Workers = append(l.Workers, Worker{Zone: z, Slots: plainWorkerSlots})
 		}
 	}
 	for _, i := range r.Perm(len(l.Workers))[:min(withAccel, len(l.Workers))] {
-		l.Workers[i].Accelerators, l.Workers[i].Slots = accelEach, accelEach
+		l.Workers[i].Accelerators, l.Workers[i].Slots = acceleratorsPerWorker, acceleratorsPerWorker
 	}
-	l.teams(r)
+	l.drawTeams(r)
 	return l
 }
 
 func (l *Load) rand(use uint64) *rand.Rand { return rand.New(rand.NewPCG(l.seed, 0xca9a<<16|use)) }
 
-// divide splits n into integers proportional to the weights, by the largest-remainder method. Each part is at least 1
-// if n is at least the number of weights.
-func divide(n int, weights []float64) []int {
+// apportion splits n into integers proportional to the weights, by the largest-remainder method. Each part is at
+// least 1 if n is at least the number of weights.
+func apportion(n int, weights []float64) []int {
 	sum, left := 0.0, n
 	for _, w := range weights {
 		sum += w
 	}
-	out, rest := make([]int, len(weights)), make([]int, len(weights))
+	out, byRemainder := make([]int, len(weights)), make([]int, len(weights))
 	for i, w := range weights {
 		out[i] = int(float64(n) * w / sum)
 		if n >= len(weights) {
 			out[i] = max(1, out[i])
 		}
-		left, rest[i] = left-out[i], i
+		left, byRemainder[i] = left-out[i], i
 	}
-	slices.SortStableFunc(rest, func(a, b int) int {
-		part := func(i int) float64 { _, f := math.Modf(float64(n) * weights[i] / sum); return f }
-		return cmp.Compare(part(b), part(a))
+	slices.SortStableFunc(byRemainder, func(a, b int) int {
+		remainder := func(i int) float64 { _, f := math.Modf(float64(n) * weights[i] / sum); return f }
+		return cmp.Compare(remainder(b), remainder(a))
 	})
 	for k := 0; left > 0; k++ {
-		out[rest[k%len(rest)]]++
+		out[byRemainder[k%len(byRemainder)]]++
 		left--
 	}
 	for left < 0 { // takes back what the minimum of 1 gave in excess
@@ -139,46 +139,46 @@
 	return out
 }
 
-// teams draws the teams: their shares follow a power law in which the largest has [Largest], and each gets the zones
-// through which it enters.
-func (l *Load) teams(r *rand.Rand) {
+// drawTeams draws the teams: their shares follow a power law in which the largest has [Largest], and each gets the
+// zones through which it enters.
+func (l *Load) drawTeams(r *rand.Rand) {
 	n := l.Figures.Teams
-	shares := tail(n, Largest)
+	shares := powerLawShares(n, Largest)
 	for i := range n {
 		t := Team{Name: fmt.Sprintf("team-%04d", i), Share: shares[i]}
 		t.Rate = t.Share * l.Starts
 		t.Quota = t.Rate / Asked
 		l.Teams = append(l.Teams, t)
 	}
-	all, one := int(float64(n)*Anywhere+0.5), int(float64(n)*OneZone+0.5)
+	allZones, oneZone := int(float64(n)*Anywhere+0.5), int(float64(n)*OneZone+0.5)
 	perm := r.Perm(n) // half of the teams that enter through all zones are the largest teams
-	how := make([]int, n)
-	for i := range (all + 1) / 2 {
-		how[i] = len(l.Zones)
+	zoneCounts := make([]int, n)
+	for i := range (allZones + 1) / 2 {
+		zoneCounts[i] = len(l.Zones)
 	}
-	rest := all / 2
+	allZonesLeft := allZones / 2
 	for _, i := range perm {
 		switch {
-		case how[i] > 0:
-		case rest > 0:
-			how[i], rest = len(l.Zones), rest-1
-		case one > 0:
-			how[i], one = 1, one-1
+		case zoneCounts[i] > 0:
+		case allZonesLeft > 0:
+			zoneCounts[i], allZonesLeft = len(l.Zones), allZonesLeft-1
+		case oneZone > 0:
+			zoneCounts[i], oneZone = 1, oneZone-1
 		default:
-			how[i] = FewZones
+			zoneCounts[i] = FewZones
 		}
 	}
 	for i := range l.Teams {
-		z := r.Perm(len(l.Zones))[:min(how[i], len(l.Zones))]
+		z := r.Perm(len(l.Zones))[:min(zoneCounts[i], len(l.Zones))]
 		slices.Sort(z)
 		l.Teams[i].Zones = z
 	}
 }
 
-// tail returns n shares with the sum 1 that fall by a power of the rank. The first share is the given one, unless
-// that is less than 1/n.
-func tail(n int, first float64) []float64 {
-	at := func(power float64) []float64 {
+// powerLawShares returns n shares with the sum 1 that fall by a power of the rank. The first share is the given one,
+// unless that is less than 1/n.
+func powerLawShares(n int, first float64) []float64 {
+	sharesFor := func(power float64) []float64 {
 		out, sum := make([]float64, n), 0.0
 		for i := range out {
 			out[i] = math.Pow(float64(i+1), -power)
@@ -191,31 +191,31 @@
 	}
 	lo, hi := 0.0, 4.0
 	for range 60 {
-		if mid := (lo + hi) / 2; at(mid)[0] < first {
+		if mid := (lo + hi) / 2; sharesFor(mid)[0] < first {
 			lo = mid
 		} else {
 			hi = mid
 		}
 	}
-	return at(hi)
+	return sharesFor(hi)
 }
 
 // Place returns the zone of each of n dispatchers, spread as evenly as possible; fewer dispatchers than zones go to
 // the regions in turn.
 func (l *Load) Place(n int) []int {
-	var turn []int // the first zone of each region, then the second of each, and so on
-	for k := 0; len(turn) < len(l.Zones); k++ {
-		at := 0
+	var order []int // the first zone of each region, then the second of each, and so on
+	for k := 0; len(order) < len(l.Zones); k++ {
+		firstZone := 0
 		for _, zones := range regionZones {
 			if k < zones {
-				turn = append(turn, at+k)
+				order = append(order, firstZone+k)
 			}
-			at += zones
+			firstZone += zones
 		}
 	}
 	out := make([]int, n)
 	for i := range out {
-		out[i] = turn[i%len(turn)]
+		out[i] = order[i%len(order)]
 	}
 	return out
 }
@@ -225,20 +225,20 @@
 // its zones. Instead of a zone without dispatchers, its clients use a dispatcher drawn from all.
 func (l *Load) Enters(zones []int) [][]int {
 	r := l.rand(2)
-	by := make([][]int, len(l.Zones))
+	byZone := make([][]int, len(l.Zones))
 	for i, z := range zones {
-		by[z] = append(by[z], i)
+		byZone[z] = append(byZone[z], i)
 	}
 	out := make([][]int, len(l.Teams))
 	for t, x := range l.Teams {
 		for _, z := range x.Zones {
-			switch here := by[z]; {
-			case len(here) == 0:
+			switch inZone := byZone[z]; {
+			case len(inZone) == 0:
 				out[t] = append(out[t], r.IntN(len(zones)))
 			case len(x.Zones) == FewZones:
-				out[t] = append(out[t], here[r.IntN(len(here))])
+				out[t] = append(out[t], inZone[r.IntN(len(inZone))])
 			default:
-				out[t] = append(out[t], here...)
+				out[t] = append(out[t], inZone...)
 			}
 		}
 		slices.Sort(out[t])
@@ -254,11 +254,11 @@
 
 // TaskTime draws the run time of a task, in seconds.
 func TaskTime(r *rand.Rand) float64 {
-	return MeanRun * math.Exp(sigmaRun*r.NormFloat64()-sigmaRun*sigmaRun/2)
+	return MeanRun * math.Exp(runTimeSigma*r.NormFloat64()-runTimeSigma*runTimeSigma/2)
 }
 
-// when draws a second of the day, with a probability proportional to [Rate].
-func when(r *rand.Rand) float64 {
+// drawTimeOfDay draws a second of the day, with a probability proportional to [Rate].
+func drawTimeOfDay(r *rand.Rand) float64 {
 	for {
 		if at := r.Float64() * Day; r.Float64() < Rate(at) {
 			return at
@@ -269,12 +269,12 @@
 // ConfigChanges returns the configuration changes of an ordinary day, by time.
 func (l *Load) ConfigChanges() (list []Change) {
 	r := l.rand(3)
-	many := int(float64(l.Changes)*Together/AtOnce + 0.5)
-	for range many {
-		list = append(list, Change{when(r), AtOnce})
+	groups := int(float64(l.Changes)*Together/AtOnce + 0.5)
+	for range groups {
+		list = append(list, Change{drawTimeOfDay(r), AtOnce})
 	}
-	for range max(0, l.Changes-many*AtOnce) {
-		list = append(list, Change{when(r), 1})
+	for range max(0, l.Changes-groups*AtOnce) {
+		list = append(list, Change{drawTimeOfDay(r), 1})
 	}
 	slices.SortFunc(list, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	return list
@@ -286,10 +286,10 @@
 	r := l.rand(4)
 	machine := func() int { return r.IntN(len(l.Workers) + dispatchers) }
 	for range int(l.Failures + 0.5) {
-		list = append(list, Event{r.Float64() * Day, machine(), false, awayMean * r.ExpFloat64()})
+		list = append(list, Event{r.Float64() * Day, machine(), false, meanReplacementTime * r.ExpFloat64()})
 	}
 	for range int(l.Restarts + 0.5) {
-		list = append(list, Event{r.Float64() * Day, machine(), true, restarted * (0.5 + r.Float64())})
+		list = append(list, Event{r.Float64() * Day, machine(), true, meanRestartTime * (0.5 + r.Float64())})
 	}
 	slices.SortFunc(list, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return list
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -89,7 +89,7 @@
 // change: the mean over seeds of each cost that has a slope in both.
 func ChangeTable(before, after []Run) Table {
 	t := Table{Name: "change", Head: []string{"dispatchers"}}
-	was, is := costs(before), costs(after)
+	was, is := costsByDispatchers(before), costsByDispatchers(after)
 	var xs []float64
 	for _, a := range after {
 		for _, s := range a.Slopes {
@@ -118,8 +118,8 @@
 	return t
 }
 
-// costs returns the measurements of the slopes over dispatchers, by cost and then by number of dispatchers.
-func costs(runs []Run) map[string]map[float64][]float64 {
+// costsByDispatchers returns the measurements of the slopes over dispatchers, by cost and then by number of dispatchers.
+func costsByDispatchers(runs []Run) map[string]map[float64][]float64 {
 	out := map[string]map[float64][]float64{}
 	for _, r := range runs {
 		for _, s := range r.Slopes {
@@ -153,19 +153,19 @@
 // ErrTable is returned by Fill if the tables that the page names and the available or required ones do not match.
 var ErrTable = errors.New("page: table")
 
-var place = regexp.MustCompile(`(?s)<!-- table ([a-z]+)( [a-z,-]+)? -->\n.*?<!-- end -->`)
+var tablePlaceholder = regexp.MustCompile(`(?s)<!-- table ([a-z]+)( [a-z,-]+)? -->\n.*?<!-- end -->`)
 
 // Fill puts each table where the page names it: between `<!-- table NAME -->` and `<!-- end -->`. Words after the name
 // select the rows whose first cell is one of these words: `<!-- table sizes bytes,core -->`. Fill returns an
 // [ErrTable] for an unknown table and for a page without one of the tables target, verdict, budget and runs.
 func Fill(page string, tables []Table) (string, error) {
-	var wrong []error
+	var errs []error
 	named := map[string]bool{}
-	out := place.ReplaceAllStringFunc(page, func(found string) string {
-		m := place.FindStringSubmatch(found)
+	out := tablePlaceholder.ReplaceAllStringFunc(page, func(found string) string {
+		m := tablePlaceholder.FindStringSubmatch(found)
 		i := slices.IndexFunc(tables, func(t Table) bool { return t.Name == m[1] })
 		if i < 0 {
-			wrong = append(wrong, fmt.Errorf("%w: there is none named %q", ErrTable, m[1]))
+			errs = append(errs, fmt.Errorf("%w: there is none named %q", ErrTable, m[1]))
 			return found
 		}
 		named[m[1]] = true
@@ -178,10 +178,10 @@
 	})
 	for _, name := range []string{"target", "verdict", "budget", "runs"} {
 		if !named[name] {
-			wrong = append(wrong, fmt.Errorf("%w: the page has no place for %q", ErrTable, name))
+			errs = append(errs, fmt.Errorf("%w: the page has no place for %q", ErrTable, name))
 		}
 	}
-	return out, errors.Join(wrong...)
+	return out, errors.Join(errs...)
 }
 
 // Markdown returns the table in Markdown.
--- a/internal/lab/capacity/page_test.go
+++ b/internal/lab/capacity/page_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-func kinded(r Row, k Kind, w When) Row {
+func withKind(r Row, k Kind, w When) Row {
 	r.Kind, r.When, r.Shown = k, w, w == Second
 	return r
 }
 
-// all returns a row for each kind of control, each with the same measured value.
-func all(line string, percent int, each float64, unit string, w When) (rows []Row) {
+// rowPerKind returns a row for each kind of control, each with the same measured value.
+func rowPerKind(line string, percent int, each float64, unit string, w When) (rows []Row) {
 	for _, e := range Budget {
-		rows = append(rows, kinded(AtMost(line, percent, string(e.Kind), 5000, each, unit, OnSockets), e.Kind, w))
+		rows = append(rows, withKind(AtMost(line, percent, string(e.Kind), 5000, each, unit, OnSockets), e.Kind, w))
 	}
 	return rows
 }
@@ -24,15 +24,15 @@
 // Sums adds up the kinds of control and uses only the most reliable method of each kind. A sum that lacks a kind can
 // break its bound, but within the bound it counts as not measured.
 func TestSums(t *testing.T) {
-	rows := all(Bytes, 100, 100, "B/s", Mean)
-	rows = append(rows, kinded(AtMost(Bytes, 100, "counts, played", 5000, 9000, "B/s", VirtualTime), Counts, Mean)) // not used: the figure on sockets, 100, takes precedence
-	rows = append(rows, kinded(AtMost(Bytes, 100, "lists, more of them", 5000, 50, "B/s", OnSockets), Lists, Mean))
-	rows = append(rows, all(Bytes, 100, 2000, "B/s", Second)...)
-	rows = append(rows, kinded(AtMost(Core, 100, "counts", 1.8, 2, "%", VirtualTime), Counts, Mean))
-	rows = append(rows, kinded(AtMost(Memory, 100, "counts", 256, 2, "MB", VirtualTime), Counts, Mean))
-	with := kinded(AtMost(Bytes, 100, "seats", 5000, 7000, "B/s", OnSockets), Seats, Mean)
-	with.Setting = "other"
-	rows = append(rows, with)
+	rows := rowPerKind(Bytes, 100, 100, "B/s", Mean)
+	rows = append(rows, withKind(AtMost(Bytes, 100, "counts, played", 5000, 9000, "B/s", VirtualTime), Counts, Mean)) // not used: the figure on sockets, 100, takes precedence
+	rows = append(rows, withKind(AtMost(Bytes, 100, "lists, more of them", 5000, 50, "B/s", OnSockets), Lists, Mean))
+	rows = append(rows, rowPerKind(Bytes, 100, 2000, "B/s", Second)...)
+	rows = append(rows, withKind(AtMost(Core, 100, "counts", 1.8, 2, "%", VirtualTime), Counts, Mean))
+	rows = append(rows, withKind(AtMost(Memory, 100, "counts", 256, 2, "MB", VirtualTime), Counts, Mean))
+	seatsWithSetting := withKind(AtMost(Bytes, 100, "seats", 5000, 7000, "B/s", OnSockets), Seats, Mean)
+	seatsWithSetting.Setting = "other"
+	rows = append(rows, seatsWithSetting)
 	sums := Sums(rows)
 	got := map[string]Row{}
 	for _, r := range sums {
@@ -69,7 +69,7 @@
 	}
 }
 
-const blank = `# Page
+const blankPage = `# Page
 <!-- table target -->
 <!-- end -->
 text
@@ -123,7 +123,7 @@
 // with an unknown table or without a required one is an error, and so is a run that is not a valid capacity run.
 func TestFill(t *testing.T) {
 	raw, _ := json.Marshal(Run{Experiment: "capacity", Command: "bellstream-lab run capacity --seed 5", Build: "abc", Machine: "8 processors",
-		Rows:   append(all(Bytes, 100, 100, "B/s", Mean), AtMost(InForce, 100, "ten | at once", 4, 22, "s", OnSockets)),
+		Rows:   append(rowPerKind(Bytes, 100, 100, "B/s", Mean), AtMost(InForce, 100, "ten | at once", 4, 22, "s", OnSockets)),
 		Slopes: []Slope{{What: "bytes", By: ByDispatchers, Unit: "B/s", Points: []Point{{5, 1}, {300, 2}}}},
 		Claims: []Claim{{Name: "fine", Held: true}, {Name: "bad", Bound: 1, Measured: 2, Unit: "s"}}})
 	run, err := ReadRun(raw)
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	tables := Tables([]Run{run}, []Run{{Command: "earlier", Slopes: []Slope{{What: "bytes", By: ByDispatchers, Unit: "B/s", Points: []Point{{5, 10}, {5, 30}, {44, 7}}}}}})
-	page, err := Fill(blank, tables)
+	page, err := Fill(blankPage, tables)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	if again, err := Fill(page, tables); err != nil || again != page {
 		t.Errorf("filling the page again: got error %v and\n%s", err, again)
 	}
-	for _, bad := range []string{strings.Replace(blank, "table sizes", "table nosuch", 1), strings.Replace(blank, "table budget", "xx", 1)} {
+	for _, bad := range []string{strings.Replace(blankPage, "table sizes", "table nosuch", 1), strings.Replace(blankPage, "table budget", "xx", 1)} {
 		if _, err := Fill(bad, tables); !errors.Is(err, ErrTable) {
 			t.Errorf("page with a wrong table: got error %v, want ErrTable", err)
 		}
--- a/internal/lab/capacity/slope.go
+++ b/internal/lab/capacity/slope.go
@@ -36,28 +36,28 @@
 func Fit(what, by, unit string, how How, points []Point) (Slope, error) {
 	s := Slope{What: what, By: by, Unit: unit, How: how, Points: points}
 	var xs, ys, sizes []float64
-	at := map[float64][]float64{}
+	costsAt := map[float64][]float64{}
 	for _, p := range points {
 		xs, ys = append(xs, p.X), append(ys, p.Y)
-		if at[p.X] == nil {
+		if costsAt[p.X] == nil {
 			sizes = append(sizes, p.X)
 		}
-		at[p.X] = append(at[p.X], p.Y)
+		costsAt[p.X] = append(costsAt[p.X], p.Y)
 	}
 	if len(sizes) < 4 {
 		return s, ErrFew
 	}
 	s.A, s.B = stat.LinearRegression(xs, ys, nil, false)
-	off, largest := 0.0, 0.0
-	for x, list := range at {
+	maxDistance, maxMean := 0.0, 0.0
+	for x, list := range costsAt {
 		mean := stat.Mean(list, nil)
-		off, largest = max(off, math.Abs(mean-s.At(x))), max(largest, math.Abs(mean))
+		maxDistance, maxMean = max(maxDistance, math.Abs(mean-s.At(x))), max(maxMean, math.Abs(mean))
 		if mean != 0 {
 			s.Spread = max(s.Spread, (slices.Max(list)-slices.Min(list))/2/math.Abs(mean))
 		}
 	}
-	if largest > 0 {
-		s.Bend = off / largest
+	if maxMean > 0 {
+		s.Bend = maxDistance / maxMean
 	}
 	return s, nil
 }
--- a/internal/lab/capacity/sum.go
+++ b/internal/lab/capacity/sum.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// sums lists the target lines, and the periods, for which the kinds of control are summed.
-var sums = []struct {
+// summedLines lists the target lines, and the periods, for which the kinds of control are summed.
+var summedLines = []struct {
 	line string
 	when When
 }{{Bytes, Mean}, {Bytes, Second}, {Bytes, Minute}, {Core, Mean}, {Memory, Mean}}
 
-// sure lists the methods from the most to the least reliable.
-var sure = []How{OnSockets, VirtualTime, Computed, Extrapolated}
+// mostReliableFirst lists the methods from the most to the least reliable.
+var mostReliableFirst = []How{OnSockets, VirtualTime, Computed, Extrapolated}
 
-// part returns the cost of one kind of control: the sum of the rows with the most reliable method that has any. If no
-// run with the setting measured the kind, it returns the figure of the default settings. The result ok is false if
-// there is no figure at all.
-func part(rows []Row, kind Kind, line string, when When, percent int, setting string) (sum float64, how How, ok bool) {
+// kindFigure returns the cost of one kind of control: the sum of the rows with the most reliable method that has any.
+// If no run with the setting measured the kind, it returns the figure of the default settings. The result ok is false
+// if there is no figure at all.
+func kindFigure(rows []Row, kind Kind, line string, when When, percent int, setting string) (sum float64, how How, ok bool) {
 	for _, with := range slices.Compact([]string{setting, ""}) {
-		for _, how := range sure {
+		for _, how := range mostReliableFirst {
 			for _, r := range rows {
 				if r.Kind == kind && r.Line == line && r.When == when && r.Percent == percent && r.Setting == with && r.How == how {
 					sum, ok = sum+r.Measured, true
@@ -38,7 +38,7 @@
 // text of a row names the kinds that were not measured. They count as 0: such a sum can break its bound, but if it is
 // within the bound, it proves nothing and is marked as not measured.
 func Sums(rows []Row) (out []Row) {
-	rows = sorted(rows)
+	rows = worstByLine(rows)
 	type key struct {
 		percent int
 		setting string
@@ -54,13 +54,13 @@
 	})
 	for _, k := range keys {
 		percent := k.percent
-		for _, s := range sums {
-			total, any, lacks := 0.0, false, []string(nil)
+		for _, s := range summedLines {
+			total, any, unmeasured := 0.0, false, []string(nil)
 			for _, e := range Budget {
-				if x, _, ok := part(rows, e.Kind, s.line, s.when, percent, k.setting); ok {
+				if x, _, ok := kindFigure(rows, e.Kind, s.line, s.when, percent, k.setting); ok {
 					total, any = total+x, true
 				} else {
-					lacks = append(lacks, string(e.Kind))
+					unmeasured = append(unmeasured, string(e.Kind))
 				}
 			}
 			if !any {
@@ -78,8 +78,8 @@
 				what += ", " + string(s.when)
 			}
 			how := Computed
-			if len(lacks) > 0 {
-				what += ", without " + strings.Join(lacks, ", ")
+			if len(unmeasured) > 0 {
+				what += ", without " + strings.Join(unmeasured, ", ")
 				if total <= bound {
 					how = NotMeasured
 				}
@@ -96,14 +96,14 @@
 // shown as not measured, and the sum as "at least" the sum of the other kinds.
 func BudgetTable(rows []Row, percent int) Table {
 	t := Table{Name: "budget", Head: []string{"kind", "grows with", "B/s, mean", "B/s, worst second", "B/s, minute after a zone went", "% of a core", "MB"}}
-	rows = sorted(rows)
-	total, lacks := make([]float64, len(sums)), make([]bool, len(sums))
+	rows = worstByLine(rows)
+	total, unmeasured := make([]float64, len(summedLines)), make([]bool, len(summedLines))
 	for _, e := range Budget {
 		line := []string{string(e.Kind), e.By}
-		for i, s := range sums {
-			x, how, ok := part(rows, e.Kind, s.line, s.when, percent, "")
+		for i, s := range summedLines {
+			x, how, ok := kindFigure(rows, e.Kind, s.line, s.when, percent, "")
 			if !ok {
-				lacks[i] = true
+				unmeasured[i] = true
 				line = append(line, string(NotMeasured))
 				continue
 			}
@@ -113,23 +113,23 @@
 		t.Rows = append(t.Rows, line)
 	}
 	sum, bound := []string{"sum", ""}, []string{"may be spent", ""}
-	for i, s := range sums {
+	for i, s := range summedLines {
 		cell := Figure(total[i])
-		if lacks[i] {
+		if unmeasured[i] {
 			cell = "at least " + cell
 		}
-		most := Target.Bytes
+		limit := Target.Bytes
 		switch {
 		case s.line == Core:
-			most = Target.Core
+			limit = Target.Core
 		case s.line == Memory:
-			most = Target.Memory
+			limit = Target.Memory
 		}
 		sum = append(sum, cell)
 		if s.when == Second {
 			bound = append(bound, "not judged")
 		} else {
-			bound = append(bound, Figure(most))
+			bound = append(bound, Figure(limit))
 		}
 	}
 	t.Rows = append(t.Rows, sum, bound)
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -36,13 +36,13 @@
 	case x == 0:
 		return "0"
 	case a >= 100:
-		return group(strconv.FormatFloat(math.Round(x), 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(math.Round(x), 'f', 0, 64))
 	}
 	return strconv.FormatFloat(x, 'g', 3, 64)
 }
 
-// group inserts commas as thousands separators.
-func group(digits string) string {
+// groupThousands inserts commas as thousands separators.
+func groupThousands(digits string) string {
 	sign := ""
 	if digits[0] == '-' {
 		sign, digits = "-", digits[1:]
@@ -72,7 +72,7 @@
 		how                 How
 	}
 	at, keys := map[key][]Row{}, []key{}
-	for _, r := range sorted(rows) {
+	for _, r := range worstByLine(rows) {
 		k := key{r.Line, r.What, r.Setting, r.How}
 		if at[k] == nil {
 			keys = append(keys, k)
@@ -100,7 +100,7 @@
 		line := []string{k.line, what, bound}
 		for _, p := range percents {
 			cell := ""
-			for _, r := range list { // one row: of several seeds, sorted keeps only the worst
+			for _, r := range list { // one row: of several seeds, worstByLine keeps only the worst
 				if r.Percent != p {
 					continue
 				}
@@ -115,22 +115,22 @@
 			}
 			line = append(line, cell)
 		}
-		t.Rows = append(t.Rows, append(line, from(k.how, first.Run)))
+		t.Rows = append(t.Rows, append(line, source(k.how, first.Run)))
 	}
 	return t
 }
 
-// from formats how a figure was obtained and by which run; run 0 is none.
-func from(how How, run int) string {
+// source formats how a figure was obtained and by which run; run 0 is none.
+func source(how How, run int) string {
 	if run == 0 {
 		return string(how)
 	}
 	return fmt.Sprintf("%s [%d]", how, run)
 }
 
-// sorted returns the rows in the order of the target's lines; rows of the same line keep their order. Of several rows
-// for the same figure and size it keeps only the one with the smallest margin.
-func sorted(rows []Row) []Row {
+// worstByLine returns the rows in the order of the target's lines; rows of the same line keep their order. Of several
+// rows for the same figure and size it keeps only the one with the smallest margin.
+func worstByLine(rows []Row) []Row {
 	order := map[string]int{}
 	for i, l := range Target.Lines() {
 		order[l.Key] = i
@@ -170,7 +170,7 @@
 		}
 		line := []string{v.Name, Figure(v.Value) + " " + v.Unit, state, "-", "-", "-", "-", "-"}
 		if b := v.Binds; b.Line != "" {
-			line[3], line[4], line[5] = b.What, Figure(b.Bound)+" "+b.Unit, Figure(b.Measured)+" ("+from(b.How, b.Run)+")"
+			line[3], line[4], line[5] = b.What, Figure(b.Bound)+" "+b.Unit, Figure(b.Measured)+" ("+source(b.How, b.Run)+")"
 			line[6] = fmt.Sprintf("%.2g", v.Margin)
 			if math.IsInf(v.Margin, 1) {
 				line[6] = "no limit"
@@ -196,8 +196,8 @@
 	ByRegions     = "regions"
 )
 
-// sizes are the sizes at which a slope is evaluated: those of the target, and two numbers of dispatchers.
-var sizes = map[string][]float64{
+// slopeSizes are the sizes at which a slope is evaluated: those of the target, and two numbers of dispatchers.
+var slopeSizes = map[string][]float64{
 	ByDispatchers: {44, 300}, ByTeams: {float64(Target.Teams)}, ByWorkers: {float64(Target.Workers)}, ByStarts: {Target.Starts},
 	ByRunning: {float64(Target.Running)}, ByTable: {float64(Target.Teams)}, ByChanges: {float64(Target.Changes) / 1440}, ByRegions: {float64(Target.Regions)},
 }
@@ -219,8 +219,8 @@
 			}
 			played += Figure(x)
 		}
-		line := []string{s.What, s.Unit, Figure(s.A), Figure(s.B), s.By, played, fmt.Sprintf("%.0f %%", 100*s.Spread), fmt.Sprintf("%.0f %%", 100*s.Bend), "-", from(s.How, s.Run)}
-		for i, x := range sizes[s.By] {
+		line := []string{s.What, s.Unit, Figure(s.A), Figure(s.B), s.By, played, fmt.Sprintf("%.0f %%", 100*s.Spread), fmt.Sprintf("%.0f %%", 100*s.Bend), "-", source(s.How, s.Run)}
+		for i, x := range slopeSizes[s.By] {
 			cell := Figure(s.At(x)) + " at " + Figure(x)
 			if s.Played(x) {
 				cell += " (within what was played)"
--- a/internal/lab/capacity/verdict.go
+++ b/internal/lab/capacity/verdict.go
@@ -51,20 +51,20 @@
 // row of any line. Parts of the budget's sum are not judged one by one: rows must include the result of [Sums].
 func Judge(f Figures, rows []Row, percent int) (list []Verdict) {
 	for _, l := range f.Lines() {
-		list = append(list, judge(l, rows, percent))
+		list = append(list, judgeLine(l, rows, percent))
 	}
 	return list
 }
 
-func judge(l Line, rows []Row, percent int) Verdict {
+func judgeLine(l Line, rows []Row, percent int) Verdict {
 	v := Verdict{Line: l, State: Unknown}
-	settings, lacks := []string{}, false
+	settings, unmeasured := []string{}, false
 	for _, r := range rows {
 		if r.Line != l.Key || r.Shown || r.Kind != "" {
 			continue
 		}
 		if r.How == NotMeasured || r.How == NotYetJoined {
-			lacks = lacks || r.Percent == percent && r.Setting == ""
+			unmeasured = unmeasured || r.Percent == percent && r.Setting == ""
 			continue
 		}
 		if r.Setting == "" && !r.Held && (v.First == 0 || r.Percent < v.First) {
@@ -87,7 +87,7 @@
 			v.Binds, v.Margin = r, r.Margin()
 		}
 	}
-	if lacks && v.State == Carried { // the missing figure could break the bound
+	if unmeasured && v.State == Carried { // the missing figure could break the bound
 		v.State = Unknown
 	}
 	if v.State != NotCarried {
@@ -96,7 +96,7 @@
 	slices.Sort(settings)
 	for _, s := range slices.Compact(settings) {
 		breaks := func(r Row) bool { return r.Setting == s && r.Percent == percent && !r.Held && !r.Shown && r.Kind == "" }
-		if !slices.ContainsFunc(rows, breaks) && mends(l.Key, s, rows, percent) {
+		if !slices.ContainsFunc(rows, breaks) && settingFixes(l.Key, s, rows, percent) {
 			v.State, v.Setting = WithSetting, s
 			break
 		}
@@ -104,8 +104,8 @@
 	return v
 }
 
-// mends reports whether every row of the line that breaks by default was measured with the setting and held.
-func mends(line, setting string, rows []Row, percent int) bool {
+// settingFixes reports whether every row of the line that breaks by default was measured with the setting and held.
+func settingFixes(line, setting string, rows []Row, percent int) bool {
 	for _, r := range rows {
 		if r.Line != line || r.Percent != percent || r.Setting != "" || r.Held || r.Shown || r.Kind != "" {
 			continue
