--- a/cmd/bellstream-lab/all.go
+++ b/cmd/bellstream-lab/all.go
@@ -11,18 +11,18 @@
 	"example.org/bellstream/internal/lab/experiments"
 )
 
-// check says whether all experiments can be run as asked: what is meant for one experiment,
-// or would write over the results of the one before, can't.
-func (r *runCmd) check() error {
+// checkFlagsOfAll returns an error if a flag is set that "run all" does not support: one that applies to a single
+// experiment, or one with which each experiment would overwrite the results of the one before.
+func (r *runCmd) checkFlagsOfAll() error {
 	if r.JSON || r.Report != "" || r.Without != "" || r.Only != "" || r.Seeds > 1 {
 		return errors.New("all takes --seed, --quick, --out and --program alone")
 	}
 	return nil
 }
 
-// all plays experiments in turn, each to its end whatever became of those before, writes
-// one line for each and returns whether all claims of all of them held.
-func all(list []experiments.Experiment, p experiments.Params, w io.Writer) bool {
+// runInTurn runs the experiments in turn, also after one that fails, writes one line for each
+// and reports whether all claims of all experiments held.
+func runInTurn(list []experiments.Experiment, p experiments.Params, w io.Writer) bool {
 	began, broken := time.Now(), 0
 	for _, e := range list {
 		mine := p
@@ -32,7 +32,7 @@
 		state, found := "held", ""
 		if err != nil || !r.Held {
 			broken++
-			state, found = "BROKEN", ": "+why(r, err)
+			state, found = "BROKEN", ": "+brokenReason(r, err)
 		}
 		fmt.Fprintf(w, "%-12s %-6s %4.0f s%s\n", e.Name, state, time.Since(start).Seconds(), found)
 	}
@@ -40,8 +40,8 @@
 	return broken == 0
 }
 
-// why says on one line what is broken.
-func why(r *experiments.Result, err error) string {
+// brokenReason returns the error, the void reason or the broken claims of an experiment, on one line.
+func brokenReason(r *experiments.Result, err error) string {
 	if err != nil {
 		return strings.ReplaceAll(err.Error(), "\n", " ")
 	}
--- a/cmd/bellstream-lab/capacity.go
+++ b/cmd/bellstream-lab/capacity.go
@@ -16,7 +16,7 @@
 	Check  bool     `help:"Write nothing; say whether the page has the tables of these runs."`
 }
 
-// errStale says that a page is not made of the runs.
+// errStale is returned with --check if the tables of the page differ from those of the runs.
 var errStale = errors.New("its tables are not those of the runs: write it anew without --check")
 
 func (c *capacityCmd) run(out io.Writer) error {
@@ -28,21 +28,21 @@
 	if err != nil {
 		return err
 	}
-	was, err := os.ReadFile(c.Page)
+	current, err := os.ReadFile(c.Page)
 	if err != nil {
 		return err
 	}
-	is, err := capacity.Fill(string(was), capacity.Tables(runs, before))
+	updated, err := capacity.Fill(string(current), capacity.Tables(runs, before))
 	switch {
 	case err != nil:
 		return fmt.Errorf("%s: %w", c.Page, err)
-	case is == string(was):
+	case updated == string(current):
 		fmt.Fprintf(out, "%s: has the tables of these runs\n", c.Page)
 		return nil
 	case c.Check:
 		return fmt.Errorf("%s: %w", c.Page, errStale)
 	}
-	return os.WriteFile(c.Page, []byte(is), 0o644)
+	return os.WriteFile(c.Page, []byte(updated), 0o644)
 }
 
 func readRuns(files []string) (runs []capacity.Run, err error) {
--- a/cmd/bellstream-lab/capacity_test.go
+++ b/cmd/bellstream-lab/capacity_test.go
@@ -12,9 +12,9 @@
 	"example.org/bellstream/internal/lab/capacity"
 )
 
-const places = "<!-- table target -->\n<!-- end -->\n<!-- table verdict -->\n<!-- end -->\n<!-- table budget -->\n<!-- end -->\n<!-- table runs -->\n<!-- end -->\n"
+const emptyPage = "<!-- table target -->\n<!-- end -->\n<!-- table verdict -->\n<!-- end -->\n<!-- table budget -->\n<!-- end -->\n<!-- table runs -->\n<!-- end -->\n"
 
-// The command writes a page once, finds it in order then, and finds it stale when a run says something else.
+// The command writes a page, then finds it up to date with --check, and finds it stale after a run has another figure.
 func TestCapacityPage(t *testing.T) {
 	dir := t.TempDir()
 	page, file := filepath.Join(dir, "page.md"), filepath.Join(dir, "run.json")
@@ -28,34 +28,34 @@
 		raw, _ := json.Marshal(capacity.Run{Experiment: "capacity", Command: "run", Rows: []capacity.Row{capacity.AtMost(capacity.InForce, 100, "alone", 4, measured, "s", capacity.OnSockets)}})
 		put(file, raw)
 	}
-	put(page, []byte(places))
+	put(page, []byte(emptyPage))
 	run(2)
 	var out strings.Builder
 	check := capacityCmd{Page: page, Runs: []string{file}, Check: true}
 	if err := check.run(&out); !errors.Is(err, errStale) {
-		t.Errorf("an empty page: %v", err)
+		t.Errorf("check of an empty page: got error %v, want errStale", err)
 	}
 	if err := (&capacityCmd{Page: page, Runs: []string{file}}).run(&out); err != nil {
 		t.Fatal(err)
 	}
 	if err := check.run(&out); err != nil || !strings.Contains(out.String(), "has the tables") {
-		t.Errorf("%s: %v", out.String(), err)
+		t.Errorf("check of the written page: got output %s, error %v", out.String(), err)
 	}
 	run(5)
 	if err := check.run(&out); !errors.Is(err, errStale) {
-		t.Errorf("another figure: %v", err)
+		t.Errorf("check after another figure: got error %v, want errStale", err)
 	}
 	put(file, []byte(`{"experiment":"scale"}`))
 	if err := check.run(&out); err == nil || errors.Is(err, errStale) {
-		t.Errorf("a run of another experiment: %v", err)
+		t.Errorf("check with a run of another experiment: got error %v, want one other than errStale", err)
 	}
 }
 
-// The tables of docs/CAPACITY.md are those of the runs that stand beside it, and of the target as the code has it.
+// The tables of docs/CAPACITY.md match the runs in docs/capacity and the target in the code.
 func TestCapacityPageIsOfItsRuns(t *testing.T) {
 	runs, err := filepath.Glob("../../docs/capacity/*.json")
 	if err != nil || len(runs) == 0 {
-		t.Fatalf("no runs: %v", err)
+		t.Fatalf("no runs in docs/capacity: %v", err)
 	}
 	before, _ := filepath.Glob("../../docs/capacity/before/*.json")
 	slices.Sort(runs)
--- a/cmd/bellstream-lab/compare.go
+++ b/cmd/bellstream-lab/compare.go
@@ -23,11 +23,11 @@
 	Quick bool   `help:"Smaller, within 50 s each."`
 	JSON  bool   `name:"json" help:"Print the comparison as JSON."`
 
-	out string // folder for files
+	out string // folder for the experiments' files
 }
 
-// way reads PROGRAM[,without=WHAT].
-func way(text string) (p experiments.Params, err error) {
+// parseWay parses PROGRAM[,without=WHAT]. It returns an error if the program does not exist or the rest is malformed.
+func parseWay(text string) (p experiments.Params, err error) {
 	program, rest, more := strings.Cut(text, ",")
 	if program != "." {
 		p.Program = program
@@ -43,8 +43,8 @@
 	return p, nil
 }
 
-// compared is one figure in both ways.
-type compared struct {
+// comparedFigure is a figure measured in both ways, with the result of the comparison.
+type comparedFigure struct {
 	Name string `json:"name"`
 	Unit string `json:"unit"`
 	pairedtest.Ratio
@@ -65,15 +65,15 @@
 	var ways [2]experiments.Params
 	for i, text := range []string{c.A, c.B} {
 		var err error
-		if ways[i], err = way(text); err != nil {
+		if ways[i], err = parseWay(text); err != nil {
 			return err
 		}
 	}
-	var names []compared
+	var names []comparedFigure
 	figures := map[string]*[2][]float64{}
 	for n := range c.Seeds {
 		order := []int{0, 1}
-		if n%2 == 1 { // who goes first is changed in turn: the machine warms up
+		if n%2 == 1 { // alternates which way runs first, since the machine warms up
 			order = []int{1, 0}
 		}
 		for _, i := range order {
@@ -90,7 +90,7 @@
 			add := func(name, unit string, v float64) {
 				if figures[name] == nil {
 					figures[name] = &[2][]float64{}
-					names = append(names, compared{Name: name, Unit: unit})
+					names = append(names, comparedFigure{Name: name, Unit: unit})
 				}
 				figures[name][i] = append(figures[name][i], v)
 			}
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	names = slices.DeleteFunc(names, func(x compared) bool { f := figures[x.Name]; return len(f[0]) != len(f[1]) }) // what one way alone shows
+	names = slices.DeleteFunc(names, func(x comparedFigure) bool { f := figures[x.Name]; return len(f[0]) != len(f[1]) }) // removes figures that were not measured equally often in both ways
 	for i := range names {
 		x, err := pairedtest.Compare(figures[names[i].Name][0], figures[names[i].Name][1])
 		if err != nil {
@@ -111,7 +111,7 @@
 		names[i].Ratio, names[i].Says = x, x.Conclusion()
 	}
 	if c.JSON {
-		for i := range names { // what is no figure has no place in JSON
+		for i := range names { // JSON has no NaN or infinity
 			if x := &names[i].Ratio; x.Pairs < 2 {
 				x.Ratio, x.Low, x.High = 0, 0, 0
 			}
@@ -126,8 +126,9 @@
 	return t.Flush()
 }
 
-// several plays an experiment on several seeds and says how each claim fared.
-func several(e *experiments.Experiment, p experiments.Params, seeds int, out io.Writer) (held bool, err error) {
+// runSeeds runs an experiment on several seeds and writes a table of the results of each claim. It reports whether all
+// claims held on all seeds, and returns an error if a run fails or is void.
+func runSeeds(e *experiments.Experiment, p experiments.Params, seeds int, out io.Writer) (held bool, err error) {
 	type row struct {
 		experiments.Claim
 		all  []float64
--- a/cmd/bellstream-lab/golden_test.go
+++ b/cmd/bellstream-lab/golden_test.go
@@ -14,8 +14,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// output plays the program and returns its exit code and all that it writes.
-func output(t *testing.T, args ...string) (code int, stdout, stderr []byte) {
+// runProgram runs the program and returns its exit code and output.
+func runProgram(t *testing.T, args ...string) (code int, stdout, stderr []byte) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "LAB_MAIN=1", "COLUMNS=80")
@@ -28,7 +28,7 @@
 	return cmd.ProcessState.ExitCode(), out.Bytes(), wrong.Bytes()
 }
 
-func matches(t *testing.T, name string, got []byte) {
+func compareWithGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := "testdata/golden/" + name
 	if *update {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Help and complaints of the command line are as they always were.
+// Help texts, the list of experiments and the error for an unknown experiment match the golden files.
 func TestGoldenHelp(t *testing.T) {
 	for name, args := range map[string][]string{
 		"help.txt":          {"--help"},
@@ -58,34 +58,34 @@
 		"list.txt":          {"list"},
 		"unknown.txt":       {"run", "nonsense"},
 	} {
-		code, stdout, stderr := output(t, args...)
-		matches(t, name, slices.Concat([]byte{byte('0' + code), '\n'}, stdout, stderr))
+		code, stdout, stderr := runProgram(t, args...)
+		compareWithGolden(t, name, slices.Concat([]byte{byte('0' + code), '\n'}, stdout, stderr))
 	}
 }
 
-// form gives a JSON value's keys and types, those of the first element for all of a list.
-func form(v any) any {
+// jsonShape returns the keys and types of a JSON value; a list is represented by its first element.
+func jsonShape(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
 		keys := map[string]any{}
 		for k, in := range v {
-			keys[k] = form(in)
+			keys[k] = jsonShape(in)
 		}
 		return keys
 	case []any:
 		if len(v) == 0 {
 			return []any{}
 		}
-		return []any{form(v[0])}
+		return []any{jsonShape(v[0])}
 	case nil:
 		return "null"
 	}
 	return reflect.TypeOf(v).String()
 }
 
-// What an experiment prints as JSON has the form that it always had, and the claims of the same names.
+// The JSON output of an experiment has the keys, types and claim names of the golden file.
 func TestGoldenRun(t *testing.T) {
-	_, stdout, stderr := output(t, "run", "scale", "--quick", "--seed", "1", "--json")
+	_, stdout, stderr := runProgram(t, "run", "scale", "--quick", "--seed", "1", "--json")
 	var result map[string]any
 	if err := json.Unmarshal(stdout, &result); err != nil {
 		t.Fatalf("%v: %s%s", err, stdout, stderr)
@@ -94,9 +94,9 @@
 	for _, c := range result["claims"].([]any) {
 		names = append(names, c.(map[string]any)["name"])
 	}
-	raw, err := json.MarshalIndent(map[string]any{"form": form(result), "claims": names}, "", "  ")
+	raw, err := json.MarshalIndent(map[string]any{"form": jsonShape(result), "claims": names}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	matches(t, "run-scale.json", append(raw, '\n'))
+	compareWithGolden(t, "run-scale.json", append(raw, '\n'))
 }
--- a/cmd/bellstream-lab/main.go
+++ b/cmd/bellstream-lab/main.go
@@ -1,5 +1,7 @@
 // Command bellstream-lab runs the project's experiments. It exits with 0 if all
-// claims hold, with 1 if one does not, and with 2 if it is called wrongly.
+// claims hold, with 1 if a claim does not hold, a run is void or an
+// experiment is interrupted, and with 2 on wrong usage and other errors. In a comparison and
+// with several seeds, a void run is an error.
 package main
 
 import (
@@ -69,7 +71,7 @@
 	return s, s.Validate()
 }
 
-// run returns the exit code: 0, 1 if the run is void, 2 on misuse.
+// run generates the load, prints the report and returns the exit code: 0, 1 if the run is void, 2 on an error.
 func (c *loadCmd) run() int {
 	if c.Seed == 0 {
 		c.Seed = rand.Uint64() >> 11
@@ -87,7 +89,7 @@
 		o.Progress = os.Stderr
 	}
 	var r *experiments.LoadReport
-	if err == nil { // Ctrl-C ends the questions; what was asked is waited for and reported
+	if err == nil { // after Ctrl-C no more requests are sent; the sent ones are awaited and reported
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		r, err = experiments.RunLoad(ctx, o)
@@ -170,14 +172,14 @@
 	}
 	log := func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	if strings.HasPrefix(ctx.Command(), "compare") {
-		c.Compare.out = scratch("")
-		onStop(func() {
-			drop()
+		c.Compare.out = scratchFolder("")
+		onInterrupt(func() {
+			removeScratch()
 			fmt.Fprintln(os.Stderr, "bellstream-lab: ended before its time: nothing is compared")
 			os.Exit(1)
 		})
 		err := c.Compare.run(os.Stdout, log)
-		drop()
+		removeScratch()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 			os.Exit(2)
@@ -191,17 +193,17 @@
 		os.Exit(2)
 	}
 	if r.Seed == 0 {
-		r.Seed = rand.Uint64() >> 11 // to be exact in JSON
+		r.Seed = rand.Uint64() >> 11 // 53 bits, which a JSON number holds exactly
 	}
-	// Ctrl-C ends it: the processes end with this one, the report says that it is void.
-	p := experiments.Params{Seed: r.Seed, Quick: r.Quick, Without: r.Without, Only: r.Only, Out: scratch(r.Out), Program: r.Program, Log: log}
+	// Ctrl-C ends the run: the experiment's processes end with this one, and the report says that the run is void.
+	p := experiments.Params{Seed: r.Seed, Quick: r.Quick, Without: r.Without, Only: r.Only, Out: scratchFolder(r.Out), Program: r.Program, Log: log}
 	if r.Name == "all" {
 		runAll(r, p)
 	}
-	onStop(func() { finish(r, e.Ended(r.Seed)) })
+	onInterrupt(func() { finish(r, e.Ended(r.Seed)) })
 	if r.Seeds > 1 {
-		held, err := several(e, p, r.Seeds, os.Stdout)
-		drop()
+		held, err := runSeeds(e, p, r.Seeds, os.Stdout)
+		removeScratch()
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 			os.Exit(2)
@@ -213,41 +215,41 @@
 	}
 	result, err := e.Play(p)
 	if err != nil {
-		drop()
+		removeScratch()
 		fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 		os.Exit(2)
 	}
 	finish(r, result)
 }
 
-// runAll plays all experiments and ends the program with its code. What they log on their way
-// is left out: their lines are few enough to be read as they come.
+// runAll runs all experiments and exits with the program's exit code. It drops their log lines: the one result line of
+// each experiment is enough to follow the progress.
 func runAll(r runCmd, p experiments.Params) {
-	if err := r.check(); err != nil {
-		drop()
+	if err := r.checkFlagsOfAll(); err != nil {
+		removeScratch()
 		fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 		os.Exit(2)
 	}
-	onStop(func() {
-		drop()
+	onInterrupt(func() {
+		removeScratch()
 		fmt.Fprintln(os.Stderr, "bellstream-lab: ended before its time: not all claims were tried")
 		os.Exit(1)
 	})
 	p.Log = nil
-	held := all(experiments.Experiments, p, os.Stdout)
-	drop()
+	held := runInTurn(experiments.Experiments, p, os.Stdout)
+	removeScratch()
 	if !held {
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-// drop removes what was put aside for an experiment.
-var drop = func() {}
+// removeScratch removes the temporary folder that scratchFolder made, if any.
+var removeScratch = func() {}
 
-// scratch is the folder for an experiment's files: the given one, or one that
-// drop removes.
-func scratch(given string) string {
+// scratchFolder returns the folder for an experiment's files: the given one or, if that is
+// empty, a new temporary folder, which removeScratch removes.
+func scratchFolder(given string) string {
 	if given != "" {
 		return given
 	}
@@ -256,12 +258,12 @@
 		fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 		os.Exit(2)
 	}
-	drop = func() { os.RemoveAll(dir) }
+	removeScratch = func() { os.RemoveAll(dir) }
 	return dir
 }
 
-// onStop has something done when somebody ends the program.
-func onStop(do func()) {
+// onInterrupt calls do when the program is interrupted or terminated.
+func onInterrupt(do func()) {
 	stops := make(chan os.Signal, 1)
 	signal.Notify(stops, os.Interrupt, syscall.SIGTERM)
 	go func() {
@@ -270,14 +272,14 @@
 	}()
 }
 
-var finishing sync.Mutex // one result, whichever comes first
+var finishLock sync.Mutex // locked by the first call of finish and never released: only one result is written
 
-// finish writes the result and ends the program with its code.
+// finish writes the result and exits with the program's exit code.
 func finish(r runCmd, result *experiments.Result) {
-	finishing.Lock()
-	drop()
+	finishLock.Lock()
+	removeScratch()
 	if r.Report != "" {
-		if err := write(r.Report, result); err != nil {
+		if err := writeReport(r.Report, result); err != nil {
 			fmt.Fprintln(os.Stderr, "bellstream-lab:", err)
 			os.Exit(2)
 		}
@@ -291,7 +293,7 @@
 	os.Exit(0)
 }
 
-func write(path string, r *experiments.Result) error {
+func writeReport(path string, r *experiments.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/cmd/bellstream-lab/main_test.go
+++ b/cmd/bellstream-lab/main_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the laboratory, and for the program
-// that an experiment starts: one that says that it is healthy, and who it is.
+// TestMain lets the test binary also run as bellstream-lab, if LAB_MAIN is set, and as the program that an experiment
+// starts, if LAB_STAND_IN and RELAY_CONFIG are set: a server that answers every request with 200 and writes its process
+// id to the file named by LAB_STAND_IN.
 func TestMain(m *testing.M) {
 	switch {
 	case os.Getenv("LAB_STAND_IN") != "" && os.Getenv("RELAY_CONFIG") != "":
@@ -36,9 +37,9 @@
 	}
 }
 
-// Ctrl-C in the middle: the result is void, the report is written, the processes
-// of the experiment and its files are gone.
-func TestEndedByHand(t *testing.T) {
+// After Ctrl-C in the middle of a run, the result is void, the report is written, and the processes and files
+// of the experiment are removed.
+func TestInterruptVoidsRunAndCleansUp(t *testing.T) {
 	dir := t.TempDir()
 	pidFile, reportFile, temp := filepath.Join(dir, "pid"), filepath.Join(dir, "report.html"), filepath.Join(dir, "temp")
 	os.Mkdir(temp, 0o700)
@@ -54,12 +55,12 @@
 		t.Helper()
 		for end := time.Now().Add(15 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not in 15 s: %s", what)
+				t.Fatalf("not within 15 s: %s", what)
 			}
 		}
 	}
 	pid := 0
-	until("the experiment's process is there", func() bool {
+	until("the experiment's process has started", func() bool {
 		raw, err := os.ReadFile(pidFile)
 		pid, _ = strconv.Atoi(string(raw))
 		return err == nil && pid > 0
@@ -71,14 +72,14 @@
 		Held bool
 	}
 	if err := json.Unmarshal([]byte(out.String()), &r); err != nil || cmd.ProcessState.ExitCode() != 1 || r.Held || !strings.Contains(r.Void, "ended") {
-		t.Errorf("exit %d, %v: %s", cmd.ProcessState.ExitCode(), err, out.String())
+		t.Errorf("interrupted run: got exit code %d, error %v, output %s", cmd.ProcessState.ExitCode(), err, out.String())
 	}
 	if raw, err := os.ReadFile(reportFile); err != nil || !strings.Contains(string(raw), "Void: it was ended") {
-		t.Errorf("report: %v, %.100s", err, raw)
+		t.Errorf("report of the interrupted run: got error %v, text %.100s", err, raw)
 	}
-	until("its process is gone", func() bool { return errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) })
+	until("the experiment's process has ended", func() bool { return errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) })
 	if left, _ := os.ReadDir(temp); len(left) > 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("files left in the temporary folder: %v", left)
 	}
 }
 
@@ -87,12 +88,12 @@
 		cmd := exec.Command(os.Args[0], args...)
 		cmd.Env = append(os.Environ(), "LAB_MAIN=1")
 		if out, err := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 2 {
-			t.Errorf("%v: %v, %s", args, err, out)
+			t.Errorf("arguments %v: got error %v, output %s, want exit code 2", args, err, out)
 		}
 	}
 }
 
-// Descriptors used up: the load tool ends, and says that the run is void and why.
+// If the load tool runs out of file descriptors, it ends and reports the run as void, with the reason.
 func TestDescriptorsUsedUp(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,6 +119,6 @@
 		Status   map[string]int
 	}
 	if err := json.Unmarshal(raw, &r); err != nil || cmd.ProcessState.ExitCode() != 1 || r.NoSocket == 0 || !strings.Contains(r.Void, "descriptor") || r.Status["none"] != r.Jobs {
-		t.Errorf("exit %d, %v: %s", cmd.ProcessState.ExitCode(), err, raw)
+		t.Errorf("load without descriptors: got exit code %d, error %v, output %s", cmd.ProcessState.ExitCode(), err, raw)
 	}
 }
