--- a/cmd/bellstream-lab/golden_test.go
+++ b/cmd/bellstream-lab/golden_test.go
@@ -88,7 +88,7 @@
 	_, stdout, stderr := runProgram(t, "run", "scale", "--quick", "--seed", "1", "--json")
 	var result map[string]any
 	if err := json.Unmarshal(stdout, &result); err != nil {
-		t.Fatalf("%v: %s%s", err, stdout, stderr)
+		t.Fatalf("output of run scale is not JSON: %v: %s%s", err, stdout, stderr)
 	}
 	var names []any
 	for _, c := range result["claims"].([]any) {
