--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Run is what a play of the experiment printed as JSON, as far as the page takes it.
+// Run is the JSON output of a run of the experiment, with the fields that the page uses.
 type Run struct {
 	Experiment string  `json:"experiment"`
 	Command    string  `json:"command"`
@@ -20,13 +20,13 @@
 	Seed       uint64  `json:"seed"`
 	Machine    string  `json:"machine"`
 	Void       string  `json:"void"`
-	Claims     []Held  `json:"claims"`
+	Claims     []Claim `json:"claims"`
 	Rows       []Row   `json:"rows"`
 	Slopes     []Slope `json:"slopes"`
 }
 
-// Held is a claim of a run.
-type Held struct {
+// Claim is a claim of a run, with its result.
+type Claim struct {
 	Name     string  `json:"name"`
 	Bound    float64 `json:"bound"`
 	Measured float64 `json:"measured"`
@@ -34,7 +34,7 @@
 	Held     bool    `json:"held"`
 }
 
-// ReadRun takes a run's output.
+// ReadRun parses the output of a run. It returns an error for another experiment's run and for a void run.
 func ReadRun(raw []byte) (r Run, err error) {
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return r, err
@@ -48,8 +48,8 @@
 	return r, nil
 }
 
-// Tables are all that a page may show, made of the runs in their order. Those from before a mechanism was changed
-// stand in the table of changes alone.
+// Tables returns all tables that a page may show, made from the runs, which are numbered in the given order. The
+// measurements of the runs in before, made before a mechanism was changed, appear only in the table of changes.
 func Tables(runs, before []Run) []Table {
 	var rows []Row
 	var slopes []Slope
@@ -80,16 +80,16 @@
 		}
 		played.Rows = append(played.Rows, []string{number, "`" + run.Command + "`", run.Build, run.Machine, claims})
 	}
-	all := append(slices.Concat(rows, Placed()), Sums(rows)...)
+	all := append(slices.Concat(rows, VoterPlacementRows()), Sums(rows)...)
 	verdicts := Judge(Target, all, 100)
-	return []Table{TargetTable(), VerdictTable(verdicts), OrderTable(Missing(verdicts)), BudgetTable(rows, 100), CountsTable(), SizesTable(all), SlopesTable(slopes), DelaysTable(), DayTable(), ChangeTable(before, runs), played}
+	return []Table{TargetTable(), VerdictTable(verdicts), OrderTable(NotCarriedVerdicts(verdicts)), BudgetTable(rows, 100), CountsTable(), SizesTable(all), SlopesTable(slopes), DelaysTable(), DayTable(), ChangeTable(before, runs), played}
 }
 
-// ChangeTable has what a change of a mechanism did, at each number of dispatchers that was played before and after: the
-// mean over seeds of each cost that both have a slope of.
+// ChangeTable shows the effect of changing a mechanism, at each number of dispatchers that was run before and after the
+// change: the mean over seeds of each cost that has a slope in both.
 func ChangeTable(before, after []Run) Table {
 	t := Table{Name: "change", Head: []string{"dispatchers"}}
-	was, is := costs(before), costs(after)
+	was, is := costsByDispatchers(before), costsByDispatchers(after)
 	var xs []float64
 	for _, a := range after {
 		for _, s := range a.Slopes {
@@ -118,8 +118,8 @@
 	return t
 }
 
-// costs are what was measured by dispatchers: by cost, then by their number.
-func costs(runs []Run) map[string]map[float64][]float64 {
+// costsByDispatchers returns the measurements of the slopes over dispatchers, by cost and then by number of dispatchers.
+func costsByDispatchers(runs []Run) map[string]map[float64][]float64 {
 	out := map[string]map[float64][]float64{}
 	for _, r := range runs {
 		for _, s := range r.Slopes {
@@ -137,7 +137,7 @@
 	return out
 }
 
-// OrderTable is what no setting carries, what binds first first.
+// OrderTable lists the given verdicts, which no setting carries, in the order of the list.
 func OrderTable(list []Verdict) Table {
 	t := Table{Name: "order", Head: []string{"", "target", "breaks from", "at 100 %", "bound"}}
 	for i, v := range list {
@@ -150,21 +150,22 @@
 	return t
 }
 
-// ErrTable says that a page and the tables do not fit.
+// ErrTable is returned by Fill if the tables that the page names and the available or required ones do not match.
 var ErrTable = errors.New("page: table")
 
-var place = regexp.MustCompile(`(?s)<!-- table ([a-z]+)( [a-z,-]+)? -->\n.*?<!-- end -->`)
+var tablePlaceholder = regexp.MustCompile(`(?s)<!-- table ([a-z]+)( [a-z,-]+)? -->\n.*?<!-- end -->`)
 
-// Fill puts tables where a page names them: between `<!-- table NAME -->` and `<!-- end -->`. With words behind the
-// name, it takes the rows alone whose first cell is one of these: `<!-- table sizes bytes,core -->`.
+// Fill puts each table where the page names it: between `<!-- table NAME -->` and `<!-- end -->`. Words after the name
+// select the rows whose first cell is one of these words: `<!-- table sizes bytes,core -->`. Fill returns an
+// [ErrTable] for an unknown table and for a page without one of the tables target, verdict, budget and runs.
 func Fill(page string, tables []Table) (string, error) {
-	var wrong []error
+	var errs []error
 	named := map[string]bool{}
-	out := place.ReplaceAllStringFunc(page, func(found string) string {
-		m := place.FindStringSubmatch(found)
+	out := tablePlaceholder.ReplaceAllStringFunc(page, func(found string) string {
+		m := tablePlaceholder.FindStringSubmatch(found)
 		i := slices.IndexFunc(tables, func(t Table) bool { return t.Name == m[1] })
 		if i < 0 {
-			wrong = append(wrong, fmt.Errorf("%w: there is none named %q", ErrTable, m[1]))
+			errs = append(errs, fmt.Errorf("%w: there is none named %q", ErrTable, m[1]))
 			return found
 		}
 		named[m[1]] = true
@@ -177,13 +178,13 @@
 	})
 	for _, name := range []string{"target", "verdict", "budget", "runs"} {
 		if !named[name] {
-			wrong = append(wrong, fmt.Errorf("%w: the page has no place for %q", ErrTable, name))
+			errs = append(errs, fmt.Errorf("%w: the page has no place for %q", ErrTable, name))
 		}
 	}
-	return out, errors.Join(wrong...)
+	return out, errors.Join(errs...)
 }
 
-// Markdown is the table as a page has it.
+// Markdown returns the table in Markdown.
 func (t Table) Markdown() string {
 	var b strings.Builder
 	line := func(cells []string) {
--- a/internal/lab/capacity/tables.go
+++ b/internal/lab/capacity/tables.go
@@ -8,14 +8,14 @@
 	"strconv"
 )
 
-// Table is what a page, a report and a terminal show alike.
+// Table is a table for a page, a report or a terminal.
 type Table struct {
-	Name string // by which a page names it
+	Name string // name by which a page refers to it
 	Head []string
 	Rows [][]string
 }
 
-// TargetTable is the target, line by line.
+// TargetTable shows the lines of the target.
 func TargetTable() Table {
 	t := Table{Name: "target", Head: []string{"target", "figure", "unit", "scaled"}}
 	for _, l := range Target.Lines() {
@@ -28,7 +28,7 @@
 	return t
 }
 
-// Figure writes a figure with as many digits as are worth reading.
+// Figure formats a number with three significant digits, or from 100 on as an integer with thousands separators.
 func Figure(x float64) string {
 	switch a := math.Abs(x); {
 	case math.IsInf(x, 1):
@@ -36,13 +36,13 @@
 	case x == 0:
 		return "0"
 	case a >= 100:
-		return group(strconv.FormatFloat(math.Round(x), 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(math.Round(x), 'f', 0, 64))
 	}
 	return strconv.FormatFloat(x, 'g', 3, 64)
 }
 
-// group sets commas between thousands.
-func group(digits string) string {
+// groupThousands inserts commas as thousands separators.
+func groupThousands(digits string) string {
 	sign := ""
 	if digits[0] == '-' {
 		sign, digits = "-", digits[1:]
@@ -53,8 +53,8 @@
 	return sign + digits
 }
 
-// SizesTable has a line for each figure that was held against the target, and a column for each percentage:
-// what breaks its bound is marked with an exclamation mark.
+// SizesTable has a line for each figure that was compared with the target, and a column for each percentage. A figure
+// that breaks its bound is marked with an exclamation mark.
 func SizesTable(rows []Row) Table {
 	t := Table{Name: "sizes", Head: []string{"line", "figure", "bound"}}
 	var percents []int
@@ -72,7 +72,7 @@
 		how                 How
 	}
 	at, keys := map[key][]Row{}, []key{}
-	for _, r := range sorted(rows) {
+	for _, r := range worstByLine(rows) {
 		k := key{r.Line, r.What, r.Setting, r.How}
 		if at[k] == nil {
 			keys = append(keys, k)
@@ -100,7 +100,7 @@
 		line := []string{k.line, what, bound}
 		for _, p := range percents {
 			cell := ""
-			for _, r := range list { // of several seeds the worst
+			for _, r := range list { // one row: of several seeds, worstByLine keeps only the worst
 				if r.Percent != p {
 					continue
 				}
@@ -115,22 +115,22 @@
 			}
 			line = append(line, cell)
 		}
-		t.Rows = append(t.Rows, append(line, from(k.how, first.Run)))
+		t.Rows = append(t.Rows, append(line, source(k.how, first.Run)))
 	}
 	return t
 }
 
-// from says how a figure was got, and by which run.
-func from(how How, run int) string {
+// source formats how a figure was obtained and by which run; run 0 is none.
+func source(how How, run int) string {
 	if run == 0 {
 		return string(how)
 	}
 	return fmt.Sprintf("%s [%d]", how, run)
 }
 
-// sorted are rows in the order of the target's lines, those of one line as they came, and of several of one
-// figure and size the worst alone.
-func sorted(rows []Row) []Row {
+// worstByLine returns the rows in the order of the target's lines; rows of the same line keep their order. Of several
+// rows for the same figure and size it keeps only the one with the smallest margin.
+func worstByLine(rows []Row) []Row {
 	order := map[string]int{}
 	for i, l := range Target.Lines() {
 		order[l.Key] = i
@@ -159,7 +159,8 @@
 	return out
 }
 
-// VerdictTable is the page's first: each line of the target, whether it is carried, what binds and from where on.
+// VerdictTable shows for each line of the target whether it is carried, which row binds, and the smallest percentage
+// at which it breaks.
 func VerdictTable(list []Verdict) Table {
 	t := Table{Name: "verdict", Head: []string{"target", "figure", "verdict", "binds", "bound", "measured", "margin", "breaks from"}}
 	for _, v := range list {
@@ -169,7 +170,7 @@
 		}
 		line := []string{v.Name, Figure(v.Value) + " " + v.Unit, state, "-", "-", "-", "-", "-"}
 		if b := v.Binds; b.Line != "" {
-			line[3], line[4], line[5] = b.What, Figure(b.Bound)+" "+b.Unit, Figure(b.Measured)+" ("+from(b.How, b.Run)+")"
+			line[3], line[4], line[5] = b.What, Figure(b.Bound)+" "+b.Unit, Figure(b.Measured)+" ("+source(b.How, b.Run)+")"
 			line[6] = fmt.Sprintf("%.2g", v.Margin)
 			if math.IsInf(v.Margin, 1) {
 				line[6] = "no limit"
@@ -183,7 +184,7 @@
 	return t
 }
 
-// What costs grow with. Slopes say them in these words.
+// Values of [Slope].By: what a cost grows with.
 const (
 	ByDispatchers = "dispatchers"
 	ByTeams       = "teams"
@@ -195,14 +196,14 @@
 	ByRegions     = "regions"
 )
 
-// sizes are those at which a slope is read: the target's, and the two numbers of dispatchers.
-var sizes = map[string][]float64{
+// slopeSizes are the sizes at which a slope is evaluated: those of the target, and two numbers of dispatchers.
+var slopeSizes = map[string][]float64{
 	ByDispatchers: {44, 300}, ByTeams: {float64(Target.Teams)}, ByWorkers: {float64(Target.Workers)}, ByStarts: {Target.Starts},
 	ByRunning: {float64(Target.Running)}, ByTable: {float64(Target.Teams)}, ByChanges: {float64(Target.Changes) / 1440}, ByRegions: {float64(Target.Regions)},
 }
 
-// SlopesTable has a line for each cost as a + b x, with what it comes to at the target's size, and whether that
-// was played or lies beyond.
+// SlopesTable has a line for each cost a + b x, with its value at the target's size and whether that size is within the
+// sizes that were run or the value is extrapolated.
 func SlopesTable(slopes []Slope) Table {
 	t := Table{Name: "slopes", Head: []string{"cost", "unit", "a", "b", "x", "sizes played", "spread", "bend", "at the target", "how"}}
 	for _, s := range slopes {
@@ -218,8 +219,8 @@
 			}
 			played += Figure(x)
 		}
-		line := []string{s.What, s.Unit, Figure(s.A), Figure(s.B), s.By, played, fmt.Sprintf("%.0f %%", 100*s.Spread), fmt.Sprintf("%.0f %%", 100*s.Bend), "-", from(s.How, s.Run)}
-		for i, x := range sizes[s.By] {
+		line := []string{s.What, s.Unit, Figure(s.A), Figure(s.B), s.By, played, fmt.Sprintf("%.0f %%", 100*s.Spread), fmt.Sprintf("%.0f %%", 100*s.Bend), "-", source(s.How, s.Run)}
+		for i, x := range slopeSizes[s.By] {
 			cell := Figure(s.At(x)) + " at " + Figure(x)
 			if s.Played(x) {
 				cell += " (within what was played)"
--- a/internal/lab/experiments/capacitylists.go
+++ b/internal/lab/experiments/capacitylists.go
@@ -237,7 +237,7 @@
 		}
 		probeRates, cpu = append(probeRates, capacity.Point{X: float64(n), Y: decisions.probes}), append(cpu, capacity.Point{X: float64(n), Y: decisions.cpu})
 		changes := 0.0 // per day
-		for _, e := range load.Gone(dispatchers) {
+		for _, e := range load.MachineEvents(dispatchers) {
 			if e.Machine >= n {
 				continue // dispatchers are not in the workers' list
 			}
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -505,7 +505,7 @@
 	load := s.Load(100)
 	const dispatchers, aside = 44, 17
 	lostSeats := 0
-	for _, e := range load.Gone(dispatchers + aside) {
+	for _, e := range load.MachineEvents(dispatchers + aside) {
 		if e.Machine >= load.Figures.Workers+dispatchers+versionsVoters {
 			lostSeats++
 		}
