--- a/internal/lab/experiments/ageing.go
+++ b/internal/lab/experiments/ageing.go
@@ -32,7 +32,7 @@
 // playAgeing runs the load for span against a new process and fleet, with or without an ageing block in the
 // process's file.
 func playAgeing(p Params, name string, ageing bool, span time.Duration) (*ageingRun, error) {
-	fleet, err := NewFleet(p.Seed, 12, 4, 300*time.Millisecond) // 160 slots a second
+	fleet, err := NewFleet(p.Seed, 12, 4, 300*time.Millisecond) // capacity: 160 jobs of one slot per second
 	if err != nil {
 		return nil, err
 	}
@@ -64,10 +64,10 @@
 	return r, nil
 }
 
-// classOutcomes counts a class's jobs that ran, were refused within 250 ms, and starved: were
-// admitted but never reached a worker. worst is the longest time from the request to the first attempt, slow the
-// slowest refusal.
-func (r *ageingRun) classOutcomes(class string) (worst time.Duration, ran, refused, starved int, slow time.Duration) {
+// classOutcomes counts a class's jobs: ran were sent to a worker, refused got status 503 within 250 ms, and starved
+// are all others, taken as admitted but never sent to a worker. longestWait is the longest time from a request to
+// its first attempt or, if it starved, to its answer. slowestRefusal is the longest time until one of the refusals.
+func (r *ageingRun) classOutcomes(class string) (longestWait time.Duration, ran, refused, starved int, slowestRefusal time.Duration) {
 	first := map[string]time.Time{}
 	for _, j := range r.jobs {
 		if at, ok := first[j.ID]; !ok || j.At.Before(at) {
@@ -82,13 +82,13 @@
 		switch {
 		case sent:
 			ran++
-			worst = max(worst, at.Sub(a.At))
+			longestWait = max(longestWait, at.Sub(a.At))
 		case a.Status == 503 && a.Took < 250*time.Millisecond:
 			refused++
-			slow = max(slow, a.Took)
+			slowestRefusal = max(slowestRefusal, a.Took)
 		default: // admitted, but never sent to a worker
 			starved++
-			worst = max(worst, a.Took)
+			longestWait = max(longestWait, a.Took)
 		}
 	}
 	return
@@ -98,7 +98,7 @@
 func (r *ageingRun) dearWorthPerSecond() (worth float64) {
 	for _, a := range r.answers {
 		if a.Class == "dear" && a.Status == 200 && a.Took < 800*time.Millisecond {
-			worth += 10
+			worth += 10 // the value of class dear
 		}
 	}
 	return worth / r.endedAt.Sub(r.startedAt).Seconds()
--- a/internal/lab/experiments/capacity.go
+++ b/internal/lab/experiments/capacity.go
@@ -39,8 +39,7 @@
 func (p CapacityParams) Load(percent int) *capacity.Load { return capacity.NewLoad(percent, p.Seed) }
 
 // CapacityResult is what a part measured. Claims are the product's stated bounds; one broken claim fails the run.
-// Rows are compared with the target: a row that breaks its bound says that the target is not reached, and does not
-// fail the run.
+// Rows are compared with the target: if a row breaks its bound, the target is not reached, but the run does not fail.
 type CapacityResult struct {
 	Result
 	Rows   []capacity.Row
@@ -127,15 +126,15 @@
 		}
 		for _, row := range found.Rows {
 			if math.IsNaN(row.Measured) || math.IsInf(row.Measured, 0) || !slices.ContainsFunc(capacity.Target.Lines(), func(l capacity.Line) bool { return l.Key == row.Line }) {
-				return nil, fmt.Errorf("%s: row %+v has no finite value or no line of the target", part.Name, row)
+				return nil, fmt.Errorf("%s: row %+v: the value is not finite or the target has no such line", part.Name, row)
 			}
 		}
 		r.Rows, r.Slopes, r.Plots = append(r.Rows, found.Rows...), append(r.Slopes, found.Slopes...), append(r.Plots, found.Plots...)
 	}
 	r.Command = fmt.Sprintf("bellstream-lab run capacity --seed %d", p.Seed)
-	for _, part := range []struct{ flag, value string }{{"--only", p.Only}, {"--without", p.Without}} {
-		if part.value != "" {
-			r.Command += " " + part.flag + " " + part.value
+	for _, option := range []struct{ flag, value string }{{"--only", p.Only}, {"--without", p.Without}} {
+		if option.value != "" {
+			r.Command += " " + option.flag + " " + option.value
 		}
 	}
 	if p.Quick {
--- a/internal/lab/experiments/capacityversions.go
+++ b/internal/lab/experiments/capacityversions.go
@@ -30,8 +30,8 @@
 	versionsTolerance   = 0.15 // fraction by which virtual time may differ from sockets
 )
 
-// versionsRegions are the lease settings of deploy/regions.hcl, by the delay between regions in ms.
-var versionsRegions = map[int]lease.Settings{
+// versionsLeaseSettings are the lease settings of deploy/regions.hcl, by the delay between regions in ms.
+var versionsLeaseSettings = map[int]lease.Settings{
 	20:  {LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.04, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
 	80:  {LeaseSeconds: 3, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.1, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
 	150: {LeaseSeconds: 3.6, RenewIntervalSeconds: 0.5, NetworkDelaySeconds: 0.17, ClockDrift: 0.01, PollIntervalSeconds: 0.05},
@@ -58,7 +58,7 @@
 }
 
 func (s *versionsStudy) run(seed uint64, percent, n int, delay float64, settings lease.Settings) *versionsRun {
-	x := &versionsRun{seed: seed, close: s.close, n: n, apart: delay, set: settings, revokePollInterval: revokePollSeconds, load: s.Load(percent), idleSpan: 10, singleChanges: 3, concurrentChanges: capacity.AtOnce}
+	x := &versionsRun{seed: seed, close: s.close, n: n, regionDelay: delay, leaseSettings: settings, revokePollInterval: revokePollSeconds, load: s.Load(percent), idleSpan: 10, singleChanges: 3, concurrentChanges: capacity.AtOnce}
 	if s.Quick {
 		x.idleSpan, x.singleChanges = 5, 2
 	}
@@ -78,15 +78,15 @@
 // play executes a run and compares its changes with the stated bounds.
 func (s *versionsStudy) play(x *versionsRun) *versionsFigures {
 	began := time.Now()
-	if err := x.set.Validate(); err != nil || !x.measure() {
+	if err := x.leaseSettings.Validate(); err != nil || !x.measure() {
 		s.noFirstVersion++
-		s.Log("versions: %d instances, %g s between regions, %+v: no first version (%v)", x.n, x.apart, x.set, err)
+		s.Log("versions: %d instances, %g s between regions, %+v: no first version (%v)", x.n, x.regionDelay, x.leaseSettings, err)
 		return &x.figures
 	}
 	f := &x.figures
 	for k := range f.single {
 		for _, took := range f.single[k] {
-			s.latest[k] = max(s.latest[k], took/statedBound(x.set, k == 1))
+			s.latest[k] = max(s.latest[k], took/statedBound(x.leaseSettings, k == 1))
 		}
 		for _, took := range f.concurrent[k] {
 			if took >= concurrentChangesTimeout {
@@ -94,8 +94,8 @@
 			}
 		}
 	}
-	s.Log("versions: %d %%, %d instances, %g ms between regions, %s: loose %.2f, exclusive %.2f, concurrent %.1f and %.1f s; the run took %.1f s", x.load.Percent, x.n, 1000*x.apart,
-		settingName(x.set), f.single[0], f.single[1], f.concurrent[0], f.concurrent[1], time.Since(began).Seconds())
+	s.Log("versions: %d %%, %d instances, %g ms between regions, %s: loose %.2f, exclusive %.2f, concurrent %.1f and %.1f s; the run took %.1f s", x.load.Percent, x.n, 1000*x.regionDelay,
+		settingName(x.leaseSettings), f.single[0], f.single[1], f.concurrent[0], f.concurrent[1], time.Since(began).Seconds())
 	return f
 }
 
@@ -119,14 +119,14 @@
 	if len(f.single[1]) == 0 || len(f.concurrent[1]) == 0 {
 		return
 	}
-	delaySuffix := fmt.Sprintf(", %g ms between regions", 1000*x.apart)
+	delaySuffix := fmt.Sprintf(", %g ms between regions", 1000*x.regionDelay)
 	suffix := fmt.Sprintf(" at %d dispatchers", x.n-versionsVoters)
 	add := func(r capacity.Row) *capacity.Row {
-		r.Setting = settingName(x.set)
+		r.Setting = settingName(x.leaseSettings)
 		s.result.AddRows(r)
 		return &s.result.Rows[len(s.result.Rows)-1]
 	}
-	shown := x.apart != versionsRegionDelay // the target names no delay, so only versionsRegionDelay is judged
+	shown := x.regionDelay != versionsRegionDelay // the target names no delay, so only versionsRegionDelay is judged
 	for k, kind := range []string{"loose", "exclusive"} {
 		add(capacity.AtMost(capacity.InForce, x.load.Percent, "one "+kind+" change alone"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.single[k]), "s", capacity.VirtualTime)).Shown = shown
 		add(capacity.AtMost(capacity.InForce, x.load.Percent, "ten "+kind+" changes at once, the last"+delaySuffix+suffix, capacity.Target.InForce, slices.Max(f.concurrent[k]), "s", capacity.VirtualTime)).Shown = shown
@@ -138,7 +138,7 @@
 	}
 	// The budget's sum is for a dispatcher, at two per zone; voters run on machines of their own.
 	kind := func(k capacity.Kind) capacity.Kind {
-		if x.n != versionsSize || x.set != lease.DefaultSettings {
+		if x.n != versionsSize || x.leaseSettings != lease.DefaultSettings {
 			return ""
 		}
 		return k
@@ -146,7 +146,7 @@
 	peak := float64(x.load.Changes) / capacity.Day * 2 / (1 + capacity.Night) // changes per second at noon
 	role, bytes, core, memory := roleDispatcher, capacity.Target.Bytes, capacity.Target.Core, capacity.Target.Memory
 	whens := []capacity.When{capacity.Mean, capacity.Second, capacity.Minute}
-	if x.set != lease.DefaultSettings {
+	if x.leaseSettings != lease.DefaultSettings {
 		whens = whens[:1]
 	}
 	for _, w := range whens {
@@ -167,7 +167,7 @@
 		}
 		addBytes(capacity.Versions, "versions, all exclusive, sent and received", v)
 	}
-	if x.set != lease.DefaultSettings {
+	if x.leaseSettings != lease.DefaultSettings {
 		return
 	}
 	add(capacity.AtMost(capacity.Core, x.load.Percent, "leases, without sockets"+suffix, core, f.cpu[role]/10, "%", capacity.VirtualTime)).Kind = kind(capacity.Agreement)
@@ -185,7 +185,7 @@
 
 // losses runs failures with a small rules table: the loss of each region, and of links between regions.
 func (s *versionsStudy) losses(delayMS int, seeds []uint64) {
-	set := versionsRegions[delayMS]
+	set := versionsLeaseSettings[delayMS]
 	bounds := set.Bounds()
 	// An election takes up to 2 s, each step waits until what was granted before has expired, and then the last
 	// step's result must reach all instances.
@@ -266,7 +266,7 @@
 				s.addRows(x, s.play(x))
 			}
 		}
-		x := s.run(p.Seed, 10, 12, 0.15, versionsRegions[150]) // settings that are valid for long links must give leases
+		x := s.run(p.Seed, 10, 12, 0.15, versionsLeaseSettings[150]) // settings that are valid for long links must give leases
 		x.concurrentChanges = 0
 		s.play(x)
 		if !p.Quick {
@@ -356,7 +356,7 @@
 			tables = append(tables, point{float64(n), s.play(x)})
 		}
 		for _, ms := range []int{1, 80, 150} {
-			set, named := versionsRegions[ms]
+			set, named := versionsLeaseSettings[ms]
 			if !named {
 				set = lease.DefaultSettings
 			}
--- a/internal/lab/experiments/capacityversions_test.go
+++ b/internal/lab/experiments/capacityversions_test.go
@@ -22,11 +22,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, err := f.LeaseSettings(); err != nil || s != versionsRegions[80] {
+	if s, err := f.LeaseSettings(); err != nil || s != versionsLeaseSettings[80] {
 		t.Errorf("got %+v from the file, error %v", s, err)
 	}
 	for ms, line := range map[int]string{20: `lease = "3s"   period = "500ms" delay = "40ms"`, 150: `lease = "3.6s" period = "500ms" delay = "170ms"`} {
-		s := versionsRegions[ms]
+		s := versionsLeaseSettings[ms]
 		if err := s.Validate(); err != nil || !strings.Contains(string(raw), line) {
 			t.Errorf("%d ms: settings %+v are invalid or not in the file: %v", ms, s, err)
 		}
@@ -36,21 +36,22 @@
 	}
 }
 
-// Five voters are in five regions, dispatchers in all six.
+// Each of the five voters is in a region of its own; the dispatchers are in all six regions.
 func TestVotersInDifferentRegions(t *testing.T) {
-	at := placeInstances(capacity.NewLoad(100, 1), versionsSize)
-	if !slices.Equal(at[:versionsVoters], []int{0, 1, 2, 3, 4}) {
-		t.Errorf("got voters in regions %v, want one in each of the first five", at[:versionsVoters])
+	regions := placeInstances(capacity.NewLoad(100, 1), versionsSize)
+	if !slices.Equal(regions[:versionsVoters], []int{0, 1, 2, 3, 4}) {
+		t.Errorf("got voters in regions %v, want one in each of the first five", regions[:versionsVoters])
 	}
 	for r := range capacity.Target.Regions {
-		if !slices.Contains(at[versionsVoters:], r) {
+		if !slices.Contains(regions[versionsVoters:], r) {
 			t.Errorf("no dispatcher is in region %d", r)
 		}
 	}
 }
 
 func TestVersionsInTime(t *testing.T) {
-	if got := fractionInTime([]float64{2, 3}, []float64{2, 5, 8, 9}); got < 0.92 || got > 0.93 { // 0.9 + 0.1/4
+	// 0.9 of the changes are single, all in time; 0.1 are concurrent, one in four in time: 0.9 + 0.1/4.
+	if got := fractionInTime([]float64{2, 3}, []float64{2, 5, 8, 9}); got < 0.92 || got > 0.93 {
 		t.Errorf("got fraction %v in time, want 0.925", got)
 	}
 	if got := fractionInTime([]float64{2, 5}, []float64{5}); got != 0.45 {
--- a/internal/lab/experiments/fleet.go
+++ b/internal/lab/experiments/fleet.go
@@ -31,23 +31,22 @@
 }
 
 // Fleet emulates zone workers and discovery on loopback. Workers have slots and a queue, and send load reports
-// with answers and probes, as the protocol specifies. Fleet records every job that a worker
-// accepted.
+// with answers and probes, as the protocol specifies. Fleet records every job that a worker accepted.
 type Fleet struct {
 	Mean time.Duration // mean work of a job; work is exponentially distributed
 
-	mu              sync.Mutex
-	jobs            []Job
-	attempts        []invariants.Attempt // all that arrived, including rejected ones
-	base            time.Time
-	seq             int
-	changed         chan struct{} // closed at each change of the endpoint list
-	endpointChanges []invariants.EndpointChange
-	rng             *rand.Rand
-	workers         []*emulatedWorker
-	disc            net.Listener
-	servers         []*http.Server
-	faults          []*FleetFault
+	mu                sync.Mutex
+	jobs              []Job
+	attempts          []invariants.Attempt // all that arrived, including rejected ones
+	base              time.Time
+	seq               int           // sequence number of the latest change of the endpoint list
+	changed           chan struct{} // closed at each change of the endpoint list
+	endpointChanges   []invariants.EndpointChange
+	rng               *rand.Rand
+	workers           []*emulatedWorker
+	discoveryListener net.Listener
+	servers           []*http.Server
+	faults            []*FleetFault
 
 	priorities map[string]int // by class
 }
@@ -69,7 +68,7 @@
 	lag         time.Duration // age of its load reports
 	noise       float64       // largest error of its load reports, as a fraction of its slots
 	pastReports []pastReport  // kept if lag is set, oldest first
-	silent      time.Time     // until then it takes jobs and answers nothing
+	silent      time.Time     // until this time it accepts requests without answering them
 }
 
 // pastReport is a load report with its time, in seconds on the fleet's clock.
@@ -78,7 +77,7 @@
 	emulator.Report
 }
 
-// Silence makes a worker take jobs and answer nothing for the duration d.
+// Silence makes a worker accept requests without answering them for the duration d.
 func (f *Fleet) Silence(worker int, d time.Duration) {
 	w := f.workers[worker%len(f.workers)]
 	w.mu.Lock()
@@ -90,12 +89,12 @@
 func NewFleet(seed uint64, workers, slots int, mean time.Duration) (*Fleet, error) {
 	f := newFleet(seed, mean)
 	for i := range workers {
-		if _, err := f.add(fmt.Sprintf("w-%02d", i), "w", "z", "k", emulator.Settings{Slots: float64(slots), MaxQueue: 2 * slots}, nil); err != nil {
+		if _, err := f.addWorker(fmt.Sprintf("w-%02d", i), "w", "z", "k", emulator.Settings{Slots: float64(slots), MaxQueue: 2 * slots}, nil); err != nil {
 			f.Close()
 			return nil, err
 		}
 	}
-	if err := f.open("127.0.0.1:0"); err != nil {
+	if err := f.startDiscovery("127.0.0.1:0"); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -106,10 +105,11 @@
 	return &Fleet{Mean: mean, base: time.Now(), seq: 1, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0xf1ee7))}
 }
 
-// add starts a worker on a free port of the loopback.
-func (f *Fleet) add(name, group, zone, kind string, s emulator.Settings, repeats *emulator.Zone) (*emulatedWorker, error) {
+// addWorker starts a worker on a free loopback port. keyZone deduplicates its jobs by idempotency key; if it is nil,
+// jobs are not deduplicated.
+func (f *Fleet) addWorker(name, group, zone, kind string, s emulator.Settings, keyZone *emulator.Zone) (*emulatedWorker, error) {
 	w := &emulatedWorker{f: f, health: "active", seq: 1, name: name, group: group, zone: zone, kind: kind, pending: map[string]chan emulator.Event{},
-		model: emulator.New(s, repeats)}
+		model: emulator.New(s, keyZone)}
 	w.timer = time.AfterFunc(time.Hour, func() { w.update(func(float64) {}) })
 	l, err := f.serve("127.0.0.1:0", w)
 	if err != nil {
@@ -120,9 +120,9 @@
 	return w, nil
 }
 
-// open starts discovery.
-func (f *Fleet) open(listen string) (err error) {
-	f.disc, err = f.serve(listen, http.HandlerFunc(f.discovery))
+// startDiscovery starts discovery at the address listen.
+func (f *Fleet) startDiscovery(listen string) (err error) {
+	f.discoveryListener, err = f.serve(listen, http.HandlerFunc(f.discovery))
 	return err
 }
 
@@ -148,7 +148,7 @@
 }
 
 // Discovery returns the address of discovery.
-func (f *Fleet) Discovery() string { return f.disc.Addr().String() }
+func (f *Fleet) Discovery() string { return f.discoveryListener.Addr().String() }
 
 // Jobs returns a copy of the records so far.
 func (f *Fleet) Jobs() []Job {
@@ -201,7 +201,7 @@
 	return n
 }
 
-// List returns the whole endpoint list in discovery's JSON format.
+// List returns the complete endpoint list in discovery's JSON format.
 func (f *Fleet) List() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -274,6 +274,7 @@
 	w.apply(func(now float64) []emulator.Event { do(now); return nil })
 }
 
+// apply is update for a function that returns events of its own.
 func (w *emulatedWorker) apply(do func(now float64) []emulator.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -296,7 +297,7 @@
 }
 
 func (w *emulatedWorker) loadReport() (text string) {
-	lying := w.activeFault(faultLies)
+	falseReport := w.activeFault(faultLies)
 	offset := 0.0
 	if w.noise > 0 {
 		w.f.mu.Lock()
@@ -309,8 +310,8 @@
 			r = w.pastReports[0].Report
 		}
 		r.FreeSlots = min(max(math.Round(r.FreeSlots+offset*w.model.Slots), 0), w.model.Slots)
-		if lying != nil {
-			r.FreeSlots, r.Queue = lying.Free, 0
+		if falseReport != nil {
+			r.FreeSlots, r.Queue = falseReport.Free, 0
 		}
 		text = fmt.Sprintf(`{"x0":%v,"waiting":%v}`, r.FreeSlots, r.Queue)
 	})
@@ -323,7 +324,7 @@
 		fmt.Fprint(out, w.loadReport())
 		return
 	}
-	first := time.Now()
+	arrivedAt := time.Now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
 	if err != nil {
 		return
@@ -348,11 +349,11 @@
 	}
 	w.f.mu.Lock()
 	attempt := len(w.f.attempts)
-	w.f.attempts = append(w.f.attempts, invariants.Attempt{ID: id, Worker: w.name, Dispatcher: entry, First: w.f.Clock(first), Last: w.f.Clock(time.Now()),
+	w.f.attempts = append(w.f.attempts, invariants.Attempt{ID: id, Worker: w.name, Dispatcher: entry, First: w.f.Clock(arrivedAt), Last: w.f.Clock(time.Now()),
 		Work: float64(slots) * work.Seconds()})
 	w.f.mu.Unlock()
 	var answer string
-	var answeredAt time.Time // when answer was about to be written; this goroutine may be descheduled for long after that
+	var answeredAt time.Time // just before answer is written: the scheduler may resume this goroutine long after the write
 	unstarted := false
 	defer func() { // runs when the last line is written or the connection has ended
 		end := time.Now()
@@ -409,7 +410,7 @@
 	})
 	w.f.mu.Lock()
 	jobIndex := len(w.f.jobs)
-	w.f.jobs = append(w.f.jobs, Job{At: first, ID: id, Worker: w.name, Tenant: tenant, Entry: entry})
+	w.f.jobs = append(w.f.jobs, Job{At: arrivedAt, ID: id, Worker: w.name, Tenant: tenant, Entry: entry})
 	w.f.mu.Unlock()
 	writeState := func(state, more string) {
 		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":%q%s}`+"\n", id, w.name, state, more)
--- a/internal/lab/experiments/fleetfile.go
+++ b/internal/lab/experiments/fleetfile.go
@@ -189,7 +189,7 @@
 			if x.window > 0 && zones[g.Zone] == nil {
 				zones[g.Zone] = &emulator.Zone{Window: x.window.Seconds()}
 			}
-			w, err := f.add(fmt.Sprintf("%s-%02d", g.Name, k), g.Name, g.Zone, g.Kind, s, zones[g.Zone])
+			w, err := f.addWorker(fmt.Sprintf("%s-%02d", g.Name, k), g.Name, g.Zone, g.Kind, s, zones[g.Zone])
 			if err != nil {
 				f.Close()
 				return nil, err
@@ -197,7 +197,7 @@
 			w.lag, w.noise = g.lag, g.Noise
 		}
 	}
-	if err := f.open(x.Discovery); err != nil {
+	if err := f.startDiscovery(x.Discovery); err != nil {
 		f.Close()
 		return nil, err
 	}
--- a/internal/lab/experiments/members.go
+++ b/internal/lab/experiments/members.go
@@ -46,7 +46,7 @@
 			delays[delay(x, y)] = true
 		}
 	}
-	for d := range delays {
+	for d := range delays { // one fault of the relay covers all links with the same delay
 		c.relay.AddFault(func(x, y int) bool { return delay(x, y) == d }, Link{Delay: d})
 	}
 	voterAddresses, listen := map[string]string{}, make([]string, n)
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 		if i < voters {
-			if voterAddresses[fmt.Sprint("n", i)], err = c.relay.ForwardTraffic(accordDoor, Anyone, i, listen[i]); err != nil {
+			if voterAddresses[fmt.Sprint("n", i)], err = c.relay.ForwardTraffic(accordService, Anyone, i, listen[i]); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/lab/experiments/meter.go
+++ b/internal/lab/experiments/meter.go
@@ -27,11 +27,11 @@
 	TrafficOther         TrafficKind = "other"
 )
 
-// Doors by the service behind them.
+// Services that instances reach through the relay's forwarders.
 const (
-	peersDoor  = "peers"
-	accordDoor = "accord"
-	seatsDoor  = "seats"
+	peersService  = "peers"
+	accordService = "accord"
+	seatsService  = "seats"
 )
 
 // Amount is the traffic in one direction. A message is a datagram, or the data of one read of a stream.
@@ -92,7 +92,7 @@
 func bytesByKind(service string, raw []byte) map[TrafficKind]float64 {
 	byKind := map[TrafficKind]float64{}
 	switch service {
-	case peersDoor:
+	case peersService:
 		if !addByKind(raw, float64(len(raw)), byKind) {
 			byKind = map[TrafficKind]float64{TrafficOther: float64(len(raw))}
 		}
@@ -199,11 +199,11 @@
 	if len(data) == 0 {
 		return
 	}
-	kind := map[string]TrafficKind{accordDoor: TrafficAgreement, seatsDoor: TrafficShards}[s.serves]
+	kind := map[string]TrafficKind{accordService: TrafficAgreement, seatsService: TrafficShards}[s.serves]
 	switch {
-	case s.serves == peersDoor && len(s.buffered) < maxBufferedLen:
+	case s.serves == peersService && len(s.buffered) < maxBufferedLen:
 		s.buffered, s.reads = append(s.buffered, data...), s.reads+1
-	case s.serves == peersDoor:
+	case s.serves == peersService:
 		kind = TrafficPushPull
 	case kind == "":
 		kind = TrafficOther
--- a/internal/lab/experiments/meter_test.go
+++ b/internal/lab/experiments/meter_test.go
@@ -56,28 +56,29 @@
 	}{1, 50, true}); err != nil {
 		t.Fatal(err)
 	}
-	push = append(append(push, head...), make([]byte, 99-len(head))...) // 50 of 100 bytes belong to the exchange
+	// 50 of the 100 bytes are the user state, which carries usage.
+	push = append(append(push, head...), make([]byte, 99-len(head))...)
 	for name, c := range map[string]struct {
 		raw  []byte
 		want map[TrafficKind]float64 // fractions of the bytes
 	}{
-		"a probe":                      {ping, map[TrafficKind]float64{TrafficMembership: 1}},
-		"exchange message":             {user, map[TrafficKind]float64{TrafficExchange: 1}},
-		"labelled":                     {label(user), map[TrafficKind]float64{TrafficExchange: 1}},
-		"checksum and label":           {label(crc(ping)), map[TrafficKind]float64{TrafficMembership: 1}},
-		"two":                          {compound(ping, user), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
-		"two, compressed and labelled": {label(crc(compress(t, compound(user, ping)))), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
-		"two in two":                   {compound(compound(ping, ping), user), map[TrafficKind]float64{TrafficMembership: 204.0 / 506, TrafficExchange: 302.0 / 506}},
-		"push/pull":                    {compress(t, push), map[TrafficKind]float64{TrafficPushPullUsage: 0.5, TrafficPushPull: 0.5}},
-		"unknown":                      {[]byte{200, 1, 2}, map[TrafficKind]float64{TrafficOther: 1}},
-		"truncated label":              {[]byte{labelMsg, 9, 1}, map[TrafficKind]float64{TrafficOther: 1}},
-		"truncated compound":           {compound(ping, user)[:20], map[TrafficKind]float64{TrafficOther: 1}},
-		"empty compound":               {[]byte{compoundMsg, 0}, map[TrafficKind]float64{TrafficOther: 1}},
-		"invalid compression":          {[]byte{compressMsg, 1, 2, 3}, map[TrafficKind]float64{TrafficOther: 1}},
-		"push/pull without header":     {[]byte{pushPullMsg}, map[TrafficKind]float64{TrafficOther: 1}},
-		"only a checksum":              {[]byte{crcMsg, 1}, map[TrafficKind]float64{TrafficOther: 1}},
+		"a probe":                        {ping, map[TrafficKind]float64{TrafficMembership: 1}},
+		"exchange message":               {user, map[TrafficKind]float64{TrafficExchange: 1}},
+		"labelled":                       {label(user), map[TrafficKind]float64{TrafficExchange: 1}},
+		"checksum and label":             {label(crc(ping)), map[TrafficKind]float64{TrafficMembership: 1}},
+		"compound":                       {compound(ping, user), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
+		"compound, compressed, labelled": {label(crc(compress(t, compound(user, ping)))), map[TrafficKind]float64{TrafficMembership: 0.25, TrafficExchange: 0.75}},
+		"compound in a compound":         {compound(compound(ping, ping), user), map[TrafficKind]float64{TrafficMembership: 204.0 / 506, TrafficExchange: 302.0 / 506}},
+		"push/pull":                      {compress(t, push), map[TrafficKind]float64{TrafficPushPullUsage: 0.5, TrafficPushPull: 0.5}},
+		"unknown":                        {[]byte{200, 1, 2}, map[TrafficKind]float64{TrafficOther: 1}},
+		"truncated label":                {[]byte{labelMsg, 9, 1}, map[TrafficKind]float64{TrafficOther: 1}},
+		"truncated compound":             {compound(ping, user)[:20], map[TrafficKind]float64{TrafficOther: 1}},
+		"empty compound":                 {[]byte{compoundMsg, 0}, map[TrafficKind]float64{TrafficOther: 1}},
+		"invalid compression":            {[]byte{compressMsg, 1, 2, 3}, map[TrafficKind]float64{TrafficOther: 1}},
+		"push/pull without header":       {[]byte{pushPullMsg}, map[TrafficKind]float64{TrafficOther: 1}},
+		"only a checksum":                {[]byte{crcMsg, 1}, map[TrafficKind]float64{TrafficOther: 1}},
 	} {
-		got, sum := bytesByKind(peersDoor, c.raw), 0.0
+		got, sum := bytesByKind(peersService, c.raw), 0.0
 		for k, n := range got {
 			if sum += n; math.Abs(n/float64(len(c.raw))-c.want[k]) > 0.01 {
 				t.Errorf("%s: got %v of %d bytes", name, got, len(c.raw))
@@ -88,28 +89,29 @@
 		}
 	}
 	if got := bytesByKind("", ping); !maps.Equal(got, map[TrafficKind]float64{TrafficOther: 100}) {
-		t.Errorf("door without a service: got %v", got)
+		t.Errorf("forwarder without a service: got %v", got)
 	}
 }
 
-// Two gossip nodes exchange messages through a relay. The bytes counted as the exchange's are those that the nodes
-// report as sent, plus packing; membership traffic is counted separately. What one node sends the other receives.
+// Two gossip nodes exchange messages through a relay. The relay counts as many bytes of exchange messages as the
+// nodes report as sent, plus the overhead of packing; membership traffic is counted separately. One node receives as
+// many messages as the other sends.
 func TestRelayMeters(t *testing.T) {
 	relay := NewRelay(1, Link{})
 	defer relay.Close()
 	var nodes []*gossip.Node
-	var doors []string
+	var forwarders []string
 	for i := range 2 {
 		address, err := freePort(IP(i).String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		door, err := relay.ForwardTraffic(peersDoor, Anyone, i, address)
+		forwarder, err := relay.ForwardTraffic(peersService, Anyone, i, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		doors = append(doors, door)
-		n, err := gossip.New(gossip.Options{Name: []string{"a", "b"}[i], Listen: address, Advertise: door, Join: doors[:i], Cluster: "test", Incarnation: uint64(i + 1),
+		forwarders = append(forwarders, forwarder)
+		n, err := gossip.New(gossip.Options{Name: []string{"a", "b"}[i], Listen: address, Advertise: forwarder, Join: forwarders[:i], Cluster: "test", Incarnation: uint64(i + 1),
 			ExchangeEnabled: true, Tenants: []quota.Tenant{{Name: "t", ID: usage.TenantID("t", 20, 1), Quota: 20}},
 			Settings: quota.Settings{Period: 0.05, LeaseDuration: 1.5, RetainedFraction: 0.02, ExpectedInstances: 2}, Log: zerolog.Nop(), Now: time.Now, OnQuotaUpdate: func([]balance.QuotaUpdate) {}})
 		if err != nil {
@@ -153,7 +155,7 @@
 	}
 }
 
-// Each instance sends from its own address, by which doors identify it.
+// Each instance sends from its own address, and forwarders identify the sender by it.
 func TestSenders(t *testing.T) {
 	d, seen := &forwarder{from: Anyone}, map[string]bool{}
 	for i := range 1000 {
--- a/internal/lab/experiments/processes.go
+++ b/internal/lab/experiments/processes.go
@@ -35,7 +35,7 @@
 	Link                     Link          // state of every link without faults
 	ClassesJSON, TenantsJSON string        // elements of the settings' JSON arrays lanes and parties
 	ExtraRules               string        // more members of the settings' JSON object rules, each after a comma
-	Sockets                  int           // sockets that each process may hold, with 768 MB; 0: 1024, with 192 MB
+	Sockets                  int           // socket limit per process, with 768 MB of memory; 0: 1024 sockets and 192 MB
 	// File returns the operator's file of an instance. It is called when all addresses are known.
 	File func(c *Processes, x *Instance) string
 	// Hollow returns the number of the hollow process that runs instance i. Below 0, or if Hollow is nil,
@@ -48,13 +48,13 @@
 	*Dispatcher
 	Index        int    // among the instances of all sites on the relay
 	GossipListen string // listen address for gossip
-	GossipAddr   string // forwarder through which the other instances reach GossipListen
+	GossipAddr   string // address of the forwarder to GossipListen, which the other instances use
 	AccordListen string // listen address of the accord (configuration consensus)
-	AccordAddr   string // forwarder to AccordListen: one for all senders, since voters pass this address on
+	AccordAddr   string // address of the forwarder to AccordListen: one for all senders, since voters pass it on
 	JobsListen   string // listen address for jobs forwarded by other instances
-	JobsAddr     string // forwarder to JobsListen
+	JobsAddr     string // address of the forwarder to JobsListen
 	Dir          string // its state; Wipe removes it
-	Journal      string // pipe to which it writes the configuration that it acts on; a full disk doesn't limit a pipe
+	Journal      string // pipe to which it writes the configuration that it acts on; a pipe works even if the disk is full
 
 	hostIndex int         // number of the hollow process that runs it; -1: none does
 	host      *HollowHost // the hollow process that runs it
@@ -150,12 +150,12 @@
 	if c.Fleet, err = NewFleet(c.seed, s.Workers, s.Slots, s.Mean); err != nil {
 		return err
 	}
-	for me := range s.N {
-		i := first + me
+	for indexInSite := range s.N {
+		i := first + indexInSite
 		name := fmt.Sprintf("n%d", i)
 		x := &Instance{Index: i, hostIndex: -1, Dir: filepath.Join(p.Out, name), Journal: filepath.Join(p.Out, name+".journal")}
 		if s.Hollow != nil {
-			x.hostIndex = s.Hollow(me)
+			x.hostIndex = s.Hollow(indexInSite)
 		}
 		var addr, admin string
 		for _, address := range []*string{&addr, &admin, &x.GossipListen, &x.AccordListen, &x.JobsListen} {
@@ -163,20 +163,20 @@
 				return err
 			}
 		}
-		if x.GossipAddr, err = c.Relay.ForwardTraffic(peersDoor, Anyone, i, x.GossipListen); err != nil {
+		if x.GossipAddr, err = c.Relay.ForwardTraffic(peersService, Anyone, i, x.GossipListen); err != nil {
 			return err
 		}
-		if x.AccordAddr, err = c.Relay.ForwardTraffic(accordDoor, Anyone, i, x.AccordListen); err != nil {
+		if x.AccordAddr, err = c.Relay.ForwardTraffic(accordService, Anyone, i, x.AccordListen); err != nil {
 			return err
 		}
-		if x.JobsAddr, err = c.Relay.ForwardTraffic(seatsDoor, Anyone, i, x.JobsListen); err != nil {
+		if x.JobsAddr, err = c.Relay.ForwardTraffic(seatsService, Anyone, i, x.JobsListen); err != nil {
 			return err
 		}
 		limits := `"cores":1,"memory_mb":192,"sockets":1024`
 		if s.Sockets > 0 {
 			limits = fmt.Sprintf(`"cores":1,"memory_mb":768,"sockets":%d`, s.Sockets)
 		}
-		x.Dispatcher, err = NewDispatcher(p.executableOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), me, s.N, limits, s.ClassesJSON, s.TenantsJSON, s.ExtraRules), "")
+		x.Dispatcher, err = NewDispatcher(p.executableOf(i), p.Out, name, platform(name, addr, c.Fleet, p.Seed+uint64(i), indexInSite, s.N, limits, s.ClassesJSON, s.TenantsJSON, s.ExtraRules), "")
 		if err != nil {
 			return err
 		}
@@ -241,17 +241,17 @@
 	}
 	c.journalPipes = nil
 	c.journalReaders.Wait()
-	var acts invariants.Journals
+	var journals invariants.Journals
 	for _, x := range c.Nodes {
 		os.WriteFile(x.Journal+".jsonl", x.journalData.Bytes(), 0o600) // kept for later inspection
 		lines, damaged := invariants.ReadJournal(x.journalData.Bytes())
-		acts.Lines, acts.Damaged = append(acts.Lines, lines...), acts.Damaged+damaged
-		acts.Pauses = append(acts.Pauses, x.pauses...)
+		journals.Lines, journals.Damaged = append(journals.Lines, lines...), journals.Damaged+damaged
+		journals.Pauses = append(journals.Pauses, x.pauses...)
 	}
-	return acts
+	return journals
 }
 
-// Close ends processes, load and fleet, and the relay, which other sites may share.
+// Close ends processes, load and fleet, and also the relay, so other sites on it lose their links.
 func (c *Processes) Close() {
 	c.Halt()
 	c.Relay.Close()
@@ -268,9 +268,9 @@
 	return slices.IndexFunc(c.Nodes, func(x *Instance) bool { return x.Name == name })
 }
 
-// History returns what clients and workers recorded, for an audit. The audit must not count requests to an instance
-// that was killed or frozen meanwhile: one without an answer counts as disconnected by the client, and
-// for one with a late answer the client's timeout is extended to that answer.
+// History returns what clients and workers recorded, for an audit. If an instance was killed or frozen during a
+// request, the audit must not count a missing or late answer as a fault: a request without an answer is recorded as
+// disconnected by the client, and the client's timeout is extended to the time of a late answer.
 func (c *Processes) History(rules invariants.Limits, classes []invariants.Class) *invariants.History {
 	h := &invariants.History{Limits: rules, Classes: classes, Workers: c.Fleet.Workers(), Attempts: c.Fleet.Attempts()}
 	for _, a := range c.Load.Answers() {
@@ -278,7 +278,7 @@
 		x := c.Nodes[a.Entry]
 		x.mu.Lock()
 		from, to := MonotonicAt(a.At), MonotonicAt(a.At.Add(a.Took))
-		if slices.ContainsFunc(x.pauses, func(h invariants.Pause) bool { return h.Sent <= to && from <= h.To }) {
+		if slices.ContainsFunc(x.pauses, func(p invariants.Pause) bool { return p.Sent <= to && from <= p.To }) {
 			if r.ClientTimeout = max(r.ClientTimeout, a.Took.Seconds()); a.Status == 0 {
 				r.DisconnectedAt = c.Fleet.Clock(a.At.Add(a.Took))
 			}
@@ -376,13 +376,13 @@
 			return nil, fmt.Errorf("%s did not stop within 2 s of SIGSTOP", x.Name)
 		}
 	}
-	life := x.generation
-	x.frozenGeneration = life
+	generation := x.generation
+	x.frozenGeneration = generation
 	x.pauses = append(x.pauses, invariants.Pause{Name: x.Name, Sent: sent, From: MonotonicNow(), To: invariants.Forever})
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.frozenGeneration == life {
+		if x.frozenGeneration == generation {
 			x.endFreeze()
 			syscall.Kill(pid, syscall.SIGCONT) // the process is not reaped yet, so the pid is still its own
 		}
@@ -419,8 +419,8 @@
 	return list, longest
 }
 
-// Tear damages the end of the state's longest file as an unfinished write does: up to 512 of
-// the last bytes before trailing zeros are cut off or overwritten.
+// Tear damages the end of the state's longest file as an unfinished write does: it truncates or overwrites up to 512
+// bytes at the end of the data. Zeros at the end of the file do not count as data.
 func (x *Instance) Tear(rng *rand.Rand) error {
 	list, _ := x.stateFiles()
 	if len(list) == 0 {
@@ -442,16 +442,16 @@
 }
 
 // Fill makes the kernel refuse each write beyond the length of the state's longest file (EFBIG), similar to a
-// full disk, until lift is called or the process ends. Writes within that length still succeed: refusing
+// full disk, until removeLimit is called or the process ends. Writes within that length still succeed: refusing
 // them would need a separate file system and the right to mount it.
-func (x *Instance) Fill() (lift func(), err error) {
+func (x *Instance) Fill() (removeLimit func(), err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cmd == nil {
 		return func() {}, nil
 	}
 	var old unix.Rlimit
-	pid, life := x.cmd.Process.Pid, x.generation
+	pid, generation := x.cmd.Process.Pid, x.generation
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &old); err != nil {
 		return nil, err
 	}
@@ -462,7 +462,7 @@
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if x.generation == life && x.cmd != nil {
+		if x.generation == generation && x.cmd != nil {
 			unix.Prlimit(pid, unix.RLIMIT_FSIZE, &old, nil) // fails if the process has ended, which does not matter
 		}
 	}, nil
--- a/internal/lab/experiments/schedule.go
+++ b/internal/lab/experiments/schedule.go
@@ -23,12 +23,11 @@
 type Step struct {
 	After  time.Duration // time since the previous step was played
 	When   string        // condition known to the player, awaited once After has passed; empty: none
-	Do, To string
+	Do, To string        // fault and target
 	For    time.Duration // until the fault is undone; 0: at the end of the schedule
 }
 
-// Schedule is a list of faults. Each begins after the previous one has begun; they may
-// overlap.
+// Schedule is a list of faults in the order in which they begin. Their durations may overlap.
 type Schedule []Step
 
 func (s Step) String() string {
@@ -82,7 +81,7 @@
 	Span   time.Duration // longest duration of a fault; the shortest is a quarter of it
 	Faults []string
 	Names  []string // at least two
-	When   []string // conditions of which half of the steps get one; empty: steps depend on time alone
+	When   []string // about half of the steps wait for one of these conditions, chosen at random; empty: none does
 }
 
 // Generate draws a schedule: the same one for the same seed and options.
@@ -137,8 +136,8 @@
 		return x.Start, x.Tear(rng)
 	},
 	"fill": func(x *Instance, _ *rand.Rand) (func() error, error) {
-		lift, err := x.Fill()
-		return func() error { lift(); return nil }, err
+		removeLimit, err := x.Fill()
+		return func() error { removeLimit(); return nil }, err
 	},
 	"reload": func(x *Instance, _ *rand.Rand) (func() error, error) {
 		return func() error { return nil }, x.Reload()
@@ -149,18 +148,18 @@
 type Player struct {
 	*Processes
 	Conditions map[string]func() bool
-	Names      map[string]func() string // resolve to an instance's name when a step is played; empty: no instance yet
+	Names      map[string]func() string // resolve a name such as leader when a step is played; empty result: no instance yet
 	Bound      time.Duration            // longest wait for a condition or for a name to resolve; 0: 10 s
 	Log        func(format string, args ...any)
 }
 
-// Play plays a schedule to its end and undoes the faults that are still in effect. An error
-// names seed, step and schedule.
+// Play plays a schedule to its end and undoes the faults that are still in effect. An error names seed, step and
+// schedule.
 func (p *Player) Play(ctx context.Context, s Schedule) error {
 	var (
-		all  sync.WaitGroup
-		mu   sync.Mutex
-		errs []error
+		undos sync.WaitGroup
+		mu    sync.Mutex
+		errs  []error
 	)
 	fail := func(i int, err error) {
 		mu.Lock()
@@ -186,7 +185,7 @@
 		if p.Log != nil {
 			p.Log("%v", x)
 		}
-		all.Go(func() {
+		undos.Go(func() {
 			var expired <-chan time.Time
 			if x.For > 0 {
 				expired = time.After(x.For)
@@ -195,7 +194,7 @@
 			case <-expired:
 			case <-ctx.Done():
 			case <-ended:
-				if x.For > 0 { // it lasts as long as the step says, beyond the last step too
+				if x.For > 0 { // the fault lasts for x.For even if the schedule has ended
 					<-expired
 				}
 			}
@@ -203,7 +202,7 @@
 		})
 	}
 	close(ended)
-	all.Wait()
+	undos.Wait()
 	if len(errs) > 0 {
 		return fmt.Errorf("seed %d: %w\nthe schedule:\n%v", p.seed, errors.Join(errs...), s)
 	}
@@ -234,8 +233,8 @@
 			p.Relay.Reset(matches)
 			return func() error { return nil }, nil
 		}
-		lift := p.Relay.AddFault(matches, l)
-		return func() error { lift(); return nil }, nil
+		removeFault := p.Relay.AddFault(matches, l)
+		return func() error { removeFault(); return nil }, nil
 	}
 	do := nodeFaults[x.Do]
 	if do == nil {
@@ -254,12 +253,12 @@
 		undos = append(undos, undo)
 	}
 	return func() error {
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		errs := make([]error, len(undos))
 		for i, undo := range undos { // each may wait for a process to serve
-			all.Go(func() { errs[i] = undo() })
+			wg.Go(func() { errs[i] = undo() })
 		}
-		all.Wait()
+		wg.Wait()
 		return errors.Join(errs...)
 	}, nil
 }
@@ -288,7 +287,7 @@
 	if !ok || left == "*" && right == "*" {
 		return nil, fmt.Errorf("invalid link target %q, want A>B or A<>B", text)
 	}
-	var sides [2][]int
+	var sides [2][]int // nil: *
 	for k, t := range []string{left, right} {
 		if t == "*" {
 			continue
--- a/internal/lab/experiments/versionsplay.go
+++ b/internal/lab/experiments/versionsplay.go
@@ -31,7 +31,7 @@
 }
 
 // changeTeam returns a proposal that sets a team's reservation (exclusive) or weight (loose) to a value. It is
-// always based on the newest version, the best case for an operator: a file that is based on an older version is
+// always based on the newest version, which is the best case: an operator's file that is based on an older version is
 // refused permanently.
 func changeTeam(team int, to float64, exclusive bool) agent.Proposal {
 	return func(history []*config.Table, by string) (*config.Table, error) {
@@ -72,8 +72,8 @@
 	close              bool    // all voters are in the first region
 	n                  int     // number of instances, voters included
 	teams              int     // number of teams in the rules; 0: as many as the load has
-	apart              float64 // one-way delay between regions, in s
-	set                lease.Settings
+	regionDelay        float64 // one-way delay between regions, in s
+	leaseSettings      lease.Settings
 	revokePollInterval float64 // seconds between polls for shards to release; 0: no shards
 	load               *capacity.Load
 	idleSpan           float64 // seconds of idle operation that are measured
@@ -99,8 +99,8 @@
 	changeCPU   [2]map[string]float64 // processor ms per change, in addition to idle load, by role
 	worstSecond float64               // most bytes that a dispatcher sent and received in a second during changes
 	heap        float64               // bytes per instance, without histories, which the instances share in the simulation
-	// zoneLoss is the traffic of the remaining dispatcher with the most, in the minute after a zone was lost, in
-	// B/s sent and received: index 0 without revocation polls, index 1 the polls.
+	// zoneLoss is the traffic, in B/s sent and received, in the minute after the loss of a zone, of the remaining
+	// dispatcher that has the most traffic: index 0 without revocation polls, index 1 the polls alone.
 	zoneLoss [2]float64
 }
 
@@ -109,7 +109,7 @@
 	return f.sent[role][simulation.FlowRevokePoll] + f.received[role][simulation.FlowRevokePoll]
 }
 
-// leaseRate returns the same for all other frames.
+// leaseRate returns the B/s that an instance of a role sends and receives without changes for all other frames.
 func (f *versionsFigures) leaseRate(role string) float64 {
 	return total(f.sent[role]) + total(f.received[role]) - f.revokePollRate(role)
 }
@@ -118,19 +118,19 @@
 	versionsVoters     = 5
 	versionsLocalDelay = 0.0005 // one-way delay within a region, in s
 	versionsDiskSync   = 0.005  // duration of a synced write, in s
-	versionsJitter     = 0.1
+	versionsJitter     = 0.1    // largest random addition to a delay, as a fraction of it
 )
 
 // placeInstances returns the region of each instance: each voter has a region of its own, dispatchers are placed as
 // the load places them.
 func placeInstances(load *capacity.Load, n int) []int {
-	at, zones := make([]int, n), load.Place(max(1, n-versionsVoters))
-	for i := range at {
-		if at[i] = i; i >= versionsVoters {
-			at[i] = load.Zones[zones[i-versionsVoters]].Region
+	regions, zones := make([]int, n), load.Place(max(1, n-versionsVoters))
+	for i := range regions {
+		if regions[i] = i; i >= versionsVoters {
+			regions[i] = load.Zones[zones[i-versionsVoters]].Region
 		}
 	}
-	return at
+	return regions
 }
 
 // start starts the cluster and waits up to 40 s for its first version. It reports whether that is in force
@@ -140,12 +140,12 @@
 	if x.close {
 		clear(x.at[:min(versionsVoters, x.n)])
 	}
-	x.sim = simulation.NewAgreement(simulation.AgreementSettings{Seed: x.seed, Instances: x.n, Voters: versionsVoters, Leases: x.set, Jitter: versionsJitter,
+	x.sim = simulation.NewAgreement(simulation.AgreementSettings{Seed: x.seed, Instances: x.n, Voters: versionsVoters, Leases: x.leaseSettings, Jitter: versionsJitter,
 		DiskSyncSeconds: versionsDiskSync, SchedulerDelaySeconds: agentLoopDelay.Seconds(), RevokePollSeconds: x.revokePollInterval, CPUSeconds: threadTime, Delay: func(from, to int) float64 {
 			if x.at[from] == x.at[to] {
 				return versionsLocalDelay
 			}
-			return x.apart
+			return x.regionDelay
 		}})
 	teams := x.load.Teams
 	if x.teams > 0 {
@@ -267,15 +267,15 @@
 func (x *versionsRun) measure() bool {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	heap := heapInUse()
+	heapBefore := heapInUse()
 	if !x.start() {
 		return false
 	}
 	f := &x.figures
 	x.sim.Reset()
 	x.sim.Run(x.sim.Now+x.idleSpan, nil)
-	rest := x.meanUsage()
-	f.sent, f.received, f.cpu = rest.sent, rest.received, rest.cpu
+	idle := x.meanUsage()
+	f.sent, f.received, f.cpu = idle.sent, idle.received, idle.cpu
 	for _, r := range roles {
 		for _, m := range []map[string]float64{f.sent[r], f.received[r]} {
 			for k := range m {
@@ -287,15 +287,15 @@
 	for k := range f.changeBytes {
 		f.changeBytes[k], f.changeCPU[k] = map[string]float64{}, map[string]float64{}
 		for range x.singleChanges {
-			x.sim.Run(x.sim.Now+x.set.RenewIntervalSeconds*(1+x.rng.Float64()), nil) // a random point of the period
+			x.sim.Run(x.sim.Now+x.leaseSettings.RenewIntervalSeconds*(1+x.rng.Float64()), nil) // a random point of the renewal interval
 			x.sim.Reset()
 			from := x.sim.Now
 			f.single[k] = append(f.single[k], x.measureChange(k == 1, 30))
-			x.sim.Run(x.sim.Now+2*x.set.RenewIntervalSeconds, nil) // to include late responses
+			x.sim.Run(x.sim.Now+2*x.leaseSettings.RenewIntervalSeconds, nil) // to include late responses
 			span, t := x.sim.Now-from, x.meanUsage()
 			for _, r := range roles {
-				over := total(t.sent[r]) + total(t.received[r]) - span*(total(f.sent[r])+total(f.received[r]))
-				f.changeBytes[k][r] += over / float64(x.singleChanges)
+				excess := total(t.sent[r]) + total(t.received[r]) - span*(total(f.sent[r])+total(f.received[r]))
+				f.changeBytes[k][r] += excess / float64(x.singleChanges)
 				f.changeCPU[k][r] += (t.cpu[r] - span*f.cpu[r]) / float64(x.singleChanges)
 			}
 		}
@@ -304,8 +304,8 @@
 		f.concurrent[k] = x.measureConcurrentChanges(k == 1)
 		x.sim.Run(x.sim.Now+5, nil)
 	}
-	now := heapInUse()
-	f.heap = float64(now-min(now, heap)) / float64(x.n)
+	heapAfter := heapInUse()
+	f.heap = float64(heapAfter-min(heapAfter, heapBefore)) / float64(x.n)
 	x.measureZoneLoss()
 	return true
 }
@@ -329,16 +329,16 @@
 		if !in.Up {
 			continue
 		}
-		all, seats := 0.0, 0.0
+		sum, polls := 0.0, 0.0
 		for _, m := range []map[string]simulation.Flow{in.Sent, in.Received} {
 			for kind, f := range m {
-				if all += f.Bytes / minute; kind == simulation.FlowRevokePoll {
-					seats += f.Bytes / minute
+				if sum += f.Bytes / minute; kind == simulation.FlowRevokePoll {
+					polls += f.Bytes / minute
 				}
 			}
 		}
-		if all > x.figures.zoneLoss[0]+x.figures.zoneLoss[1] {
-			x.figures.zoneLoss = [2]float64{all - seats, seats}
+		if sum > x.figures.zoneLoss[0]+x.figures.zoneLoss[1] {
+			x.figures.zoneLoss = [2]float64{sum - polls, polls}
 		}
 	}
 }
@@ -359,9 +359,9 @@
 		t, _ := config.Decode(raw)
 		kept = append(kept, t)
 	}
-	now := heapInUse()
+	after := heapInUse()
 	runtime.KeepAlive(kept)
-	return float64(now-min(now, before)) / copies
+	return float64(after-min(after, before)) / copies
 }
 
 // concurrentChangesTimeout bounds the wait for concurrent changes, in seconds.
@@ -373,7 +373,7 @@
 	if x.concurrentChanges == 0 {
 		return nil
 	}
-	x.sim.Run(x.sim.Now+x.set.RenewIntervalSeconds*x.rng.Float64(), nil)
+	x.sim.Run(x.sim.Now+x.leaseSettings.RenewIntervalSeconds*x.rng.Float64(), nil)
 	from, first := x.sim.Now, x.newestInForce()+1
 	for _, i := range x.rng.Perm(len(x.sim.Members))[:min(x.concurrentChanges, len(x.sim.Members))] {
 		x.changeNumber++
@@ -399,15 +399,15 @@
 	longestUnleased float64 // longest time that one of them had no lease, in seconds
 }
 
-// measureLoss starts a cluster, calls strike while it is idle and measures the effects. ok is false if the cluster did
-// not start or an instance has no lease at the end.
-func (x *versionsRun) measureLoss(strike func()) (l versionsLoss, ok bool) {
+// measureLoss starts a cluster, calls injectLoss while it is idle and measures the effects. ok is false if the cluster
+// did not start or an instance has no lease at the end.
+func (x *versionsRun) measureLoss(injectLoss func()) (l versionsLoss, ok bool) {
 	if !x.start() {
 		return l, false
 	}
 	x.sim.Run(x.sim.Now+x.rng.Float64(), nil)
 	x.sim.Reset()
-	strike()
+	injectLoss()
 	l.took = x.measureChange(true, 60)
 	l.next = x.measureChange(true, 60)
 	x.sim.Run(x.sim.Now+5, nil)
