--- a/internal/cluster/consensus/options.go
+++ b/internal/cluster/consensus/options.go
@@ -67,7 +67,7 @@
 	case o.Voters[o.Name] == "":
 		return fmt.Errorf("consensus: %q is not among the voters: add its address (%s)", o.Name, operatorsPage)
 	case len(o.Voters) > MaxVoters:
-		return fmt.Errorf("consensus: %d voters, at most %d are allowed are allowed", len(o.Voters), MaxVoters)
+		return fmt.Errorf("consensus: %d voters, at most %d are allowed", len(o.Voters), MaxVoters)
 	}
 	names := map[uint64]string{}
 	for name := range o.Voters {
